--- a/services/dispatch/advice.go
+++ b/services/dispatch/advice.go
@@ -172,7 +172,7 @@
 		if _, known := a.Suits(w); !known {
 			fresh[w] = true
 		}
-		if h.present(w.Life) == w {
+		if h.currentWorker(w.Life) == w {
 			// A worker that gets no ticket any more is not asked about again.
 			a.Suit(w, false, byName)
 			asked[w.Name] = w
--- a/services/dispatch/ask.go
+++ b/services/dispatch/ask.go
@@ -23,21 +23,21 @@
 )
 
 const (
-	// roomAsk bounds the workers that a step is asked about at a time because they
+	// maxAskedForRoom bounds the workers that a step is asked about at a time because they
 	// have room.
-	roomAsk = 60
-	// askSpare is for how many times the waiting tasks workers are named.
-	askSpare = 1.5
-	// leastRoom is the room, in tasks, that a named worker counts for which has none
+	maxAskedForRoom = 60
+	// askFactor is for how many times the waiting tasks workers are named.
+	askFactor = 1.5
+	// minRoomPerWorker is the room, in tasks, that a named worker counts for which has none
 	// now.
-	leastRoom = 0.3
+	minRoomPerWorker = 0.3
 )
 
-// ask calls for advice on some workers. It returns nil if the boxes have as many
+// requestAdvice calls for advice on some workers. It returns nil if the boxes have as many
 // calls under way as they should. What is late anyway waits until a box has none.
-func (h *holding) ask(now time.Time, s *step, q *job.Advice, workers []*worker) *adviceCall {
+func (h *holding) requestAdvice(now time.Time, s *step, q *job.Advice, workers []*worker) *adviceCall {
 	takes := q.Base + time.Duration(len(workers))*q.Each
-	class := h.classOf(now, s)
+	class := h.turnClass(now, s)
 	if h.uses(mechanism.DividedAdvice) && takes > advisers.Brief && !h.advisers.Turns.May(now, class) {
 		return nil
 	}
@@ -70,13 +70,13 @@
 	return c
 }
 
-// classOf returns what a step competes as for calls.
-func (h *holding) classOf(now time.Time, s *step) turns.Class {
+// turnClass returns what a step competes as for calls.
+func (h *holding) turnClass(now time.Time, s *step) turns.Class {
 	return turns.Class{Queue: s.job.queue, Late: h.rank(now, s).Tier != ranking.OnTime}
 }
 
-// adviseEarly asks for the first steps of a job while the log takes it in.
-func (h *holding) adviseEarly(now time.Time, j *submitted) {
+// requestEarlyAdvice asks for the first steps of a job while the log takes it in.
+func (h *holding) requestEarlyAdvice(now time.Time, j *submitted) {
 	q := h.queueOf(j)
 	if q.Advice == nil || !h.uses(mechanism.EarlyAdvice) {
 		return
@@ -85,37 +85,37 @@
 	for _, in := range ordered.Map(j.instances) {
 		for _, s := range in.steps {
 			if len(s.spec.After) == 0 {
-				h.adviseStepEarly(p, now, ranked{step: s, queue: q})
+				h.requestEarlyStepAdvice(p, now, ranked{step: s, queue: q})
 			}
 		}
 	}
 }
 
-// adviseStepEarly asks for a step that is not open yet. The pass is the look at the
+// requestEarlyStepAdvice asks for a step that is not open yet. The pass is the look at the
 // workers, which may be older than now.
-func (h *holding) adviseStepEarly(p *pass, now time.Time, r ranked) {
+func (h *holding) requestEarlyStepAdvice(p *pass, now time.Time, r ranked) {
 	candidates := h.workersFor(p, r.step, r.queue.Pool).workers
 	if r.step.spec.Gang {
 		h.widenChoice(now, r, candidates, false)
 		return
 	}
-	h.askForRoom(now, r, candidates)
+	h.requestAdviceForRoom(now, r, candidates)
 }
 
-// earlyFor is how long jobs that are handed in share one look at the workers.
-const earlyFor = 10 * time.Millisecond
+// earlyPassLifetime is how long jobs that are handed in share one look at the workers.
+const earlyPassLifetime = 10 * time.Millisecond
 
 // earlyPass returns the look at the workers for jobs that are handed in now.
 func (h *holding) earlyPass(now time.Time) *pass {
-	if h.early == nil || now.Sub(h.early.now) > earlyFor {
+	if h.early == nil || now.Sub(h.early.now) > earlyPassLifetime {
 		h.early = newPass(now)
 	}
 	return h.early
 }
 
-// roomiest returns the candidates about which nothing is known for a step and nobody
+// unaskedByRoom returns the candidates about which nothing is known for a step and nobody
 // is asked, those with most room first.
-func (s *step) roomiest(candidates []*worker) []*worker {
+func (s *step) unaskedByRoom(candidates []*worker) []*worker {
 	var all []*worker
 	for _, w := range candidates {
 		if !s.advice.Asked(w) {
@@ -128,11 +128,11 @@
 	return all
 }
 
-// shuffled yields the candidates about which nothing is known for a step and nobody
+// unaskedRotated yields the candidates about which nothing is known for a step and nobody
 // is asked, with the room they have for its tasks: those that have some first. It
 // begins at a place of the step's own, so that steps which wait at once ask about
 // different ones.
-func (s *step) shuffled(candidates []*worker) iter.Seq2[*worker, int] {
+func (s *step) unaskedRotated(candidates []*worker) iter.Seq2[*worker, int] {
 	return func(yield func(*worker, int) bool) {
 		if len(candidates) == 0 {
 			return
@@ -159,16 +159,16 @@
 	}
 }
 
-// askAbout calls for advice on some workers, in as many calls as that takes. It
+// requestAdviceOn calls for advice on some workers, in as many calls as that takes. It
 // returns false if none was made.
-func (h *holding) askAbout(now time.Time, r ranked, workers []*worker) bool {
+func (h *holding) requestAdviceOn(now time.Time, r ranked, workers []*worker) bool {
 	s := r.step
 	if now.Before(s.advice.askAgain) {
 		return false
 	}
 	asked := false
 	for chunk := range slices.Chunk(workers, advisers.NamesMost) {
-		if h.ask(now, s, r.queue.Advice, chunk) == nil {
+		if h.requestAdvice(now, s, r.queue.Advice, chunk) == nil {
 			break
 		}
 		asked = true
@@ -176,63 +176,63 @@
 	return asked
 }
 
-// askForRoom asks about as many unknown workers as should have room for the waiting
+// requestAdviceForRoom asks about as many unknown workers as should have room for the waiting
 // tasks of a step, those that have some first. Where few have room it names some
 // more, which may have it next. It returns false if no call was made.
-func (h *holding) askForRoom(now time.Time, r ranked, candidates []*worker) bool {
+func (h *holding) requestAdviceForRoom(now time.Time, r ranked, candidates []*worker) bool {
 	s := r.step
 	if !h.advisers.Free(now, maps.Keys(h.core.members), r.queue.Advice.Base, advisers.Queue) {
-		h.advisers.Turns.TurnAway(now, h.classOf(now, s))
+		h.advisers.Turns.TurnAway(now, h.turnClass(now, s))
 		return false
 	}
-	missing := askSpare * float64(s.waiting) / h.learned.GoodShare(r.queue.Name)
+	missing := askFactor * float64(s.waiting) / h.learned.GoodShare(r.queue.Name)
 	least := advisers.NamesAtLeast(r.queue.Advice)
 	var named []*worker
-	for w, room := range s.shuffled(candidates) {
-		if len(named) == roomAsk || len(named) >= least && missing <= 0 {
+	for w, room := range s.unaskedRotated(candidates) {
+		if len(named) == maxAskedForRoom || len(named) >= least && missing <= 0 {
 			break
 		}
 		named = append(named, w)
-		missing -= max(leastRoom, float64(room))
+		missing -= max(minRoomPerWorker, float64(room))
 	}
-	return h.askAbout(now, r, named)
+	return h.requestAdviceOn(now, r, named)
 }
 
-// askMore asks about those of some workers that have room now. It returns false if
+// requestMoreAdvice asks about those of some workers that have room now. It returns false if
 // no call was made.
-func (h *holding) askMore(now time.Time, r ranked, workers []*worker) bool {
+func (h *holding) requestMoreAdvice(now time.Time, r ranked, workers []*worker) bool {
 	var open []*worker
 	for _, w := range workers {
 		if w.slots(r.step, w.room()) > 0 {
 			open = append(open, w)
 		}
 	}
-	return h.askForRoom(now, r, open)
+	return h.requestAdviceForRoom(now, r, open)
 }
 
-// refresh asks for tickets for shares, and keeps their room until they come.
+// refreshTickets asks for tickets for shares, and keeps their room until they come.
 // Tickets that outlast the call are not asked for again.
-func (h *holding) refresh(now time.Time, r ranked, shares []share) {
+func (h *holding) refreshTickets(now time.Time, r ranked, shares []share) {
 	s := r.step
 	if len(shares) == 0 || now.Before(s.advice.askAgain) {
 		return
 	}
 	takes := r.queue.Advice.Base + time.Duration(len(shares))*r.queue.Advice.Each
-	_, stale := s.ticketed(now.Add(takes+tickets.Margin), shares)
+	_, stale := s.splitByTicket(now.Add(takes+tickets.Margin), shares)
 	workers := make([]*worker, len(stale))
 	for i, sh := range stale {
 		workers[i] = sh.Worker
 	}
-	if c := h.ask(now, s, r.queue.Advice, workers); c != nil {
+	if c := h.requestAdvice(now, s, r.queue.Advice, workers); c != nil {
 		for _, sh := range shares {
 			c.promise(sh.Worker, sh.Tasks)
 		}
 	}
 }
 
-// ticketed splits shares into those whose tickets a start could use now and the
+// splitByTicket splits shares into those whose tickets a start could use now and the
 // others.
-func (s *step) ticketed(now time.Time, shares []share) (valid, stale []share) {
+func (s *step) splitByTicket(now time.Time, shares []share) (valid, stale []share) {
 	for _, sh := range shares {
 		if _, ok := s.advice.For(now, sh.Worker); ok {
 			valid = append(valid, sh)
--- a/services/dispatch/calls.go
+++ b/services/dispatch/calls.go
@@ -17,7 +17,7 @@
 	}
 	if j := h.jobs[e.Submission.ID]; j != nil {
 		if !e.Caller.MayActOn(j.workspace, j.queue) {
-			h.unavailable(e.Call, "the job cannot be taken under this ID")
+			h.replyUnavailable(e.Call, "the job cannot be taken under this ID")
 			return
 		}
 		if j.accepted {
@@ -41,7 +41,7 @@
 		})
 		return
 	case h.journal.failing(now):
-		h.unavailable(e.Call, "the log keeps no records at present")
+		h.replyUnavailable(e.Call, "the log keeps no records at present")
 		return
 	}
 	within, refusal := h.admits(now, &e.Submission)
@@ -56,11 +56,11 @@
 	j.beyond = !within
 	j.waitAccept = append(j.waitAccept, e.Call)
 	h.journal.accepts = append(h.journal.accepts, j)
-	h.adviseEarly(now, j)
+	h.requestEarlyAdvice(now, j)
 }
 
-// unavailable answers that nothing was done and when to come back.
-func (h *holding) unavailable(call exchange.CallID, reason string) {
+// replyUnavailable answers that nothing was done and when to come back.
+func (h *holding) replyUnavailable(call exchange.CallID, reason string) {
 	h.core.reply(call, exchange.Answer{
 		Outcome: exchange.Unavailable, Reason: reason, RetryAfter: job.Milliseconds(comeBack.Milliseconds()),
 	})
@@ -85,9 +85,9 @@
 	h.markDirty(j)
 }
 
-// askState answers with the state that the log has, or running once a task was
+// replyState answers with the state that the log has, or running once a task was
 // seen at work.
-func (h *holding) askState(e exchange.StateAsked) {
+func (h *holding) replyState(e exchange.StateAsked) {
 	j := h.jobs[e.Job]
 	if j == nil || !e.Caller.MayActOn(j.workspace, j.queue) {
 		h.core.reply(e.Call, exchange.Answer{Outcome: exchange.NoJob})
@@ -100,8 +100,8 @@
 	h.core.reply(e.Call, exchange.Answer{Outcome: exchange.OK, State: state})
 }
 
-// askCount counts the accepted jobs of a queue of which no task was seen at work.
-func (h *holding) askCount(e exchange.CountAsked) {
+// replyCount counts the accepted jobs of a queue of which no task was seen at work.
+func (h *holding) replyCount(e exchange.CountAsked) {
 	count := 0
 	for _, j := range h.jobs {
 		if j.queue == e.Queue && j.accepted && !j.started && !j.state.Final() {
--- a/services/dispatch/caps.go
+++ b/services/dispatch/caps.go
@@ -97,11 +97,11 @@
 // is not known where they are.
 func (h *holding) hearUsage() {
 	var room resource.Vector
-	for _, w := range h.byName() {
+	for _, w := range h.workersByName() {
 		switch {
 		case h.unsettled[w.Name]:
 			room = room.Plus(w.Capacity)
-		case len(w.strays) > 0:
+		case len(w.orphans) > 0:
 			room = room.Plus(w.free)
 		}
 	}
--- a/services/dispatch/choice.go
+++ b/services/dispatch/choice.go
@@ -38,7 +38,7 @@
 // largestCapacity returns the capacity of the worker with most processors.
 func (h *holding) largestCapacity() resource.Vector {
 	most := resource.Vector{}
-	for _, w := range h.byName() {
+	for _, w := range h.workersByName() {
 		if w.Capacity.Processors > most.Processors {
 			most = w.Capacity
 		}
@@ -90,11 +90,11 @@
 		return
 	}
 	if r.queue.Advice.Base <= advisers.Short {
-		h.askForRoom(now, r, candidates)
+		h.requestAdviceForRoom(now, r, candidates)
 		return
 	}
 	each := float64(max(1, s.slotsOfEmpty(h.largestCapacity()))) * good
-	unknown := s.roomiest(candidates)
+	unknown := s.unaskedByRoom(candidates)
 	wanted := max(advisers.NamesAtLeast(r.queue.Advice), int(math.Ceil(missing/each)))
-	h.askAbout(now, r, unknown[:min(len(unknown), wanted)])
+	h.requestAdviceOn(now, r, unknown[:min(len(unknown), wanted)])
 }
--- a/services/dispatch/confirm.go
+++ b/services/dispatch/confirm.go
@@ -12,25 +12,25 @@
 	"saddlevane/models/stream"
 )
 
-// journalEnded takes the end of the append under way. One that the log has seen
+// journalAppendEnded takes the end of the append under way. One that the log has seen
 // before is in the log.
-func (h *holding) journalEnded(now time.Time, e exchange.AppendEnded) {
+func (h *holding) journalAppendEnded(now time.Time, e exchange.AppendEnded) {
 	j := &h.journal
 	if j.batch == nil || !j.batch.sent || e.Number != j.batch.append.Writer.Number() {
 		return
 	}
 	switch {
 	case e.Err == nil || errors.Is(e.Err, stream.ErrDone):
-		h.kept(now)
+		h.journalAppended(now)
 	case errors.Is(e.Err, stream.ErrFenced):
 		h.core.stepDown("a later holder has appended")
 	default:
-		h.notKept(now, e.Err)
+		h.retryAppend(now, e.Err)
 	}
 }
 
-// notKept sends the same append again; it may be in the log already.
-func (h *holding) notKept(now time.Time, err error) {
+// retryAppend sends the same append again; it may be in the log already.
+func (h *holding) retryAppend(now time.Time, err error) {
 	j := &h.journal
 	j.batch.sent = false
 	j.sendAt = now.Add(appendAgain)
@@ -74,7 +74,7 @@
 func (h *holding) refuseQueued() {
 	for _, s := range h.journal.accepts {
 		for _, call := range s.waitAccept {
-			h.unavailable(call, "the log keeps no records at present")
+			h.replyUnavailable(call, "the log keeps no records at present")
 		}
 		s.waitAccept = nil
 		s.state = job.Cancelled
@@ -87,8 +87,8 @@
 	}
 }
 
-// kept acts on what is now in the log.
-func (h *holding) kept(now time.Time) {
+// journalAppended acts on what is now in the log.
+func (h *holding) journalAppended(now time.Time) {
 	j := &h.journal
 	b := j.batch
 	j.batch = nil
@@ -108,15 +108,15 @@
 		h.opened(now, s)
 	}
 	for _, p := range b.progress {
-		h.keptProgress(now, p)
+		h.progressAppended(now, p)
 	}
 	h.fenced()
 	h.planDue = true
 }
 
-// keptProgress acts on one job's progress that is now in the log: callers are told
+// progressAppended acts on one job's progress that is now in the log: callers are told
 // and workers may forget the ends.
-func (h *holding) keptProgress(now time.Time, p batched) {
+func (h *holding) progressAppended(now time.Time, p batched) {
 	p.job.shown = p.state
 	h.answer(p.cancels, exchange.Answer{Outcome: exchange.OK, State: p.state})
 	for _, n := range p.ends {
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -150,11 +150,11 @@
 	case exchange.CancelAsked:
 		c.call(now, e.Call, e.Caller, func(h *holding) { h.cancel(now, e) })
 	case exchange.StateAsked:
-		c.call(now, e.Call, e.Caller, func(h *holding) { h.askState(e) })
+		c.call(now, e.Call, e.Caller, func(h *holding) { h.replyState(e) })
 	case exchange.ExplanationAsked:
 		c.call(now, e.Call, nil, func(h *holding) { h.askExplanation(now, e) })
 	case exchange.CountAsked:
-		c.call(now, e.Call, e.Caller, func(h *holding) { h.askCount(e) })
+		c.call(now, e.Call, e.Caller, func(h *holding) { h.replyCount(e) })
 	default:
 		if c.holding != nil {
 			c.holding.handle(now, e)
@@ -278,7 +278,7 @@
 	c.note("configuration in force", field("config", config.Version), field("queues", len(config.Queues)),
 		field("workspaces", len(config.Workspaces)))
 	if c.holding != nil {
-		c.holding.namePools(config)
+		c.holding.addPools(config)
 		c.holding.planDue = true
 	}
 }
@@ -300,7 +300,7 @@
 		c.followAuthority(now)
 	case exchange.ForJournal:
 		if c.holding != nil {
-			c.holding.journalEnded(now, e)
+			c.holding.journalAppendEnded(now, e)
 		}
 	}
 }
--- a/services/dispatch/ends.go
+++ b/services/dispatch/ends.go
@@ -199,7 +199,7 @@
 	w.failedJobs++
 	if w.failedJobs >= excludeAfter {
 		w.failedJobs = excludeAfter - 1
-		w.excludedTill = now.Add(excludeFor)
-		h.core.note("worker is left out because different jobs fail on it", field("worker", w.Life.String()), field("until", w.excludedTill.UTC()))
+		w.excludedUntil = now.Add(excludeFor)
+		h.core.note("worker is left out because different jobs fail on it", field("worker", w.Life.String()), field("until", w.excludedUntil.UTC()))
 	}
 }
--- a/services/dispatch/fit.go
+++ b/services/dispatch/fit.go
@@ -91,7 +91,7 @@
 	if s.failedOn[w] {
 		c.failed = 1
 	}
-	if w.keptFor != nil && w.keptFor != s {
+	if w.prevHeldFor != nil && w.prevHeldFor != s {
 		c.kept = 1
 	}
 	if _, valid := s.advice.For(now, w); !valid && s.advice.told() > 0 {
--- a/services/dispatch/foreign_test.go
+++ b/services/dispatch/foreign_test.go
@@ -17,8 +17,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// refused is a change of the list by which some entries name no worker any more.
-func refused(why string, ids ...string) exchange.WorkersRead {
+// refusedEntries is a change of the list by which some entries name no worker any more.
+func refusedEntries(why string, ids ...string) exchange.WorkersRead {
 	l := order.Listing{Gone: ids, Foreign: map[string]string{}}
 	for _, id := range ids {
 		l.Foreign[id] = why
@@ -26,14 +26,14 @@
 	return exchange.WorkersRead{Listing: l}
 }
 
-func TestAWorkerWhoseEntryAnotherWriterLeftKeepsItsTasksAndGetsNoMore(t *testing.T) {
+func TestWorkerWithUnreadableEntryKeepsTasksAndGetsNoMore(t *testing.T) {
 	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
 	start := only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))[0]
 	d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
 	d.answers(3*time.Second, looks)
-	told := only[exchange.EntryRefused](d.handle(refused("it cannot be read", "w", "x")))
+	told := only[exchange.EntryRefused](d.handle(refusedEntries("it cannot be read", "w", "x")))
 	assert.Equal(t, len(told), 2)
-	told = only[exchange.EntryRefused](d.handle(refused("it cannot be read", "w", "x")))
+	told = only[exchange.EntryRefused](d.handle(refusedEntries("it cannot be read", "w", "x")))
 	assert.Equal(t, len(told), 0, "it is told of once")
 	assert.Equal(t, d.startsOf(oneStep("k", "quick", 1, false), 3, looks), 0, "it gets no more")
 	state := only[exchange.Reply](d.handle(exchange.StateAsked{Call: 9, Job: "j"}))[0].Reply.State
@@ -42,7 +42,7 @@
 	assert.Equal(t, d.answers(time.Second, looks), 1, "it is a worker again")
 }
 
-func TestAWorkerOfAPoolThatNobodyNamesIsLeftAlone(t *testing.T) {
+func TestWorkerOfUnnamedPoolIsNotContacted(t *testing.T) {
 	d, _ := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
 	other := order.Worker{Life: order.Life{Name: "o"}, Address: "o", Pool: "other", Capacity: fullSize}
 	effects := d.handle(exchange.WorkersRead{Listing: order.Listing{Present: []order.Worker{other}}})
--- a/services/dispatch/handover_test.go
+++ b/services/dispatch/handover_test.go
@@ -11,7 +11,7 @@
 	"saddlevane/models/exchange"
 )
 
-func TestAPlannedStopUnderLoadDoesNotWaitForEnds(t *testing.T) {
+func TestPlannedStopUnderLoadDoesNotWaitForEnds(t *testing.T) {
 	w := serving(t, 51, 3, 8)
 	for i := range 120 {
 		s := oneStep(fmt.Sprint("j", i), "quick", 3, false)
--- a/services/dispatch/hidden.go
+++ b/services/dispatch/hidden.go
@@ -13,14 +13,14 @@
 
 // A worker may crash while no box holds the cell: only the log tells what ran there.
 
-// startMatters says whether the log is told of a start: not if its run has ended well.
-func (h *holding) startMatters(s recent.Start) bool {
+// needsStartRecord says whether the log is told of a start: not if its run has ended well.
+func (h *holding) needsStartRecord(s recent.Start) bool {
 	st := h.findStep(s.Task.StepID)
 	return st != nil && !st.job.state.Final() && !st.tasks[s.Task.Index].done
 }
 
-// foldStarts takes over which tasks earlier holders had started last.
-func (h *holding) foldStarts(records [][]byte) {
+// restoreStarts takes over which tasks earlier holders had started last.
+func (h *holding) restoreStarts(records [][]byte) {
 	told, unread := recent.Read(records)
 	for _, err := range unread {
 		h.core.note("kept starts could not be read", field("error", err.Error()))
@@ -33,7 +33,7 @@
 func (h *holding) startedOn(w *worker, at time.Time) []blame.On {
 	var all []blame.On
 	for _, s := range h.startedLast.On(w.Life) {
-		if st := h.lostWith(s); st != nil {
+		if st := h.possiblyLostStep(s); st != nil {
 			on := blame.StartedBefore(st.unit(s.Task.Index), s.UnixMilli, h.core.unixMilli(at), h.startedLast.Workers(st.id, st.spec.Gang))
 			on.Run, on.Gang = s.Run, st.spec.Gang
 			all = append(all, on)
@@ -43,9 +43,9 @@
 	return all
 }
 
-// lostWith returns the step of a start if its task is not known to have run on, ended or begun
+// possiblyLostStep returns the step of a start if its task is not known to have run on, ended or begun
 // anew since, else nil.
-func (h *holding) lostWith(s recent.Start) *step {
+func (h *holding) possiblyLostStep(s recent.Start) *step {
 	st := h.findStep(s.Task.StepID)
 	if st == nil || s.Task.Index >= len(st.tasks) || st.job.state.Final() {
 		return nil
--- a/services/dispatch/holding.go
+++ b/services/dispatch/holding.go
@@ -126,7 +126,7 @@
 		pools: map[string]bool{},
 	}
 	if c.config != nil {
-		h.namePools(*c.config)
+		h.addPools(*c.config)
 	}
 	return h
 }
--- a/services/dispatch/journal.go
+++ b/services/dispatch/journal.go
@@ -133,7 +133,7 @@
 // compose builds the next append.
 func (h *holding) compose(now time.Time) *batch {
 	j := &h.journal
-	if slot, starts := j.starts.Take(now, h.startMatters); len(starts) > 0 {
+	if slot, starts := j.starts.Take(now, h.needsStartRecord); len(starts) > 0 {
 		j.add(kept.Starts(slot, starts))
 	}
 	b := &batch{append: stream.Append{Stream: stream.Jobs, Records: j.extra}, recorded: j.recording}
--- a/services/dispatch/keep.go
+++ b/services/dispatch/keep.go
@@ -72,7 +72,7 @@
 		emptyIn[w] = h.emptyIn(p.now, w)
 	}
 	slices.SortStableFunc(open, func(a, b *worker) int {
-		return cmp.Or(ordered.TrueFirst(a.drainedBefore == s, b.drainedBefore == s), cmp.Compare(emptyIn[a], emptyIn[b]))
+		return cmp.Or(ordered.TrueFirst(a.prevDrainedFor == s, b.prevDrainedFor == s), cmp.Compare(emptyIn[a], emptyIn[b]))
 	})
 	for _, w := range open[:min(s.waiting, len(open))] {
 		if p.drained >= max(1, len(h.workers)/drainedShare) {
--- a/services/dispatch/late_test.go
+++ b/services/dispatch/late_test.go
@@ -21,8 +21,8 @@
 	return e
 }
 
-// lookUnanswered ends a look that ran out of its time, and returns the next one.
-func (d *driven) lookUnanswered(r exchange.Renew) exchange.Renew {
+// renewalTimesOut ends a look that ran out of its time, and returns the next one.
+func (d *driven) renewalTimesOut(r exchange.Renew) exchange.Renew {
 	d.t.Helper()
 	effects := d.handle(exchange.RenewEnded{Worker: r.Worker, Epoch: r.Epoch, Look: r.Look, Answer: order.Answer{Fate: order.Unknown}})
 	effects = append(effects, d.later(200*time.Millisecond)...)
@@ -46,11 +46,11 @@
 //
 // What settled it: the worker's lines `does not answer` without `answers again` between
 // the end of the run and the next start, on a day without any disturbance.
-func TestAnEndThatIsHeardLateCounts(t *testing.T) {
+func TestEndInLateAnswerCounts(t *testing.T) {
 	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
 	start := only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))[0]
 	d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
-	d.lookUnanswered(looks["w"])
+	d.renewalTimesOut(looks["w"])
 	effects := d.handle(doneOn(looks["w"], start.Order.Run))
 	d.keepsAny(append(effects, d.later(20*time.Millisecond)...))
 	effects = d.handle(exchange.StateAsked{Call: 9, Job: "j"})
@@ -59,12 +59,12 @@
 
 // A late answer is from before the look under way: what ran by then may have ended, and
 // what did not may have begun.
-func TestALateAnswerTellsOfEndsOnly(t *testing.T) {
+func TestLateAnswerIsUsedForEndsOnly(t *testing.T) {
 	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
 	start := only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))[0]
 	d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
-	second := d.lookUnanswered(looks["w"])
-	third := d.lookUnanswered(second)
+	second := d.renewalTimesOut(looks["w"])
+	third := d.renewalTimesOut(second)
 	effects := d.handle(looked(second))
 	effects = append(effects, d.later(20*time.Millisecond)...)
 	assert.Equal(t, len(only[exchange.StartRun](effects)), 0, "an empty list that came late is no proof")
@@ -79,7 +79,7 @@
 }
 
 // A refusal says that the job has not run; one that is known may have.
-func TestAHolderThatIsBehindRefusesOnlyJobsItDoesNotKnow(t *testing.T) {
+func TestOverloadedHolderRefusesOnlyUnknownJobs(t *testing.T) {
 	d := oneWorker(t)
 	d.submits(oneStep("known", "quick", 1, false))
 	again := d.handle(exchange.Submitted{Call: 7, Submission: oneStep("known", "quick", 1, false), ComeBack: 2 * time.Second})
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -16,8 +16,8 @@
 	"saddlevane/services/lateness"
 )
 
-// leaseMost is how long a lease can last on the slowest clock allowed.
-func (h *holding) leaseMost() time.Duration {
+// maxLeaseDuration is how long a lease can last on the slowest clock allowed.
+func (h *holding) maxLeaseDuration() time.Duration {
 	return lateness.LeaseAtMost(h.core.settings.Lease)
 }
 
@@ -26,18 +26,18 @@
 	return w.clock + order.WorkerClock(now.Sub(w.clockAt).Milliseconds())
 }
 
-// until returns the end of a lease that begins at now, and notes it.
-func (h *holding) until(now time.Time, w *worker) order.WorkerClock {
+// extendLease returns the end of a lease that begins at now, and notes it.
+func (h *holding) extendLease(now time.Time, w *worker) order.WorkerClock {
 	if w.clockAt.IsZero() {
 		return 0
 	}
-	w.goneAt = ordered.Later(w.goneAt, now.Add(h.leaseMost()))
+	w.leaseExpiresBy = ordered.Later(w.leaseExpiresBy, now.Add(h.maxLeaseDuration()))
 	return w.clockNow(now) + order.WorkerClock(h.core.settings.Lease.Milliseconds())
 }
 
 // renewAll renews what is due, in a fixed order.
 func (h *holding) renewAll(now time.Time) {
-	for _, w := range h.byName() {
+	for _, w := range h.workersByName() {
 		h.renew(now, w)
 	}
 }
@@ -52,7 +52,7 @@
 // renew renews a worker's lease and asks what it runs, if that is due. The call
 // waits at the worker for an end where there is nothing else to hear.
 func (h *holding) renew(now time.Time, w *worker) {
-	if w.look != 0 || now.Before(w.renewAt) || w.lookAddress() == "" || !h.mayRenew(now) {
+	if w.pendingRenewal != 0 || now.Before(w.renewAt) || w.renewAddress() == "" || !h.mayRenew(now) {
 		return
 	}
 	if !h.pools[w.Pool] && len(w.attempts) == 0 && !h.unsettled[w.Name] {
@@ -60,27 +60,27 @@
 		return
 	}
 	h.looks++
-	w.look = h.looks
-	r := order.Renew{Fence: h.fence(w), Seen: w.told.Forget(h.isSurely(now, w))}
+	w.pendingRenewal = h.looks
+	r := order.Renew{Fence: h.fence(w), Seen: w.reportedEnds.Forget(h.canAcknowledgeEnds(now, w))}
 	if w.failures == 0 {
 		// While a worker does not answer its lease must run out some time.
-		r.Until = h.until(now, w)
+		r.Until = h.extendLease(now, w)
 	}
-	mayWait := w.settled && !w.lives.Doubted()
-	if mayWait && (w.failures == 0 && !w.told.Waiting() || len(w.attempts) == 0) {
-		r.Wait = job.Milliseconds(h.lookWait(w).Milliseconds())
+	mayWait := w.reported && !w.lives.Doubted()
+	if mayWait && (w.failures == 0 && !w.reportedEnds.Waiting() || len(w.attempts) == 0) {
+		r.Wait = job.Milliseconds(h.renewWait(w).Milliseconds())
 	}
-	w.lookDue = now.Add(r.Wait.Duration())
+	w.answerDue = now.Add(r.Wait.Duration())
 	h.core.do(exchange.Renew{
-		Worker: w.Life, Address: w.lookAddress(), Epoch: h.epoch, Look: w.look, Order: r,
-		Timeout: h.patience(now, lookMargin) + r.Wait.Duration(), Late: h.lateFor(now, w),
+		Worker: w.Life, Address: w.renewAddress(), Epoch: h.epoch, Look: w.pendingRenewal, Order: r,
+		Timeout: h.adaptiveTimeout(now, renewMargin) + r.Wait.Duration(), Late: h.lateAnswerWindow(now, w),
 	})
 }
 
-// isSurely says whether the life that is known is surely the present one, or has at least
+// canAcknowledgeEnds says whether the life that is known is surely the present one, or has at least
 // not ended any task since: it answered the last look, and told of all tasks started on it
 // that may have ended.
-func (h *holding) isSurely(now time.Time, w *worker) bool {
+func (h *holding) canAcknowledgeEnds(now time.Time, w *worker) bool {
 	if w.failures > 0 || w.lives.Doubted() {
 		return false
 	}
@@ -103,24 +103,24 @@
 	if e.Epoch != h.epoch {
 		return
 	}
-	w := h.present(e.Worker)
+	w := h.currentWorker(e.Worker)
 	if w == nil {
-		h.formerAnswered(now, e)
+		h.otherIncarnationAnswered(now, e)
 		return
 	}
-	if e.Look != w.look {
-		h.cameLate(now, w, e)
+	if e.Look != w.pendingRenewal {
+		h.lateRenewEnded(now, w, e)
 		return
 	}
-	w.look = 0
+	w.pendingRenewal = 0
 	carried := e.Answer.Fate == order.Carried
 	switch {
-	case e.Answer.Fate == order.NoLife && w.lookAddress() != w.Address:
+	case e.Answer.Fate == order.NoLife && w.renewAddress() != w.Address:
 		// There is no life where another life's entry says, which may be old.
 		h.renewFailed(now, w, e)
-	case h.ousted(now, w, e.Answer, e.Look):
+	case h.handleSuperseded(now, w, e.Answer, e.Look):
 	case carried && w.lives.Answered(w.Life, e.Report.Life, e.Look):
-		h.startedAgain(now, w, e)
+		h.workerRestarted(now, w, e)
 	case carried:
 		h.renewed(now, w, e)
 	default:
@@ -128,24 +128,24 @@
 	}
 }
 
-// lateLooks is how many looks at a worker may be overdue and still be listened for: each
+// maxOverdueRenewals is how many looks at a worker may be overdue and still be listened for: each
 // holds a connection.
-const lateLooks = 3
+const maxOverdueRenewals = 3
 
-// lateFor returns for how long the answer to a look still counts when it is overdue: as
+// lateAnswerWindow returns for how long the answer to a look still counts when it is overdue: as
 // long as the worker's lease may last, so that no end is heard too late because this
 // process, its link or the worker was slow.
-func (h *holding) lateFor(now time.Time, w *worker) time.Duration {
-	maps.DeleteFunc(w.overdue, func(_ int64, due time.Time) bool { return now.Sub(due) > h.leaseMost() })
-	if len(w.overdue) >= lateLooks {
+func (h *holding) lateAnswerWindow(now time.Time, w *worker) time.Duration {
+	maps.DeleteFunc(w.overdue, func(_ int64, due time.Time) bool { return now.Sub(due) > h.maxLeaseDuration() })
+	if len(w.overdue) >= maxOverdueRenewals {
 		return 0
 	}
-	return h.leaseMost()
+	return h.maxLeaseDuration()
 }
 
-// cameLate takes the answer to a look that has run out of its time. Ends have numbers
+// lateRenewEnded takes the answer to a look that has run out of its time. Ends have numbers
 // and stay true; what ran by then may have ended since, so the rest tells nothing.
-func (h *holding) cameLate(now time.Time, w *worker, e exchange.RenewEnded) {
+func (h *holding) lateRenewEnded(now time.Time, w *worker, e exchange.RenewEnded) {
 	due, waited := w.overdue[e.Look]
 	delete(w.overdue, e.Look)
 	if e.Answer.Fate != order.Carried {
@@ -157,35 +157,35 @@
 	switch {
 	case w.IsOther(e.Report.Life) && e.Worker.BornUnixMilli == 0:
 		// It may be an earlier life or a later one.
-		h.formerAnswered(now, e)
+		h.otherIncarnationAnswered(now, e)
 	case w.lives.Answered(w.Life, e.Report.Life, 0):
-		h.startedAgain(now, w, e)
+		h.workerRestarted(now, w, e)
 	default:
-		h.takeEnds(now, w, e.Report.Ended)
+		h.applyEnds(now, w, e.Report.Ended)
 	}
 }
 
-// answeredLook takes how long the answer to a look took beside its wait. Where an end cut
+// recordAnswerTime takes how long the answer to a look took beside its wait. Where an end cut
 // the wait short that is not known.
-func (h *holding) answeredLook(now time.Time, w *worker, e exchange.RenewEnded) {
-	if took := now.Sub(w.lookDue); took > 0 || len(e.Report.Ended) == 0 {
+func (h *holding) recordAnswerTime(now time.Time, w *worker, e exchange.RenewEnded) {
+	if took := now.Sub(w.answerDue); took > 0 || len(e.Report.Ended) == 0 {
 		h.answers.Answered(now, took)
 	}
 }
 
 const (
-	// lookShare is the part of the usual time of the shortest task on a worker that a
+	// renewWaitShare is the part of the usual time of the shortest task on a worker that a
 	// look may wait there: a look whose answer is lost keeps an end from being known.
-	lookShare = 0.5
-	// leastLookWait bounds that wait from below.
-	leastLookWait = 200 * time.Millisecond
-	// lookMargin is how much longer than it waits a look may take: answers come within
+	renewWaitShare = 0.5
+	// minRenewWait bounds that wait from below.
+	minRenewWait = 200 * time.Millisecond
+	// renewMargin is how much longer than it waits a look may take: answers come within
 	// some milliseconds.
-	lookMargin = 200 * time.Millisecond
+	renewMargin = 200 * time.Millisecond
 )
 
-// lookWait returns how long a look waits at a worker for an end.
-func (h *holding) lookWait(w *worker) time.Duration {
+// renewWait returns how long a look waits at a worker for an end.
+func (h *holding) renewWait(w *worker) time.Duration {
 	wait := h.core.settings.Wait
 	if _, shared := w.besideFillers(); shared {
 		wait = min(servingWait, wait)
@@ -195,28 +195,28 @@
 	}
 	for _, a := range w.attempts {
 		if !a.step.spec.Service {
-			wait = min(wait, max(leastLookWait, time.Duration(lookShare*float64(h.usual(a.step)))))
+			wait = min(wait, max(minRenewWait, time.Duration(renewWaitShare*float64(h.usual(a.step)))))
 		}
 	}
 	return wait
 }
 
 const (
-	otherLife   = "another worker answers at its address"
-	bornAgain   = "it has started again"
-	laterHolder = "a worker has seen a later holder"
+	reasonOtherIncarnation = "another worker answers at its address"
+	reasonRestarted        = "it has started again"
+	reasonLaterHolder      = "a worker has seen a later holder"
 )
 
-// ousted acts on an answer which says that the worker meant, or the authority of
+// handleSuperseded acts on an answer which says that the worker meant, or the authority of
 // this holder, has ended. It returns false on any other answer. Look is the number of the
 // look, or 0 for other orders.
-func (h *holding) ousted(now time.Time, w *worker, a order.Answer, look int64) bool {
+func (h *holding) handleSuperseded(now time.Time, w *worker, a order.Answer, look int64) bool {
 	switch {
 	case a.Fate == order.NoLife:
-		h.noLife(now, w)
+		h.incarnationGone(now, w)
 		return true
 	case w.lives.Outranked(a, look):
-		h.core.stepDown(laterHolder)
+		h.core.stepDown(reasonLaterHolder)
 		return true
 	default:
 		return false
@@ -226,15 +226,15 @@
 // renewFailed tries again soon, and ever less often at a worker that runs nothing.
 func (h *holding) renewFailed(now time.Time, w *worker, e exchange.RenewEnded) {
 	w.failures++
-	if len(w.overdue) < lateLooks {
-		w.overdue[e.Look] = w.lookDue
+	if len(w.overdue) < maxOverdueRenewals {
+		w.overdue[e.Look] = w.answerDue
 	}
 	if w.failures == 1 {
 		if e.Answer.Reason == order.Closed {
 			// Also where the wait was just over: then the crash took the answer with it.
 			w.aliveAt = now
 		}
-		h.silent(now, w)
+		h.workerUnresponsive(now, w)
 		h.core.note("worker does not answer", field("worker", w.Life.String()), field("problem", e.Answer.Problem), field("tasks", len(w.attempts)))
 	}
 	w.renewAt = now.Add(renewAgain)
@@ -257,35 +257,35 @@
 		h.core.note("worker answers again", field("worker", w.Life.String()), field("failures", w.failures))
 	}
 	w.failures = 0
-	w.told.Answered()
-	h.learnBorn(w, e.Report.Life)
-	h.heardAgain(w)
+	w.reportedEnds.Answered()
+	h.setBirthTime(w, e.Report.Life)
+	h.recordResponsive(w)
 	if w.presence.Answers() {
 		h.docket.Answers(w.Life)
 	}
 	clear(w.overdue)
 	w.answeredAt, w.aliveAt = now, now
-	h.answeredLook(now, w, e)
-	w.owesSince = time.Time{}
+	h.recordAnswerTime(now, w, e)
+	w.unansweredSince = time.Time{}
 	w.clock, w.clockAt = e.Report.Clock, now
 	h.applyReport(now, w, e)
-	h.fencedOff(now, w)
-	if !w.settled {
-		w.settled = true
+	h.confirmFence(now, w)
+	if !w.reported {
+		w.reported = true
 		h.startedLast.Forget(w.Life)
 		h.docket.Heard(w.Life, w.runs)
 		inherited := h.unsettled[w.Name]
 		delete(h.unsettled, w.Name)
-		h.record(w)
+		h.recordWorker(w)
 		if inherited && len(h.unsettled) == 0 {
 			h.core.note("all workers of earlier holders have told what they run", field("claim", h.epoch), field("took", now.Sub(h.since).String()))
 		}
 	}
 	h.planDue = true
 	w.renewAt = now
-	if w.told.Waiting() {
+	if w.reportedEnds.Waiting() {
 		w.renewAt = now.Add(gatherEnds)
-		if w.told.Unkept() {
+		if w.reportedEnds.Unkept() {
 			w.renewAt = now.Add(unkeptWait)
 		}
 		return
@@ -298,13 +298,13 @@
 func (h *holding) sweepWorkers(now time.Time) {
 	h.dropMissing(now)
 	h.former.Sweep(now)
-	for _, w := range h.byName() {
-		if w.failures > 0 && now.After(w.goneAt) {
-			h.lapsed(now, w)
+	for _, w := range h.workersByName() {
+		if w.failures > 0 && now.After(w.leaseExpiresBy) {
+			h.leaseExpired(now, w)
 		} else {
 			h.resendStops(now, w)
 		}
-		h.keepSilence(now, w)
+		h.refreshUnresponsive(now, w)
 		h.endPreparation(now, w)
 		if h.phase == active {
 			h.renew(now, w)
@@ -312,23 +312,23 @@
 	}
 }
 
-// lapsed frees the tasks of a worker that has surely ended them.
-func (h *holding) lapsed(now time.Time, w *worker) {
-	if len(w.attempts) > 0 || w.settled || h.unsettled[w.Name] {
+// leaseExpired frees the tasks of a worker that has surely ended them.
+func (h *holding) leaseExpired(now time.Time, w *worker) {
+	if len(w.attempts) > 0 || w.reported || h.unsettled[w.Name] {
 		h.core.note("worker's lease has run out", field("worker", w.Life.String()), field("tasks", len(w.attempts)),
-			field("lapsed_for", now.Sub(w.goneAt).String()), field("how", string(h.endedAs(now, w, w.lives.Doubted()))))
+			field("lapsed_for", now.Sub(w.leaseExpiresBy).String()), field("how", string(h.endingOf(now, w, w.lives.Doubted()))))
 	}
-	h.loseAll(now, w, nil, h.endedAs(now, w, w.lives.Doubted()), "the worker's lease has run out")
-	if w.settled {
+	h.loseAttempts(now, w, nil, h.endingOf(now, w, w.lives.Doubted()), "the worker's lease has run out")
+	if w.reported {
 		w.lives.Raise(h.looks)
 	}
-	w.settled = false
+	w.reported = false
 	delete(h.unsettled, w.Name)
-	if w.silence.kept {
+	if w.unresponsive.written {
 		// Nothing runs on it any more.
-		h.tellSilence(now, w)
+		h.recordUnresponsive(now, w)
 	}
 	if !w.presence.Listed() {
-		h.forget(now, w)
+		h.removeWorker(now, w)
 	}
 }
--- a/services/dispatch/listing.go
+++ b/services/dispatch/listing.go
@@ -11,20 +11,20 @@
 	"saddlevane/models/order"
 )
 
-// entriesBack is how long after the log's return entries that lapsed with it may
+// entryReturnTime is how long after the log's return entries that lapsed with it may
 // still be missing although their workers live (the users' protocol: about 2 s).
-const entriesBack = 2200 * time.Millisecond
+const entryReturnTime = 2200 * time.Millisecond
 
 // workersRead takes a change of the platform's list. A worker that is no longer
 // listed keeps its tasks until its lease has run out.
 func (h *holding) workersRead(now time.Time, l order.Listing) {
 	if l.Whole {
-		h.missingIn(now, l)
+		h.markMissing(now, l)
 	}
 	for _, o := range l.Present {
 		h.workerListed(now, o)
 	}
-	h.noteForeign(l)
+	h.reportForeign(l)
 	for _, id := range l.Gone {
 		if w := h.workers[id]; w != nil {
 			h.entryMissing(now, w)
@@ -33,16 +33,16 @@
 	h.planDue = true
 }
 
-// noteForeign tells of entries that name no worker. A worker of that name keeps its tasks.
-func (h *holding) noteForeign(l order.Listing) {
+// reportForeign tells of entries that name no worker. A worker of that name keeps its tasks.
+func (h *holding) reportForeign(l order.Listing) {
 	for _, r := range h.foreign.News(l) {
 		h.core.note("an entry names no worker", field("entry", r.Entry), field("reason", r.Why), field("known", h.workers[r.Entry] != nil))
 		h.core.do(exchange.EntryRefused{})
 	}
 }
 
-// namePools notes the pools that a configuration names: workers of others are left alone.
-func (h *holding) namePools(config job.Config) {
+// addPools notes the pools that a configuration names: workers of others are left alone.
+func (h *holding) addPools(config job.Config) {
 	for pool := range config.Guarded {
 		h.pools[pool] = true
 	}
@@ -51,8 +51,8 @@
 	}
 }
 
-// missingIn acts on the workers that a whole list does not name.
-func (h *holding) missingIn(now time.Time, l order.Listing) {
+// markMissing acts on the workers that a whole list does not name.
+func (h *holding) markMissing(now time.Time, l order.Listing) {
 	present := map[string]bool{}
 	for _, o := range l.Present {
 		present[o.Name] = true
@@ -68,40 +68,40 @@
 // away its entry may only have lapsed, and it is used on as long as it answers.
 func (h *holding) entryMissing(now time.Time, w *worker) {
 	w.lives.EntryGone()
-	w.presence.Missing(now, h.mayBeBack(now))
+	w.presence.Missing(now, h.entriesMayReturn(now))
 }
 
-// mayBeBack says whether entries may be missing that will be back.
-func (h *holding) mayBeBack(now time.Time) bool {
-	return !h.core.authority.Steady() || now.Sub(h.core.logBackAt) < entriesBack
+// entriesMayReturn says whether entries may be missing that will be back.
+func (h *holding) entriesMayReturn(now time.Time) bool {
+	return !h.core.authority.Steady() || now.Sub(h.core.logBackAt) < entryReturnTime
 }
 
 // dropMissing gives up the workers whose entries have not come back.
 func (h *holding) dropMissing(now time.Time) {
-	if h.mayBeBack(now) {
+	if h.entriesMayReturn(now) {
 		return
 	}
-	for _, w := range h.byName() {
+	for _, w := range h.workersByName() {
 		if w.presence.GiveUp() {
 			h.planDue = true
 		}
 	}
 }
 
-// otherListed takes that the platform lists another life of a worker, which may be an earlier
+// otherIncarnationListed takes that the platform lists another life of a worker, which may be an earlier
 // one or a later one: the worker tells.
-func (h *holding) otherListed(now time.Time, w *worker, o order.Worker) {
+func (h *holding) otherIncarnationListed(now time.Time, w *worker, o order.Worker) {
 	if !w.lives.Doubted() {
 		return
 	}
 	h.core.note("another life of a worker is listed", field("worker", w.Life.String()), field("life", o.Life.String()))
-	if h.phase != active || w.look != 0 && !w.lives.Outdated(w.look) {
+	if h.phase != active || w.pendingRenewal != 0 && !w.lives.Outdated(w.pendingRenewal) {
 		return
 	}
 	w.lives.Raise(h.looks)
-	if w.look != 0 {
-		w.overdue[w.look] = w.lookDue
-		w.look = 0
+	if w.pendingRenewal != 0 {
+		w.overdue[w.pendingRenewal] = w.answerDue
+		w.pendingRenewal = 0
 	}
 	w.renewAt = now
 	h.renew(now, w)
@@ -115,10 +115,10 @@
 		h.core.note("worker listed", field("worker", o.Life.String()), field("address", o.Address), field("pool", o.Pool), field("domain", o.Domain))
 	}
 	if !w.lives.Entry(w.Life, o, h.looks) {
-		h.otherListed(now, w, o)
+		h.otherIncarnationListed(now, w, o)
 		return
 	}
-	h.learnBorn(w, o.Life)
+	h.setBirthTime(w, o.Life)
 	o.Life = w.Life
 	if o.Leaving && !w.Leaving {
 		h.core.note("worker is leaving", field("worker", o.Life.String()), field("remaining", o.Remaining.String()), field("tasks", len(w.attempts)))
--- a/services/dispatch/lives.go
+++ b/services/dispatch/lives.go
@@ -19,13 +19,13 @@
 // then tasks whose start it may yet carry out are taken to be on it. The number rises as soon
 // as a later life may be there, so that the first look that reaches it is one.
 
-// carriedOutLate is how much later than it was sent an order may still be carried out
+// maxOrderDelay is how much later than it was sent an order may still be carried out
 // (protocol: seconds).
-const carriedOutLate = 15 * time.Second
+const maxOrderDelay = 15 * time.Second
 
-// present returns the worker if the life is the present one of its name, as far as is known,
+// currentWorker returns the worker if the life is the present one of its name, as far as is known,
 // else nil.
-func (h *holding) present(life order.Life) *worker {
+func (h *holding) currentWorker(life order.Life) *worker {
 	w := h.workers[life.Name]
 	if w == nil || w.IsOther(life) {
 		return nil
@@ -36,48 +36,48 @@
 // fence returns the fence number of orders to a worker.
 func (h *holding) fence(w *worker) int64 { return w.lives.Fence(h.epoch) }
 
-// startedAgain takes the answer of a life that is later than the one known: that one is over.
-func (h *holding) startedAgain(now time.Time, w *worker, e exchange.RenewEnded) {
+// workerRestarted takes the answer of a life that is later than the one known: that one is over.
+func (h *holding) workerRestarted(now time.Time, w *worker, e exchange.RenewEnded) {
 	o, listed := w.lives.Successor(w.Worker, e.Report.Life)
 	n := newWorker(now, o)
 	n.lives = w.lives
 	if listed {
 		n.presence.Entry(o.Leaving)
 	}
-	how := h.endedAs(now, w, true)
+	how := h.endingOf(now, w, true)
 	h.core.note("worker has started again", field("worker", w.Life.String()), field("life", n.Life.String()), field("tasks", len(w.attempts)),
 		field("how", string(how)), field("listed", listed))
 	h.workers[n.Name] = n
 	h.sorted = nil
-	h.loseAll(now, w, n, how, bornAgain)
-	n.isLater = true
-	n.goneAt = now.Add(carriedOutLate + h.foreignLease())
-	h.takeEnds(now, n, e.Report.Ended)
+	h.loseAttempts(now, w, n, how, reasonRestarted)
+	n.fencePending = true
+	n.leaseExpiresBy = now.Add(maxOrderDelay + h.maxForeignLease())
+	h.applyEnds(now, n, e.Report.Ended)
 	h.planDue = true
 	h.renew(now, n)
 }
 
-// fencedOff takes that a later life refuses from now on what was meant for the earlier one:
+// confirmFence takes that a later life refuses from now on what was meant for the earlier one:
 // nothing lengthens its lease any more that was asked for by the earlier one's clock.
-func (h *holding) fencedOff(now time.Time, w *worker) {
-	if w.isLater {
-		w.isLater = false
-		w.goneAt = now.Add(h.foreignLease())
+func (h *holding) confirmFence(now time.Time, w *worker) {
+	if w.fencePending {
+		w.fencePending = false
+		w.leaseExpiresBy = now.Add(h.maxForeignLease())
 	}
 }
 
-// foreignLease is how long a lease can last that was asked for by the clock of another life.
-func (h *holding) foreignLease() time.Duration {
+// maxForeignLease is how long a lease can last that was asked for by the clock of another life.
+func (h *holding) maxForeignLease() time.Duration {
 	return lateness.LeaseAtMost(max(h.core.settings.Lease, h.core.settings.LeaseMost))
 }
 
-// mayBeginLater says whether a later life of its worker may carry an order to start the attempt
+// mayStartOnSuccessor says whether a later life of its worker may carry an order to start the attempt
 // out: unless all such orders were carried out by the life that has told this holder of the run.
-func (a *attempt) mayBeginLater() bool { return a.seenAt.IsZero() || a.tries > 1 }
+func (a *attempt) mayStartOnSuccessor() bool { return a.seenAt.IsZero() || a.tries > 1 }
 
-// handDown takes it that a later life of its worker may have begun an attempt, or may yet, until
+// moveToSuccessor takes it that a later life of its worker may have begun an attempt, or may yet, until
 // that life has told.
-func (h *holding) handDown(now time.Time, a *attempt, to *worker) {
+func (h *holding) moveToSuccessor(now time.Time, a *attempt, to *worker) {
 	h.unplace(a)
 	n := &attempt{
 		step: a.step, index: a.index, run: a.run, worker: to, state: unsure, pace: fullPace, beganAt: a.beganAt, orderedAt: a.orderedAt,
@@ -87,18 +87,18 @@
 	h.mark(now, n)
 }
 
-// formerAnswered takes the answer of a life that is not the present one. A good end stays
+// otherIncarnationAnswered takes the answer of a life that is not the present one. A good end stays
 // true; the rest holds for that life only.
-func (h *holding) formerAnswered(now time.Time, e exchange.RenewEnded) {
+func (h *holding) otherIncarnationAnswered(now time.Time, e exchange.RenewEnded) {
 	for _, end := range e.Report.Ended {
 		if end.How == order.Done {
-			h.doneFormerly(now, end)
+			h.applyFormerSuccess(now, end)
 		}
 	}
 }
 
-// doneFormerly takes a good end that an earlier life has told.
-func (h *holding) doneFormerly(now time.Time, end order.End) {
+// applyFormerSuccess takes a good end that an earlier life has told.
+func (h *holding) applyFormerSuccess(now time.Time, end order.End) {
 	s := h.findStep(end.Task.StepID)
 	if s == nil || end.Task.Index >= len(s.tasks) || s.spec.Service || s.job.state.Final() || s.tasks[end.Task.Index].done {
 		return
@@ -110,43 +110,43 @@
 	}
 }
 
-// learnBorn takes when a life began of which only the name was known.
-func (h *holding) learnBorn(w *worker, life order.Life) {
+// setBirthTime takes when a life began of which only the name was known.
+func (h *holding) setBirthTime(w *worker, life order.Life) {
 	if w.BornUnixMilli != 0 || life.BornUnixMilli == 0 {
 		return
 	}
 	w.Life = life
 	if w.recorded || w.recording {
 		w.recorded, w.recording = false, false
-		h.record(w)
+		h.recordWorker(w)
 	}
 }
 
-// noLife acts on the answer that no life of the worker is at its address.
-func (h *holding) noLife(now time.Time, w *worker) {
+// incarnationGone acts on the answer that no life of the worker is at its address.
+func (h *holding) incarnationGone(now time.Time, w *worker) {
 	next, listed := w.lives.Next()
-	h.workerDied(now, w, otherLife)
+	h.workerTerminated(now, w, reasonOtherIncarnation)
 	if listed {
 		h.workerListed(now, next)
 	}
 }
 
-// lookAddress is where a worker is looked at: where its newest entry says.
-func (w *worker) lookAddress() string {
+// renewAddress is where a worker is looked at: where its newest entry says.
+func (w *worker) renewAddress() string {
 	if next, doubted := w.lives.Next(); doubted {
 		return next.Address
 	}
 	return w.Address
 }
 
-// foldLife returns the worker of which the log tells. If the list names another life, the
+// restoreWorker returns the worker of which the log tells. If the list names another life, the
 // first answer tells which of them is over.
-func (h *holding) foldLife(now time.Time, o order.Worker) *worker {
+func (h *holding) restoreWorker(now time.Time, o order.Worker) *worker {
 	w := h.workers[o.Name]
 	if w == nil {
 		return h.addWorker(now, o)
 	}
-	if w.settled || !w.IsOther(o.Life) {
+	if w.reported || !w.IsOther(o.Life) {
 		return w
 	}
 	entry := w.Worker
--- a/services/dispatch/lives_test.go
+++ b/services/dispatch/lives_test.go
@@ -16,38 +16,38 @@
 	"gotest.tools/v3/assert"
 )
 
-// lived is an entry of a worker's life.
-func lived(name string, born int64) order.Worker {
+// workerEntry is an entry of a worker's life.
+func workerEntry(name string, born int64) order.Worker {
 	return order.Worker{Life: order.Life{Name: name, BornUnixMilli: born}, Address: name, Pool: pool, Capacity: fullSize}
 }
 
-// by makes an answer that of another life of the same worker.
-func by(e exchange.RenewEnded, born int64) exchange.RenewEnded {
+// answeredBy makes an answer that of another life of the same worker.
+func answeredBy(e exchange.RenewEnded, born int64) exchange.RenewEnded {
 	e.Report.Life.BornUnixMilli = born
 	return e
 }
 
-// oneTask has a job of one task started, and returns its start.
-func (d *driven) oneTask() exchange.StartRun {
+// startOneTask has a job of one task started, and returns its start.
+func (d *driven) startOneTask() exchange.StartRun {
 	d.t.Helper()
 	return only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))[0]
 }
 
-// answered ends the call of a start that was carried out.
-func (d *driven) answered(s exchange.StartRun) []exchange.Effect {
+// startSucceeds ends the call of a start that was carried out.
+func (d *driven) startSucceeds(s exchange.StartRun) []exchange.Effect {
 	return d.handle(exchange.StartEnded{Worker: s.Worker, Epoch: 1, Run: s.Order.Run, Answer: order.Answer{Fate: order.Carried}})
 }
 
-// takes returns what comes of some effects once the log has kept what there is.
-func (d *driven) takes(effects []exchange.Effect) []exchange.Effect {
+// persist returns what comes of some effects once the log has kept what there is.
+func (d *driven) persist(effects []exchange.Effect) []exchange.Effect {
 	d.keepsAny(effects)
 	all := append(effects, d.later(20*time.Millisecond)...)
 	d.keepsAny(all)
 	return append(all, d.later(20*time.Millisecond)...)
 }
 
-// goesOn lets time pass while the log keeps all and workers answer, and returns the starts.
-func (d *driven) goesOn(span time.Duration, looks map[string]exchange.Renew) (starts []exchange.StartRun) {
+// startsWithin lets time pass while the log keeps all and workers answer, and returns the starts.
+func (d *driven) startsWithin(span time.Duration, looks map[string]exchange.Renew) (starts []exchange.StartRun) {
 	d.t.Helper()
 	for end := d.now.Add(span); d.now.Before(end); {
 		effects := d.passes(20*time.Millisecond, looks, nil)
@@ -57,15 +57,15 @@
 	return starts
 }
 
-// other returns the name of the other of two workers.
-func other(s exchange.StartRun) string {
+// otherWorker returns the name of the other of two workers.
+func otherWorker(s exchange.StartRun) string {
 	if s.Worker.Name == "v" {
 		return "w"
 	}
 	return "v"
 }
 
-func TestATaskThatALaterLifeMayBeginIsStartedNowhereElse(t *testing.T) {
+func TestTaskThatSuccessorMayStartIsNotStartedElsewhere(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		answered bool
@@ -77,58 +77,58 @@
 		{"its start was answered by the earlier life", true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d, looks := holding(t, lived("v", 1000), lived("w", 1000))
-			start := d.oneTask()
+			d, looks := holding(t, workerEntry("v", 1000), workerEntry("w", 1000))
+			start := d.startOneTask()
 			if c.answered {
-				d.answered(start)
+				d.startSucceeds(start)
 			}
 			look := looks[start.Worker.Name]
-			effects := d.takes(d.handle(by(looked(look), 700)))
+			effects := d.persist(d.handle(answeredBy(looked(look), 700)))
 			assert.Equal(t, len(only[exchange.StartRun](effects)), 0)
 			second := only[exchange.Renew](effects)[0]
 			assert.Equal(t, second.Worker, order.Life{Name: start.Worker.Name, BornUnixMilli: 700})
 			assert.Check(t, second.Order.Fence > start.Order.Fence, "what was meant for the earlier life is refused from then on")
 			assert.Equal(t, second.Order.Until, order.WorkerClock(0), "its clock is not known yet")
 			if c.begun {
-				effects = d.takes(d.handle(looked(second, start.Order.Run)))
+				effects = d.persist(d.handle(looked(second, start.Order.Run)))
 				assert.Equal(t, len(only[exchange.StartRun](effects))+len(only[exchange.StopRun](effects)), 0)
 				return
 			}
 			looks[start.Worker.Name] = second
-			again := d.goesOn(2*time.Second, looks)
+			again := d.startsWithin(2*time.Second, looks)
 			assert.Check(t, len(again) > 0)
 			assert.Check(t, again[0].Order.Number > start.Order.Number)
 		})
 	}
 }
 
-func TestTasksThatAnEarlierLifeToldOfAreStartedAgain(t *testing.T) {
-	d, looks := holding(t, lived("v", 1000), lived("w", 1000))
-	start := d.oneTask()
-	d.answered(start)
+func TestTasksReportedByEarlierIncarnationAreRestarted(t *testing.T) {
+	d, looks := holding(t, workerEntry("v", 1000), workerEntry("w", 1000))
+	start := d.startOneTask()
+	d.startSucceeds(start)
 	d.passes(time.Second, looks, map[string][]order.Run{start.Worker.Name: {start.Order.Run}})
-	looks[start.Worker.Name] = only[exchange.Renew](d.handle(by(looked(looks[start.Worker.Name]), 2000)))[0]
-	again := d.goesOn(2*time.Second, looks)
+	looks[start.Worker.Name] = only[exchange.Renew](d.handle(answeredBy(looked(looks[start.Worker.Name]), 2000)))[0]
+	again := d.startsWithin(2*time.Second, looks)
 	assert.Check(t, len(again) > 0)
-	assert.Equal(t, again[0].Worker.Name, other(start), "the later life is not listed yet")
+	assert.Equal(t, again[0].Worker.Name, otherWorker(start), "the later life is not listed yet")
 }
 
-func TestAGoodEndThatAnEarlierLifeToldStaysTrue(t *testing.T) {
-	d, looks := holding(t, lived("v", 1000), lived("w", 1000))
-	start := d.oneTask()
-	d.answered(start)
+func TestSuccessReportedByEarlierIncarnationCounts(t *testing.T) {
+	d, looks := holding(t, workerEntry("v", 1000), workerEntry("w", 1000))
+	start := d.startOneTask()
+	d.startSucceeds(start)
 	late := looks[start.Worker.Name]
-	next := d.lookUnanswered(late)
-	d.takes(d.handle(by(looked(next), 2000)))
-	d.takes(d.handle(doneOn(late, start.Order.Run)))
+	next := d.renewalTimesOut(late)
+	d.persist(d.handle(answeredBy(looked(next), 2000)))
+	d.persist(d.handle(doneOn(late, start.Order.Run)))
 	effects := d.handle(exchange.StateAsked{Call: 9, Job: "j"})
 	assert.Equal(t, only[exchange.Reply](effects)[0].Reply.State, job.Succeeded)
 }
 
-func TestAnAnswerMeantForAnEarlierLifeSaysNothingOfTheLaterOne(t *testing.T) {
-	d, looks := holding(t, lived("v", 1000), lived("w", 1000))
-	start := d.oneTask()
-	d.takes(d.handle(by(looked(looks[start.Worker.Name]), 2000)))
+func TestAnswerToOrderForEarlierIncarnationIsIgnored(t *testing.T) {
+	d, looks := holding(t, workerEntry("v", 1000), workerEntry("w", 1000))
+	start := d.startOneTask()
+	d.persist(d.handle(answeredBy(looked(looks[start.Worker.Name]), 2000)))
 	for _, a := range []order.Answer{{Fate: order.NoLife}, {Fate: order.Refused, Reason: order.Fenced}, {Fate: order.Carried}} {
 		d.handle(exchange.StartEnded{Worker: start.Worker, Epoch: 1, Run: start.Order.Run, Answer: a})
 		d.handle(exchange.StopEnded{Worker: start.Worker, Epoch: 1, Run: start.Order.Run, Answer: a})
@@ -136,10 +136,10 @@
 	assert.Check(t, d.core.Holds(d.now), "a later life that refuses such an order has seen no later holder")
 }
 
-func TestAnEntryOfAnotherLifeIsAReasonToAskAndToStartNothing(t *testing.T) {
-	d, looks := holding(t, lived("w", 1000))
+func TestEntryOfOtherIncarnationTriggersRenewalAndBlocksStarts(t *testing.T) {
+	d, looks := holding(t, workerEntry("w", 1000))
 	listed := func(born int64) []exchange.Effect {
-		return d.handle(exchange.WorkersRead{Listing: order.Listing{Present: []order.Worker{lived("w", born)}}})
+		return d.handle(exchange.WorkersRead{Listing: order.Listing{Present: []order.Worker{workerEntry("w", born)}}})
 	}
 	asked := only[exchange.Renew](listed(400))
 	assert.Equal(t, len(asked), 1, "the look under way was made before the entry was read")
@@ -149,14 +149,14 @@
 	assert.Equal(t, len(only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))), 0)
 	d.handle(looked(looks["w"]))
 	assert.Equal(t, len(only[exchange.StartRun](d.later(20*time.Millisecond))), 0, "that answer is of before")
-	started := only[exchange.StartRun](d.takes(d.handle(looked(asked[0]))))
+	started := only[exchange.StartRun](d.persist(d.handle(looked(asked[0]))))
 	assert.Equal(t, len(started), 1, "the entry was old")
 	assert.Equal(t, len(only[exchange.Renew](listed(400))), 0, "and is no reason any more")
 }
 
-// forgets lets time pass in which one worker answers that it runs some tasks, and returns the
+// lastAcknowledged lets time pass in which one worker answers that it runs some tasks, and returns the
 // last end that it is asked to forget.
-func (d *driven) forgets(looks map[string]exchange.Renew, running ...order.Run) (last int64) {
+func (d *driven) lastAcknowledged(looks map[string]exchange.Renew, running ...order.Run) (last int64) {
 	d.t.Helper()
 	for range 20 {
 		effects := d.passes(20*time.Millisecond, looks, map[string][]order.Run{"w": running})
@@ -168,48 +168,48 @@
 	return last
 }
 
-func TestNoEndIsForgottenWhereALaterLifeMayHaveEndedATask(t *testing.T) {
-	d, looks := holding(t, lived("w", 1000))
-	first := d.oneTask()
-	d.answered(first)
-	d.forgets(looks, first.Order.Run)
+func TestNoEndIsAcknowledgedWhileSuccessorMayHaveEndedTask(t *testing.T) {
+	d, looks := holding(t, workerEntry("w", 1000))
+	first := d.startOneTask()
+	d.startSucceeds(first)
+	d.lastAcknowledged(looks, first.Order.Run)
 	second := only[exchange.StartRun](d.submits(oneStep("k", "quick", 1, false)))
 	assert.Equal(t, len(second), 1)
 	d.now = d.now.Add(100 * time.Millisecond)
 	effects := d.handle(doneOn(looks["w"], first.Order.Run))
-	looks["w"] = only[exchange.Renew](append(effects, d.takes(effects)...))[0]
-	assert.Equal(t, d.forgets(looks), int64(0), "the second start was not told of yet")
-	d.answered(second[0])
-	assert.Equal(t, d.forgets(looks, second[0].Order.Run), int64(1))
+	looks["w"] = only[exchange.Renew](append(effects, d.persist(effects)...))[0]
+	assert.Equal(t, d.lastAcknowledged(looks), int64(0), "the second start was not told of yet")
+	d.startSucceeds(second[0])
+	assert.Equal(t, d.lastAcknowledged(looks, second[0].Order.Run), int64(1))
 }
 
-func TestAWorkerOfTheLogThatStartedAgainIsHeardByItsAnswer(t *testing.T) {
+func TestRestartOfRecordedWorkerIsDetectedByItsAnswer(t *testing.T) {
 	d := newDriven(t)
 	fence := d.takeOver(time.Second)
 	d.handle(exchange.AppendEnded{Purpose: exchange.ForJournal, Number: fence.Number})
-	d.handle(exchange.WorkersRead{Listing: order.Listing{Whole: true, Present: []order.Worker{lived("w", 2000)}}})
-	looks := only[exchange.Renew](d.handle(exchange.JobsLoaded{Epoch: 1, Records: []stream.Record{kept.Worker(lived("w", 1000))}}))
+	d.handle(exchange.WorkersRead{Listing: order.Listing{Whole: true, Present: []order.Worker{workerEntry("w", 2000)}}})
+	looks := only[exchange.Renew](d.handle(exchange.JobsLoaded{Epoch: 1, Records: []stream.Record{kept.Worker(workerEntry("w", 1000))}}))
 	assert.Equal(t, len(looks), 1)
-	next := only[exchange.Renew](d.handle(by(looked(looks[0]), 2000)))
+	next := only[exchange.Renew](d.handle(answeredBy(looked(looks[0]), 2000)))
 	assert.Equal(t, len(next), 1)
-	effects := d.takes(d.handle(looked(next[0])))
+	effects := d.persist(d.handle(looked(next[0])))
 	assert.Equal(t, len(only[exchange.StartRun](append(effects, d.submits(oneStep("j", "quick", 1, false))...))), 1)
 }
 
 // A later holder is told by the log of a run on a silent worker, and by another worker of a
 // later run of the same task.
-func TestARunThatIsHandedDownGivesWayToALaterOneOfItsTask(t *testing.T) {
+func TestRunMovedToSuccessorYieldsToLaterRunOfItsTask(t *testing.T) {
 	d := newDriven(t)
 	fence := d.takeOver(time.Second)
 	d.handle(exchange.AppendEnded{Purpose: exchange.ForJournal, Number: fence.Number})
-	d.handle(exchange.WorkersRead{Listing: order.Listing{Whole: true, Present: []order.Worker{lived("v", 1000), lived("w", 2000)}}})
+	d.handle(exchange.WorkersRead{Listing: order.Listing{Whole: true, Present: []order.Worker{workerEntry("v", 1000), workerEntry("w", 2000)}}})
 	s := oneStep("j", "quick", 1, false)
 	run := order.Run{Task: job.TaskID{StepID: job.StepID{Job: "j"}}, Number: 3}
 	later := run
 	later.Number = 5
 	records := []stream.Record{
 		kept.Submission{Queue: config().Queues["quick"], Submission: s, Accepted: 1}.Record(),
-		kept.SilentWorker(lived("w", 1000), kept.Silence{Left: 5000, Runs: []order.Run{run}}), kept.Worker(lived("v", 1000)),
+		kept.SilentWorker(workerEntry("w", 1000), kept.Silence{Left: 5000, Runs: []order.Run{run}}), kept.Worker(workerEntry("v", 1000)),
 	}
 	for i := range records {
 		records[i].Offset = int64(i)
@@ -218,17 +218,17 @@
 	for _, r := range only[exchange.Renew](d.handle(exchange.JobsLoaded{Epoch: 1, Records: records})) {
 		looks[r.Worker.Name] = r
 	}
-	effects := d.handle(by(looked(looks["w"]), 2000))
+	effects := d.handle(answeredBy(looked(looks["w"]), 2000))
 	effects = append(effects, d.handle(looked(looks["v"], later))...)
 	assert.Equal(t, len(only[exchange.StopRun](effects)), 0, "the later run goes on")
-	assert.Equal(t, len(d.goesOn(time.Second, looks)), 0, "and is the only one")
+	assert.Equal(t, len(d.startsWithin(time.Second, looks)), 0, "and is the only one")
 }
 
-func TestALateAnswerOfAnotherLifeTellsThatTheOneKnownIsOver(t *testing.T) {
-	d, looks := holding(t, lived("w", 1000))
+func TestLateAnswerOfOtherIncarnationReplacesCurrentOne(t *testing.T) {
+	d, looks := holding(t, workerEntry("w", 1000))
 	late := looks["w"]
-	d.lookUnanswered(late)
-	effects := d.handle(by(looked(late), 400))
+	d.renewalTimesOut(late)
+	effects := d.handle(answeredBy(looked(late), 400))
 	next := only[exchange.Renew](effects)
 	assert.Equal(t, len(next), 1)
 	assert.Equal(t, next[0].Worker, order.Life{Name: "w", BornUnixMilli: 400}, "the call was made while the other was known")
--- a/services/dispatch/livesworld_test.go
+++ b/services/dispatch/livesworld_test.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	// restless is how long workers start again in the worlds of this file, calmAfter how long
-	// after that what waits must have a reason, and waitsMost for how long it may have none.
-	restless  = 15 * time.Second
-	calmAfter = 7 * time.Second
-	waitsMost = 3 * time.Second
+	// restartPeriod is how long workers start again in the worlds of this file, settleTime how long
+	// after that what waits must have a reason, and maxIdleWait for how long it may have none.
+	restartPeriod = 15 * time.Second
+	settleTime    = 7 * time.Second
+	maxIdleWait   = 3 * time.Second
 )
 
 // A third of the workers start again under their names at once, again and again, and one by
 // one between that, beside gangs and wide steps, late orders and takeovers: nothing that is
 // done runs again, and nothing waits for good with room free.
-func TestGangsAndWideStepsBesideWorkersThatStartAgain(t *testing.T) {
+func TestGangsAndWideStepsWhileWorkersRestart(t *testing.T) {
 	for seed := range seeds() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(t, 120_000+seed, 3, 24)
-			w.livesBegin()
-			w.watch(int(restless / (200 * time.Millisecond)))
+			w.scheduleRestarts()
+			w.watch(int(restartPeriod / (200 * time.Millisecond)))
 			w.lateShare, w.lateHolds = 0, false
-			w.run(calmAfter)
-			w.untilEndedWithoutWaits()
+			w.run(settleTime)
+			w.runUntilEndedWithoutIdleWaits()
 		})
 	}
 }
 
-// livesBegin hands jobs in and has workers start again.
-func (w *world) livesBegin() {
+// scheduleRestarts hands jobs in and has workers start again.
+func (w *world) scheduleRestarts() {
 	w.config.Queues["sweeps"] = gangConfig().Queues["sweeps"]
 	for _, b := range w.boxes {
 		b.kill()
@@ -49,22 +49,22 @@
 	w.lateShare = []float64{0, 0.02, 0.05}[w.rng.Intn(3)]
 	w.lateHolds = w.rng.Intn(2) == 0
 	for i := range 60 {
-		w.after(time.Duration(w.rng.Int63n(int64(restless))), func() { w.submit(w.wideJob(i)) })
+		w.after(time.Duration(w.rng.Int63n(int64(restartPeriod))), func() { w.submit(w.wideJob(i)) })
 	}
 	for range 20 {
-		w.after(time.Duration(w.rng.Int63n(int64(restless))), func() { w.startAgain(w.rng.Intn(len(w.workers))) })
+		w.after(time.Duration(w.rng.Int63n(int64(restartPeriod))), func() { w.restartWorker(w.rng.Intn(len(w.workers))) })
 	}
 	for range 3 {
-		w.after(time.Duration(w.rng.Int63n(int64(restless))), func() {
+		w.after(time.Duration(w.rng.Int63n(int64(restartPeriod))), func() {
 			for i := range w.workers {
 				if w.rng.Intn(3) == 0 {
-					w.after(time.Duration(w.rng.Intn(500))*time.Millisecond, func() { w.startAgain(i) })
+					w.after(time.Duration(w.rng.Intn(500))*time.Millisecond, func() { w.restartWorker(i) })
 				}
 			}
 		})
 	}
 	for range w.rng.Intn(3) {
-		w.after(time.Duration(w.rng.Int63n(int64(restless))), func() {
+		w.after(time.Duration(w.rng.Int63n(int64(restartPeriod))), func() {
 			if h := w.holder(); h != nil {
 				w.killBox(h, time.Second)
 			}
@@ -72,8 +72,8 @@
 	}
 }
 
-// startAgain has a worker start again after a moment, or after a while.
-func (w *world) startAgain(i int) {
+// restartWorker has a worker start again after a moment, or after a while.
+func (w *world) restartWorker(i int) {
 	back := []int{1, 20, 300, 2000}[w.rng.Intn(4)]
 	w.workers[i].crash(time.Duration(1+w.rng.Intn(back)) * time.Millisecond)
 }
@@ -99,9 +99,9 @@
 	}
 }
 
-// untilEndedWithoutWaits waits until no accepted job is left, and notes those of which nothing
+// runUntilEndedWithoutIdleWaits waits until no accepted job is left, and notes those of which nothing
 // runs for a while with most of the room free.
-func (w *world) untilEndedWithoutWaits() {
+func (w *world) runUntilEndedWithoutIdleWaits() {
 	w.t.Helper()
 	since := map[job.ID]time.Time{}
 	for range 600 {
@@ -119,7 +119,7 @@
 			if since[id].IsZero() {
 				since[id] = w.now
 			}
-			if w.now.Sub(since[id]) > waitsMost {
+			if w.now.Sub(since[id]) > maxIdleWait {
 				w.fail("%s could run and does not, with most of the room free: %+v, done %v", id, a.sub.Steps, a.done)
 			}
 		}
@@ -132,7 +132,7 @@
 func (w *world) couldRun(a *asked) bool {
 	var used, all resource.Vector
 	for _, f := range w.workers {
-		all = all.Plus(f.room())
+		all = all.Plus(f.startLimit())
 		for run, r := range f.runs {
 			if run.Task.Job == a.sub.ID {
 				return false
@@ -144,15 +144,15 @@
 		return false
 	}
 	for i, s := range a.sub.Steps {
-		if w.turnHasCome(a, i) && w.holds(job.StepID{Job: a.sub.ID, Step: i}, s, a.sub.Queue) {
+		if w.isReady(a, i) && w.hasRoomForTwice(job.StepID{Job: a.sub.ID, Step: i}, s, a.sub.Queue) {
 			return true
 		}
 	}
 	return false
 }
 
-// turnHasCome says whether a step has tasks that are not done, and all it comes after are.
-func (w *world) turnHasCome(a *asked, step int) bool {
+// isReady says whether a step has tasks that are not done, and all it comes after are.
+func (w *world) isReady(a *asked, step int) bool {
 	left := func(i int) int {
 		n := 0
 		for index := range a.sub.Steps[i].Tasks {
@@ -170,14 +170,14 @@
 	return left(step) > 0
 }
 
-// holds says whether workers that may run a step have room for it twice over.
-func (w *world) holds(id job.StepID, s job.Step, queue string) bool {
+// hasRoomForTwice says whether workers that may run a step have room for it twice over.
+func (w *world) hasRoomForTwice(id job.StepID, s job.Step, queue string) bool {
 	slots := 0
 	for _, f := range w.workers {
 		if !f.alive || w.config.Queues[queue].Advice != nil && !suits(id, f.name) {
 			continue
 		}
-		free := f.room()
+		free := f.startLimit()
 		for run := range f.runs {
 			free = free.Minus(f.runs[run].step.Need)
 		}
@@ -191,7 +191,7 @@
 }
 
 // Where the platform gives each life a name of its own and tells no birth, all is as before.
-func TestRandomWorldsInWhichEachLifeHasANameOfItsOwn(t *testing.T) {
+func TestRandomWorldsWithUniqueNamePerIncarnation(t *testing.T) {
 	for seed := range seeds() / 2 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
--- a/services/dispatch/load.go
+++ b/services/dispatch/load.go
@@ -43,7 +43,7 @@
 	if err := h.docket.ResumeRate(state.Crashes); err != nil {
 		h.core.note("the kept rate of crashes could not be read", field("error", err.Error()))
 	}
-	h.foldStarts(state.Starts)
+	h.restoreStarts(state.Starts)
 	for _, k := range state.Jobs {
 		j := h.newJob(now, k.Submission.Submission, k.Accepted, k.Queue)
 		j.accepted = true
@@ -66,15 +66,15 @@
 // tasks.
 func (h *holding) foldWorker(now time.Time, k kept.KnownWorker) {
 	o := k.Worker
-	w := h.foldLife(now, o)
-	if k.Silent != nil && !w.settled {
-		h.foldSilent(now, w, k.Silent)
+	w := h.restoreWorker(now, o)
+	if k.Silent != nil && !w.reported {
+		h.restoreUnresponsive(now, w, k.Silent)
 		return
 	}
 	w.recorded = true
 	// An earlier holder may have renewed its lease until just now.
-	w.goneAt = ordered.Later(w.goneAt, now.Add(h.leaseMost()))
-	if !w.settled {
+	w.leaseExpiresBy = ordered.Later(w.leaseExpiresBy, now.Add(h.maxLeaseDuration()))
+	if !w.reported {
 		h.unsettled[o.Name] = true
 	}
 }
--- a/services/dispatch/look_test.go
+++ b/services/dispatch/look_test.go
@@ -13,10 +13,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestALookAskedForBeforeAStartProvesNothing: the worker answered the look before
+// TestRenewalSentBeforeStartDoesNotProveAbsence: the worker answered the look before
 // the start reached it, and the holder, which was late, heard of both at once and
 // with a time from before the look was sent.
-func TestALookAskedForBeforeAStartProvesNothing(t *testing.T) {
+func TestRenewalSentBeforeStartDoesNotProveAbsence(t *testing.T) {
 	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
 	starts := only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))
 	assert.Equal(t, len(starts), 1)
--- a/services/dispatch/missing_test.go
+++ b/services/dispatch/missing_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestWorkersWhoseEntriesLapsedWithTheLogAreUsedOn(t *testing.T) {
+func TestWorkersWhoseEntriesExpiredInLogOutageStayInUse(t *testing.T) {
 	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
 	d.handle(exchange.ClaimsRead{Failed: "down"})
 	d.handle(exchange.ClaimsRead{Start: true, Next: d.next})
@@ -26,7 +26,7 @@
 	assert.Equal(t, d.startsOf(oneStep("k", "quick", 1, false), 2, looks), 0, "an entry that has not come back is gone")
 }
 
-func TestAWorkerThatIsNoLongerListedGetsNothingNew(t *testing.T) {
+func TestUnlistedWorkerGetsNoNewTasks(t *testing.T) {
 	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
 	d.answers(3*time.Second, looks)
 	assert.Check(t, d.startsOf(oneStep("j", "quick", 1, false), 1, looks) > 0)
--- a/services/dispatch/overview.go
+++ b/services/dispatch/overview.go
@@ -18,7 +18,7 @@
 // byRack counts the workers of each rack that answer: what is down cannot crash.
 func (h *holding) byRack() map[string]int {
 	n := map[string]int{}
-	for _, w := range h.byName() {
+	for _, w := range h.workersByName() {
 		if w.failures == 0 {
 			n[w.Rack]++
 		}
@@ -36,8 +36,8 @@
 	h.docket.Saw(now, h.byRack())
 	var capacity, free, promised, stopping resource.Vector
 	taking, kept := 0, 0
-	for _, w := range h.byName() {
-		if !h.takes(now, w) {
+	for _, w := range h.workersByName() {
+		if !h.isSchedulable(now, w) {
 			continue
 		}
 		taking++
@@ -45,7 +45,7 @@
 		free = free.Plus(w.free)
 		promised = promised.Plus(w.promised)
 		stopping = stopping.Plus(w.soon().Minus(w.room()))
-		if w.keptFor != nil {
+		if w.prevHeldFor != nil {
 			kept++
 		}
 	}
--- a/services/dispatch/paused_test.go
+++ b/services/dispatch/paused_test.go
@@ -24,7 +24,7 @@
 //
 // The cause: plans may take a fifth of the time, by how long they took, so the next one waited
 // for four times the pause.
-func TestAPauseInAPlanDoesNotPutOffTheNext(t *testing.T) {
+func TestPauseDuringPlanDoesNotDelayNextPlan(t *testing.T) {
 	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
 	pause := time.Second
 	d.now = d.now.Add(pause)
--- a/services/dispatch/placement.go
+++ b/services/dispatch/placement.go
@@ -31,7 +31,7 @@
 			return true
 		}
 	}
-	if s.advice.asking() || r.queue.Advice != nil && set.large(s) && h.askForRoom(p.now, r, set.workers) {
+	if s.advice.asking() || r.queue.Advice != nil && set.large(s) && h.requestAdviceForRoom(p.now, r, set.workers) {
 		// Which workers suit large tasks must be known before one of them is empty, so
 		// that it is kept for them.
 		return true
@@ -41,12 +41,12 @@
 	}
 	shares, placed := h.fit(p.now, s, r.suited(set))
 	if r.queue.Advice != nil {
-		if placed == 0 && h.askMore(p.now, r, set.workers) {
+		if placed == 0 && h.requestMoreAdvice(p.now, r, set.workers) {
 			return true
 		}
 		var stale []share
-		shares, stale = s.ticketed(p.now, shares)
-		h.refresh(p.now, r, stale)
+		shares, stale = s.splitByTicket(p.now, shares)
+		h.refreshTickets(p.now, r, stale)
 	}
 	if len(shares) > 0 {
 		h.startShares(p.now, s, shares)
@@ -78,7 +78,7 @@
 		return false
 	}
 	if r.queue.Advice != nil {
-		if _, stale := s.ticketed(p.now, shares); len(stale) > 0 {
+		if _, stale := s.splitByTicket(p.now, shares); len(stale) > 0 {
 			return false
 		}
 	}
--- a/services/dispatch/plan.go
+++ b/services/dispatch/plan.go
@@ -54,9 +54,9 @@
 	if len(ranked) == 0 {
 		return
 	}
-	for _, w := range h.byName() {
-		w.keptFor, w.keeper, w.held = w.keeper, nil, resource.Vector{}
-		w.drainedBefore, w.drainedFor = w.drainedFor, nil
+	for _, w := range h.workersByName() {
+		w.prevHeldFor, w.heldFor, w.held = w.heldFor, nil, resource.Vector{}
+		w.prevDrainedFor, w.drainedFor = w.drainedFor, nil
 	}
 	h.hearUsage()
 	p := newPass(now)
@@ -83,8 +83,8 @@
 func (h *holding) roomy(now time.Time) bool {
 	var free resource.Vector
 	h.capacity = resource.Vector{}
-	for _, w := range h.byName() {
-		if h.takes(now, w) {
+	for _, w := range h.workersByName() {
+		if h.isSchedulable(now, w) {
 			free = free.Plus(w.free)
 			h.capacity = h.capacity.Plus(w.Capacity)
 		}
--- a/services/dispatch/preempt.go
+++ b/services/dispatch/preempt.go
@@ -146,7 +146,7 @@
 // lose least for their size first.
 func (h *holding) victims(p *pass, r ranked, w *worker) []*attempt {
 	var all []*attempt
-	for _, a := range w.sorted() {
+	for _, a := range w.sortedAttempts() {
 		if h.mayStop(p, r, a) {
 			all = append(all, a)
 		}
--- a/services/dispatch/reports.go
+++ b/services/dispatch/reports.go
@@ -14,39 +14,39 @@
 
 // applyReport brings what is believed of a worker in line with its own word.
 func (h *holding) applyReport(now time.Time, w *worker, e exchange.RenewEnded) {
-	h.takeEnds(now, w, e.Report.Ended)
-	clear(w.strays)
+	h.applyEnds(now, w, e.Report.Ended)
+	clear(w.orphans)
 	present := make(map[order.Run]bool, len(e.Report.Running))
 	for _, r := range e.Report.Running {
 		present[r.Run] = true
-		h.atWork(now, w, r)
+		h.applyRunning(now, w, r)
 	}
 	h.throttle(now, w)
-	for _, a := range w.sorted() {
+	for _, a := range w.sortedAttempts() {
 		if !present[a.name()] {
-			h.absent(now, a, e.Look)
+			h.applyAbsence(now, a, e.Look)
 		}
 	}
 	h.moveStalled(now, w)
 }
 
-// takeEnds takes the ends of a list that were not heard before.
-func (h *holding) takeEnds(now time.Time, w *worker, all []order.End) {
+// applyEnds takes the ends of a list that were not heard before.
+func (h *holding) applyEnds(now time.Time, w *worker, all []order.End) {
 	for _, end := range all {
-		if note, news := w.told.News(w, end.Number); news {
+		if note, news := w.reportedEnds.News(w, end.Number); news {
 			h.ended(now, w, end, note)
 		}
 	}
 }
 
-// atWork notes that a run is at work on a worker.
-func (h *holding) atWork(now time.Time, w *worker, r order.Running) {
+// applyRunning notes that a run is at work on a worker.
+func (h *holding) applyRunning(now time.Time, w *worker, r order.Running) {
 	a := w.attempts[r.Run]
 	if a == nil {
 		a = h.adopt(now, w, r)
 		if a == nil {
-			w.strays[r.Run] = true
-			h.stopStray(now, w, r.Run)
+			w.orphans[r.Run] = true
+			h.stopOrphan(now, w, r.Run)
 			return
 		}
 	}
@@ -71,7 +71,7 @@
 		return nil
 	}
 	t := &s.tasks[r.Task.Index]
-	if t.done || !t.supersedes(r.Run) {
+	if t.done || !t.isSupersededBy(r.Run) {
 		return nil
 	}
 	if t.attempt != nil {
@@ -101,22 +101,22 @@
 	return in.steps[id.Step]
 }
 
-// stopStray ends a run that the holder would not have started.
-func (h *holding) stopStray(now time.Time, w *worker, run order.Run) {
+// stopOrphan ends a run that the holder would not have started.
+func (h *holding) stopOrphan(now time.Time, w *worker, run order.Run) {
 	h.core.note("a run that should not be there is stopped", field("task", run.Task.String()), field("run", run.Number), field("worker", w.Life.String()))
 	h.orderStop(now, w, run)
 }
 
-// absent acts on an attempt that a report does not name. A look that was asked
+// applyAbsence acts on an attempt that a report does not name. A look that was asked
 // for before the attempt came to its present state proves nothing: the worker may
 // have answered it earlier. A run that is being stopped is named as running until
 // its end is told.
-func (h *holding) absent(now time.Time, a *attempt, look int64) {
+func (h *holding) applyAbsence(now time.Time, a *attempt, look int64) {
 	if a.state == starting || look <= a.looks {
 		return
 	}
 	if a.handedDown {
-		h.lose(now, a, "the worker's present life has not begun it")
+		h.loseAttempt(now, a, "the worker's present life has not begun it")
 		return
 	}
 	if a.state == unsure {
@@ -125,19 +125,19 @@
 	}
 	switch {
 	case a.state == running:
-		h.lose(now, a, "the worker no longer has it")
+		h.loseAttempt(now, a, "the worker no longer has it")
 	case a.confirmed:
-		h.lose(now, a, "it was stopped before it began")
+		h.loseAttempt(now, a, "it was stopped before it began")
 	}
 }
 
-// lose frees an attempt of which the worker knows nothing any more.
-func (h *holding) lose(now time.Time, a *attempt, why string) {
+// loseAttempt frees an attempt of which the worker knows nothing any more.
+func (h *holding) loseAttempt(now time.Time, a *attempt, why string) {
 	h.unplace(a)
 	a.task().runs.Interrupted(delays.Lost)
 	h.core.note("task lost", field("job", string(a.step.job.id)), field("task", a.name().Task.String()), field("run", a.run),
 		field("worker", a.worker.Life.String()), field("state", string(a.state)), field("reason", why),
-		field("worked_most", a.workedUntil(a.worker.presence.SilentSince()).String()), field("times_lost", a.task().lost))
+		field("worked_most", a.maxWorkTime(a.worker.presence.SilentSince()).String()), field("times_lost", a.task().lost))
 	if !a.step.job.state.Final() {
 		h.gangBroke(now, a.step)
 	}
--- a/services/dispatch/reserve.go
+++ b/services/dispatch/reserve.go
@@ -156,7 +156,7 @@
 	if now.Sub(s.reservation.since) <= reservationMost {
 		return ""
 	}
-	_, stale := s.ticketed(now, s.reservation.shares)
+	_, stale := s.splitByTicket(now, s.reservation.shares)
 	switch {
 	case h.queueOf(s.job).Advice == nil || len(stale) == 0:
 		return reservations.Occupied
@@ -169,7 +169,7 @@
 
 // noteFailed says why a gang gives room back without having started.
 func (h *holding) noteFailed(now time.Time, s *step, why reservations.Outcome) {
-	_, stale := s.ticketed(now, s.reservation.shares)
+	_, stale := s.splitByTicket(now, s.reservation.shares)
 	due := now
 	for _, c := range s.advice.calls {
 		due = ordered.Later(due, c.due)
@@ -184,7 +184,7 @@
 // that need some room each: room may shrink.
 func (h *holding) usable(now time.Time, res *reservation, need resource.Vector) bool {
 	return !slices.ContainsFunc(res.shares, func(sh share) bool {
-		return h.workers[sh.Worker.Name] != sh.Worker || !h.takes(now, sh.Worker) || !need.Times(sh.Tasks).Fits(sh.Worker.Capacity)
+		return h.workers[sh.Worker.Name] != sh.Worker || !h.isSchedulable(now, sh.Worker) || !need.Times(sh.Tasks).Fits(sh.Worker.Capacity)
 	})
 }
 
@@ -224,7 +224,7 @@
 	if r.queue.Advice == nil {
 		return true, now
 	}
-	_, stale := s.ticketed(now, s.reservation.shares)
+	_, stale := s.splitByTicket(now, s.reservation.shares)
 	if len(stale) == 0 {
 		return true, now
 	}
@@ -243,7 +243,7 @@
 func (h *holding) notAwaited(now time.Time, r ranked, asked int) []*worker {
 	s := r.step
 	takes := r.queue.Advice.Base + time.Duration(min(asked, advisers.NamesMost))*r.queue.Advice.Each
-	_, stale := s.ticketed(now.Add(takes+advisers.Queue+tickets.Margin), s.reservation.shares)
+	_, stale := s.splitByTicket(now.Add(takes+advisers.Queue+tickets.Margin), s.reservation.shares)
 	var missing []*worker
 	for _, sh := range stale {
 		if !s.advice.Awaited(sh.Worker) {
@@ -261,7 +261,7 @@
 	}
 	calls := (len(workers) + advisers.NamesMost - 1) / advisers.NamesMost
 	for chunk := range slices.Chunk(workers, (len(workers)+calls-1)/calls) {
-		if h.ask(now, r.step, r.queue.Advice, chunk) == nil {
+		if h.requestAdvice(now, r.step, r.queue.Advice, chunk) == nil {
 			return false
 		}
 	}
--- a/services/dispatch/restarts_test.go
+++ b/services/dispatch/restarts_test.go
@@ -15,8 +15,8 @@
 
 // A worker refuses each run of a task as one that has ended there, and tells no end.
 func TestATaskIsNotStartedWithoutEndWhereEachStartIsRefused(t *testing.T) {
-	d, looks := holding(t, lived("w", 1000))
-	waiting := []exchange.StartRun{d.oneTask()}
+	d, looks := holding(t, workerEntry("w", 1000))
+	waiting := []exchange.StartRun{d.startOneTask()}
 	starts := 0
 	for end := d.now.Add(10 * time.Second); d.now.Before(end); {
 		var next []exchange.StartRun
@@ -26,7 +26,7 @@
 				Worker: s.Worker, Epoch: 1, Run: s.Order.Run, Answer: order.Answer{Fate: order.Refused, Reason: order.OldRun},
 			}))...)
 		}
-		waiting = append(next, d.goesOn(20*time.Millisecond, looks)...)
+		waiting = append(next, d.startsWithin(20*time.Millisecond, looks)...)
 	}
 	assert.Check(t, starts <= 15, "%d starts in 10 s", starts)
 }
--- a/services/dispatch/room.go
+++ b/services/dispatch/room.go
@@ -28,10 +28,10 @@
 	if set := p.sets[key]; set != nil {
 		return set
 	}
-	all := h.byName()
+	all := h.workersByName()
 	set := &workerSet{at: make([]*worker, len(all))}
 	for i, w := range all {
-		if w.Pool != pool || !h.takes(p.now, w) || s.spec.Label != "" && !slices.Contains(w.Labels, s.spec.Label) {
+		if w.Pool != pool || !h.isSchedulable(p.now, w) || s.spec.Label != "" && !slices.Contains(w.Labels, s.spec.Label) {
 			continue
 		}
 		set.workers = append(set.workers, w)
@@ -44,7 +44,9 @@
 }
 
 // has says whether a worker is one of the set.
-func (set *workerSet) has(w *worker) bool { return w.place < len(set.at) && set.at[w.place] == w }
+func (set *workerSet) has(w *worker) bool {
+	return w.nameIndex < len(set.at) && set.at[w.nameIndex] == w
+}
 
 // room returns what is free on a worker and neither promised nor held.
 func (w *worker) room() resource.Vector { return w.free.Minus(w.promised).Minus(w.held) }
@@ -63,7 +65,7 @@
 // hold keeps room for tasks of a step until the pass ends.
 func (w *worker) hold(s *step, tasks int) {
 	w.held = w.held.Plus(s.spec.Reserved().Times(tasks))
-	w.keeper = s
+	w.heldFor = s
 }
 
 // slots returns how many more tasks of a step a worker has room for.
--- a/services/dispatch/shrink_test.go
+++ b/services/dispatch/shrink_test.go
@@ -15,13 +15,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// shrinkCounts is how long after a worker's room has shrunk a start counts as over it: it
+// shrinkDelay is how long after a worker's room has shrunk a start counts as over it: it
 // has to be written to the list and read from it.
-const shrinkCounts = 3400 * time.Millisecond
+const shrinkDelay = 3400 * time.Millisecond
 
-// room returns what a start on a worker may take.
-func (f *fakeWorker) room() resource.Vector {
-	if f.w.now.Sub(f.shrunkAt) < shrinkCounts {
+// startLimit returns what a start on a worker may take.
+func (f *fakeWorker) startLimit() resource.Vector {
+	if f.w.now.Sub(f.shrunkAt) < shrinkDelay {
 		return f.capacity.Max(f.before)
 	}
 	return f.capacity
@@ -29,13 +29,13 @@
 
 // resize changes a worker's room. Smaller room is told of at once, and counts later.
 func (f *fakeWorker) resize(to resource.Vector) {
-	f.before, f.shrunkAt = f.room(), f.w.now
+	f.before, f.shrunkAt = f.startLimit(), f.w.now
 	f.capacity = to
 }
 
-// TestRandomWorldsWhereRoomShrinksAndGrows changes the room of workers while tasks run,
+// TestRandomWorldsWithChangingCapacity changes the room of workers while tasks run,
 // gangs have room reserved, and workers and boxes are lost.
-func TestRandomWorldsWhereRoomShrinksAndGrows(t *testing.T) {
+func TestRandomWorldsWithChangingCapacity(t *testing.T) {
 	for seed := range seeds() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -45,7 +45,7 @@
 				w.after(time.Duration(w.rng.Intn(15000))*time.Millisecond, func() { w.submit(w.randomJob(i)) })
 			}
 			for range 30 {
-				w.after(time.Duration(w.rng.Intn(18000))*time.Millisecond, w.changeRoom)
+				w.after(time.Duration(w.rng.Intn(18000))*time.Millisecond, w.resizeRandomWorker)
 			}
 			for range 2 {
 				w.after(time.Duration(w.rng.Intn(15000))*time.Millisecond, w.crashTrouble)
@@ -59,8 +59,8 @@
 	}
 }
 
-// changeRoom leaves a worker some of its full room, or nothing.
-func (w *world) changeRoom() {
+// resizeRandomWorker leaves a worker some of its full room, or nothing.
+func (w *world) resizeRandomWorker() {
 	f := w.workers[w.rng.Intn(len(w.workers))]
 	part := []int64{0, 1, 2, 3, 4, 4}[w.rng.Intn(6)]
 	f.resize(resource.Vector{
@@ -68,22 +68,22 @@
 	})
 }
 
-// resized is a change of the list by which a worker has some room.
-func resized(id string, to resource.Vector) exchange.WorkersRead {
+// resizedEntry is a change of the list by which a worker has some room.
+func resizedEntry(id string, to resource.Vector) exchange.WorkersRead {
 	return exchange.WorkersRead{Listing: order.Listing{Present: []order.Worker{{Life: order.Life{Name: id}, Address: id, Pool: pool, Capacity: to}}}}
 }
 
-func TestRoomThatGrowsAgainIsUsed(t *testing.T) {
+func TestRegrownCapacityIsUsed(t *testing.T) {
 	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
-	d.handle(resized("w", resource.Vector{}))
+	d.handle(resizedEntry("w", resource.Vector{}))
 	assert.Equal(t, d.startsOf(oneStep("j", "quick", 2, false), 1, looks), 0, "there is no room")
-	d.handle(resized("w", fullSize))
+	d.handle(resizedEntry("w", fullSize))
 	assert.Equal(t, d.answers(time.Second, looks), 2)
 }
 
 // A gang had room reserved on a worker whose room shrank below what was reserved: the
 // reservation was kept for its 3 s, and with it the room on all other workers of the gang.
-func TestAReservationThatNoLongerFitsIsGivenBack(t *testing.T) {
+func TestReservationThatNoLongerFitsIsReleased(t *testing.T) {
 	d, _ := holding(t,
 		order.Worker{Life: order.Life{Name: "v"}, Address: "v", Pool: pool, Capacity: fullSize}, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
 	c := config()
@@ -106,7 +106,7 @@
 	assert.Equal(t, len(only[exchange.StopRun](d.submits(gang))), 2, "room is made for the gang")
 	shrunk := resource.Vector{Processors: 50 * resource.Processor, Memory: fullSize.Memory}
 	given := 0
-	for _, n := range only[exchange.Note](append(d.handle(resized("w", shrunk)), d.later(50*time.Millisecond)...)) {
+	for _, n := range only[exchange.Note](append(d.handle(resizedEntry("w", shrunk)), d.later(50*time.Millisecond)...)) {
 		if n.Message == "a gang gives room back" {
 			given++
 		}
--- a/services/dispatch/silence.go
+++ b/services/dispatch/silence.go
@@ -18,96 +18,96 @@
 // worker once it does not answer, and nothing is started there until the log has it that it
 // answers again: the next holder takes those runs as being at work, and all others are free.
 
-// silence is what the log is told of a worker that does not answer.
-type silence struct {
+// unresponsiveRecord is what the log is told of a worker that does not answer.
+type unresponsiveRecord struct {
 	// kept says that the log has it, or is about to, at is when it was last told.
-	kept bool
-	at   time.Time
+	written   bool
+	writtenAt time.Time
 	// late is by how much an earlier holder may have seen it too late.
-	late time.Duration
+	detectionDelay time.Duration
 }
 
 const (
-	// silentLooks is after how many looks without an answer in a row the log is told: one
+	// failuresBeforeRecord is after how many looks without an answer in a row the log is told: one
 	// may have been lost.
-	silentLooks = 2
-	// silenceAgain is when the log is told again how long the lease of a silent worker lasts
+	failuresBeforeRecord = 2
+	// unresponsiveRecordInterval is when the log is told again how long the lease of a silent worker lasts
 	// at most.
-	silenceAgain = 2 * time.Second
+	unresponsiveRecordInterval = 2 * time.Second
 )
 
-// keepSilence has the log tell what may run on a worker that does not answer.
-func (h *holding) keepSilence(now time.Time, w *worker) {
-	again := w.silence.kept
+// refreshUnresponsive has the log tell what may run on a worker that does not answer.
+func (h *holding) refreshUnresponsive(now time.Time, w *worker) {
+	again := w.unresponsive.written
 	switch {
-	case w.failures < silentLooks, !again && !w.settled:
+	case w.failures < failuresBeforeRecord, !again && !w.reported:
 		return
-	case again && (now.Sub(w.silence.at) < silenceAgain || h.journal.failing(now)):
+	case again && (now.Sub(w.unresponsive.writtenAt) < unresponsiveRecordInterval || h.journal.failing(now)):
 		return
 	}
-	h.tellSilence(now, w)
+	h.recordUnresponsive(now, w)
 }
 
-// tellSilence adds the record of a silent worker to the next append. No start may be ordered
+// recordUnresponsive adds the record of a silent worker to the next append. No start may be ordered
 // to it until a later record says that it answers.
-func (h *holding) tellSilence(now time.Time, w *worker) {
-	late := w.seenLate()
-	w.silence = silence{kept: true, at: now, late: w.silence.late}
+func (h *holding) recordUnresponsive(now time.Time, w *worker) {
+	late := w.detectionDelay()
+	w.unresponsive = unresponsiveRecord{written: true, writtenAt: now, detectionDelay: w.unresponsive.detectionDelay}
 	w.recorded, w.recording = false, false
 	w.records++
-	s := kept.Silence{Late: job.Milliseconds(late.Milliseconds()), Left: job.Milliseconds(max(0, w.goneAt.Sub(now)).Milliseconds())}
-	for _, a := range w.sorted() {
+	s := kept.Silence{Late: job.Milliseconds(late.Milliseconds()), Left: job.Milliseconds(max(0, w.leaseExpiresBy.Sub(now)).Milliseconds())}
+	for _, a := range w.sortedAttempts() {
 		s.Runs = append(s.Runs, a.name())
-		s.Worked = append(s.Worked, a.workedBefore(w.presence.SilentSince()))
+		s.Worked = append(s.Worked, a.recordedWorkTime(w.presence.SilentSince()))
 	}
-	for run := range ordered.By(w.strays, order.Run.Compare) {
+	for run := range ordered.By(w.orphans, order.Run.Compare) {
 		s.Runs = append(s.Runs, run)
 	}
 	h.journal.add(kept.SilentWorker(w.Worker, s))
 }
 
-// workedBefore returns for how long an attempt had been at work at a time, as the log keeps
+// recordedWorkTime returns for how long an attempt had been at work at a time, as the log keeps
 // it. Without it each crash that was followed by a takeover counted as one after a lease or
 // more of work, that is for next to nothing, and a task that crashes its workers took seven.
-func (a *attempt) workedBefore(at time.Time) job.Milliseconds {
-	if worked, known := a.workedExactly(at); known {
+func (a *attempt) recordedWorkTime(at time.Time) job.Milliseconds {
+	if worked, known := a.workTime(at); known {
 		return job.Milliseconds(worked.Milliseconds())
 	}
 	return -1
 }
 
-// heardAgain has the log tell that a worker answers again.
-func (h *holding) heardAgain(w *worker) {
-	if w.silence.kept {
-		w.silence = silence{}
+// recordResponsive has the log tell that a worker answers again.
+func (h *holding) recordResponsive(w *worker) {
+	if w.unresponsive.written {
+		w.unresponsive = unresponsiveRecord{}
 		w.recorded, w.recording = false, false
-		h.record(w)
+		h.recordWorker(w)
 	}
 }
 
-// foldSilent takes over a worker that was silent under an earlier holder: what may run on it
+// restoreUnresponsive takes over a worker that was silent under an earlier holder: what may run on it
 // is known, and counts as being at work until it answers or its lease is over.
-func (h *holding) foldSilent(now time.Time, w *worker, s *kept.Silence) {
-	w.silence = silence{kept: true, at: now, late: s.Late.Duration()}
-	w.goneAt = ordered.Later(w.goneAt, now.Add(min(h.leaseMost(), s.Left.Duration())))
+func (h *holding) restoreUnresponsive(now time.Time, w *worker, s *kept.Silence) {
+	w.unresponsive = unresponsiveRecord{written: true, writtenAt: now, detectionDelay: s.Late.Duration()}
+	w.leaseExpiresBy = ordered.Later(w.leaseExpiresBy, now.Add(min(h.maxLeaseDuration(), s.Left.Duration())))
 	for i, run := range s.Runs {
-		a := h.foldRun(now, w, run)
+		a := h.restoreRun(now, w, run)
 		if worked, known := s.WorkedOf(i); a != nil && known {
 			a.silentAfter, a.silentKnown = worked, true
 		}
 	}
 }
 
-// foldRun takes a run as being at work on a silent worker, and returns it, or nil if it is
+// restoreRun takes a run as being at work on a silent worker, and returns it, or nil if it is
 // over. Where the log names two runs of a task, the first was over before the second was
 // ordered.
-func (h *holding) foldRun(now time.Time, w *worker, run order.Run) *attempt {
+func (h *holding) restoreRun(now time.Time, w *worker, run order.Run) *attempt {
 	s := h.findStep(run.Task.StepID)
 	if s == nil || run.Task.Index >= len(s.tasks) || s.job.state.Final() {
 		return nil
 	}
 	t := &s.tasks[run.Task.Index]
-	if t.done || !t.supersedes(run) {
+	if t.done || !t.isSupersededBy(run) {
 		return nil
 	}
 	if t.attempt != nil {
@@ -122,9 +122,9 @@
 	return a
 }
 
-// supersedes says whether a run is later than the one that the log told of, if any did, and
+// isSupersededBy says whether a run is later than the one that the log told of, if any did, and
 // no other is known.
-func (t *task) supersedes(run order.Run) bool {
+func (t *task) isSupersededBy(run order.Run) bool {
 	if t.attempt == nil {
 		return run.Number > t.lastRun
 	}
--- a/services/dispatch/silent_test.go
+++ b/services/dispatch/silent_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// unanswered ends the call of a start that had no answer.
-func (d *driven) unanswered(s exchange.StartRun) []exchange.Effect {
+// startUnanswered ends the call of a start that had no answer.
+func (d *driven) startUnanswered(s exchange.StartRun) []exchange.Effect {
 	return d.handle(exchange.StartEnded{Worker: s.Worker, Epoch: 1, Run: s.Order.Run, Answer: order.Answer{Fate: order.Unknown}})
 }
 
@@ -25,33 +25,33 @@
 	return d
 }
 
-func TestAStartWithoutAnAnswerIsSentAgain(t *testing.T) {
+func TestUnansweredStartIsResent(t *testing.T) {
 	d := oneWorker(t)
 	starts := only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))
 	assert.Equal(t, len(starts), 1)
 	first := starts[0]
 	for range 3 {
-		again := only[exchange.StartRun](d.unanswered(first))
+		again := only[exchange.StartRun](d.startUnanswered(first))
 		assert.Equal(t, len(again), 1)
 		assert.Equal(t, again[0].Order.Run, first.Order.Run, "the same run is ordered")
 		assert.Equal(t, again[0].Order.Ticket, first.Order.Ticket)
 	}
-	effects := d.unanswered(first)
+	effects := d.startUnanswered(first)
 	assert.Equal(t, len(only[exchange.StartRun](effects)), 0, "it is not tried for ever")
 }
 
-func TestAStartThatWasTriedTwiceMayHaveBeenCarriedOut(t *testing.T) {
+func TestStartSentTwiceMayHaveBeenCarriedOut(t *testing.T) {
 	for _, fate := range []order.Fate{order.NotDone, order.Refused} {
 		d := oneWorker(t)
 		first := only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))[0]
-		d.unanswered(first)
+		d.startUnanswered(first)
 		effects := d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: first.Order.Run, Answer: order.Answer{Fate: fate, Reason: order.NoRoom}})
 		effects = append(effects, d.later(200*time.Millisecond)...)
 		assert.Equal(t, len(only[exchange.StartRun](effects)), 0, "after %s the first order may still be carried out", fate)
 	}
 }
 
-func TestAWorkerThatOwesAnAnswerGetsNoMoreStarts(t *testing.T) {
+func TestWorkerWithOverdueStartGetsNoMoreStarts(t *testing.T) {
 	d := oneWorker(t)
 	first := only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))[0]
 	d.now = d.now.Add(150 * time.Millisecond)
@@ -61,7 +61,7 @@
 	assert.Equal(t, len(only[exchange.StartRun](effects)), 1, "it has answered")
 }
 
-func TestAHolderWithoutAuthorityRenewsNoLease(t *testing.T) {
+func TestHolderWithoutAuthorityRenewsNoLease(t *testing.T) {
 	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
 	// The log confirms no renewal of the claim any more.
 	d.later(settings().Authority.HoldFor)
@@ -71,7 +71,7 @@
 	assert.Check(t, !d.core.Holds(d.now))
 }
 
-func TestALookWaitsNoLongerThanHalfTheShortestTask(t *testing.T) {
+func TestRenewalWaitsAtMostHalfTheShortestTask(t *testing.T) {
 	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
 	assert.Equal(t, looks["w"].Order.Wait.Duration(), settings().Wait, "nothing runs there")
 	s := oneStep("j", "quick", 1, false)
@@ -87,7 +87,7 @@
 	assert.Equal(t, len(only[exchange.Renew](effects)), 1)
 }
 
-func TestRunsThatStandStillAreMoved(t *testing.T) {
+func TestStalledRunsAreMoved(t *testing.T) {
 	w := serving(t, 31, 1, 3)
 	w.workers[0].stalls = true
 	for i := range 12 {
@@ -98,7 +98,7 @@
 	w.check()
 }
 
-func TestTheCellIsFollowedSoonAfterTheLogReturns(t *testing.T) {
+func TestCellIsTakenOverSoonAfterLogReturns(t *testing.T) {
 	w := serving(t, 41, 3, 4)
 	first := w.holder()
 	w.logDown = true
@@ -114,9 +114,9 @@
 	w.check()
 }
 
-func TestAStartIsNotSentAgainWithoutAuthority(t *testing.T) {
+func TestStartIsNotResentWithoutAuthority(t *testing.T) {
 	d := oneWorker(t)
 	first := only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))[0]
 	d.later(settings().Authority.HoldFor)
-	assert.Equal(t, len(only[exchange.StartRun](d.unanswered(first))), 0)
+	assert.Equal(t, len(only[exchange.StartRun](d.startUnanswered(first))), 0)
 }
--- a/services/dispatch/stall.go
+++ b/services/dispatch/stall.go
@@ -51,14 +51,14 @@
 	if !h.uses(mechanism.MovedRuns) {
 		return
 	}
-	for _, a := range w.sorted() {
+	for _, a := range w.sortedAttempts() {
 		if !h.standsStill(a) || a.step.spec.Gang && !h.gangStandsStill(a.step) {
 			continue
 		}
 		h.core.note("a run stands still and is moved", field("job", string(a.step.job.id)), field("task", a.name().Task.String()),
 			field("run", a.run), field("worker", w.Life.String()), field("progress", a.progress), field("ran", now.Sub(a.since).String()),
 			field("usual", h.usual(a.step).String()))
-		w.excludedTill = ordered.Later(w.excludedTill, now.Add(excludeFor))
+		w.excludedUntil = ordered.Later(w.excludedUntil, now.Add(excludeFor))
 		a.task().runs.Interrupted(delays.Stalled)
 		if a.step.spec.Gang {
 			h.gangBroke(now, a.step)
--- a/services/dispatch/starts.go
+++ b/services/dispatch/starts.go
@@ -28,8 +28,8 @@
 	a.resumed = saved != ""
 	a.checkpoint, a.ticket = saved, ticket
 	h.journal.starts.Add(now, recent.Start{Task: a.name().Task, Run: run, Worker: w.Name, Born: w.BornUnixMilli, UnixMilli: h.core.unixMilli(now)})
-	if w.owesSince.IsZero() {
-		w.owesSince = now
+	if w.unansweredSince.IsZero() {
+		w.unansweredSince = now
 	}
 	h.orderStart(now, a)
 }
@@ -49,14 +49,14 @@
 	a.orderedAt = now
 	w := a.worker
 	h.core.do(exchange.StartRun{Worker: w.Life, Address: w.Address, Epoch: h.epoch, Order: order.Start{
-		Run: a.name(), Spec: a.step.job.submission.Spec, Until: h.until(now, w), Fence: h.fence(w),
+		Run: a.name(), Spec: a.step.job.submission.Spec, Until: h.extendLease(now, w), Fence: h.fence(w),
 		Checkpoint: a.checkpoint, Ticket: a.ticket,
 	}, Timeout: h.orderTimeout(now)})
 }
 
 // orderTimeout returns how long the answer to an order is waited for.
 func (h *holding) orderTimeout(now time.Time) time.Duration {
-	return h.patience(now, h.core.settings.OrderTimeout)
+	return h.adaptiveTimeout(now, h.core.settings.OrderTimeout)
 }
 
 // gangSaved returns a checkpoint that all members of a gang can resume from.
@@ -71,16 +71,16 @@
 
 // startEnded takes the end of a start's call.
 func (h *holding) startEnded(now time.Time, e exchange.StartEnded) {
-	w := h.present(e.Worker)
+	w := h.currentWorker(e.Worker)
 	if w == nil || e.Epoch != h.epoch {
 		return
 	}
 	if e.Answer.Fate == order.NoLife {
-		h.noLife(now, w)
+		h.incarnationGone(now, w)
 		return
 	}
 	if e.Answer.Fate != order.Unknown {
-		w.owesSince = time.Time{}
+		w.unansweredSince = time.Time{}
 	}
 	a := w.attempts[e.Run]
 	if a == nil {
@@ -105,8 +105,8 @@
 	case order.Refused:
 		h.startRefused(now, a, e.Answer)
 	case order.NotDone:
-		w.excludedTill = ordered.Later(w.excludedTill, now.Add(notDoneFor))
-		h.lose(now, a, "the worker did nothing: "+e.Answer.Problem)
+		w.excludedUntil = ordered.Later(w.excludedUntil, now.Add(notDoneFor))
+		h.loseAttempt(now, a, "the worker did nothing: "+e.Answer.Problem)
 	default:
 		h.startUnsure(now, a, e.Answer)
 	}
@@ -150,7 +150,7 @@
 	switch answer.Reason {
 	case order.Fenced:
 		if a.worker.lives.Outranked(answer, 0) {
-			h.core.stepDown(laterHolder)
+			h.core.stepDown(reasonLaterHolder)
 			return
 		}
 		a.step.wait(now.Add(refusedWait))
@@ -161,7 +161,7 @@
 	default:
 		a.step.wait(now.Add(refusedWait))
 	}
-	h.lose(now, a, "refused: "+string(answer.Reason))
+	h.loseAttempt(now, a, "refused: "+string(answer.Reason))
 }
 
 // refusedWait delays a step after a start was refused for no reason that can be
--- a/services/dispatch/status.go
+++ b/services/dispatch/status.go
@@ -41,7 +41,7 @@
 	var capacity, used resource.Vector
 	for id, w := range ordered.Map(h.workers) {
 		s.Workers = append(s.Workers, job.WorkerStatus{
-			ID: id, Domain: w.Domain, Takes: h.takes(now, w), Tasks: len(w.attempts), Free: w.free.Processors.String(),
+			ID: id, Domain: w.Domain, Takes: h.isSchedulable(now, w), Tasks: len(w.attempts), Free: w.free.Processors.String(),
 			Failures: w.failures, Leaving: w.Leaving,
 		})
 		capacity = capacity.Plus(w.Capacity)
--- a/services/dispatch/stops.go
+++ b/services/dispatch/stops.go
@@ -42,8 +42,8 @@
 	if w.failures > 0 || !w.awaitsStop() {
 		return
 	}
-	for _, a := range w.sorted() {
-		if a.state == stopping && !a.confirmed && now.Sub(a.since) > h.patience(now, stopAgain) {
+	for _, a := range w.sortedAttempts() {
+		if a.state == stopping && !a.confirmed && now.Sub(a.since) > h.adaptiveTimeout(now, stopAgain) {
 			h.mark(now, a)
 			h.orderStop(now, a.worker, a.name())
 		}
@@ -53,11 +53,11 @@
 // stopEnded takes the end of a stop's call. The place stays taken until a report
 // tells the end of the run.
 func (h *holding) stopEnded(now time.Time, e exchange.StopEnded) {
-	w := h.present(e.Worker)
+	w := h.currentWorker(e.Worker)
 	if w == nil || e.Epoch != h.epoch {
 		return
 	}
-	if h.ousted(now, w, e.Answer, 0) {
+	if h.handleSuperseded(now, w, e.Answer, 0) {
 		return
 	}
 	a := w.attempts[e.Run]
--- a/services/dispatch/suspects.go
+++ b/services/dispatch/suspects.go
@@ -65,15 +65,15 @@
 // tasksOn returns the tasks on a worker that stopped answering at a time.
 func (h *holding) tasksOn(w *worker, at time.Time) []blame.On {
 	var all []blame.On
-	for _, a := range w.sorted() {
+	for _, a := range w.sortedAttempts() {
 		if a.step.job.state.Final() {
 			continue
 		}
 		on := blame.On{
 			Task: a.step.unit(a.index), Run: a.run, Gang: a.step.spec.Gang, Alone: a.isAlone(at), Workers: a.step.workersOf(),
 		}
-		worked, known := a.workedExactly(at)
-		if on.Worked, on.Late = worked, w.seenLate(); !known {
+		worked, known := a.workTime(at)
+		if on.Worked, on.Late = worked, w.detectionDelay(); !known {
 			on.Worked, on.Time, on.Late = h.atWorkLeast(a, at), job.AtLeast, 0
 		}
 		all = append(all, on)
@@ -83,7 +83,7 @@
 
 // runs says whether a worker runs the task, or a member of the gang for which it stands.
 func (w *worker) runs(unit job.TaskID) bool {
-	return slices.ContainsFunc(w.sorted(), func(a *attempt) bool { return a.step.unit(a.index) == unit })
+	return slices.ContainsFunc(w.sortedAttempts(), func(a *attempt) bool { return a.step.unit(a.index) == unit })
 }
 
 // workersOf counts the workers on which a task of the step is at work, or the whole gang.
@@ -103,12 +103,12 @@
 // isAlone says whether no task but those of its unit had begun on its worker shortly
 // before an attempt, or since, when the worker fell silent at a time.
 func (a *attempt) isAlone(at time.Time) bool {
-	worked, known := a.workedExactly(at)
+	worked, known := a.workTime(at)
 	for _, o := range a.worker.attempts {
 		if o.step.unit(o.index) == a.step.unit(a.index) {
 			continue
 		}
-		if others, known := o.workedExactly(at); known && others < worked+calmBefore {
+		if others, known := o.workTime(at); known && others < worked+calmBefore {
 			return false
 		}
 	}
@@ -125,7 +125,7 @@
 // judge tells what the crash of a worker says of the tasks that were on it.
 func (h *holding) judge(now time.Time, w *worker, on []blame.On) {
 	at := w.presence.SilentSince()
-	c := blame.Crash{Life: w.Life, Rack: w.Rack, At: at, UnixMilli: h.core.unixMilli(at), Heard: w.settled || w.silence.kept, On: on}
+	c := blame.Crash{Life: w.Life, Rack: w.Rack, At: at, UnixMilli: h.core.unixMilli(at), Heard: w.reported || w.unresponsive.written, On: on}
 	for _, f := range h.docket.Crashed(now, c) {
 		h.core.note("a worker crashed under a task", field("job", string(f.Task.Job)), field("task", f.Task.String()), field("worker", w.Life.String()),
 			field("crashes", f.Blame.Crashes), field("guilty", fmt.Sprintf("%.3g", blame.Probability(f.Blame))), field("worked_most", f.Worked.String()),
@@ -260,13 +260,13 @@
 		w := h.trialPlace(p, r, set, i, alone)
 		if w == nil {
 			if r.queue.Advice != nil && !s.advice.asking() {
-				h.askMore(p.now, r, set.workers)
+				h.requestMoreAdvice(p.now, r, set.workers)
 			}
 			return
 		}
 		ticket, valid := s.advice.For(p.now, w)
 		if r.queue.Advice != nil && !valid {
-			h.refresh(p.now, r, []share{{Worker: w, Tasks: 1}})
+			h.refreshTickets(p.now, r, []share{{Worker: w, Tasks: 1}})
 			return
 		}
 		if alone && (h.journal.awaits(s.job) || !w.calm(p.now)) {
@@ -283,7 +283,7 @@
 // mayPrepare says whether a worker is kept for a suspect, or may be: few are at a time.
 func (h *holding) mayPrepare(s *step, index int) bool {
 	kept := 0
-	for _, w := range h.byName() {
+	for _, w := range h.workersByName() {
 		if w.prepared != nil || w.trials > 0 {
 			kept++
 		}
@@ -332,7 +332,7 @@
 
 // preparedFor returns the worker that is kept for a suspect, or nil.
 func (h *holding) preparedFor(s *step, index int) *worker {
-	for _, w := range h.byName() {
+	for _, w := range h.workersByName() {
 		if w.prepared != nil && w.prepared.step == s && w.prepared.index == index {
 			return w
 		}
@@ -342,7 +342,7 @@
 
 // endPreparation lets a worker take other tasks again whose suspect does not come.
 func (h *holding) endPreparation(now time.Time, w *worker) {
-	if pr := w.prepared; pr != nil && (now.Sub(pr.since) > prepareMost || !pr.step.open || !h.waitsSuspected(pr.step, pr.index) || !h.isSound(now, w)) {
+	if pr := w.prepared; pr != nil && (now.Sub(pr.since) > prepareMost || !pr.step.open || !h.waitsSuspected(pr.step, pr.index) || !h.isHealthy(now, w)) {
 		w.prepared = nil
 		h.planDue = true
 	}
@@ -350,7 +350,7 @@
 
 // calm says whether nothing was started on a worker lately.
 func (w *worker) calm(now time.Time) bool {
-	return !slices.ContainsFunc(w.sorted(), func(a *attempt) bool { return now.Sub(a.beganAt) < calmBefore })
+	return !slices.ContainsFunc(w.sortedAttempts(), func(a *attempt) bool { return now.Sub(a.beganAt) < calmBefore })
 }
 
 // mayTry says whether a suspect may be tried now: what is held against it is in the log
@@ -368,11 +368,11 @@
 // atRisk returns how many workers are expected to crash under the suspects on them, all
 // and those of a job.
 func (h *holding) atRisk(j *submitted) (all, ofJob float64) {
-	for _, w := range h.byName() {
+	for _, w := range h.workersByName() {
 		if w.suspects == 0 {
 			continue
 		}
-		for _, a := range w.sorted() {
+		for _, a := range w.sortedAttempts() {
 			all += a.risk
 			if a.step.job == j {
 				ofJob += a.risk
--- a/services/dispatch/throttle.go
+++ b/services/dispatch/throttle.go
@@ -70,7 +70,7 @@
 
 // orderPace orders the pace of a worker's fillers where they work at another.
 func (h *holding) orderPace(now time.Time, w *worker) {
-	for _, a := range w.sorted() {
+	for _, a := range w.sortedAttempts() {
 		if a.step.spec.Filler && a.state == running && a.pace != w.fillPace && !a.pacing {
 			a.pacing = true
 			h.core.do(exchange.ThrottleRun{Worker: w.Life, Address: w.Address, Epoch: h.epoch, Order: order.Throttle{
@@ -83,7 +83,7 @@
 // throttleEnded takes the end of an order of a pace. One that may not have been
 // carried out is given again at the next look.
 func (h *holding) throttleEnded(e exchange.ThrottleEnded) {
-	w := h.present(e.Worker)
+	w := h.currentWorker(e.Worker)
 	if w == nil || e.Epoch != h.epoch {
 		return
 	}
--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -21,31 +21,31 @@
 // worker is one life of a worker.
 type worker struct {
 	order.Worker
-	// lives are those that its name has had. isLater says that it has taken the place of an
+	// lives are those that its name has had. fencePending says that it has taken the place of an
 	// earlier one, and has not answered a look of its own.
-	lives   *presence.Lives
-	isLater bool
+	lives        *presence.Lives
+	fencePending bool
 	// presence is whether it is listed and answers.
 	presence presence.Presence
 	// settled says that it has told under this claim what it runs.
-	settled bool
+	reported bool
 	// recorded says that the log names it, so that the next holder asks it.
 	recorded bool
 	// recording says that the record waits for the log, records counts those of it.
 	recording bool
 	records   int
 	// silence is what the log is told while it does not answer.
-	silence silence
+	unresponsive unresponsiveRecord
 
 	// place is where it is among all workers by name.
-	place int
+	nameIndex int
 
 	attempts map[order.Run]*attempt
 	// free is the capacity that no attempt takes.
 	free resource.Vector
 	// strays are runs that should not be there. What they take is not known, so
 	// nothing is started beside them.
-	strays map[order.Run]bool
+	orphans map[order.Run]bool
 	// promised is room kept for steps that wait for tickets.
 	promised resource.Vector
 	// reserved is the part of it that is reserved for gangs, in the order in which it was.
@@ -54,34 +54,34 @@
 	// clock was the worker's clock when an answer came at clockAt.
 	clock   order.WorkerClock
 	clockAt time.Time
-	// goneAt is when its lease has run out for sure.
-	goneAt time.Time
+	// leaseExpiresBy is when its lease has run out for sure.
+	leaseExpiresBy time.Time
 
 	// look is the number of the renewal under way, or 0; renewAt is when the next
 	// is due.
-	look    int64
-	renewAt time.Time
-	// lookDue is when that renewal was asked for and the time for which it waits there,
+	pendingRenewal int64
+	renewAt        time.Time
+	// answerDue is when that renewal was asked for and the time for which it waits there,
 	// overdue the same of those that have run out of their time, by number.
-	lookDue time.Time
-	overdue map[int64]time.Time
+	answerDue time.Time
+	overdue   map[int64]time.Time
 	// answeredAt is when a renewal was last answered, failures how many were not
 	// since.
 	answeredAt time.Time
 	failures   int
 	// aliveAt is when it was last surely alive.
 	aliveAt time.Time
-	// owesSince is when a start was ordered of which, and of all those after it, none
+	// unansweredSince is when a start was ordered of which, and of all those after it, none
 	// was answered, or zero.
-	owesSince time.Time
+	unansweredSince time.Time
 	// told are the ends that it has told.
-	told ends.Told[*worker]
+	reportedEnds ends.Told[*worker]
 
 	// held is room that this pass of the plan keeps for steps which rank higher than
-	// those it comes to next, keeper the last of them, keptFor that of the pass
+	// those it comes to next, keeper the last of them, prevHeldFor that of the pass
 	// before: other steps take the worker's room last.
-	held            resource.Vector
-	keeper, keptFor *step
+	held                 resource.Vector
+	heldFor, prevHeldFor *step
 	// fillPace is the pace of its fillers, in percent, throttledAt when it was changed.
 	fillPace    int
 	throttledAt time.Time
@@ -90,8 +90,8 @@
 	// drainedFor is the gang that waits for the worker's tasks to end. Meanwhile
 	// short steps may use it.
 	drainedFor *step
-	// drainedBefore is what drainedFor was in the pass before.
-	drainedBefore *step
+	// prevDrainedFor is what drainedFor was in the pass before.
+	prevDrainedFor *step
 	// failedJobs counts failed ends of different jobs in a row.
 	failedJobs int
 	lastFailed job.ID
@@ -100,27 +100,27 @@
 	suspects, trials int
 	// prepared says for which likely suspect it is kept, or is nil.
 	prepared *preparation
-	// excludedTill is until when the worker gets no starts.
-	excludedTill time.Time
+	// excludedUntil is until when the worker gets no starts.
+	excludedUntil time.Time
 }
 
 // newWorker returns a life of a worker of which nothing is known but its entry.
 func newWorker(now time.Time, o order.Worker) *worker {
 	return &worker{
-		Worker: o, attempts: map[order.Run]*attempt{}, strays: map[order.Run]bool{}, free: o.Capacity, renewAt: now,
+		Worker: o, attempts: map[order.Run]*attempt{}, orphans: map[order.Run]bool{}, free: o.Capacity, renewAt: now,
 		overdue:  map[int64]time.Time{},
 		fillPace: fullPace,
 	}
 }
 
-// byName returns the workers in the order of their names. The reducer walks them in
+// workersByName returns the workers in the order of their names. The reducer walks them in
 // that order wherever it matters.
-func (h *holding) byName() []*worker {
+func (h *holding) workersByName() []*worker {
 	if h.sorted == nil {
 		h.sorted = slices.Collect(maps.Values(h.workers))
 		slices.SortFunc(h.sorted, byName)
 		for i, w := range h.sorted {
-			w.place = i
+			w.nameIndex = i
 		}
 	}
 	return h.sorted
@@ -135,39 +135,39 @@
 	return w
 }
 
-// sorted returns the attempts on the worker in a fixed order, so that the same
+// sortedAttempts returns the attempts on the worker in a fixed order, so that the same
 // events always have the same effects.
-func (w *worker) sorted() []*attempt {
+func (w *worker) sortedAttempts() []*attempt {
 	all := slices.Collect(maps.Values(w.attempts))
 	slices.SortFunc(all, func(a, b *attempt) int { return a.name().Compare(b.name()) })
 	return all
 }
 
-// takes says whether new tasks may be started on the worker.
-func (h *holding) takes(now time.Time, w *worker) bool {
-	return w.trials == 0 && w.prepared == nil && h.isSound(now, w)
+// isSchedulable says whether new tasks may be started on the worker.
+func (h *holding) isSchedulable(now time.Time, w *worker) bool {
+	return w.trials == 0 && w.prepared == nil && h.isHealthy(now, w)
 }
 
-// isSound says whether a worker could take new tasks if it were not kept for a suspect.
-func (h *holding) isSound(now time.Time, w *worker) bool {
-	return w.settled && w.presence.Listed() && w.recorded && !w.Leaving && !w.lives.Doubted() && w.failures == 0 && len(w.strays) == 0 &&
-		now.Sub(w.answeredAt) < h.core.settings.Wait+h.patience(now, silentAfter) && !now.Before(w.excludedTill) && !(h.uses(mechanism.OwedAnswers) && h.owes(now, w))
+// isHealthy says whether a worker could take new tasks if it were not kept for a suspect.
+func (h *holding) isHealthy(now time.Time, w *worker) bool {
+	return w.reported && w.presence.Listed() && w.recorded && !w.Leaving && !w.lives.Doubted() && w.failures == 0 && len(w.orphans) == 0 &&
+		now.Sub(w.answeredAt) < h.core.settings.Wait+h.adaptiveTimeout(now, silentAfter) && !now.Before(w.excludedUntil) && !(h.uses(mechanism.OwedAnswers) && h.hasOverdueStart(now, w))
 }
 
-// owes says whether a worker has not answered the starts that it was given.
-func (h *holding) owes(now time.Time, w *worker) bool {
-	return !w.owesSince.IsZero() && now.Sub(w.owesSince) > h.patience(now, owesAfter)
+// hasOverdueStart says whether a worker has not answered the starts that it was given.
+func (h *holding) hasOverdueStart(now time.Time, w *worker) bool {
+	return !w.unansweredSince.IsZero() && now.Sub(w.unansweredSince) > h.adaptiveTimeout(now, owesAfter)
 }
 
-// patience returns how long to wait for an answer that is waited for some time as a
+// adaptiveTimeout returns how long to wait for an answer that is waited for some time as a
 // rule: longer while most workers' answers are late. A call that is given up and made
 // again makes a link that is full, or a process that is late, later still.
-func (h *holding) patience(now time.Time, rule time.Duration) time.Duration {
+func (h *holding) adaptiveTimeout(now time.Time, rule time.Duration) time.Duration {
 	return h.answers.Allow(now, rule, h.core.settings.Lease/waitShare)
 }
 
-// record has the log name a worker before anything is started on it.
-func (h *holding) record(w *worker) {
+// recordWorker has the log name a worker before anything is started on it.
+func (h *holding) recordWorker(w *worker) {
 	if w.recorded || w.recording {
 		return
 	}
@@ -177,22 +177,22 @@
 	h.journal.add(kept.Worker(w.Worker))
 }
 
-// workerDied frees the tasks of a worker whose life is over for sure.
-func (h *holding) workerDied(now time.Time, w *worker, why string) {
-	how := h.endedAs(now, w, true)
+// workerTerminated frees the tasks of a worker whose life is over for sure.
+func (h *holding) workerTerminated(now time.Time, w *worker, why string) {
+	how := h.endingOf(now, w, true)
 	h.core.note("worker is gone", field("worker", w.Life.String()), field("reason", why), field("tasks", len(w.attempts)), field("how", string(how)))
-	h.loseAll(now, w, nil, how, why)
+	h.loseAttempts(now, w, nil, how, why)
 	delete(h.unsettled, w.Name)
-	h.forget(now, w)
+	h.removeWorker(now, w)
 }
 
-// forget drops a worker here and in the log.
-func (h *holding) forget(now time.Time, w *worker) {
+// removeWorker drops a worker here and in the log.
+func (h *holding) removeWorker(now time.Time, w *worker) {
 	delete(h.workers, w.Name)
 	h.sorted = nil
 	w.lives.End(w.Life)
 	h.former.Gone(now, w.Name, w.lives)
-	if w.recorded || w.recording || w.silence.kept {
+	if w.recorded || w.recording || w.unresponsive.written {
 		h.journal.add(kept.NoWorker(w.Name))
 	}
 }
--- a/services/dispatch/worldcheck_test.go
+++ b/services/dispatch/worldcheck_test.go
@@ -37,7 +37,7 @@
 			used = used.Plus(r.step.Need)
 		}
 	}
-	if !used.Fits(f.room()) {
+	if !used.Fits(f.startLimit()) {
 		w.breaks("%v on %s: %v is more than there is, %v (%v before, until %v ago); runs %v", s.Task, f.life, used, f.capacity, f.before, w.now.Sub(f.shrunkAt), slices.Collect(maps.Keys(f.runs)))
 	}
 	for _, other := range w.workers {
