--- a/services/core/core.go
+++ b/services/core/core.go
@@ -63,7 +63,7 @@
 	waiting map[string]publication
 	stop    stopping
 	// checkpoint is the last one that this process appended.
-	checkpoint journal.Ticket
+	checkpoint journal.EntryNumber
 }
 
 // New returns the state of a process that has just started.
--- a/services/core/publish.go
+++ b/services/core/publish.go
@@ -44,8 +44,8 @@
 		return []string{"this entry box has no configuration in force yet"}
 	case c.members.Leaving():
 		return []string{"this entry box is stopping"}
-	case c.journal.Failing() != "":
-		return []string{"the log cannot be written: " + c.journal.Failing()}
+	case c.journal.FailureReason() != "":
+		return []string{"the log cannot be written: " + c.journal.FailureReason()}
 	case c.journal.Full():
 		return []string{"too much waits for the log"}
 	default:
--- a/services/core/status.go
+++ b/services/core/status.go
@@ -30,7 +30,7 @@
 		InForce: c.reader.inForce, Stopping: c.members.Leaving(), Live: c.members.Live(now),
 		Log: status.Log{
 			Next: c.ledger.Next(), ReadFailing: c.reader.failing,
-			AppendFailing: c.journal.Failing(), Waiting: c.journal.Waiting(),
+			AppendFailing: c.journal.FailureReason(), Waiting: c.journal.Pending(),
 		},
 		Pools: c.router.Status(now),
 	}
--- a/services/delays/delays.go
+++ b/services/delays/delays.go
@@ -22,38 +22,38 @@
 	Takeover Cause = "takeover"
 	// Advice: an answer of the advice service was awaited.
 	Advice Cause = "advice"
-	// Room: no worker had room.
-	Room Cause = "room"
+	// NoRoom: no worker had room.
+	NoRoom Cause = "room"
 	// Cap: the tasks of its workspace took all that they may.
 	Cap Cause = "cap"
-	// Failed, Stopped, Lost and Unsure: a task ran, or was to run,
+	// RunFailed, Stopped, Lost and Unsure: a task ran, or was to run,
 	// more than once because its run failed, was stopped for another step, ended with
 	// its worker, or began on a worker that did not answer.
-	Failed  Cause = "run failed"
-	Stopped Cause = "run stopped"
-	Lost    Cause = "run lost"
-	Unsure  Cause = "order unanswered"
-	// Stalled: a run stood still and its task was moved.
-	Stalled Cause = "run stood still"
-	// Slow: the last run took longer than expected.
-	Slow Cause = "slow run"
+	RunFailed       Cause = "run failed"
+	RunStopped      Cause = "run stopped"
+	RunLost         Cause = "run lost"
+	OrderUnanswered Cause = "order unanswered"
+	// RunStalled: a run stood still and its task was moved.
+	RunStalled Cause = "run stood still"
+	// SlowRun: the last run took longer than expected.
+	SlowRun Cause = "slow run"
 )
 
-// leastDelay is the shortest delay that is told.
-const leastDelay = 20 * time.Millisecond
+// minDelay is the shortest delay that is told.
+const minDelay = 20 * time.Millisecond
 
-// Sum sums up times by what they were lost to.
-type Sum map[Cause]time.Duration
+// Totals sums up times by what they were lost to.
+type Totals map[Cause]time.Duration
 
 // Add adds a time, if it is worth telling.
-func (d Sum) Add(why Cause, took time.Duration) {
-	if took >= leastDelay {
+func (d Totals) Add(why Cause, took time.Duration) {
+	if took >= minDelay {
 		d[why] += took
 	}
 }
 
-// Main returns what most time was lost to, or nothing.
-func (d Sum) Main() Cause {
+// Largest returns what most time was lost to, or nothing.
+func (d Totals) Largest() Cause {
 	best := Cause("")
 	for why, took := range ordered.Map(d) {
 		if best == "" || took > d[best] {
--- a/services/delays/interruption.go
+++ b/services/delays/interruption.go
@@ -5,14 +5,14 @@
 
 import "saddlevane/models/order"
 
-// Interruption returns the delay that an end which is not a good one stands for.
-func Interruption(how order.How) Cause {
+// InterruptionCause returns the delay that an end which is not a good one stands for.
+func InterruptionCause(how order.How) Cause {
 	switch how {
 	case order.Failed:
-		return Failed
+		return RunFailed
 	case order.Stopped:
-		return Stopped
+		return RunStopped
 	default:
-		return Lost
+		return RunLost
 	}
 }
--- a/services/dispatch/advice.go
+++ b/services/dispatch/advice.go
@@ -16,7 +16,7 @@
 
 // advice is what is known of the workers that may run a step.
 type advice struct {
-	tickets.Book[*worker]
+	tickets.Eligibility[*worker]
 	// calls are those whose answers the step waits for.
 	calls []*adviceCall
 	// goesFirst says that room was kept for the step until now, so that it goes
@@ -58,7 +58,7 @@
 
 // told counts the workers of which the service has told.
 func (a *advice) told() int {
-	n, _ := a.Told()
+	n, _ := a.KnownWorkers()
 	return n
 }
 
@@ -70,14 +70,14 @@
 // began notes a call that names some workers.
 func (a *advice) began(c *adviceCall) {
 	a.calls = append(a.calls, c)
-	a.Began(c.workers)
+	a.BeginCall(c.workers)
 }
 
 // ended notes that the answer to a call is not waited for any more.
 func (a *advice) ended(c *adviceCall) {
 	if i := slices.Index(a.calls, c); i >= 0 {
 		a.calls = slices.Delete(a.calls, i, i+1)
-		a.Ended(c.workers)
+		a.EndCall(c.workers)
 	}
 }
 
@@ -100,12 +100,12 @@
 
 // releasePromises gives back all room that was kept for a step.
 func (h *holding) releasePromises(now time.Time, s *step) {
-	h.unreserve(now, s, reservations.Ended)
+	h.unreserve(now, s, reservations.StepEnded)
 	for _, c := range s.advice.calls {
 		c.release()
 	}
 	s.advice.calls = nil
-	s.advice.EndAll()
+	s.advice.EndAllCalls()
 }
 
 // promise keeps room for tasks of a step on a worker until a call's answer comes.
@@ -152,10 +152,10 @@
 func (h *holding) notAdvised(now time.Time, s *step, e exchange.Advised) {
 	s.advice.askAgain = now.Add(adviceAgain)
 	if e.Busy {
-		h.advisers.Refused(now, e.Box)
+		h.advisers.RecordRefusal(now, e.Box)
 		return
 	}
-	h.advisers.Failed(now, e.Box)
+	h.advisers.RecordFailure(now, e.Box)
 	h.core.note("advice failed", field("step", s.id.String()), field("asked_from", e.Box), field("problem", e.Failed))
 }
 
@@ -164,17 +164,17 @@
 func (h *holding) noteAdvice(now time.Time, c *adviceCall, e exchange.Advised) {
 	s := c.step
 	a := &s.advice
-	a.Answered()
+	a.RecordAnswer()
 	fresh := map[*worker]bool{}
 	// An answer holds for the lives that were asked about.
 	asked := map[string]*worker{}
 	for _, w := range c.workers {
-		if _, known := a.Suits(w); !known {
+		if _, known := a.IsEligible(w); !known {
 			fresh[w] = true
 		}
 		if h.currentWorker(w.Life) == w {
 			// A worker that gets no ticket any more is not asked about again.
-			a.Suit(w, false, byName)
+			a.SetEligible(w, false, byName)
 			asked[w.Name] = w
 		}
 	}
@@ -185,11 +185,11 @@
 	}
 	for _, t := range e.Good {
 		if w := asked[t.Worker]; w != nil {
-			a.Suit(w, true, byName)
+			a.SetEligible(w, true, byName)
 			if fresh[w] {
 				good++
 			}
-			a.Got(w, t.Ticket, now.Add(valid))
+			a.SetTicket(w, t.Ticket, now.Add(valid))
 		}
 	}
 	h.learned.Advised(s.job.queue, len(fresh), good)
--- a/services/dispatch/ask.go
+++ b/services/dispatch/ask.go
@@ -38,19 +38,19 @@
 func (h *holding) requestAdvice(now time.Time, s *step, q *job.Advice, workers []*worker) *adviceCall {
 	takes := q.Base + time.Duration(len(workers))*q.Each
 	class := h.turnClass(now, s)
-	if h.uses(mechanism.DividedAdvice) && takes > advisers.Brief && !h.advisers.Turns.May(now, class) {
+	if h.uses(mechanism.DividedAdvice) && takes > advisers.BriefCall && !h.advisers.FairShare.Admit(now, class) {
 		return nil
 	}
 	patience := time.Duration(0)
 	if !class.Late {
-		patience = advisers.Queue
+		patience = advisers.MaxQueueTime
 	}
-	box, ok := h.advisers.Choose(now, maps.Keys(h.core.members), takes, patience)
+	box, ok := h.advisers.Assign(now, maps.Keys(h.core.members), takes, patience)
 	if !ok {
-		h.advisers.Turns.TurnAway(now, class)
+		h.advisers.FairShare.RecordDeferral(now, class)
 		return nil
 	}
-	h.advisers.Turns.Spend(now, class, takes)
+	h.advisers.FairShare.RecordCall(now, class, takes)
 	names := make([]string, len(workers))
 	for i, w := range workers {
 		names[i] = w.Name
@@ -62,7 +62,7 @@
 		address = h.core.members[box].Address
 	}
 	s.advice.began(c)
-	h.advisers.Spent[s.job.queue] += takes
+	h.advisers.CallTimeByQueue[s.job.queue] += takes
 	h.core.do(exchange.Advise{
 		Box: box, Address: address, Epoch: h.epoch, Number: c.number, Step: s.id, Workers: names,
 		Expected: c.due.Sub(now), Timeout: c.due.Sub(now) + adviceMargin,
@@ -71,8 +71,8 @@
 }
 
 // turnClass returns what a step competes as for calls.
-func (h *holding) turnClass(now time.Time, s *step) turns.Class {
-	return turns.Class{Queue: s.job.queue, Late: h.rank(now, s).Tier != ranking.OnTime}
+func (h *holding) turnClass(now time.Time, s *step) turns.CallClass {
+	return turns.CallClass{Queue: s.job.queue, Late: h.rank(now, s).Tier != ranking.OnTime}
 }
 
 // requestEarlyAdvice asks for the first steps of a job while the log takes it in.
@@ -118,7 +118,7 @@
 func (s *step) unaskedByRoom(candidates []*worker) []*worker {
 	var all []*worker
 	for _, w := range candidates {
-		if !s.advice.Asked(w) {
+		if !s.advice.IsKnownOrPending(w) {
 			all = append(all, w)
 		}
 	}
@@ -141,7 +141,7 @@
 		var full []*worker
 		for i := range candidates {
 			w := candidates[(start+i)%len(candidates)]
-			if s.advice.Asked(w) {
+			if s.advice.IsKnownOrPending(w) {
 				continue
 			}
 			room := w.slots(s, w.room())
@@ -167,7 +167,7 @@
 		return false
 	}
 	asked := false
-	for chunk := range slices.Chunk(workers, advisers.NamesMost) {
+	for chunk := range slices.Chunk(workers, advisers.MaxWorkersPerCall) {
 		if h.requestAdvice(now, s, r.queue.Advice, chunk) == nil {
 			break
 		}
@@ -181,12 +181,12 @@
 // more, which may have it next. It returns false if no call was made.
 func (h *holding) requestAdviceForRoom(now time.Time, r ranked, candidates []*worker) bool {
 	s := r.step
-	if !h.advisers.Free(now, maps.Keys(h.core.members), r.queue.Advice.Base, advisers.Queue) {
-		h.advisers.Turns.TurnAway(now, h.turnClass(now, s))
+	if !h.advisers.HasFreeBox(now, maps.Keys(h.core.members), r.queue.Advice.Base, advisers.MaxQueueTime) {
+		h.advisers.FairShare.RecordDeferral(now, h.turnClass(now, s))
 		return false
 	}
 	missing := askFactor * float64(s.waiting) / h.learned.GoodShare(r.queue.Name)
-	least := advisers.NamesAtLeast(r.queue.Advice)
+	least := advisers.MinWorkersPerCall(r.queue.Advice)
 	var named []*worker
 	for w, room := range s.unaskedRotated(candidates) {
 		if len(named) == maxAskedForRoom || len(named) >= least && missing <= 0 {
@@ -218,7 +218,7 @@
 		return
 	}
 	takes := r.queue.Advice.Base + time.Duration(len(shares))*r.queue.Advice.Each
-	_, stale := s.splitByTicket(now.Add(takes+tickets.Margin), shares)
+	_, stale := s.splitByTicket(now.Add(takes+tickets.StartMargin), shares)
 	workers := make([]*worker, len(stale))
 	for i, sh := range stale {
 		workers[i] = sh.Worker
@@ -234,7 +234,7 @@
 // others.
 func (s *step) splitByTicket(now time.Time, shares []share) (valid, stale []share) {
 	for _, sh := range shares {
-		if _, ok := s.advice.For(now, sh.Worker); ok {
+		if _, ok := s.advice.TicketFor(now, sh.Worker); ok {
 			valid = append(valid, sh)
 		} else {
 			stale = append(stale, sh)
--- a/services/dispatch/choice.go
+++ b/services/dispatch/choice.go
@@ -65,10 +65,10 @@
 func (s *step) missing(tasks float64, candidates []*worker, good float64) float64 {
 	for _, w := range candidates {
 		slots := float64(s.slotsOfEmpty(w.Capacity))
-		switch suits, known := s.advice.Suits(w); {
+		switch suits, known := s.advice.IsEligible(w); {
 		case known && suits:
 			tasks -= slots
-		case !known && s.advice.Awaited(w):
+		case !known && s.advice.IsPending(w):
 			tasks -= slots * good
 		}
 	}
@@ -89,12 +89,12 @@
 	if missing <= 0 {
 		return
 	}
-	if r.queue.Advice.Base <= advisers.Short {
+	if r.queue.Advice.Base <= advisers.ShortCall {
 		h.requestAdviceForRoom(now, r, candidates)
 		return
 	}
 	each := float64(max(1, s.slotsOfEmpty(h.largestCapacity()))) * good
 	unknown := s.unaskedByRoom(candidates)
-	wanted := max(advisers.NamesAtLeast(r.queue.Advice), int(math.Ceil(missing/each)))
+	wanted := max(advisers.MinWorkersPerCall(r.queue.Advice), int(math.Ceil(missing/each)))
 	h.requestAdviceOn(now, r, unknown[:min(len(unknown), wanted)])
 }
--- a/services/dispatch/confirm.go
+++ b/services/dispatch/confirm.go
@@ -120,7 +120,7 @@
 	p.job.shown = p.state
 	h.answer(p.cancels, exchange.Answer{Outcome: exchange.OK, State: p.state})
 	for _, n := range p.ends {
-		n.Keep()
+		n.MarkLogged()
 		h.renewSoon(now, n.Worker())
 	}
 	if p.state.Final() {
--- a/services/dispatch/delay.go
+++ b/services/dispatch/delay.go
@@ -18,7 +18,7 @@
 func (s *step) waited(now time.Time, why delays.Cause) {
 	if since := ordered.Later(s.waitedAt, s.openedAt); s.done+s.attempts == 0 && !since.IsZero() {
 		if s.waits == nil {
-			s.waits = delays.Sum{}
+			s.waits = delays.Totals{}
 		}
 		s.waits[why] += now.Sub(since)
 	}
@@ -33,12 +33,12 @@
 	if s.capped {
 		return delays.Cap
 	}
-	return delays.Room
+	return delays.NoRoom
 }
 
 // last.
-func (j *submitted) delaysOf(in *instance) delays.Sum {
-	d := delays.Sum{}
+func (j *submitted) delaysOf(in *instance) delays.Totals {
+	d := delays.Totals{}
 	opened := in.openedAt
 	if j.inherited {
 		d.Add(delays.Takeover, opened.Sub(in.dueAt))
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -176,7 +176,7 @@
 // decided delays the next plan by what the last one took.
 func (c *Core) decided(now time.Time, took time.Duration) {
 	if h := c.holding; h != nil {
-		h.planAt = ordered.Later(h.planAt, now.Add(h.budget.Took(h.planned.Counts(took))))
+		h.planAt = ordered.Later(h.planAt, now.Add(h.budget.RecordDuration(h.planned.Clamp(took))))
 	}
 }
 
@@ -186,7 +186,7 @@
 	if c.holding == nil {
 		return 0
 	}
-	return c.holding.answers.Usual(now)
+	return c.holding.answers.UpperQuartile(now)
 }
 
 // Plans returns how many plans were made under the present claim.
--- a/services/dispatch/ends.go
+++ b/services/dispatch/ends.go
@@ -22,7 +22,7 @@
 )
 
 // ended takes one end from a worker's list.
-func (h *holding) ended(now time.Time, w *worker, end order.End, note *ends.Note[*worker]) {
+func (h *holding) ended(now time.Time, w *worker, end order.End, note *ends.Report[*worker]) {
 	a := w.attempts[end.Run]
 	s := h.findStep(end.Task.StepID)
 	if a != nil {
@@ -33,7 +33,7 @@
 		}
 	}
 	if s == nil || end.Task.Index >= len(s.tasks) {
-		note.Keep()
+		note.MarkLogged()
 		return
 	}
 	t := &s.tasks[end.Task.Index]
@@ -48,12 +48,12 @@
 			h.learnSpeed(now, a)
 		}
 	} else {
-		t.runs.Interrupted(delays.Interruption(end.How))
+		t.runs.RecordInterruption(delays.InterruptionCause(end.How))
 	}
 	h.applyEnd(now, w, s, end)
 	h.noteEnd(s, w, end)
 	if s.job.closed {
-		note.Keep()
+		note.MarkLogged()
 		return
 	}
 	s.job.ends = append(s.job.ends, note)
@@ -112,7 +112,7 @@
 // ends its job.
 func (h *holding) stepDone(now time.Time, s *step, last int) {
 	s.open = false
-	s.doneAt, s.delayed = now, s.tasks[last].runs.Sum(now, s.openedAt, h.usual(s), s.waits)
+	s.doneAt, s.delayed = now, s.tasks[last].runs.Delays(now, s.openedAt, h.usual(s), s.waits)
 	h.releasePromises(now, s)
 	h.learnTimes(s)
 	h.core.note("step done", field("job", string(s.job.id)), field("step", s.id.String()), field("tasks", len(s.tasks)),
--- a/services/dispatch/fit.go
+++ b/services/dispatch/fit.go
@@ -14,7 +14,7 @@
 )
 
 // share is how many tasks of a step a worker has room for, or gets.
-type share = slots.Share[*worker]
+type share = slots.Allocation[*worker]
 
 // candidate is a worker with room for some tasks of a step, and what speaks
 // against it, in this order.
@@ -46,11 +46,11 @@
 		shares[i] = c.share
 	}
 	if s.spec.OneRack && s.spec.Gang {
-		if together, ok := slots.Together(shares, s.waiting, func(w *worker) string { return w.Rack }); ok {
+		if together, ok := slots.FillInOneGroup(shares, s.waiting, func(w *worker) string { return w.Rack }); ok {
 			return together, s.waiting
 		}
 	}
-	return slots.Take(shares, h.mayPlace(s))
+	return slots.FillInOrder(shares, h.mayPlace(s))
 }
 
 // candidates returns the workers that have room for a step. Avoided ones take no
@@ -94,7 +94,7 @@
 	if w.prevHeldFor != nil && w.prevHeldFor != s {
 		c.kept = 1
 	}
-	if _, valid := s.advice.For(now, w); !valid && s.advice.told() > 0 {
+	if _, valid := s.advice.TicketFor(now, w); !valid && s.advice.told() > 0 {
 		c.unticketed = 1
 	}
 	return c
--- a/services/dispatch/holding.go
+++ b/services/dispatch/holding.go
@@ -65,7 +65,7 @@
 	// early is the pass with which jobs that come at once are asked about.
 	early *pass
 	// reserved has the room that is reserved for gangs.
-	reserved *reservations.Book
+	reserved *reservations.Tracker
 	// pools has the pools that configurations, or jobs, have named, foreign the entries that
 	// name no worker.
 	pools   map[string]bool
@@ -77,7 +77,7 @@
 	unsettled map[string]bool
 
 	// advisers are the boxes through which calls for advice are made.
-	advisers *advisers.Advisers[*adviceCall]
+	advisers *advisers.Balancer[*adviceCall]
 	learned  *learned.Lessons
 	// usage counts what the tasks of each workspace take, shares says which jobs are beyond
 	// a workspace's share, and left what may still run of jobs that had ended under earlier
@@ -91,7 +91,7 @@
 	// not told yet what they run.
 	startedLast recent.Told
 	// answers tells how late workers' answers are.
-	answers lateness.Meter
+	answers lateness.ResponseTimes
 
 	// planDue says that something has changed since the last plan.
 	planDue bool
@@ -99,7 +99,7 @@
 	passes int
 	// budget bounds what plans may take, planned tells how long they took.
 	budget  planning.Budget
-	planned planning.Meter
+	planned planning.OutlierFilter
 	// isRoomy says whether much of the workers' room was free at the last sweep.
 	isRoomy bool
 	// isCrowded says that some step found no room for all its tasks in the last plan.
@@ -135,7 +135,7 @@
 func (h *holding) begin(now time.Time) {
 	h.core.note("took the cell over", field("claim", h.epoch))
 	h.core.do(exchange.FollowWorkers{On: true})
-	h.journal.add(kept.Fence())
+	h.journal.add(kept.FenceRecord())
 	h.flush(now)
 }
 
--- a/services/dispatch/jobs.go
+++ b/services/dispatch/jobs.go
@@ -51,7 +51,7 @@
 	// closed says that the log has the final state.
 	closed bool
 	// ends are those that wait for the next append of the job's progress.
-	ends []*ends.Note[*worker]
+	ends []*ends.Report[*worker]
 	// waitAccept and waitCancel are callers who wait for the log.
 	waitAccept []exchange.CallID
 	waitCancel []exchange.CallID
@@ -107,11 +107,11 @@
 	took        time.Duration
 	interrupted bool
 	// waits sums up what the step waited for before its first start, until waitedAt.
-	waits    delays.Sum
+	waits    delays.Totals
 	waitedAt time.Time
 	// doneAt is when the last task was done, delayed what it took besides its work.
 	doneAt  time.Time
-	delayed delays.Sum
+	delayed delays.Totals
 	// left is the longest chain of work from the step on, itself included, after what
 	// of it comes after the step.
 	left, after time.Duration
@@ -131,8 +131,8 @@
 	// lost counts the runs that were lost with their workers under this claim.
 	lost int
 	// runs is when it was started under this claim, starts bounds how often that is.
-	runs   delays.Runs
-	starts restarts.Starts
+	runs   delays.StartTimes
+	starts restarts.Limiter
 }
 
 // wait delays the next start of a step.
@@ -208,7 +208,7 @@
 		j := h.endedJobs[0]
 		h.endedJobs = h.endedJobs[1:]
 		delete(h.jobs, j.id)
-		h.journal.add(kept.NoProgress(j.id))
+		h.journal.add(kept.DropProgress(j.id))
 	}
 }
 
--- a/services/dispatch/journal.go
+++ b/services/dispatch/journal.go
@@ -61,7 +61,7 @@
 type batched struct {
 	job     *submitted
 	state   job.State
-	ends    []*ends.Note[*worker]
+	ends    []*ends.Report[*worker]
 	cancels []exchange.CallID
 }
 
@@ -134,7 +134,7 @@
 func (h *holding) compose(now time.Time) *batch {
 	j := &h.journal
 	if slot, starts := j.starts.Take(now, h.needsStartRecord); len(starts) > 0 {
-		j.add(kept.Starts(slot, starts))
+		j.add(kept.RecentStartsRecord(slot, starts))
 	}
 	b := &batch{append: stream.Append{Stream: stream.Jobs, Records: j.extra}, recorded: j.recording}
 	j.extra, j.recording = nil, nil
@@ -174,9 +174,9 @@
 		s.dirty = false
 		b.progress = append(b.progress, batched{job: s, state: s.state, ends: s.ends, cancels: s.waitCancel})
 		s.ends, s.waitCancel = nil, nil
-		size += b.put(kept.Progress(s.id, s.progress(h.docket)))
+		size += b.put(kept.ProgressRecord(s.id, s.progress(h.docket)))
 		if s.state.Final() {
-			b.append.Records = append(b.append.Records, kept.NoSubmission(s.id))
+			b.append.Records = append(b.append.Records, kept.DropSubmission(s.id))
 		}
 	}
 }
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -18,7 +18,7 @@
 
 // maxLeaseDuration is how long a lease can last on the slowest clock allowed.
 func (h *holding) maxLeaseDuration() time.Duration {
-	return lateness.LeaseAtMost(h.core.settings.Lease)
+	return lateness.MaxLeaseDuration(h.core.settings.Lease)
 }
 
 // clockNow returns what the worker's clock shows at now.
@@ -61,13 +61,13 @@
 	}
 	h.looks++
 	w.pendingRenewal = h.looks
-	r := order.Renew{Fence: h.fence(w), Seen: w.reportedEnds.Forget(h.canAcknowledgeEnds(now, w))}
+	r := order.Renew{Fence: h.fence(w), Seen: w.reportedEnds.Acknowledge(h.canAcknowledgeEnds(now, w))}
 	if w.failures == 0 {
 		// While a worker does not answer its lease must run out some time.
 		r.Until = h.extendLease(now, w)
 	}
 	mayWait := w.reported && !w.lives.Doubted()
-	if mayWait && (w.failures == 0 && !w.reportedEnds.Waiting() || len(w.attempts) == 0) {
+	if mayWait && (w.failures == 0 && !w.reportedEnds.HasPending() || len(w.attempts) == 0) {
 		r.Wait = job.Milliseconds(h.renewWait(w).Milliseconds())
 	}
 	w.answerDue = now.Add(r.Wait.Duration())
@@ -85,7 +85,7 @@
 		return false
 	}
 	for _, a := range w.attempts {
-		if a.seenAt.IsZero() && ends.MayHave(now.Sub(a.beganAt), h.usual(a.step)) {
+		if a.seenAt.IsZero() && ends.MayHaveEnded(now.Sub(a.beganAt), h.usual(a.step)) {
 			return false
 		}
 	}
@@ -152,7 +152,7 @@
 		return
 	}
 	if waited {
-		h.answers.Answered(now, now.Sub(due))
+		h.answers.Record(now, now.Sub(due))
 	}
 	switch {
 	case w.IsOther(e.Report.Life) && e.Worker.BornUnixMilli == 0:
@@ -169,7 +169,7 @@
 // the wait short that is not known.
 func (h *holding) recordAnswerTime(now time.Time, w *worker, e exchange.RenewEnded) {
 	if took := now.Sub(w.answerDue); took > 0 || len(e.Report.Ended) == 0 {
-		h.answers.Answered(now, took)
+		h.answers.Record(now, took)
 	}
 }
 
@@ -257,7 +257,7 @@
 		h.core.note("worker answers again", field("worker", w.Life.String()), field("failures", w.failures))
 	}
 	w.failures = 0
-	w.reportedEnds.Answered()
+	w.reportedEnds.ConfirmAck()
 	h.setBirthTime(w, e.Report.Life)
 	h.recordResponsive(w)
 	if w.presence.Answers() {
@@ -283,9 +283,9 @@
 	}
 	h.planDue = true
 	w.renewAt = now
-	if w.reportedEnds.Waiting() {
+	if w.reportedEnds.HasPending() {
 		w.renewAt = now.Add(gatherEnds)
-		if w.reportedEnds.Unkept() {
+		if w.reportedEnds.IsLastUnlogged() {
 			w.renewAt = now.Add(unkeptWait)
 		}
 		return
--- a/services/dispatch/lives.go
+++ b/services/dispatch/lives.go
@@ -68,7 +68,7 @@
 
 // maxForeignLease is how long a lease can last that was asked for by the clock of another life.
 func (h *holding) maxForeignLease() time.Duration {
-	return lateness.LeaseAtMost(max(h.core.settings.Lease, h.core.settings.LeaseMost))
+	return lateness.MaxLeaseDuration(max(h.core.settings.Lease, h.core.settings.LeaseMost))
 }
 
 // mayStartOnSuccessor says whether a later life of its worker may carry an order to start the attempt
--- a/services/dispatch/lives_test.go
+++ b/services/dispatch/lives_test.go
@@ -188,7 +188,7 @@
 	fence := d.takeOver(time.Second)
 	d.handle(exchange.AppendEnded{Purpose: exchange.ForJournal, Number: fence.Number})
 	d.handle(exchange.WorkersRead{Listing: order.Listing{Whole: true, Present: []order.Worker{workerEntry("w", 2000)}}})
-	looks := only[exchange.Renew](d.handle(exchange.JobsLoaded{Epoch: 1, Records: []stream.Record{kept.Worker(workerEntry("w", 1000))}}))
+	looks := only[exchange.Renew](d.handle(exchange.JobsLoaded{Epoch: 1, Records: []stream.Record{kept.WorkerRecord(workerEntry("w", 1000))}}))
 	assert.Equal(t, len(looks), 1)
 	next := only[exchange.Renew](d.handle(answeredBy(looked(looks[0]), 2000)))
 	assert.Equal(t, len(next), 1)
@@ -209,7 +209,7 @@
 	later.Number = 5
 	records := []stream.Record{
 		kept.Submission{Queue: config().Queues["quick"], Submission: s, Accepted: 1}.Record(),
-		kept.SilentWorker(workerEntry("w", 1000), kept.Silence{Left: 5000, Runs: []order.Run{run}}), kept.Worker(workerEntry("v", 1000)),
+		kept.SilentWorkerRecord(workerEntry("w", 1000), kept.SilentState{LeaseLeft: 5000, Runs: []order.Run{run}}), kept.WorkerRecord(workerEntry("v", 1000)),
 	}
 	for i := range records {
 		records[i].Offset = int64(i)
--- a/services/dispatch/load.go
+++ b/services/dispatch/load.go
@@ -33,17 +33,17 @@
 
 // fold builds the jobs from the newest record of each key.
 func (h *holding) fold(now time.Time, records []stream.Record) {
-	state := kept.Read(records)
+	state := kept.Decode(records)
 	for _, u := range state.Unread {
-		h.core.note("a kept record could not be read", field("key", u.Key), field("error", u.Why))
+		h.core.note("a kept record could not be read", field("key", u.Key), field("error", u.Reason))
 	}
-	if err := h.learned.Resume(state.Times); err != nil {
+	if err := h.learned.Resume(state.RunTimes); err != nil {
 		h.core.note("kept run times could not be read", field("error", err.Error()))
 	}
-	if err := h.docket.ResumeRate(state.Crashes); err != nil {
+	if err := h.docket.ResumeRate(state.CrashRate); err != nil {
 		h.core.note("the kept rate of crashes could not be read", field("error", err.Error()))
 	}
-	h.restoreStarts(state.Starts)
+	h.restoreStarts(state.RecentStarts)
 	for _, k := range state.Jobs {
 		j := h.newJob(now, k.Submission.Submission, k.Accepted, k.Queue)
 		j.accepted = true
--- a/services/dispatch/overview.go
+++ b/services/dispatch/overview.go
@@ -68,7 +68,7 @@
 		field("promised", promised.Processors.String()), field("stopping", stopping.Processors.String()),
 		field("workers_kept", kept), field("steps_on_time", tiers[ranking.OnTime]), field("steps_late", tiers[ranking.Late]),
 		field("steps_hopeless", tiers[ranking.Hopeless]), field("unsettled", len(h.unsettled)), field("plans", h.passes),
-		field("advice_time", fmt.Sprint(h.advisers.Spent)), field("stop_time", h.learned.StopTime().String()),
-		field("answers_take", h.answers.Usual(now).String()), field("gangs_reserving", h.reserved.Len()), field("reserved", h.reserved.Room().String()), field("reservations_ended", fmt.Sprint(h.reserved.Take())))
-	clear(h.advisers.Spent)
+		field("advice_time", fmt.Sprint(h.advisers.CallTimeByQueue)), field("stop_time", h.learned.StopTime().String()),
+		field("answers_take", h.answers.UpperQuartile(now).String()), field("gangs_reserving", h.reserved.Len()), field("reserved", h.reserved.Processors().String()), field("reservations_ended", fmt.Sprint(h.reserved.TakeTotals())))
+	clear(h.advisers.CallTimeByQueue)
 }
--- a/services/dispatch/placement.go
+++ b/services/dispatch/placement.go
@@ -93,7 +93,7 @@
 		return set.workers
 	}
 	var all []*worker
-	for _, w := range r.step.advice.Good() {
+	for _, w := range r.step.advice.EligibleWorkers() {
 		if set.has(w) {
 			all = append(all, w)
 		}
@@ -106,7 +106,7 @@
 	next := 0
 	run := h.nextRun(s)
 	for _, sh := range shares {
-		ticket, _ := s.advice.For(now, sh.Worker)
+		ticket, _ := s.advice.TicketFor(now, sh.Worker)
 		for range sh.Tasks {
 			for s.tasks[next].done || s.tasks[next].attempt != nil || h.waitsSuspected(s, next) {
 				next++
@@ -115,7 +115,7 @@
 		}
 	}
 	h.core.note("tasks started", field("job", string(s.job.id)), field("step", s.id.String()), field("run", run),
-		field("workers", slots.Names(shares, func(w *worker) string { return w.Name })), field("still_waiting", s.waiting), field("advised", s.advice.told()),
+		field("workers", slots.Format(shares, func(w *worker) string { return w.Name })), field("still_waiting", s.waiting), field("advised", s.advice.told()),
 		field("claim", h.epoch), field("config", h.core.config.Version), field("age", now.Sub(s.instance.dueAt).String()),
 		field("slack", h.slack(now, s).String()))
 }
--- a/services/dispatch/plan.go
+++ b/services/dispatch/plan.go
@@ -63,7 +63,7 @@
 	p.roomy = h.isRoomy
 	defer func() { h.isCrowded = p.misses > 0 }()
 	for _, r := range ranked {
-		if p.misses >= h.budget.Misses() && !h.budget.Whole(h.passes) {
+		if p.misses >= h.budget.MissLimit() && !h.budget.IsFullPlan(h.passes) {
 			return
 		}
 		if !h.placeStep(p, r) {
--- a/services/dispatch/preempt.go
+++ b/services/dispatch/preempt.go
@@ -40,7 +40,7 @@
 
 // gain is room for some more tasks of a step on one worker, and the attempts that have to be
 // stopped for it.
-type gain = slots.Gain[*worker, *attempt]
+type gain = slots.Preemption[*worker, *attempt]
 
 // makeWay stops tasks that may give way to a step which is no gang, as many as its
 // waiting tasks need, if they end soon enough for it to be on time. It returns
@@ -54,7 +54,7 @@
 	wanted := min(s.waiting, h.capRoom(s))
 	gains := h.gainsFor(p, r, open, wanted, true)
 	h.take(p, r, slots.Cheapest(gains, wanted, byName), wanted)
-	return slots.Tasks(gains) >= wanted
+	return slots.TotalTasks(gains) >= wanted
 }
 
 // gainsFor returns what a step could have on some workers: what is free or ending
@@ -63,7 +63,7 @@
 func (h *holding) gainsFor(p *pass, r ranked, open []*worker, wanted int, mayStop bool) []gain {
 	s := r.step
 	all := s.gainsSoon(p.now, open)
-	if slots.Tasks(all) >= wanted || !mayStop || p.now.Sub(s.preemptedAt) < preemptEvery {
+	if slots.TotalTasks(all) >= wanted || !mayStop || p.now.Sub(s.preemptedAt) < preemptEvery {
 		return all
 	}
 	s.preemptedAt = p.now
@@ -102,8 +102,8 @@
 	var all []gain
 	for _, w := range open {
 		if n := w.slots(s, w.soon()); n > 0 {
-			_, ticketed := s.advice.For(now, w)
-			all = append(all, gain{Share: share{Worker: w, Tasks: n}, Ticketed: ticketed || s.advice.Awaited(w)})
+			_, ticketed := s.advice.TicketFor(now, w)
+			all = append(all, gain{Allocation: share{Worker: w, Tasks: n}, HasTicket: ticketed || s.advice.IsPending(w)})
 		}
 	}
 	return all
@@ -115,7 +115,7 @@
 	room := w.soon()
 	have := w.slots(r.step, room)
 	var all []gain
-	next := gain{Share: share{Worker: w}}
+	next := gain{Allocation: share{Worker: w}}
 	least := 0.0
 	for _, a := range h.victims(p, r, w) {
 		room = room.Plus(a.step.spec.Reserved())
@@ -127,7 +127,7 @@
 			least = next.Cost
 			all = append(all, next)
 			have = n
-			next = gain{Share: share{Worker: w}}
+			next = gain{Allocation: share{Worker: w}}
 		}
 	}
 	return all
--- a/services/dispatch/rates_test.go
+++ b/services/dispatch/rates_test.go
@@ -122,7 +122,7 @@
 	w.crashesSeen = true
 	if c.calm {
 		// Ten minutes without a crash.
-		w.log[stream.Jobs].records = append(w.log[stream.Jobs].records, kept.Crashes(map[string]any{"all": map[string]float64{"crashes": 0, "seconds": 9000}}))
+		w.log[stream.Jobs].records = append(w.log[stream.Jobs].records, kept.CrashRateRecord(map[string]any{"all": map[string]float64{"crashes": 0, "seconds": 9000}}))
 	}
 	w.serves()
 	product := w.rng
--- a/services/dispatch/reports.go
+++ b/services/dispatch/reports.go
@@ -33,7 +33,7 @@
 // applyEnds takes the ends of a list that were not heard before.
 func (h *holding) applyEnds(now time.Time, w *worker, all []order.End) {
 	for _, end := range all {
-		if note, news := w.reportedEnds.News(w, end.Number); news {
+		if note, news := w.reportedEnds.Add(w, end.Number); news {
 			h.ended(now, w, end, note)
 		}
 	}
@@ -134,7 +134,7 @@
 // loseAttempt frees an attempt of which the worker knows nothing any more.
 func (h *holding) loseAttempt(now time.Time, a *attempt, why string) {
 	h.unplace(a)
-	a.task().runs.Interrupted(delays.Lost)
+	a.task().runs.RecordInterruption(delays.RunLost)
 	h.core.note("task lost", field("job", string(a.step.job.id)), field("task", a.name().Task.String()), field("run", a.run),
 		field("worker", a.worker.Life.String()), field("state", string(a.state)), field("reason", why),
 		field("worked_most", a.maxWorkTime(a.worker.presence.SilentSince()).String()), field("times_lost", a.task().lost))
--- a/services/dispatch/reserve.go
+++ b/services/dispatch/reserve.go
@@ -62,7 +62,7 @@
 	}
 	open := h.openWorkers(p, r)
 	gains := h.gainsFor(p, r, open, len(s.tasks), r.Tier != ranking.Hopeless || p.roomy)
-	if slots.Tasks(gains) < len(s.tasks) {
+	if slots.TotalTasks(gains) < len(s.tasks) {
 		s.reserveAfter = p.now.Add(lookAgain)
 		h.drain(p, s, open)
 		return
@@ -151,7 +151,7 @@
 // failure returns why the reservation of a step comes to nothing, or "".
 func (h *holding) failure(now time.Time, s *step) reservations.Outcome {
 	if !h.usable(now, s.reservation, s.spec.Reserved()) {
-		return reservations.Unusable
+		return reservations.WorkerUnusable
 	}
 	if now.Sub(s.reservation.since) <= reservationMost {
 		return ""
@@ -161,9 +161,9 @@
 	case h.queueOf(s.job).Advice == nil || len(stale) == 0:
 		return reservations.Occupied
 	case s.advice.asking():
-		return reservations.Unticketed
+		return reservations.TicketsNotReceived
 	default:
-		return reservations.Unasked
+		return reservations.TicketsNotRequested
 	}
 }
 
@@ -242,11 +242,11 @@
 // must hold at one time, and a call takes about as long as one holds.
 func (h *holding) notAwaited(now time.Time, r ranked, asked int) []*worker {
 	s := r.step
-	takes := r.queue.Advice.Base + time.Duration(min(asked, advisers.NamesMost))*r.queue.Advice.Each
-	_, stale := s.splitByTicket(now.Add(takes+advisers.Queue+tickets.Margin), s.reservation.shares)
+	takes := r.queue.Advice.Base + time.Duration(min(asked, advisers.MaxWorkersPerCall))*r.queue.Advice.Each
+	_, stale := s.splitByTicket(now.Add(takes+advisers.MaxQueueTime+tickets.StartMargin), s.reservation.shares)
 	var missing []*worker
 	for _, sh := range stale {
-		if !s.advice.Awaited(sh.Worker) {
+		if !s.advice.IsPending(sh.Worker) {
 			missing = append(missing, sh.Worker)
 		}
 	}
@@ -259,7 +259,7 @@
 	if now.Before(r.step.advice.askAgain) {
 		return true
 	}
-	calls := (len(workers) + advisers.NamesMost - 1) / advisers.NamesMost
+	calls := (len(workers) + advisers.MaxWorkersPerCall - 1) / advisers.MaxWorkersPerCall
 	for chunk := range slices.Chunk(workers, (len(workers)+calls-1)/calls) {
 		if h.requestAdvice(now, r.step, r.queue.Advice, chunk) == nil {
 			return false
--- a/services/dispatch/runtimes.go
+++ b/services/dispatch/runtimes.go
@@ -19,7 +19,7 @@
 		return
 	}
 	h.keepTimesAt = now.Add(keepTimesEvery)
-	h.journal.add(kept.Times(h.learned.Times()))
+	h.journal.add(kept.RunTimesRecord(h.learned.Times()))
 }
 
 // expect returns how long a step takes: what it took if it is done, else what
--- a/services/dispatch/stall.go
+++ b/services/dispatch/stall.go
@@ -38,8 +38,8 @@
 
 // stallPatience returns how long a run may show no further progress.
 func (h *holding) stallPatience(a *attempt) time.Duration {
-	return lateness.StallPatience(lateness.Work{
-		Usual: max(h.usual(a.step), a.step.spec.Estimate.Duration()), Progress: a.progress, Took: a.progressAt.Sub(a.since),
+	return lateness.StallTimeout(lateness.RunProgress{
+		UsualTime: max(h.usual(a.step), a.step.spec.Estimate.Duration()), Progress: a.progress, ProgressTime: a.progressAt.Sub(a.since),
 		Resumed: a.resumed || a.adopted,
 	})
 }
@@ -59,7 +59,7 @@
 			field("run", a.run), field("worker", w.Life.String()), field("progress", a.progress), field("ran", now.Sub(a.since).String()),
 			field("usual", h.usual(a.step).String()))
 		w.excludedUntil = ordered.Later(w.excludedUntil, now.Add(excludeFor))
-		a.task().runs.Interrupted(delays.Stalled)
+		a.task().runs.RecordInterruption(delays.RunStalled)
 		if a.step.spec.Gang {
 			h.gangBroke(now, a.step)
 		} else {
--- a/services/dispatch/starts.go
+++ b/services/dispatch/starts.go
@@ -19,7 +19,7 @@
 func (h *holding) start(now time.Time, s *step, index int, run int64, w *worker, ticket string) {
 	a := &attempt{step: s, index: index, run: run, worker: w, state: starting, since: now, looks: h.looks, pace: fullPace, beganAt: now}
 	h.place(now, a)
-	a.task().runs.Began(now)
+	a.task().runs.RecordStart(now)
 	h.pace(now, a)
 	saved := a.task().saved
 	if s.spec.Gang {
@@ -36,7 +36,7 @@
 
 // pace has a step wait one of whose tasks is started too often.
 func (h *holding) pace(now time.Time, a *attempt) {
-	if again, often := a.task().starts.Began(now); often {
+	if again, often := a.task().starts.RecordStart(now); often {
 		a.step.wait(again)
 		h.core.note("a task is started too often and waits", field("job", string(a.step.job.id)), field("task", a.name().Task.String()),
 			field("run", a.run), field("wait", again.Sub(now).String()))
@@ -87,7 +87,7 @@
 		return
 	}
 	if a.tries == 1 && e.Answer.Fate != order.Unknown {
-		h.answers.Answered(now, now.Sub(a.orderedAt))
+		h.answers.Record(now, now.Sub(a.orderedAt))
 	}
 	a.confirmed = a.confirmed && a.state == stopping
 	if a.tries > 1 && e.Answer.Fate != order.Carried && !w.lives.Outranked(e.Answer, 0) {
@@ -138,7 +138,7 @@
 		return
 	}
 	a.state = unsure
-	a.task().runs.Interrupted(delays.Unsure)
+	a.task().runs.RecordInterruption(delays.OrderUnanswered)
 	h.mark(now, a)
 	h.gangBroke(now, a.step)
 }
@@ -155,7 +155,7 @@
 		}
 		a.step.wait(now.Add(refusedWait))
 	case order.BadTicket:
-		a.step.advice.Refused(a.worker)
+		a.step.advice.DropTicket(a.worker)
 	case order.OldRun:
 		// The run has ended there; its end, if it is not known, is still to come.
 	default:
--- a/services/dispatch/suspects.go
+++ b/services/dispatch/suspects.go
@@ -133,7 +133,7 @@
 			field("crashes_otherwise_every", fmt.Sprintf("%.3gs", 1/f.Otherwise)))
 		h.markDirty(h.jobs[f.Task.Job])
 	}
-	h.journal.add(kept.Crashes(h.docket.Learned()))
+	h.journal.add(kept.CrashRateRecord(h.docket.Learned()))
 }
 
 // verdicts gives up the jobs of tasks that are found guilty.
@@ -264,7 +264,7 @@
 			}
 			return
 		}
-		ticket, valid := s.advice.For(p.now, w)
+		ticket, valid := s.advice.TicketFor(p.now, w)
 		if r.queue.Advice != nil && !valid {
 			h.refreshTickets(p.now, r, []share{{Worker: w, Tasks: 1}})
 			return
--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -75,7 +75,7 @@
 	// was answered, or zero.
 	unansweredSince time.Time
 	// told are the ends that it has told.
-	reportedEnds ends.Told[*worker]
+	reportedEnds ends.Tracker[*worker]
 
 	// held is room that this pass of the plan keeps for steps which rank higher than
 	// those it comes to next, keeper the last of them, prevHeldFor that of the pass
@@ -163,7 +163,7 @@
 // rule: longer while most workers' answers are late. A call that is given up and made
 // again makes a link that is full, or a process that is late, later still.
 func (h *holding) adaptiveTimeout(now time.Time, rule time.Duration) time.Duration {
-	return h.answers.Allow(now, rule, h.core.settings.Lease/waitShare)
+	return h.answers.Timeout(now, rule, h.core.settings.Lease/waitShare)
 }
 
 // recordWorker has the log name a worker before anything is started on it.
@@ -174,7 +174,7 @@
 	w.recording = true
 	w.records++
 	h.journal.recording = append(h.journal.recording, recording{worker: w, number: w.records})
-	h.journal.add(kept.Worker(w.Worker))
+	h.journal.add(kept.WorkerRecord(w.Worker))
 }
 
 // workerTerminated frees the tasks of a worker whose life is over for sure.
@@ -193,6 +193,6 @@
 	w.lives.End(w.Life)
 	h.former.Gone(now, w.Name, w.lives)
 	if w.recorded || w.recording || w.unresponsive.written {
-		h.journal.add(kept.NoWorker(w.Name))
+		h.journal.add(kept.DropWorker(w.Name))
 	}
 }
--- a/services/jobrun/load.go
+++ b/services/jobrun/load.go
@@ -98,7 +98,7 @@
 		return
 	}
 	l.load.noteAt = now.Add(loadEvery)
-	l.notes.write(l.load.note(len(l.events), l.gate.Share()))
+	l.notes.write(l.load.note(len(l.events), l.gate.AdmittedShare()))
 }
 
 // admit returns a caller's new job as one that is not to be taken, if this box is behind
@@ -109,7 +109,7 @@
 	if !ok {
 		return e
 	}
-	if taken, after := l.gate.Takes(now, string(s.Submission.ID)); !taken {
+	if taken, after := l.gate.Admit(now, string(s.Submission.ID)); !taken {
 		s.ComeBack = after
 	}
 	if waited > l.settings.PeerTimeout {
@@ -123,13 +123,13 @@
 
 // lookAtGate adapts the share of new jobs that is taken.
 func (l *Loop) lookAtGate(now time.Time) {
-	l.gate.Answered(l.core.AnswersTake(now))
-	if !l.gate.Look(now) {
+	l.gate.RecordResponseTime(l.core.AnswersTake(now))
+	if !l.gate.Update(now) {
 		return
 	}
 	message := "the holder keeps up again"
-	if l.gate.Behind() {
+	if l.gate.IsRefusing() {
 		message = "the holder is behind and refuses new jobs in part"
 	}
-	l.notes.write(exchange.Note{Message: message, Fields: []exchange.Field{{Name: "jobs_taken", Value: l.gate.Share()}}})
+	l.notes.write(exchange.Note{Message: message, Fields: []exchange.Field{{Name: "jobs_taken", Value: l.gate.AdmittedShare()}}})
 }
--- a/services/jobrun/loop.go
+++ b/services/jobrun/loop.go
@@ -223,7 +223,7 @@
 	waited := now.Sub(p.at)
 	l.load.took(waited)
 	l.metrics.waited.Observe(waited.Seconds())
-	l.gate.Waited(waited)
+	l.gate.RecordQueueAge(waited)
 	l.core.Woke(l.clock.Suspended())
 	l.core.Handle(now, l.admit(now, waited, p.event))
 }
--- a/services/journal/journal.go
+++ b/services/journal/journal.go
@@ -15,8 +15,8 @@
 	"saddlevane/models/record"
 )
 
-// Ticket numbers an entry; entries reach the log in the order of their tickets.
-type Ticket int64
+// EntryNumber numbers an entry; entries reach the log in the order of their tickets.
+type EntryNumber int64
 
 // The bounds of one envelope. Publishes carry whole files, so they count for
 // more.
@@ -41,15 +41,15 @@
 	from     string
 	queue    []record.Entry
 	// first is the ticket of queue[0].
-	first   Ticket
-	applied Ticket
+	first   EntryNumber
+	applied EntryNumber
 	current *record.Envelope
 	// size is how many entries of queue are in current.
-	size     int
-	sent     bool
-	envelope int64
-	nextAt   time.Time
-	failing  string
+	currentSize  int
+	inFlight     bool
+	lastEnvelope int64
+	nextAt       time.Time
+	lastFailure  string
 	// failures counts tries in a row that failed.
 	failures int
 }
@@ -60,47 +60,47 @@
 }
 
 // Add queues an entry.
-func (j *Journal) Add(e record.Entry) Ticket {
+func (j *Journal) Add(e record.Entry) EntryNumber {
 	j.queue = append(j.queue, e)
-	return j.first + Ticket(len(j.queue)-1)
+	return j.first + EntryNumber(len(j.queue)-1)
 }
 
 // Full says that producers should hold back.
 func (j *Journal) Full() bool { return len(j.queue) >= j.settings.Limit }
 
-// Waiting returns how many entries are not yet known to be in the log.
-func (j *Journal) Waiting() int { return len(j.queue) }
+// Pending returns how many entries are not yet known to be in the log.
+func (j *Journal) Pending() int { return len(j.queue) }
 
-// Failing returns why the last append failed, or "".
-func (j *Journal) Failing() string { return j.failing }
+// FailureReason returns why the last append failed, or "".
+func (j *Journal) FailureReason() string { return j.lastFailure }
 
 // Applied says whether the entry of t has been read back from the log.
-func (j *Journal) Applied(t Ticket) bool { return t <= j.applied }
+func (j *Journal) Applied(t EntryNumber) bool { return t <= j.applied }
 
 // Tick returns the append that is due, if any.
 func (j *Journal) Tick(now time.Time) []effect.Effect {
-	if j.sent || len(j.queue) == 0 || now.Before(j.nextAt) {
+	if j.inFlight || len(j.queue) == 0 || now.Before(j.nextAt) {
 		return nil
 	}
 	if j.current == nil {
-		j.fill()
+		j.buildEnvelope()
 	}
-	j.sent = true
+	j.inFlight = true
 	j.nextAt = now.Add(j.settings.Interval)
 	return []effect.Effect{effect.Append{Envelope: *j.current}}
 }
 
-func (j *Journal) fill() {
+func (j *Journal) buildEnvelope() {
 	weight := 0
 	n := 0
 	for n < len(j.queue) && (n == 0 || weight < maxEntries) {
 		weight += entryWeight(j.queue[n])
 		n++
 	}
-	j.envelope++
-	j.size = n
+	j.lastEnvelope++
+	j.currentSize = n
 	j.current = &record.Envelope{
-		ID:      j.from + "/" + strconv.FormatInt(j.envelope, 10),
+		ID:      j.from + "/" + strconv.FormatInt(j.lastEnvelope, 10),
 		From:    j.from,
 		Entries: j.queue[:n:n],
 	}
@@ -119,32 +119,32 @@
 	if j.current == nil || e.ID != j.current.ID {
 		return
 	}
-	j.sent = false
-	j.failing = e.Failed
+	j.inFlight = false
+	j.lastFailure = e.Failed
 	// Tries get rarer, so that a log that comes back is not met by all at once.
-	wait := j.settings.RetryAfter << min(j.failures, maxDoublings)
+	wait := j.settings.RetryAfter << min(j.failures, maxBackoffDoublings)
 	j.failures++
 	if e.Failed == "" {
 		// It is in the log. Should the reader not see it within this time, it is
 		// appended again, which does no harm.
-		wait = readBackPatience
+		wait = readBackTimeout
 	}
 	j.nextAt = now.Add(wait)
 }
 
-const maxDoublings = 3
+const maxBackoffDoublings = 3
 
-const readBackPatience = 5 * time.Second
+const readBackTimeout = 5 * time.Second
 
 // RecordApplied takes the identity of a record that was read from the log.
 func (j *Journal) RecordApplied(now time.Time, id string) {
 	if j.current == nil || id != j.current.ID {
 		return
 	}
-	j.queue = j.queue[j.size:]
-	j.first += Ticket(j.size)
+	j.queue = j.queue[j.currentSize:]
+	j.first += EntryNumber(j.currentSize)
 	j.applied = j.first - 1
-	j.current, j.size, j.sent, j.failing, j.failures = nil, 0, false, "", 0
+	j.current, j.currentSize, j.inFlight, j.lastFailure, j.failures = nil, 0, false, "", 0
 	if j.nextAt.After(now.Add(j.settings.Interval)) {
 		j.nextAt = now.Add(j.settings.Interval)
 	}
--- a/services/journal/journal_test.go
+++ b/services/journal/journal_test.go
@@ -19,36 +19,36 @@
 
 func mark() record.Entry { return record.Entry{Mark: &record.Mark{}} }
 
-func sent(t *testing.T, effects []effect.Effect) record.Envelope {
+func sentEnvelope(t *testing.T, effects []effect.Effect) record.Envelope {
 	t.Helper()
 	assert.Equal(t, len(effects), 1)
 	return effects[0].(effect.Append).Envelope
 }
 
-func TestOneAppendCarriesAllThatHasGatheredAndIsRepeatedUnchanged(t *testing.T) {
+func TestPendingEntriesShareOneAppendAndRetriesAreUnchanged(t *testing.T) {
 	j := journal.New(journal.Settings{Interval: 100 * time.Millisecond, RetryAfter: time.Second, Limit: 10}, "me")
 	first, second := j.Add(mark()), j.Add(mark())
-	e := sent(t, j.Tick(start))
+	e := sentEnvelope(t, j.Tick(start))
 	assert.Equal(t, len(e.Entries), 2)
 	third := j.Add(mark())
 	assert.Equal(t, len(j.Tick(start.Add(time.Second))), 0, "a second append while one is under way")
 
 	// The answer is lost: the same record again, without what came later.
 	j.AppendEnded(start.Add(time.Second), event.AppendEnded{ID: e.ID, Failed: "lost"})
-	assert.Check(t, j.Failing() != "")
-	again := sent(t, j.Tick(start.Add(3*time.Second)))
+	assert.Check(t, j.FailureReason() != "")
+	again := sentEnvelope(t, j.Tick(start.Add(3*time.Second)))
 	assert.DeepEqual(t, again, e)
 
 	// It is read back: it had been taken in the first time.
 	j.RecordApplied(start.Add(3*time.Second), e.ID)
 	assert.Check(t, j.Applied(first) && j.Applied(second) && !j.Applied(third))
-	assert.Equal(t, j.Failing(), "")
-	next := sent(t, j.Tick(start.Add(4*time.Second)))
+	assert.Equal(t, j.FailureReason(), "")
+	next := sentEnvelope(t, j.Tick(start.Add(4*time.Second)))
 	assert.Check(t, next.ID != e.ID)
 	assert.Equal(t, len(next.Entries), 1)
 }
 
-func TestFailedAppendsAreTriedMoreRarely(t *testing.T) {
+func TestFailedAppendsBackOff(t *testing.T) {
 	j := journal.New(journal.Settings{Interval: time.Millisecond, RetryAfter: time.Second, Limit: 10}, "me")
 	j.Add(mark())
 	now, tries := start, 0
--- a/services/kept/kept.go
+++ b/services/kept/kept.go
@@ -45,73 +45,79 @@
 }
 
 // Record is the log's record of the submission.
-func (s Submission) Record() stream.Record { return record(keySubmission+string(s.Submission.ID), s) }
+func (s Submission) Record() stream.Record {
+	return newRecord(keySubmission+string(s.Submission.ID), s)
+}
 
-// Progress is the record of a job's progress.
-func Progress(id job.ID, p job.Progress) stream.Record { return record(keyProgress+string(id), p) }
+// ProgressRecord is the record of a job's progress.
+func ProgressRecord(id job.ID, p job.Progress) stream.Record {
+	return newRecord(keyProgress+string(id), p)
+}
 
 // KnownWorker is what is kept of a worker on which tasks may be started.
 type KnownWorker struct {
 	order.Worker
 	// Silent is set if it did not answer, and nothing has been started on it since.
-	Silent *Silence `json:"silent,omitempty"`
+	Silent *SilentState `json:"silent,omitempty"`
 }
 
-// Silence is what is kept of a worker that does not answer.
-type Silence struct {
+// SilentState is what is kept of a worker that does not answer.
+type SilentState struct {
 	// Left is how long its lease lasted at most when that was written.
-	Left job.Milliseconds `json:"left_ms"`
+	LeaseLeft job.Milliseconds `json:"left_ms"`
 	// Runs are all that may be at work on it.
 	Runs []order.Run `json:"runs,omitempty"`
 	// Worked is for how long each of them had been at work when it fell silent, or -1 where
 	// that is not known: if the worker has crashed, the next holder judges by it.
-	Worked []job.Milliseconds `json:"worked_ms,omitempty"`
+	RunTimes []job.Milliseconds `json:"worked_ms,omitempty"`
 	// Late is by how much that may have been seen too late.
-	Late job.Milliseconds `json:"late_ms,omitempty"`
+	DetectionDelay job.Milliseconds `json:"late_ms,omitempty"`
 }
 
-// WorkedOf returns for how long a run had been at work, if that is known.
-func (s *Silence) WorkedOf(run int) (time.Duration, bool) {
-	if run >= len(s.Worked) || s.Worked[run] < 0 {
+// RunTime returns for how long a run had been at work, if that is known.
+func (s *SilentState) RunTime(run int) (time.Duration, bool) {
+	if run >= len(s.RunTimes) || s.RunTimes[run] < 0 {
 		return 0, false
 	}
-	return s.Worked[run].Duration(), true
+	return s.RunTimes[run].Duration(), true
 }
 
-// Worker is the record of a worker on which tasks may be started.
-func Worker(w order.Worker) stream.Record { return record(keyWorker+w.Name, KnownWorker{Worker: w}) }
+// WorkerRecord is the record of a worker on which tasks may be started.
+func WorkerRecord(w order.Worker) stream.Record {
+	return newRecord(keyWorker+w.Name, KnownWorker{Worker: w})
+}
 
-// SilentWorker is the record of a worker that does not answer, and on which nothing is
+// SilentWorkerRecord is the record of a worker that does not answer, and on which nothing is
 // started until Worker is kept of it again.
-func SilentWorker(w order.Worker, s Silence) stream.Record {
-	return record(keyWorker+w.Name, KnownWorker{Worker: w, Silent: &s})
+func SilentWorkerRecord(w order.Worker, s SilentState) stream.Record {
+	return newRecord(keyWorker+w.Name, KnownWorker{Worker: w, Silent: &s})
 }
 
-// Times is the record of what is known of run times.
-func Times(times any) stream.Record { return record(keyTimes, times) }
+// RunTimesRecord is the record of what is known of run times.
+func RunTimesRecord(times any) stream.Record { return newRecord(keyTimes, times) }
 
-// Crashes is the record of how often workers crash by themselves.
-func Crashes(learned any) stream.Record { return record(keyCrashes, learned) }
+// CrashRateRecord is the record of how often workers crash by themselves.
+func CrashRateRecord(learned any) stream.Record { return newRecord(keyCrashes, learned) }
 
-// Starts is the record, of those that the log keeps of them, of tasks that were started last.
-func Starts(slot int, starts any) stream.Record {
-	return record(keyStarts+strconv.Itoa(slot), starts)
+// RecentStartsRecord is the record, of those that the log keeps of them, of tasks that were started last.
+func RecentStartsRecord(slot int, starts any) stream.Record {
+	return newRecord(keyStarts+strconv.Itoa(slot), starts)
 }
 
-// Fence is a record that says nothing: the append that brings it refuses earlier holders.
-func Fence() stream.Record { return stream.Record{Key: keyFence, Value: []byte{'1'}} }
+// FenceRecord is a record that says nothing: the append that brings it refuses earlier holders.
+func FenceRecord() stream.Record { return stream.Record{Key: keyFence, Value: []byte{'1'}} }
 
-// NoSubmission, NoProgress and NoWorker drop what was kept.
-func NoSubmission(id job.ID) stream.Record { return stream.Record{Key: keySubmission + string(id)} }
+// DropSubmission, DropProgress and DropWorker drop what was kept.
+func DropSubmission(id job.ID) stream.Record { return stream.Record{Key: keySubmission + string(id)} }
 
-// NoProgress drops what was kept of an ended job.
-func NoProgress(id job.ID) stream.Record { return stream.Record{Key: keyProgress + string(id)} }
+// DropProgress drops what was kept of an ended job.
+func DropProgress(id job.ID) stream.Record { return stream.Record{Key: keyProgress + string(id)} }
 
-// NoWorker drops a worker of which no life is known any more.
-func NoWorker(name string) stream.Record { return stream.Record{Key: keyWorker + name} }
+// DropWorker drops a worker of which no life is known any more.
+func DropWorker(name string) stream.Record { return stream.Record{Key: keyWorker + name} }
 
-// record returns a record of a value that has only plain fields.
-func record(key string, v any) stream.Record {
+// newRecord returns a record of a value that has only plain fields.
+func newRecord(key string, v any) stream.Record {
 	value, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -123,36 +129,36 @@
 type State struct {
 	// Jobs are those that have not ended, in the order of their records, Ended the others,
 	// the first to end first.
-	Jobs    []Job
-	Ended   []Ended
+	Jobs    []UnfinishedJob
+	Ended   []EndedJob
 	Workers []KnownWorker
 	// Times is what is known of run times, or nil.
-	Times []byte
+	RunTimes []byte
 	// Crashes is how often workers crash by themselves, or nil.
-	Crashes []byte
+	CrashRate []byte
 	// Starts are the records of which tasks were started last.
-	Starts [][]byte
+	RecentStarts [][]byte
 	// Unread are the records that could not be read.
 	Unread []Unread
 }
 
-// Job is a job that has not ended.
-type Job struct {
+// UnfinishedJob is a job that has not ended.
+type UnfinishedJob struct {
 	Submission
 	Progress job.Progress
 }
 
-// Ended is a job of which only the final state is kept.
-type Ended struct {
+// EndedJob is a job of which only the final state is kept.
+type EndedJob struct {
 	ID       job.ID
 	Progress job.Progress
 }
 
 // Unread is a record that could not be read, and why.
-type Unread struct{ Key, Why string }
+type Unread struct{ Key, Reason string }
 
-// Read returns what some records keep, of which the newest of each key counts.
-func Read(records []stream.Record) State {
+// Decode returns what some records keep, of which the newest of each key counts.
+func Decode(records []stream.Record) State {
 	newest := map[string]stream.Record{}
 	for _, r := range records {
 		if n, known := newest[r.Key]; !known || r.Offset >= n.Offset {
@@ -160,26 +166,26 @@
 		}
 	}
 	var s State
-	s.Times, s.Crashes = newest[keyTimes].Value, newest[keyCrashes].Value
+	s.RunTimes, s.CrashRate = newest[keyTimes].Value, newest[keyCrashes].Value
 	inOrder := slices.SortedFunc(maps.Values(newest), func(a, b stream.Record) int {
 		return cmp.Or(cmp.Compare(a.Offset, b.Offset), cmp.Compare(a.Key, b.Key))
 	})
 	open := map[job.ID]bool{}
 	for _, r := range inOrder {
 		if id, ok := strings.CutPrefix(r.Key, keySubmission); ok && !r.Dropped() {
-			open[job.ID(id)] = s.readJob(job.ID(id), r, newest[keyProgress+id])
+			open[job.ID(id)] = s.decodeJob(job.ID(id), r, newest[keyProgress+id])
 		}
 	}
 	for _, r := range inOrder {
-		s.readOther(r, open)
+		s.decodeOther(r, open)
 	}
-	slices.SortStableFunc(s.Ended, func(a, b Ended) int { return cmp.Compare(a.Progress.Ended, b.Progress.Ended) })
+	slices.SortStableFunc(s.Ended, func(a, b EndedJob) int { return cmp.Compare(a.Progress.Ended, b.Progress.Ended) })
 	return s
 }
 
-// readJob reads a job that has not ended, and returns whether it could.
-func (s *State) readJob(id job.ID, submission, progress stream.Record) bool {
-	var j Job
+// decodeJob reads a job that has not ended, and returns whether it could.
+func (s *State) decodeJob(id job.ID, submission, progress stream.Record) bool {
+	var j UnfinishedJob
 	err := json.Unmarshal(submission.Value, &j.Submission)
 	if err == nil && j.Submission.Submission.ID != id {
 		err = fmt.Errorf("it is that of job %q", j.Submission.Submission.ID)
@@ -188,33 +194,33 @@
 		err = j.Submission.Submission.Check()
 	}
 	if err != nil {
-		s.unread(submission.Key, err)
+		s.addUnread(submission.Key, err)
 		return false
 	}
 	if len(progress.Value) > 0 {
 		err = json.Unmarshal(progress.Value, &j.Progress)
 	}
 	if err != nil {
-		s.unread(progress.Key, err)
+		s.addUnread(progress.Key, err)
 		return false
 	}
 	s.Jobs = append(s.Jobs, j)
 	return true
 }
 
-// readOther reads a record that is not of a job which has not ended.
-func (s *State) readOther(r stream.Record, open map[job.ID]bool) {
+// decodeOther reads a record that is not of a job which has not ended.
+func (s *State) decodeOther(r stream.Record, open map[job.ID]bool) {
 	if r.Dropped() {
 		return
 	}
 	if id, ok := strings.CutPrefix(r.Key, keyProgress); ok {
 		isOpen, submitted := open[job.ID(id)]
 		if !isOpen {
-			s.readEnded(job.ID(id), r, submitted)
+			s.decodeEnded(job.ID(id), r, submitted)
 		}
 	}
 	if strings.HasPrefix(r.Key, keyStarts) {
-		s.Starts = append(s.Starts, r.Value)
+		s.RecentStarts = append(s.RecentStarts, r.Value)
 	}
 	if _, ok := strings.CutPrefix(r.Key, keyWorker); ok {
 		var w KnownWorker
@@ -223,28 +229,28 @@
 			err = fmt.Errorf("it has no name")
 		}
 		if err != nil {
-			s.unread(r.Key, err)
+			s.addUnread(r.Key, err)
 			return
 		}
 		s.Workers = append(s.Workers, w)
 	}
 }
 
-// readEnded reads what is kept of a job that may have ended. Told says that the job is
+// decodeEnded reads what is kept of a job that may have ended. Told says that the job is
 // among the unread already.
-func (s *State) readEnded(id job.ID, r stream.Record, told bool) {
+func (s *State) decodeEnded(id job.ID, r stream.Record, told bool) {
 	var p job.Progress
 	if err := json.Unmarshal(r.Value, &p); err != nil {
 		if !told {
-			s.unread(r.Key, err)
+			s.addUnread(r.Key, err)
 		}
 		return
 	}
 	if p.State.Final() {
-		s.Ended = append(s.Ended, Ended{ID: id, Progress: p})
+		s.Ended = append(s.Ended, EndedJob{ID: id, Progress: p})
 	}
 }
 
-func (s *State) unread(key string, err error) {
-	s.Unread = append(s.Unread, Unread{Key: key, Why: err.Error()})
+func (s *State) addUnread(key string, err error) {
+	s.Unread = append(s.Unread, Unread{Key: key, Reason: err.Error()})
 }
--- a/services/kept/kept_test.go
+++ b/services/kept/kept_test.go
@@ -22,24 +22,24 @@
 	}
 }
 
-// at gives records their offsets.
-func at(records ...stream.Record) []stream.Record {
+// withOffsets gives records their offsets.
+func withOffsets(records ...stream.Record) []stream.Record {
 	for i := range records {
 		records[i].Offset = int64(i)
 	}
 	return records
 }
 
-func TestWhatIsKeptIsReadBack(t *testing.T) {
+func TestDecodeReturnsNewestRecords(t *testing.T) {
 	blamed := job.Progress{State: job.Running, Steps: []job.StepProgress{{Blame: map[int]job.Blame{1: {Crashes: 2, Odds: 3}}}}}
-	s := kept.Read(at(
-		kept.Fence(), kept.Times(map[string]int{"q": 1}),
-		submission("b").Record(), submission("a").Record(), kept.Progress("a", job.Progress{State: job.Running}),
-		kept.Worker(order.Worker{Life: order.Life{Name: "w", BornUnixMilli: 7}, Pool: "p"}), kept.Worker(order.Worker{Life: order.Life{Name: "gone"}}), kept.NoWorker("gone"),
-		submission("done").Record(), kept.Progress("done", job.Progress{State: job.Succeeded, Ended: 9}), kept.NoSubmission("done"),
-		kept.Progress("earlier", job.Progress{State: job.Failed, Ended: 4}),
-		kept.Progress("old", job.Progress{State: job.Failed, Ended: 1}), kept.NoProgress("old"),
-		kept.Progress("a", blamed),
+	s := kept.Decode(withOffsets(
+		kept.FenceRecord(), kept.RunTimesRecord(map[string]int{"q": 1}),
+		submission("b").Record(), submission("a").Record(), kept.ProgressRecord("a", job.Progress{State: job.Running}),
+		kept.WorkerRecord(order.Worker{Life: order.Life{Name: "w", BornUnixMilli: 7}, Pool: "p"}), kept.WorkerRecord(order.Worker{Life: order.Life{Name: "gone"}}), kept.DropWorker("gone"),
+		submission("done").Record(), kept.ProgressRecord("done", job.Progress{State: job.Succeeded, Ended: 9}), kept.DropSubmission("done"),
+		kept.ProgressRecord("earlier", job.Progress{State: job.Failed, Ended: 4}),
+		kept.ProgressRecord("old", job.Progress{State: job.Failed, Ended: 1}), kept.DropProgress("old"),
+		kept.ProgressRecord("a", blamed),
 	))
 	assert.Equal(t, len(s.Jobs), 2)
 	assert.Equal(t, s.Jobs[0].Submission.Submission.ID, job.ID("b"))
@@ -48,12 +48,12 @@
 	assert.Equal(t, s.Ended[0].ID, job.ID("earlier"), "the first to end comes first")
 	assert.Equal(t, len(s.Workers), 1)
 	assert.Equal(t, s.Workers[0].Life, order.Life{Name: "w", BornUnixMilli: 7})
-	assert.Equal(t, string(s.Times), `{"q":1}`)
+	assert.Equal(t, string(s.RunTimes), `{"q":1}`)
 	assert.Equal(t, len(s.Unread), 0)
 }
 
-func TestARecordThatCannotBeReadTakesNothingFromTheOthers(t *testing.T) {
-	s := kept.Read(at(
+func TestUnreadableRecordDoesNotAffectOthers(t *testing.T) {
+	s := kept.Decode(withOffsets(
 		submission("a").Record(),
 		stream.Record{Key: "s/b", Value: []byte("{")},
 		stream.Record{Key: "s/c", Value: submission("x").Record().Value},
@@ -71,21 +71,21 @@
 	assert.DeepEqual(t, unread, []string{"s/b", "s/c", "s/d", "p/e", "w/x", "p/ended"})
 }
 
-func TestASilentWorkerTellsHowLongItsRunsWereAtWork(t *testing.T) {
+func TestSilentWorkerRecordHoldsRunTimes(t *testing.T) {
 	run := order.Run{Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Number: 7}
-	s := kept.Read(at(kept.SilentWorker(order.Worker{Life: order.Life{Name: "w"}}, kept.Silence{Left: 5, Runs: []order.Run{run, run, run}, Worked: []job.Milliseconds{600, -1}})))
+	s := kept.Decode(withOffsets(kept.SilentWorkerRecord(order.Worker{Life: order.Life{Name: "w"}}, kept.SilentState{LeaseLeft: 5, Runs: []order.Run{run, run, run}, RunTimes: []job.Milliseconds{600, -1}})))
 	assert.Equal(t, len(s.Workers), 1)
 	silent := s.Workers[0].Silent
-	worked, known := silent.WorkedOf(0)
+	worked, known := silent.RunTime(0)
 	assert.Check(t, known && worked == 600*time.Millisecond)
 	for _, unknown := range []int{1, 2} {
-		_, known = silent.WorkedOf(unknown)
+		_, known = silent.RunTime(unknown)
 		assert.Check(t, !known, "run %d", unknown)
 	}
 }
 
-func TestAWorkerThatAnEarlierReleaseKeptIsReadByItsName(t *testing.T) {
-	s := kept.Read(at(stream.Record{Key: "w/i-7", Value: []byte(`{"ID":"i-7","Address":"1.2.3.4:5","Pool":"p"}`)}))
+func TestWorkerRecordOfEarlierReleaseIsDecoded(t *testing.T) {
+	s := kept.Decode(withOffsets(stream.Record{Key: "w/i-7", Value: []byte(`{"ID":"i-7","Address":"1.2.3.4:5","Pool":"p"}`)}))
 	assert.Equal(t, len(s.Workers), 1)
 	assert.Equal(t, s.Workers[0].Life, order.Life{Name: "i-7"})
 	assert.Equal(t, s.Workers[0].Address, "1.2.3.4:5")
--- a/services/lateness/lateness.go
+++ b/services/lateness/lateness.go
@@ -17,64 +17,64 @@
 )
 
 const (
-	// kept is how many of the latest answers count: enough that a quarter of them is more
+	// maxSamples is how many of the latest answers count: enough that a quarter of them is more
 	// than the workers of one rack, few enough that a bad moment is soon forgotten.
-	kept = 128
-	// least is how many there must be to tell anything.
-	least = 12
-	// fresh is how long an answer counts.
-	fresh = 5 * time.Second
-	// recount is how often the quartile is taken anew, for which the answers are sorted.
-	recount = 20 * time.Millisecond
-	// times is for how many times the usual time an answer is waited for: of answers
+	maxSamples = 128
+	// minSamples is how many there must be to tell anything.
+	minSamples = 12
+	// sampleAge is how long an answer counts.
+	sampleAge = 5 * time.Second
+	// recomputeInterval is how often the quartile is taken anew, for which the answers are sorted.
+	recomputeInterval = 20 * time.Millisecond
+	// timeoutFactor is for how many times the usual time an answer is waited for: of answers
 	// that wait in one queue few take longer.
-	times = 4
+	timeoutFactor = 4
 )
 
-// Meter keeps how long the latest answers took. It is not safe for concurrent use.
-type Meter struct {
-	took [kept]time.Duration
-	at   [kept]time.Time
-	next int
+// ResponseTimes keeps how long the latest answers took. It is not safe for concurrent use.
+type ResponseTimes struct {
+	durations  [maxSamples]time.Duration
+	receivedAt [maxSamples]time.Time
+	next       int
 
-	usual     time.Duration
-	countedAt time.Time
+	quartile   time.Duration
+	computedAt time.Time
 }
 
-// Answered takes how long an answer took that has come now.
-func (m *Meter) Answered(now time.Time, took time.Duration) {
-	m.took[m.next], m.at[m.next] = max(0, took), now
-	m.next = (m.next + 1) % kept
+// Record takes how long an answer took that has come now.
+func (m *ResponseTimes) Record(now time.Time, took time.Duration) {
+	m.durations[m.next], m.receivedAt[m.next] = max(0, took), now
+	m.next = (m.next + 1) % maxSamples
 }
 
-// Usual returns the time within which three of four answers come at present, or 0 if
+// UpperQuartile returns the time within which three of four answers come at present, or 0 if
 // there were too few to tell.
-func (m *Meter) Usual(now time.Time) time.Duration {
-	if !m.countedAt.IsZero() && now.Sub(m.countedAt) < recount {
-		return m.usual
+func (m *ResponseTimes) UpperQuartile(now time.Time) time.Duration {
+	if !m.computedAt.IsZero() && now.Sub(m.computedAt) < recomputeInterval {
+		return m.quartile
 	}
-	m.countedAt = now
-	m.usual = m.quartile(now)
-	return m.usual
+	m.computedAt = now
+	m.quartile = m.computeQuartile(now)
+	return m.quartile
 }
 
-// quartile returns the third quartile of the answers that are fresh.
-func (m *Meter) quartile(now time.Time) time.Duration {
-	all := make([]time.Duration, 0, kept)
-	for i, at := range m.at {
-		if !at.IsZero() && now.Sub(at) < fresh {
-			all = append(all, m.took[i])
+// computeQuartile returns the third quartile of the answers that are fresh.
+func (m *ResponseTimes) computeQuartile(now time.Time) time.Duration {
+	all := make([]time.Duration, 0, maxSamples)
+	for i, at := range m.receivedAt {
+		if !at.IsZero() && now.Sub(at) < sampleAge {
+			all = append(all, m.durations[i])
 		}
 	}
-	if len(all) < least {
+	if len(all) < minSamples {
 		return 0
 	}
 	slices.Sort(all)
 	return all[len(all)*3/4]
 }
 
-// Allow returns how long to wait for an answer that is waited for some time as a rule:
+// Timeout returns how long to wait for an answer that is waited for some time as a rule:
 // longer while most answers are late, but not longer than most.
-func (m *Meter) Allow(now time.Time, rule, most time.Duration) time.Duration {
-	return max(rule, min(most, times*m.Usual(now)))
+func (m *ResponseTimes) Timeout(now time.Time, rule, most time.Duration) time.Duration {
+	return max(rule, min(most, timeoutFactor*m.UpperQuartile(now)))
 }
--- a/services/lateness/lateness_test.go
+++ b/services/lateness/lateness_test.go
@@ -14,7 +14,7 @@
 
 const ms = time.Millisecond
 
-func TestAnAnswerIsWaitedForAsLongAsMostTake(t *testing.T) {
+func TestTimeoutFollowsMostResponseTimes(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		// quick and slow are how many answers took 5 ms and 800 ms, after is how long
@@ -32,40 +32,40 @@
 		{"all were late a while ago", 0, 128, 6 * time.Second, 300 * ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := &lateness.Meter{}
+			m := &lateness.ResponseTimes{}
 			now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 			for range c.quick {
-				m.Answered(now, 5*ms)
+				m.Record(now, 5*ms)
 			}
 			for range c.slow {
-				m.Answered(now, 800*ms)
+				m.Record(now, 800*ms)
 			}
-			assert.Equal(t, m.Allow(now.Add(c.after), 300*ms, 2*time.Second), c.want)
+			assert.Equal(t, m.Timeout(now.Add(c.after), 300*ms, 2*time.Second), c.want)
 		})
 	}
 }
 
-func TestItIsBackAsSoonAsMostAnswersAre(t *testing.T) {
-	m := &lateness.Meter{}
+func TestQuartileFallsWhenMostAnswersAreFastAgain(t *testing.T) {
+	m := &lateness.ResponseTimes{}
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for range 128 {
-		m.Answered(now, time.Second)
+		m.Record(now, time.Second)
 	}
-	assert.Equal(t, m.Usual(now), time.Second)
+	assert.Equal(t, m.UpperQuartile(now), time.Second)
 	now = now.Add(100 * ms)
 	for range 100 {
-		m.Answered(now, 4*ms)
+		m.Record(now, 4*ms)
 	}
-	assert.Equal(t, m.Usual(now), 4*ms)
+	assert.Equal(t, m.UpperQuartile(now), 4*ms)
 }
 
-func TestTheBoundIsBetweenTheRuleAndTheMost(t *testing.T) {
-	m := &lateness.Meter{}
+func TestTimeoutStaysBetweenBaseAndLimit(t *testing.T) {
+	m := &lateness.ResponseTimes{}
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for range 128 {
-		m.Answered(now, 100*ms)
+		m.Record(now, 100*ms)
 	}
-	assert.Equal(t, m.Allow(now, 300*ms, 2*time.Second), 400*ms)
-	assert.Equal(t, m.Allow(now, time.Second, 2*time.Second), time.Second)
-	assert.Equal(t, m.Allow(now, 300*ms, 350*ms), 350*ms)
+	assert.Equal(t, m.Timeout(now, 300*ms, 2*time.Second), 400*ms)
+	assert.Equal(t, m.Timeout(now, time.Second, 2*time.Second), time.Second)
+	assert.Equal(t, m.Timeout(now, 300*ms, 350*ms), 350*ms)
 }
--- a/services/lateness/lease.go
+++ b/services/lateness/lease.go
@@ -8,12 +8,12 @@
 const (
 	// clockDrift is by how much a worker's steady clock may be off (protocol).
 	clockDrift = 0.03
-	// lapseMargin is added before a lease counts as run out, for the time that
+	// expiryMargin is added before a lease counts as run out, for the time that
 	// the order which set it was on its way.
-	lapseMargin = 150 * time.Millisecond
+	expiryMargin = 150 * time.Millisecond
 )
 
-// LeaseAtMost returns how long a lease can last on the slowest clock allowed.
-func LeaseAtMost(lease time.Duration) time.Duration {
-	return time.Duration(float64(lease)*(1+clockDrift)) + lapseMargin
+// MaxLeaseDuration returns how long a lease can last on the slowest clock allowed.
+func MaxLeaseDuration(lease time.Duration) time.Duration {
+	return time.Duration(float64(lease)*(1+clockDrift)) + expiryMargin
 }
--- a/services/lateness/stall.go
+++ b/services/lateness/stall.go
@@ -6,39 +6,39 @@
 import "time"
 
 const (
-	// stallShare is the part of the usual time of a step's tasks after which one that
-	// has come no further stands still, beginShare that of one that has shown no progress
-	// at all, and stallLeast the least such time: progress is told in whole percents.
-	stallShare = 0.08
-	beginShare = 0.25
-	stallLeast = 400 * time.Millisecond
-	// stallSteps is for how many times as long as a percent took so far a run may show
+	// stallFraction is the part of the usual time of a step's tasks after which one that
+	// has come no further stands still, firstProgressFraction that of one that has shown no progress
+	// at all, and minStallTimeout the least such time: progress is told in whole percents.
+	stallFraction         = 0.08
+	firstProgressFraction = 0.25
+	minStallTimeout       = 400 * time.Millisecond
+	// percentFactor is for how many times as long as a percent took so far a run may show
 	// no further one: its work may be many times what is usual.
-	stallSteps = 3
-	// resumeTakes is how long a run may take to go on from a checkpoint: of that it
+	percentFactor = 3
+	// resumeTime is how long a run may take to go on from a checkpoint: of that it
 	// shows no progress.
-	resumeTakes = time.Second
+	resumeTime = time.Second
 )
 
-// Work is how far a run has come.
-type Work struct {
+// RunProgress is how far a run has come.
+type RunProgress struct {
 	// Usual is how long such runs take.
-	Usual time.Duration
+	UsualTime time.Duration
 	// Progress is how much of its work is done, in percent, and Took how long that took.
-	Progress int
-	Took     time.Duration
+	Progress     int
+	ProgressTime time.Duration
 	// Resumed says that it goes on from somewhere that is not known.
 	Resumed bool
 }
 
-// StallPatience returns how long a run may show no further progress.
-func StallPatience(w Work) time.Duration {
-	begins := max(stallLeast, time.Duration(beginShare*float64(w.Usual)))
+// StallTimeout returns how long a run may show no further progress.
+func StallTimeout(w RunProgress) time.Duration {
+	begins := max(minStallTimeout, time.Duration(firstProgressFraction*float64(w.UsualTime)))
 	if w.Resumed {
-		return begins + resumeTakes
+		return begins + resumeTime
 	}
 	if w.Progress == 0 {
 		return begins
 	}
-	return max(stallLeast, time.Duration(stallShare*float64(w.Usual)), stallSteps*(w.Took/time.Duration(w.Progress)))
+	return max(minStallTimeout, time.Duration(stallFraction*float64(w.UsualTime)), percentFactor*(w.ProgressTime/time.Duration(w.Progress)))
 }
--- a/services/overload/gate.go
+++ b/services/overload/gate.go
@@ -18,92 +18,92 @@
 )
 
 const (
-	// late is the age of what waits from which the holder is behind: with it a short
+	// maxQueueAge is the age of what waits from which the holder is behind: with it a short
 	// task, which may start 0.6 s late, is still on time. On boxes that keep up it is
 	// below 50 ms at 1,100 workers.
-	late = 300 * time.Millisecond
-	// lateAnswers is how long most workers' answers take from which the holder is behind:
+	maxQueueAge = 300 * time.Millisecond
+	// maxResponseTime is how long most workers' answers take from which the holder is behind:
 	// what waits for its processor or in its link waits in no queue of its own. On a box
 	// of 0.19 processors with 1,100 workers they took 0.4 s to 1.7 s while its loop was
 	// 0.3 s behind; on links that are full at times, and serve, up to 0.45 s.
-	lateAnswers = 600 * time.Millisecond
-	// patience is for how many looks in a row it must be late before jobs are refused: a
+	maxResponseTime = 600 * time.Millisecond
+	// lateChecks is for how many looks in a row it must be late before jobs are refused: a
 	// box that was held up once needs no less work.
-	patience = 5
-	// lookEvery is the time between two looks.
-	lookEvery = 100 * time.Millisecond
-	// shrinks is what the share is multiplied with at each look while the holder is
+	lateChecks = 5
+	// checkInterval is the time between two looks.
+	checkInterval = 100 * time.Millisecond
+	// decreaseFactor is what the share is multiplied with at each look while the holder is
 	// behind, grows what is added at each other one: back from a half within 2.5 s.
-	shrinks = 0.9
-	grows   = 0.02
-	// leastShare is taken in any case, so that the way back is noticed.
-	leastShare = 0.05
-	// comeBack is when the first of those refused are told to come back, comeBackMost
+	decreaseFactor = 0.9
+	increaseStep   = 0.02
+	// minAdmittedShare is taken in any case, so that the way back is noticed.
+	minAdmittedShare = 0.05
+	// minRetryAfter is when the first of those refused are told to come back, maxRetryAfter
 	// when the last are: all at once would be the next burst.
-	comeBack     = time.Second
-	comeBackMost = 3 * time.Second
+	minRetryAfter = time.Second
+	maxRetryAfter = 3 * time.Second
 )
 
 // Gate decides which new jobs are taken. It is not safe for concurrent use.
 type Gate struct {
 	// refused is the share of new jobs that is not taken.
-	refused float64
-	// oldest is the highest age since the last look, lateFor for how many looks in a row
+	refusedShare float64
+	// oldest is the highest age since the last look, lateCount for how many looks in a row
 	// that was late.
-	oldest  time.Duration
-	lateFor int
-	lookAt  time.Time
+	maxAge      time.Duration
+	lateCount   int
+	nextCheckAt time.Time
 }
 
-// Waited takes for how long something has waited that is dealt with now.
-func (g *Gate) Waited(age time.Duration) { g.oldest = max(g.oldest, age) }
+// RecordQueueAge takes for how long something has waited that is dealt with now.
+func (g *Gate) RecordQueueAge(age time.Duration) { g.maxAge = max(g.maxAge, age) }
 
-// Answered takes how long most workers' answers take at present.
-func (g *Gate) Answered(usual time.Duration) {
-	if usual > lateAnswers {
-		g.oldest = max(g.oldest, usual)
+// RecordResponseTime takes how long most workers' answers take at present.
+func (g *Gate) RecordResponseTime(usual time.Duration) {
+	if usual > maxResponseTime {
+		g.maxAge = max(g.maxAge, usual)
 	}
 }
 
-// Look adapts the share if that is due, and says whether the holder began or ceased to
+// Update adapts the share if that is due, and says whether the holder began or ceased to
 // refuse jobs by that.
-func (g *Gate) Look(now time.Time) (changed bool) {
-	if now.Before(g.lookAt) {
+func (g *Gate) Update(now time.Time) (changed bool) {
+	if now.Before(g.nextCheckAt) {
 		return false
 	}
-	g.lookAt = now.Add(lookEvery)
-	before := g.Behind()
-	if g.oldest > late {
-		g.lateFor++
+	g.nextCheckAt = now.Add(checkInterval)
+	before := g.IsRefusing()
+	if g.maxAge > maxQueueAge {
+		g.lateCount++
 	} else {
-		g.lateFor = 0
+		g.lateCount = 0
 	}
-	g.oldest = 0
+	g.maxAge = 0
 	switch {
-	case g.lateFor >= patience:
-		g.refused = min(1-leastShare, 1-(1-g.refused)*shrinks)
-	case g.lateFor == 0:
-		g.refused = max(0, g.refused-grows)
+	case g.lateCount >= lateChecks:
+		g.refusedShare = min(1-minAdmittedShare, 1-(1-g.refusedShare)*decreaseFactor)
+	case g.lateCount == 0:
+		g.refusedShare = max(0, g.refusedShare-increaseStep)
 	}
-	return g.Behind() != before
+	return g.IsRefusing() != before
 }
 
-// Behind says whether some new jobs are refused.
-func (g *Gate) Behind() bool { return g.refused > 0 }
+// IsRefusing says whether some new jobs are refused.
+func (g *Gate) IsRefusing() bool { return g.refusedShare > 0 }
 
-// Share returns the share of new jobs that is taken.
-func (g *Gate) Share() float64 { return 1 - g.refused }
+// AdmittedShare returns the share of new jobs that is taken.
+func (g *Gate) AdmittedShare() float64 { return 1 - g.refusedShare }
 
-// Takes says whether a new job is taken, else when its caller should come back. A job
+// Admit says whether a new job is taken, else when its caller should come back. A job
 // that comes again has another chance each second.
-func (g *Gate) Takes(now time.Time, job string) (ok bool, after time.Duration) {
-	if !g.Behind() {
+func (g *Gate) Admit(now time.Time, job string) (ok bool, after time.Duration) {
+	if !g.IsRefusing() {
 		return true, 0
 	}
 	draw := float64(xxhash.Sum64String(job+now.Format("05"))>>11) / (1 << 53)
-	if draw < g.Share() {
+	if draw < g.AdmittedShare() {
 		return true, 0
 	}
 	spread := float64(xxhash.Sum64String(job)>>11) / (1 << 53)
-	return false, comeBack + time.Duration(spread*float64(comeBackMost-comeBack))
+	return false, minRetryAfter + time.Duration(spread*float64(maxRetryAfter-minRetryAfter))
 }
--- a/services/overload/gate_test.go
+++ b/services/overload/gate_test.go
@@ -15,22 +15,22 @@
 
 const ms = time.Millisecond
 
-// looks has some looks 100 ms apart between which something waited that long.
-func looks(g *overload.Gate, now time.Time, count int, age time.Duration) time.Time {
+// updateRepeatedly has some looks 100 ms apart between which something waited that long.
+func updateRepeatedly(g *overload.Gate, now time.Time, count int, age time.Duration) time.Time {
 	for range count {
-		g.Waited(age)
-		g.Waited(ms)
-		g.Look(now)
+		g.RecordQueueAge(age)
+		g.RecordQueueAge(ms)
+		g.Update(now)
 		now = now.Add(100 * ms)
 	}
 	return now
 }
 
-// taken returns how many of 1,000 jobs are taken.
-func taken(t *testing.T, g *overload.Gate, now time.Time) (count int) {
+// countAdmitted returns how many of 1,000 jobs are taken.
+func countAdmitted(t *testing.T, g *overload.Gate, now time.Time) (count int) {
 	t.Helper()
 	for i := range 1000 {
-		ok, after := g.Takes(now, fmt.Sprint("job", i))
+		ok, after := g.Admit(now, fmt.Sprint("job", i))
 		if ok {
 			count++
 			continue
@@ -40,7 +40,7 @@
 	return count
 }
 
-func TestTheShareFollowsTheAgeOfWhatWaits(t *testing.T) {
+func TestAdmittedShareFollowsQueueAge(t *testing.T) {
 	begin := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for _, c := range []struct {
 		name string
@@ -59,22 +59,22 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := &overload.Gate{}
-			now := looks(g, begin, c.late, 500*ms)
-			now = looks(g, now, c.calm, 20*ms)
-			got := taken(t, g, now)
+			now := updateRepeatedly(g, begin, c.late, 500*ms)
+			now = updateRepeatedly(g, now, c.calm, 20*ms)
+			got := countAdmitted(t, g, now)
 			assert.Check(t, got >= c.least && got <= c.most, "%d of 1,000", got)
-			assert.Equal(t, g.Behind(), got < 1000)
+			assert.Equal(t, g.IsRefusing(), got < 1000)
 		})
 	}
 }
 
 // Callers who are refused together must not come back together.
-func TestThoseRefusedComeBackSpreadOverTime(t *testing.T) {
+func TestRetryTimesOfRefusedJobsAreSpread(t *testing.T) {
 	g := &overload.Gate{}
-	now := looks(g, time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC), 100, time.Second)
+	now := updateRepeatedly(g, time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC), 100, time.Second)
 	seconds := map[int]int{}
 	for i := range 1000 {
-		if ok, after := g.Takes(now, fmt.Sprint("job", i)); !ok {
+		if ok, after := g.Admit(now, fmt.Sprint("job", i)); !ok {
 			seconds[int(after/(500*ms))]++
 		}
 	}
@@ -83,28 +83,28 @@
 	}
 }
 
-func TestAJobHasAnotherChanceEachSecond(t *testing.T) {
+func TestRefusedJobIsEventuallyAdmittedOnRetry(t *testing.T) {
 	g := &overload.Gate{}
-	now := looks(g, time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC), 8, time.Second)
+	now := updateRepeatedly(g, time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC), 8, time.Second)
 	for i := range 100 {
 		got := false
 		for second := range 30 {
-			ok, _ := g.Takes(now.Add(time.Duration(second)*time.Second), fmt.Sprint("job", i))
+			ok, _ := g.Admit(now.Add(time.Duration(second)*time.Second), fmt.Sprint("job", i))
 			got = got || ok
 		}
-		assert.Check(t, got, "job %d was refused 30 times at a share of %.2f", i, g.Share())
+		assert.Check(t, got, "job %d was refused 30 times at a share of %.2f", i, g.AdmittedShare())
 	}
 }
 
-func TestItIsToldOnceThatAHolderIsBehind(t *testing.T) {
+func TestUpdateReportsEachChangeOnce(t *testing.T) {
 	g := &overload.Gate{}
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	changes := 0
 	for i := range 100 {
 		if i < 20 {
-			g.Waited(time.Second)
+			g.RecordQueueAge(time.Second)
 		}
-		if g.Look(now) {
+		if g.Update(now) {
 			changes++
 		}
 		now = now.Add(100 * ms)
@@ -113,14 +113,14 @@
 }
 
 // What waits for the processor or in a full link waits in no queue of the holder.
-func TestAHolderWhoseWorkersAnswerLateIsBehind(t *testing.T) {
+func TestSlowWorkerAnswersCauseRefusals(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for usual, behind := range map[time.Duration]bool{30 * ms: false, 450 * ms: false, 900 * ms: true} {
 		g := &overload.Gate{}
 		for i := range 10 {
-			g.Answered(usual)
-			g.Look(now.Add(time.Duration(i) * 100 * ms))
+			g.RecordResponseTime(usual)
+			g.Update(now.Add(time.Duration(i) * 100 * ms))
 		}
-		assert.Equal(t, g.Behind(), behind, "%v", usual)
+		assert.Equal(t, g.IsRefusing(), behind, "%v", usual)
 	}
 }
--- a/services/pace/pace.go
+++ b/services/pace/pace.go
@@ -9,18 +9,18 @@
 const Full = 100
 
 const (
-	// throttleAt and easeAt are shares of the target. Tails are rough figures of the
+	// throttleAt and raiseAt are shares of the target. Tails are rough figures of the
 	// last half second, so there is some way between them.
-	throttleAt, easeAt = 0.85, 0.6
+	throttleAt, raiseAt = 0.85, 0.6
 	// urgentAt is the share from which fillers are nearly stopped at once.
 	urgentAt = 1.2
 	// throttleBy and urgentBy are what a pace is multiplied by.
 	throttleBy, urgentBy = 0.6, 0.2
-	// easeBy is added to a pace, in percent of a run's speed.
-	easeBy = 10
-	// leastPace is the pace, in percent, below which fillers are halted: they keep
+	// raiseBy is added to a pace, in percent of a run's speed.
+	raiseBy = 10
+	// minPace is the pace, in percent, below which fillers are halted: they keep
 	// their memory.
-	leastPace = 5
+	minPace = 5
 )
 
 // Next returns the pace of fillers beside tasks of which the worst tail is some
@@ -31,10 +31,10 @@
 		pace = int(urgentBy * float64(pace))
 	case worst >= throttleAt:
 		pace = int(throttleBy * float64(pace))
-	case worst < easeAt:
-		return min(Full, pace+easeBy)
+	case worst < raiseAt:
+		return min(Full, pace+raiseBy)
 	}
-	if pace < leastPace {
+	if pace < minPace {
 		return 0
 	}
 	return pace
--- a/services/planning/budget_test.go
+++ b/services/planning/budget_test.go
@@ -14,55 +14,55 @@
 
 const ms = time.Millisecond
 
-func TestPlansTakeAFifthOfTheTimeAtMost(t *testing.T) {
+func TestPlansTakeAtMostAFifthOfTheTime(t *testing.T) {
 	b := planning.New()
 	for _, took := range []time.Duration{0, ms, 30 * ms, time.Second} {
-		assert.Equal(t, b.Took(took), 4*took)
+		assert.Equal(t, b.RecordDuration(took), 4*took)
 	}
 }
 
-func TestAPlanThatTakesLongIsCutShort(t *testing.T) {
+func TestMissLimitShrinksAfterLongPlans(t *testing.T) {
 	b := planning.New()
-	assert.Equal(t, b.Misses(), 300)
-	b.Took(25 * ms)
-	assert.Equal(t, b.Misses(), 240)
-	b.Took(time.Second)
-	assert.Equal(t, b.Misses(), 120, "by half at most: one plan may have been held up")
+	assert.Equal(t, b.MissLimit(), 300)
+	b.RecordDuration(25 * ms)
+	assert.Equal(t, b.MissLimit(), 240)
+	b.RecordDuration(time.Second)
+	assert.Equal(t, b.MissLimit(), 120, "by half at most: one plan may have been held up")
 	for range 10 {
-		b.Took(time.Second)
+		b.RecordDuration(time.Second)
 	}
-	assert.Equal(t, b.Misses(), 20, "some steps are always tried")
+	assert.Equal(t, b.MissLimit(), 20, "some steps are always tried")
 	for range 13 {
-		b.Took(ms)
+		b.RecordDuration(ms)
 	}
-	assert.Equal(t, b.Misses(), 300)
+	assert.Equal(t, b.MissLimit(), 300)
 }
 
-func TestAllStepsAreTriedNowAndThen(t *testing.T) {
+func TestFullPlansAreMadeAtIntervals(t *testing.T) {
 	b := planning.New()
 	count := func() (whole int) {
 		for plan := range 400 {
-			if b.Whole(plan) {
+			if b.IsFullPlan(plan) {
 				whole++
 			}
 		}
 		return whole
 	}
 	assert.Equal(t, count(), 50)
-	b.Took(time.Second)
+	b.RecordDuration(time.Second)
 	assert.Equal(t, count(), 10)
 }
 
-func TestAPauseInAPlanDoesNotCount(t *testing.T) {
-	var m planning.Meter
-	assert.Equal(t, m.Counts(5*ms), 5*ms)
-	assert.Equal(t, m.Counts(time.Second), 40*ms, "it is far longer than the one before")
-	assert.Equal(t, m.Counts(5*ms), 5*ms)
+func TestPauseDuringPlanIsClamped(t *testing.T) {
+	var m planning.OutlierFilter
+	assert.Equal(t, m.Clamp(5*ms), 5*ms)
+	assert.Equal(t, m.Clamp(time.Second), 40*ms, "it is far longer than the one before")
+	assert.Equal(t, m.Clamp(5*ms), 5*ms)
 }
 
-func TestPlansThatTakeLongAllTheTimeCountWhole(t *testing.T) {
-	var m planning.Meter
+func TestRepeatedLongPlansCountInFull(t *testing.T) {
+	var m planning.OutlierFilter
 	for _, counts := range []time.Duration{40 * ms, 80 * ms, 160 * ms, 320 * ms, 500 * ms, 500 * ms} {
-		assert.Equal(t, m.Counts(500*ms), counts)
+		assert.Equal(t, m.Clamp(500*ms), counts)
 	}
 }
--- a/services/reservations/reservations.go
+++ b/services/reservations/reservations.go
@@ -19,75 +19,77 @@
 const (
 	// Started: the gang has started in it.
 	Started Outcome = "started"
-	// Unasked: no box could ask for the tickets that its start needs.
-	Unasked Outcome = "unasked"
-	// Unticketed: its tickets have not come in time.
-	Unticketed Outcome = "unticketed"
+	// TicketsNotRequested: no box could ask for the tickets that its start needs.
+	TicketsNotRequested Outcome = "unasked"
+	// TicketsNotReceived: its tickets have not come in time.
+	TicketsNotReceived Outcome = "unticketed"
 	// Occupied: the tasks in its place have not ended in time.
 	Occupied Outcome = "occupied"
-	// Unusable: a worker of it takes no tasks any more.
-	Unusable Outcome = "unusable"
-	// Ended: its step has ended.
-	Ended Outcome = "ended"
+	// WorkerUnusable: a worker of it takes no tasks any more.
+	WorkerUnusable Outcome = "unusable"
+	// StepEnded: its step has ended.
+	StepEnded Outcome = "ended"
 )
 
-// held is one reservation.
-type held struct {
+// reservation is one reservation.
+type reservation struct {
 	since time.Time
 	room  resource.Millis
 }
 
-// Book has the reservations of a holder. It is not safe for concurrent use.
-type Book struct {
-	held map[job.StepID]held
-	sums map[Outcome]Sum
+// Tracker has the reservations of a holder. It is not safe for concurrent use.
+type Tracker struct {
+	active map[job.StepID]reservation
+	totals map[Outcome]Total
 }
 
-// Sum is what reservations with one outcome have come to.
-type Sum struct {
+// Total is what reservations with one outcome have come to.
+type Total struct {
 	// Count is how many there were, Idle the room that they kept idle, in
 	// processor-seconds.
-	Count int
-	Idle  float64
+	Count                int
+	IdleProcessorSeconds float64
 }
 
 // New returns a book without reservations.
-func New() *Book { return &Book{held: map[job.StepID]held{}, sums: map[Outcome]Sum{}} }
+func New() *Tracker {
+	return &Tracker{active: map[job.StepID]reservation{}, totals: map[Outcome]Total{}}
+}
 
 // Begin notes that room is kept for a step from now on.
-func (b *Book) Begin(now time.Time, id job.StepID, room resource.Millis) {
-	b.held[id] = held{since: now, room: room}
+func (b *Tracker) Begin(now time.Time, id job.StepID, room resource.Millis) {
+	b.active[id] = reservation{since: now, room: room}
 }
 
 // End notes what came of a step's reservation.
-func (b *Book) End(now time.Time, id job.StepID, o Outcome) {
-	r, ok := b.held[id]
+func (b *Tracker) End(now time.Time, id job.StepID, o Outcome) {
+	r, ok := b.active[id]
 	if !ok {
 		return
 	}
-	delete(b.held, id)
-	s := b.sums[o]
+	delete(b.active, id)
+	s := b.totals[o]
 	s.Count++
-	s.Idle += now.Sub(r.since).Seconds() * float64(r.room) / float64(resource.Processor)
-	b.sums[o] = s
+	s.IdleProcessorSeconds += now.Sub(r.since).Seconds() * float64(r.room) / float64(resource.Processor)
+	b.totals[o] = s
 }
 
 // Len returns how many reservations there are.
-func (b *Book) Len() int { return len(b.held) }
+func (b *Tracker) Len() int { return len(b.active) }
 
-// Room returns how many processors are kept.
-func (b *Book) Room() resource.Millis {
+// Processors returns how many processors are kept.
+func (b *Tracker) Processors() resource.Millis {
 	var room resource.Millis
-	for _, r := range b.held {
+	for _, r := range b.active {
 		room += r.room
 	}
 	return room
 }
 
-// Take returns what the reservations that have ended came to by outcome, and begins to
+// TakeTotals returns what the reservations that have ended came to by outcome, and begins to
 // count anew.
-func (b *Book) Take() map[Outcome]Sum {
-	sums := b.sums
-	b.sums = map[Outcome]Sum{}
+func (b *Tracker) TakeTotals() map[Outcome]Total {
+	sums := b.totals
+	b.totals = map[Outcome]Total{}
 	return sums
 }
--- a/services/restarts/restarts.go
+++ b/services/restarts/restarts.go
@@ -8,29 +8,29 @@
 import "time"
 
 const (
-	// most is how often a task may be started within a window: tasks that fail, lose their
+	// maxStarts is how often a task may be started within a window: tasks that fail, lose their
 	// worker or give way to others are started a few times in a row.
-	most = 5
+	maxStarts = 5
 	// window is that time.
 	window = 5 * time.Second
 )
 
-// Starts are those of one task. The zero value is a task that was not started.
-type Starts struct {
+// Limiter are those of one task. The zero value is a task that was not started.
+type Limiter struct {
 	// since is when the window began, count how many starts there were in it.
-	since time.Time
-	count int
+	windowStart time.Time
+	count       int
 }
 
-// Began notes a start. It returns when the task may be started again, and whether that is later
+// RecordStart notes a start. It returns when the task may be started again, and whether that is later
 // than now because it was started too often.
-func (s *Starts) Began(now time.Time) (again time.Time, often bool) {
-	if now.Sub(s.since) >= window {
-		s.since, s.count = now, 0
+func (s *Limiter) RecordStart(now time.Time) (again time.Time, often bool) {
+	if now.Sub(s.windowStart) >= window {
+		s.windowStart, s.count = now, 0
 	}
 	s.count++
-	if s.count < most {
+	if s.count < maxStarts {
 		return now, false
 	}
-	return s.since.Add(window), true
+	return s.windowStart.Add(window), true
 }
--- a/services/restarts/restarts_test.go
+++ b/services/restarts/restarts_test.go
@@ -12,25 +12,25 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestATaskIsStartedAFewTimesAWindowAtMost(t *testing.T) {
+func TestStartsPerWindowAreLimited(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	var s restarts.Starts
+	var s restarts.Limiter
 	starts, next := 0, now
 	for at := now; at.Before(now.Add(time.Minute)); at = at.Add(10 * time.Millisecond) {
 		if at.Before(next) {
 			continue
 		}
 		starts++
-		next, _ = s.Began(at)
+		next, _ = s.RecordStart(at)
 	}
 	assert.Check(t, starts <= 65, "%d starts in a minute", starts)
 }
 
-func TestATaskThatIsStartedNowAndThenWaitsForNothing(t *testing.T) {
+func TestInfrequentStartsAreNotDelayed(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	var s restarts.Starts
+	var s restarts.Limiter
 	for range 100 {
-		again, often := s.Began(now)
+		again, often := s.RecordStart(now)
 		assert.Check(t, !often && again.Equal(now))
 		now = now.Add(1300 * time.Millisecond)
 	}
--- a/services/shard/holder.go
+++ b/services/shard/holder.go
@@ -82,7 +82,7 @@
 
 	phase     Phase
 	startedAt time.Time
-	ticket    journal.Ticket
+	ticket    journal.EntryNumber
 	suspect   suspicion
 	// headAt is when the last read began that reached the log's end.
 	headAt time.Time
--- a/services/shard/outcome.go
+++ b/services/shard/outcome.go
@@ -26,7 +26,7 @@
 	// fresh holds outcomes not yet queued for the log, sent those that are.
 	fresh  []ack
 	sent   []ack
-	ticket journal.Ticket
+	ticket journal.EntryNumber
 	// ending holds the tasks of both: they have ended, though the log does not
 	// say so yet.
 	ending map[task.Key]bool
--- a/services/shard/plan.go
+++ b/services/shard/plan.go
@@ -154,7 +154,7 @@
 		return o.reason
 	case o.late(now):
 		return "its deadline has passed, so no task of it is started any more"
-	case !o.spec.Repeatable() && (h.journal.Full() || h.journal.Failing() != ""):
+	case !o.spec.Repeatable() && (h.journal.Full() || h.journal.FailureReason() != ""):
 		return "the log cannot be written, and the start of a task that may not be repeated must be recorded first"
 	default:
 		return ""
--- a/services/shard/suspect.go
+++ b/services/shard/suspect.go
@@ -61,7 +61,7 @@
 // being heard can start nothing either, and learns of the caretaker when it gets
 // a lease again.
 func (h *Holder) caretaking(now time.Time) bool {
-	if h.phase != Claiming || h.journal.Failing() == "" {
+	if h.phase != Claiming || h.journal.FailureReason() == "" {
 		return false
 	}
 	for _, w := range h.order {
--- a/services/shard/task.go
+++ b/services/shard/task.go
@@ -33,7 +33,7 @@
 	resources resource.Vector
 	version   int64
 	stage     stage
-	intent    journal.Ticket
+	intent    journal.EntryNumber
 	startedAt time.Time
 }
 
--- a/services/slots/slots.go
+++ b/services/slots/slots.go
@@ -14,44 +14,44 @@
 	"saddlevane/modules/ordered"
 )
 
-// Share is how many tasks of a step a worker has room for, or gets.
-type Share[W any] struct {
+// Allocation is how many tasks of a step a worker has room for, or gets.
+type Allocation[W any] struct {
 	Worker W
 	Tasks  int
 }
 
-// Take returns as much of some shares, in their order, as is wanted, and how many tasks that
+// FillInOrder returns as much of some shares, in their order, as is wanted, and how many tasks that
 // is.
-func Take[W any](open []Share[W], wanted int) (taken []Share[W], tasks int) {
+func FillInOrder[W any](open []Allocation[W], wanted int) (taken []Allocation[W], tasks int) {
 	for _, o := range open {
 		if tasks == wanted {
 			break
 		}
 		n := min(o.Tasks, wanted-tasks)
-		taken = append(taken, Share[W]{o.Worker, n})
+		taken = append(taken, Allocation[W]{o.Worker, n})
 		tasks += n
 	}
 	return taken, tasks
 }
 
-// Together returns shares of one group of workers that are enough for all tasks wanted, if
+// FillInOneGroup returns shares of one group of workers that are enough for all tasks wanted, if
 // there is such a group: the first by name.
-func Together[W any](open []Share[W], wanted int, group func(W) string) ([]Share[W], bool) {
-	groups := map[string][]Share[W]{}
+func FillInOneGroup[W any](open []Allocation[W], wanted int, group func(W) string) ([]Allocation[W], bool) {
+	groups := map[string][]Allocation[W]{}
 	for _, o := range open {
 		name := group(o.Worker)
 		groups[name] = append(groups[name], o)
 	}
 	for _, name := range slices.Sorted(maps.Keys(groups)) {
-		if taken, tasks := Take(groups[name], wanted); tasks == wanted {
+		if taken, tasks := FillInOrder(groups[name], wanted); tasks == wanted {
 			return taken, true
 		}
 	}
 	return nil, false
 }
 
-// Names returns shares as a line tells them, such as "w1:3 w2:1".
-func Names[W any](all []Share[W], name func(W) string) string {
+// Format returns shares as a line tells them, such as "w1:3 w2:1".
+func Format[W any](all []Allocation[W], name func(W) string) string {
 	names := make([]string, len(all))
 	for i, s := range all {
 		names[i] = fmt.Sprintf("%s:%d", name(s.Worker), s.Tasks)
@@ -59,19 +59,19 @@
 	return strings.Join(names, " ")
 }
 
-// Gain is room for some more tasks of a step on one worker, and what has to be stopped for it.
-type Gain[W, A any] struct {
-	Share[W]
+// Preemption is room for some more tasks of a step on one worker, and what has to be stopped for it.
+type Preemption[W, A any] struct {
+	Allocation[W]
 	// Ticketed says that a ticket is there or on its way.
-	Ticketed bool
+	HasTicket bool
 	// Victims are what has to be stopped.
 	Victims []A
 	// Cost is the work that is lost, in processor seconds a task gained.
 	Cost float64
 }
 
-// Tasks returns for how many tasks some gains are room.
-func Tasks[W, A any](gains []Gain[W, A]) int {
+// TotalTasks returns for how many tasks some gains are room.
+func TotalTasks[W, A any](gains []Preemption[W, A]) int {
 	n := 0
 	for _, g := range gains {
 		n += g.Tasks
@@ -82,10 +82,10 @@
 // Cheapest returns gains that are enough, or all, those that cost least first: of those that
 // cost the same, those whose tickets need not be asked for, then the largest. Compare orders
 // workers.
-func Cheapest[W, A any](gains []Gain[W, A], wanted int, compare func(a, b W) int) []Gain[W, A] {
-	slices.SortStableFunc(gains, func(g, o Gain[W, A]) int {
+func Cheapest[W, A any](gains []Preemption[W, A], wanted int, compare func(a, b W) int) []Preemption[W, A] {
+	slices.SortStableFunc(gains, func(g, o Preemption[W, A]) int {
 		return cmp.Or(
-			cmp.Compare(g.Cost, o.Cost), ordered.TrueFirst(g.Ticketed, o.Ticketed), cmp.Compare(o.Tasks, g.Tasks), compare(g.Worker, o.Worker),
+			cmp.Compare(g.Cost, o.Cost), ordered.TrueFirst(g.HasTicket, o.HasTicket), cmp.Compare(o.Tasks, g.Tasks), compare(g.Worker, o.Worker),
 		)
 	})
 	for i, g := range gains {
--- a/services/slots/slots_test.go
+++ b/services/slots/slots_test.go
@@ -12,31 +12,31 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTasksAreDividedInOrderAndTogetherWhereOneGroupHoldsThem(t *testing.T) {
-	open := []slots.Share[string]{{"b1", 2}, {"a1", 3}, {"b2", 4}, {"a2", 1}}
-	taken, tasks := slots.Take(open, 4)
+func TestTasksFillWorkersInOrderOrWithinOneGroup(t *testing.T) {
+	open := []slots.Allocation[string]{{"b1", 2}, {"a1", 3}, {"b2", 4}, {"a2", 1}}
+	taken, tasks := slots.FillInOrder(open, 4)
 	assert.Equal(t, tasks, 4)
-	assert.DeepEqual(t, taken, []slots.Share[string]{{"b1", 2}, {"a1", 2}})
-	assert.Equal(t, slots.Names(taken, func(w string) string { return w }), "b1:2 a1:2")
-	_, tasks = slots.Take(open, 99)
+	assert.DeepEqual(t, taken, []slots.Allocation[string]{{"b1", 2}, {"a1", 2}})
+	assert.Equal(t, slots.Format(taken, func(w string) string { return w }), "b1:2 a1:2")
+	_, tasks = slots.FillInOrder(open, 99)
 	assert.Equal(t, tasks, 10)
 	rack := func(w string) string { return w[:1] }
-	taken, found := slots.Together(open, 4, rack)
+	taken, found := slots.FillInOneGroup(open, 4, rack)
 	assert.Check(t, found)
-	assert.DeepEqual(t, taken, []slots.Share[string]{{"a1", 3}, {"a2", 1}})
-	taken, found = slots.Together(open, 6, rack)
+	assert.DeepEqual(t, taken, []slots.Allocation[string]{{"a1", 3}, {"a2", 1}})
+	taken, found = slots.FillInOneGroup(open, 6, rack)
 	assert.Check(t, found)
-	assert.DeepEqual(t, taken, []slots.Share[string]{{"b1", 2}, {"b2", 4}})
-	_, found = slots.Together(open, 7, rack)
+	assert.DeepEqual(t, taken, []slots.Allocation[string]{{"b1", 2}, {"b2", 4}})
+	_, found = slots.FillInOneGroup(open, 7, rack)
 	assert.Check(t, !found)
 }
 
-func TestTheCheapestGainsThatAreEnoughAreChosen(t *testing.T) {
-	gain := func(worker string, tasks int, cost float64, ticketed bool) slots.Gain[string, int] {
-		return slots.Gain[string, int]{Share: slots.Share[string]{Worker: worker, Tasks: tasks}, Cost: cost, Ticketed: ticketed}
+func TestCheapestReturnsFewestSufficientPreemptions(t *testing.T) {
+	gain := func(worker string, tasks int, cost float64, ticketed bool) slots.Preemption[string, int] {
+		return slots.Preemption[string, int]{Allocation: slots.Allocation[string]{Worker: worker, Tasks: tasks}, Cost: cost, HasTicket: ticketed}
 	}
-	gains := []slots.Gain[string, int]{gain("d", 1, 2, true), gain("c", 1, 0, false), gain("b", 2, 0, false), gain("a", 1, 0, true)}
-	assert.Equal(t, slots.Tasks(gains), 5)
+	gains := []slots.Preemption[string, int]{gain("d", 1, 2, true), gain("c", 1, 0, false), gain("b", 2, 0, false), gain("a", 1, 0, true)}
+	assert.Equal(t, slots.TotalTasks(gains), 5)
 	names := ""
 	for _, g := range slots.Cheapest(gains, 4, strings.Compare) {
 		names += g.Worker
--- a/services/turns/turns.go
+++ b/services/turns/turns.go
@@ -16,72 +16,74 @@
 	"time"
 )
 
-// Class is steps that compete for calls as one.
-type Class struct {
+// CallClass is steps that compete for calls as one.
+type CallClass struct {
 	Queue string
 	Late  bool
 }
 
-// Turns divides calls. It is not safe for concurrent use.
-type Turns struct{ shares map[Class]*share }
+// Allocator divides calls. It is not safe for concurrent use.
+type Allocator struct{ usages map[CallClass]*usage }
 
 // New returns turns that nobody has had.
-func New() *Turns { return &Turns{shares: map[Class]*share{}} }
+func New() *Allocator { return &Allocator{usages: map[CallClass]*usage{}} }
 
-// share is what a class has had of the boxes' time.
-type share struct {
-	// used is the time of its calls, of which old ones count ever less, as of usedAt.
-	used   time.Duration
-	usedAt time.Time
-	// turnedAway is when it last could not make a call because no box was free.
-	turnedAway time.Time
+// usage is what a class has had of the boxes' time.
+type usage struct {
+	// used is the time of its calls, of which old ones count ever less, as of updatedAt.
+	used      time.Duration
+	updatedAt time.Time
+	// deferredAt is when it last could not make a call because no box was free.
+	deferredAt time.Time
 }
 
 const (
-	// usedFor is the time after which a call counts for 1/e in what a class has had:
+	// usageDecayTime is the time after which a call counts for 1/e in what a class has had:
 	// some calls of the longest kind.
-	usedFor = 4 * time.Second
-	// turnedAwayFor is how long a class counts as waiting after it was turned away:
+	usageDecayTime = 4 * time.Second
+	// deferredFor is how long a class counts as waiting after it was turned away:
 	// some passes of the plan.
-	turnedAwayFor = 300 * time.Millisecond
-	// lateCosts is how many times a call counts that is for a step which is late: its
+	deferredFor = 300 * time.Millisecond
+	// lateCallWeight is how many times a call counts that is for a step which is late: its
 	// result is worth a fifth to its caller (the users' rules).
-	lateCosts = 4
+	lateCallWeight = 4
 )
 
-// shareOf returns what a class has had, as of now.
-func (t *Turns) shareOf(now time.Time, class Class) *share {
-	s := t.shares[class]
+// usageOf returns what a class has had, as of now.
+func (t *Allocator) usageOf(now time.Time, class CallClass) *usage {
+	s := t.usages[class]
 	if s == nil {
-		s = &share{usedAt: now}
-		t.shares[class] = s
+		s = &usage{updatedAt: now}
+		t.usages[class] = s
 	}
-	s.used = time.Duration(float64(s.used) * math.Exp(-now.Sub(s.usedAt).Seconds()/usedFor.Seconds()))
-	s.usedAt = now
+	s.used = time.Duration(float64(s.used) * math.Exp(-now.Sub(s.updatedAt).Seconds()/usageDecayTime.Seconds()))
+	s.updatedAt = now
 	return s
 }
 
-// May says whether a class may make a call: no class waits that has had less.
-func (t *Turns) May(now time.Time, class Class) bool {
-	used := t.shareOf(now, class).used
-	for other, s := range t.shares {
-		if other != class && now.Sub(s.turnedAway) < turnedAwayFor && t.shareOf(now, other).used < used {
-			t.TurnAway(now, class)
+// Admit says whether a class may make a call: no class waits that has had less.
+func (t *Allocator) Admit(now time.Time, class CallClass) bool {
+	used := t.usageOf(now, class).used
+	for other, s := range t.usages {
+		if other != class && now.Sub(s.deferredAt) < deferredFor && t.usageOf(now, other).used < used {
+			t.RecordDeferral(now, class)
 			return false
 		}
 	}
 	return true
 }
 
-// TurnAway notes that a class could not make a call.
-func (t *Turns) TurnAway(now time.Time, class Class) { t.shareOf(now, class).turnedAway = now }
+// RecordDeferral notes that a class could not make a call.
+func (t *Allocator) RecordDeferral(now time.Time, class CallClass) {
+	t.usageOf(now, class).deferredAt = now
+}
 
-// Spend notes a call of a class.
-func (t *Turns) Spend(now time.Time, class Class, takes time.Duration) {
+// RecordCall notes a call of a class.
+func (t *Allocator) RecordCall(now time.Time, class CallClass, takes time.Duration) {
 	if class.Late {
-		takes *= lateCosts
+		takes *= lateCallWeight
 	}
-	s := t.shareOf(now, class)
+	s := t.usageOf(now, class)
 	s.used += takes
-	s.turnedAway = time.Time{}
+	s.deferredAt = time.Time{}
 }
