--- a/cmd/saddlevane-bench/jobcell.go
+++ b/cmd/saddlevane-bench/jobcell.go
@@ -113,9 +113,9 @@
 	}
 	c.core = dispatch.New(dispatch.Settings{
 		Authority: authority.Settings{Renew: 400 * time.Millisecond, HoldFor: 1400 * time.Millisecond, ClaimAfter: 1550 * time.Millisecond},
-		Lease:     cellLease, Wait: renewWait, Gather: gatherTime, KeepEnded: time.Minute, StopGrace: time.Second,
+		Lease:     cellLease, RenewWait: renewWait, AppendInterval: gatherTime, EndedRetention: time.Minute, StopGrace: time.Second,
 		OrderTimeout: 300 * time.Millisecond,
-		Without:      without,
+		Disabled:     without,
 	}, claim.Member{Box: "box-00", Incarnation: "1", Address: "box-00", Size: 1000})
 	c.begin()
 	return c
--- a/cmd/saddlevaned/jobs.go
+++ b/cmd/saddlevaned/jobs.go
@@ -165,9 +165,9 @@
 	return jobrun.Settings{
 		Dispatch: dispatch.Settings{
 			Authority: authority.Settings{Renew: j.Renew, HoldFor: j.HoldFor, ClaimAfter: j.ClaimAfter},
-			Lease:     j.WorkerLease(), LeaseMost: j.LeaseMost, Wait: j.Wait, Gather: j.Gather,
-			OrderTimeout: j.OrderTimeout, KeepEnded: j.KeepEnded, StopGrace: j.StopGrace,
-			ConfigWithin: j.ConfigWithin, Share: j.Share, Without: without,
+			Lease:     j.WorkerLease(), MaxLease: j.LeaseMost, RenewWait: j.Wait, AppendInterval: j.Gather,
+			OrderTimeout: j.OrderTimeout, EndedRetention: j.KeepEnded, StopGrace: j.StopGrace,
+			ConfigPropagation: j.ConfigWithin, ShareWindow: j.Share, Disabled: without,
 		},
 		Tick: jobTick, ReadWait: claimsWait, WorkersEvery: workersEvery, CallTimeout: logCall,
 		Relays: relay.Limits{From: j.RelayFrom, PerRelay: j.RelayWorkers}, PeerTimeout: j.PeerTimeout, Probe: c.Probe, Answer: c.Answer,
--- a/services/dispatch/advice.go
+++ b/services/dispatch/advice.go
@@ -99,7 +99,7 @@
 }
 
 // releasePromises gives back all room that was kept for a step.
-func (h *holding) releasePromises(now time.Time, s *step) {
+func (h *holderState) releasePromises(now time.Time, s *step) {
 	h.unreserve(now, s, reservations.StepEnded)
 	for _, c := range s.advice.calls {
 		c.release()
@@ -116,7 +116,7 @@
 }
 
 // sweepAdvice has steps asked about anew whose answers are overdue.
-func (h *holding) sweepAdvice(now time.Time) {
+func (h *holderState) sweepAdvice(now time.Time) {
 	for c := range h.advisers.Overdue(now) {
 		if slices.Contains(c.step.advice.calls, c) {
 			c.step.endCall(c)
@@ -126,7 +126,7 @@
 }
 
 // advised takes the end of a call. An answer that was given up still counts.
-func (h *holding) advised(now time.Time, e exchange.Advised) {
+func (h *holderState) advised(now time.Time, e exchange.Advised) {
 	if e.Epoch != h.epoch {
 		return
 	}
@@ -149,19 +149,19 @@
 }
 
 // notAdvised delays the next call for a step and spares the box that failed.
-func (h *holding) notAdvised(now time.Time, s *step, e exchange.Advised) {
+func (h *holderState) notAdvised(now time.Time, s *step, e exchange.Advised) {
 	s.advice.askAgain = now.Add(adviceAgain)
 	if e.Busy {
 		h.advisers.RecordRefusal(now, e.Box)
 		return
 	}
 	h.advisers.RecordFailure(now, e.Box)
-	h.core.note("advice failed", field("step", s.id.String()), field("asked_from", e.Box), field("problem", e.Failed))
+	h.core.logEvent("advice failed", logField("step", s.id.String()), logField("asked_from", e.Box), logField("problem", e.Failed))
 }
 
 // noteAdvice keeps which of the workers asked about suit a step, and their
 // tickets. How many suit is learned from those asked about for the first time.
-func (h *holding) noteAdvice(now time.Time, c *adviceCall, e exchange.Advised) {
+func (h *holderState) noteAdvice(now time.Time, c *adviceCall, e exchange.Advised) {
 	s := c.step
 	a := &s.advice
 	a.RecordAnswer()
--- a/services/dispatch/ask.go
+++ b/services/dispatch/ask.go
@@ -35,10 +35,10 @@
 
 // requestAdvice calls for advice on some workers. It returns nil if the boxes have as many
 // calls under way as they should. What is late anyway waits until a box has none.
-func (h *holding) requestAdvice(now time.Time, s *step, q *job.Advice, workers []*worker) *adviceCall {
+func (h *holderState) requestAdvice(now time.Time, s *step, q *job.Advice, workers []*worker) *adviceCall {
 	takes := q.Base + time.Duration(len(workers))*q.Each
 	class := h.turnClass(now, s)
-	if h.uses(mechanism.DividedAdvice) && takes > advisers.BriefCall && !h.advisers.FairShare.Admit(now, class) {
+	if h.isEnabled(mechanism.DividedAdvice) && takes > advisers.BriefCall && !h.advisers.FairShare.Admit(now, class) {
 		return nil
 	}
 	patience := time.Duration(0)
@@ -63,7 +63,7 @@
 	}
 	s.advice.began(c)
 	h.advisers.CallTimeByQueue[s.job.queue] += takes
-	h.core.do(exchange.Advise{
+	h.core.emit(exchange.Advise{
 		Box: box, Address: address, Epoch: h.epoch, Number: c.number, Step: s.id, Workers: names,
 		Expected: c.due.Sub(now), Timeout: c.due.Sub(now) + adviceMargin,
 	})
@@ -71,14 +71,14 @@
 }
 
 // turnClass returns what a step competes as for calls.
-func (h *holding) turnClass(now time.Time, s *step) turns.CallClass {
+func (h *holderState) turnClass(now time.Time, s *step) turns.CallClass {
 	return turns.CallClass{Queue: s.job.queue, Late: h.rank(now, s).Tier != ranking.OnTime}
 }
 
 // requestEarlyAdvice asks for the first steps of a job while the log takes it in.
-func (h *holding) requestEarlyAdvice(now time.Time, j *submitted) {
+func (h *holderState) requestEarlyAdvice(now time.Time, j *trackedJob) {
 	q := h.queueOf(j)
-	if q.Advice == nil || !h.uses(mechanism.EarlyAdvice) {
+	if q.Advice == nil || !h.isEnabled(mechanism.EarlyAdvice) {
 		return
 	}
 	p := h.earlyPass(now)
@@ -93,7 +93,7 @@
 
 // requestEarlyStepAdvice asks for a step that is not open yet. The pass is the look at the
 // workers, which may be older than now.
-func (h *holding) requestEarlyStepAdvice(p *pass, now time.Time, r ranked) {
+func (h *holderState) requestEarlyStepAdvice(p *pass, now time.Time, r ranked) {
 	candidates := h.workersFor(p, r.step, r.queue.Pool).workers
 	if r.step.spec.Gang {
 		h.widenChoice(now, r, candidates, false)
@@ -106,11 +106,11 @@
 const earlyPassLifetime = 10 * time.Millisecond
 
 // earlyPass returns the look at the workers for jobs that are handed in now.
-func (h *holding) earlyPass(now time.Time) *pass {
-	if h.early == nil || now.Sub(h.early.now) > earlyPassLifetime {
-		h.early = newPass(now)
+func (h *holderState) earlyPass(now time.Time) *pass {
+	if h.submitPass == nil || now.Sub(h.submitPass.now) > earlyPassLifetime {
+		h.submitPass = newPass(now)
 	}
-	return h.early
+	return h.submitPass
 }
 
 // unaskedByRoom returns the candidates about which nothing is known for a step and nobody
@@ -161,7 +161,7 @@
 
 // requestAdviceOn calls for advice on some workers, in as many calls as that takes. It
 // returns false if none was made.
-func (h *holding) requestAdviceOn(now time.Time, r ranked, workers []*worker) bool {
+func (h *holderState) requestAdviceOn(now time.Time, r ranked, workers []*worker) bool {
 	s := r.step
 	if now.Before(s.advice.askAgain) {
 		return false
@@ -179,7 +179,7 @@
 // requestAdviceForRoom asks about as many unknown workers as should have room for the waiting
 // tasks of a step, those that have some first. Where few have room it names some
 // more, which may have it next. It returns false if no call was made.
-func (h *holding) requestAdviceForRoom(now time.Time, r ranked, candidates []*worker) bool {
+func (h *holderState) requestAdviceForRoom(now time.Time, r ranked, candidates []*worker) bool {
 	s := r.step
 	if !h.advisers.HasFreeBox(now, maps.Keys(h.core.members), r.queue.Advice.Base, advisers.MaxQueueTime) {
 		h.advisers.FairShare.RecordDeferral(now, h.turnClass(now, s))
@@ -200,7 +200,7 @@
 
 // requestMoreAdvice asks about those of some workers that have room now. It returns false if
 // no call was made.
-func (h *holding) requestMoreAdvice(now time.Time, r ranked, workers []*worker) bool {
+func (h *holderState) requestMoreAdvice(now time.Time, r ranked, workers []*worker) bool {
 	var open []*worker
 	for _, w := range workers {
 		if w.slots(r.step, w.room()) > 0 {
@@ -212,7 +212,7 @@
 
 // refreshTickets asks for tickets for shares, and keeps their room until they come.
 // Tickets that outlast the call are not asked for again.
-func (h *holding) refreshTickets(now time.Time, r ranked, shares []share) {
+func (h *holderState) refreshTickets(now time.Time, r ranked, shares []share) {
 	s := r.step
 	if len(shares) == 0 || now.Before(s.advice.askAgain) {
 		return
--- a/services/dispatch/attempts.go
+++ b/services/dispatch/attempts.go
@@ -18,13 +18,13 @@
 	worker *worker
 	state  attemptState
 	// since is when the state began; for a stop, when it was confirmed.
-	since time.Time
+	stateSince time.Time
 	// looks is how many renewals the holder had asked for by then.
-	looks     int64
-	confirmed bool
-	// beganAt is when the order was first sent, or zero if an earlier holder sent it,
-	// orderedAt when it was last.
-	beganAt, orderedAt time.Time
+	renewalsSent  int64
+	stopConfirmed bool
+	// firstOrderedAt is when the order was first sent, or zero if an earlier holder sent it,
+	// lastOrderedAt when it was last.
+	firstOrderedAt, lastOrderedAt time.Time
 	// checkpoint and ticket are what it was ordered with, tries how often the order was
 	// sent: the same order again changes nothing more.
 	checkpoint, ticket string
@@ -33,67 +33,67 @@
 	figure int64
 	// pace is the percentage of its speed at which it works, or paceUnknown; pacing says
 	// that another was ordered.
-	pace   int
-	pacing bool
+	pace        int
+	paceOrdered bool
 	// progress is how much of its work was done, in percent, when a look last told of
 	// more, at progressAt.
 	progress   int
 	progressAt time.Time
-	// seenAt is when a look last told of it.
-	seenAt time.Time
+	// reportedAt is when a look last told of it.
+	reportedAt time.Time
 	// marked says that it is to be stopped for a gang that has its place reserved.
-	marked bool
+	markedForStop bool
 	// stopAt is when its end was first ordered.
-	stopAt time.Time
+	stopOrderedAt time.Time
 	// risk is the probability that it crashes its worker, if it is of a suspect, and trial
 	// says that the worker gets nothing else meanwhile.
-	risk  float64
-	trial bool
+	crashRisk float64
+	isolated  bool
 	// adopted says that an earlier holder started it, resumed that it began from a
 	// checkpoint.
 	adopted, resumed bool
 	// unheard says that only the log told of it: its worker was silent.
-	unheard bool
-	// handedDown says that it was ordered from an earlier life of its worker: unless the
+	onlyLogged bool
+	// fromEarlierLife says that it was ordered from an earlier life of its worker: unless the
 	// worker tells of it, it never begins.
-	handedDown bool
+	fromEarlierLife bool
 	// silentAfter is for how long it had been at work when its worker fell silent under an
-	// earlier holder, if silentKnown.
-	silentAfter time.Duration
-	silentKnown bool
+	// earlier holder, if workedUntilSilenceKnown.
+	workedUntilSilence      time.Duration
+	workedUntilSilenceKnown bool
 }
 
-// mark notes that an attempt has come to its present state.
-func (h *holding) mark(now time.Time, a *attempt) {
-	a.since = now
-	a.looks = h.looks
+// markStateChange notes that an attempt has come to its present state.
+func (h *holderState) markStateChange(now time.Time, a *attempt) {
+	a.stateSince = now
+	a.renewalsSent = h.renewalsSent
 }
 
 // attemptState is how far an attempt has come.
 type attemptState string
 
 const (
-	// starting: the order is under way.
-	starting attemptState = "starting"
-	// running: the worker has confirmed it.
-	running attemptState = "running"
-	// unsure: the order had no answer.
-	unsure attemptState = "unsure"
-	// stopping: it is to end; its place stays taken until it has.
-	stopping attemptState = "stopping"
+	// attemptStarting: the order is under way.
+	attemptStarting attemptState = "starting"
+	// attemptRunning: the worker has confirmed it.
+	attemptRunning attemptState = "running"
+	// attemptUnconfirmed: the order had no answer.
+	attemptUnconfirmed attemptState = "unsure"
+	// attemptStopping: it is to end; its place stays taken until it has.
+	attemptStopping attemptState = "stopping"
 )
 
 // task returns the task that the attempt is a start of.
 func (a *attempt) task() *task { return &a.step.tasks[a.index] }
 
-// name returns the name under which the worker knows the attempt.
-func (a *attempt) name() order.Run {
+// runID returns the name under which the worker knows the attempt.
+func (a *attempt) runID() order.Run {
 	return order.Run{Task: job.TaskID{StepID: a.step.id, Index: a.index}, Number: a.run}
 }
 
-// place takes an attempt's room on its worker.
-func (h *holding) place(now time.Time, a *attempt) {
-	a.worker.attempts[a.name()] = a
+// assign takes an attempt's room on its worker.
+func (h *holderState) assign(now time.Time, a *attempt) {
+	a.worker.attempts[a.runID()] = a
 	a.worker.free = a.worker.free.Minus(a.step.spec.Reserved())
 	h.usage.Take(a.step.job.workspace, a.step.spec.Need)
 	t := a.task()
@@ -106,10 +106,10 @@
 	h.enterTrial(now, a)
 }
 
-// unplace gives the room back.
-func (h *holding) unplace(a *attempt) {
+// unassign gives the room back.
+func (h *holderState) unassign(a *attempt) {
 	a.leaveTrial()
-	delete(a.worker.attempts, a.name())
+	delete(a.worker.attempts, a.runID())
 	a.worker.free = a.worker.free.Plus(a.step.spec.Reserved())
 	h.usage.Return(a.step.job.workspace, a.step.spec.Need)
 	t := a.task()
@@ -123,9 +123,9 @@
 	h.planDue = true
 }
 
-// nextRun returns a run number above all earlier ones of the step's tasks, under
+// nextRunNumber returns a run number above all earlier ones of the step's tasks, under
 // this claim and those before.
-func (h *holding) nextRun(s *step) int64 {
+func (h *holderState) nextRunNumber(s *step) int64 {
 	s.lastRun = max(s.lastRun+1, h.epoch*runsPerEpoch)
 	return s.lastRun
 }
--- a/services/dispatch/calls.go
+++ b/services/dispatch/calls.go
@@ -11,7 +11,7 @@
 )
 
 // submit accepts a job once the log has it. The same ID is the same job.
-func (h *holding) submit(now time.Time, e exchange.Submitted) {
+func (h *holderState) submit(now time.Time, e exchange.Submitted) {
 	if e.Caller != nil {
 		e.Submission.Workspace = e.Caller.Workspace
 	}
@@ -21,79 +21,79 @@
 			return
 		}
 		if j.accepted {
-			h.core.reply(e.Call, exchange.Answer{Outcome: exchange.OK, State: j.shown})
+			h.core.reply(e.Call, exchange.Answer{Outcome: exchange.OK, State: j.loggedState})
 			return
 		}
-		if h.journal.failing(now) {
+		if h.journal.isFailing(now) {
 			h.core.reply(e.Call, exchange.Answer{Outcome: exchange.Unsure, Reason: "the log has not confirmed the job"})
 			return
 		}
-		j.waitAccept = append(j.waitAccept, e.Call)
+		j.acceptCalls = append(j.acceptCalls, e.Call)
 		return
 	}
 	switch {
-	case h.yielding:
-		h.core.elsewhere(e.Call, "this box is handing the cell over")
+	case h.shuttingDown:
+		h.core.replyElsewhere(e.Call, "this box is handing the cell over")
 		return
 	case e.ComeBack > 0:
 		h.core.reply(e.Call, exchange.Answer{
 			Outcome: exchange.Unavailable, Reason: "the holder is behind with its work", RetryAfter: job.Milliseconds(e.ComeBack.Milliseconds()),
 		})
 		return
-	case h.journal.failing(now):
+	case h.journal.isFailing(now):
 		h.replyUnavailable(e.Call, "the log keeps no records at present")
 		return
 	}
 	within, refusal := h.admits(now, &e.Submission)
 	if !within && refusal == nil || refusal != nil && refusal.RetryAfter > 0 {
-		h.core.do(exchange.JobBeyondShare{Refused: refusal != nil})
+		h.core.emit(exchange.JobBeyondShare{Refused: refusal != nil})
 	}
 	if refusal != nil {
 		h.core.reply(e.Call, *refusal)
 		return
 	}
-	j := h.newJob(now, e.Submission, h.core.unixMilli(now), h.core.config.Queues[e.Submission.Queue])
-	j.beyond = !within
-	j.waitAccept = append(j.waitAccept, e.Call)
-	h.journal.accepts = append(h.journal.accepts, j)
+	j := h.addJob(now, e.Submission, h.core.unixMilli(now), h.core.config.Queues[e.Submission.Queue])
+	j.beyondShare = !within
+	j.acceptCalls = append(j.acceptCalls, e.Call)
+	h.journal.unloggedJobs = append(h.journal.unloggedJobs, j)
 	h.requestEarlyAdvice(now, j)
 }
 
 // replyUnavailable answers that nothing was done and when to come back.
-func (h *holding) replyUnavailable(call exchange.CallID, reason string) {
+func (h *holderState) replyUnavailable(call exchange.CallID, reason string) {
 	h.core.reply(call, exchange.Answer{
-		Outcome: exchange.Unavailable, Reason: reason, RetryAfter: job.Milliseconds(comeBack.Milliseconds()),
+		Outcome: exchange.Unavailable, Reason: reason, RetryAfter: job.Milliseconds(noHolderRetryAfter.Milliseconds()),
 	})
 }
 
 // cancel ends a job; the caller is told once the log has it.
-func (h *holding) cancel(now time.Time, e exchange.CancelAsked) {
+func (h *holderState) cancel(now time.Time, e exchange.CancelAsked) {
 	j := h.jobs[e.Job]
 	switch {
 	case j == nil, !e.Caller.MayActOn(j.workspace, j.queue):
 		h.core.reply(e.Call, exchange.Answer{Outcome: exchange.NoJob})
 		return
-	case j.shown.Final():
-		h.core.reply(e.Call, exchange.Answer{Outcome: exchange.OK, State: j.shown})
+	case j.loggedState.Final():
+		h.core.reply(e.Call, exchange.Answer{Outcome: exchange.OK, State: j.loggedState})
 		return
-	case h.journal.failing(now) && j.state.Final():
+	case h.journal.isFailing(now) && j.state.Final():
 		h.core.reply(e.Call, unsureCancel)
 		return
 	}
-	h.finish(now, j, job.Cancelled, "a caller asked for it")
-	j.waitCancel = append(j.waitCancel, e.Call)
+	h.finishJob(now, j, job.Cancelled, "a caller asked for it")
+	j.cancelCalls = append(j.cancelCalls, e.Call)
 	h.markDirty(j)
 }
 
 // replyState answers with the state that the log has, or running once a task was
 // seen at work.
-func (h *holding) replyState(e exchange.StateAsked) {
+func (h *holderState) replyState(e exchange.StateAsked) {
 	j := h.jobs[e.Job]
 	if j == nil || !e.Caller.MayActOn(j.workspace, j.queue) {
 		h.core.reply(e.Call, exchange.Answer{Outcome: exchange.NoJob})
 		return
 	}
-	state := j.shown
+	state := j.loggedState
 	if state == job.Queued && j.started {
 		state = job.Running
 	}
@@ -101,7 +101,7 @@
 }
 
 // replyCount counts the accepted jobs of a queue of which no task was seen at work.
-func (h *holding) replyCount(e exchange.CountAsked) {
+func (h *holderState) replyCount(e exchange.CountAsked) {
 	count := 0
 	for _, j := range h.jobs {
 		if j.queue == e.Queue && j.accepted && !j.started && !j.state.Final() {
--- a/services/dispatch/caps.go
+++ b/services/dispatch/caps.go
@@ -19,7 +19,7 @@
 // admits says whether a new job is within its workspace's share, or returns the answer by
 // which it is refused: its cap could never hold it, or it is beyond its share while the
 // workers have little room.
-func (h *holding) admits(now time.Time, sub *job.Submission) (within bool, refusal *exchange.Answer) {
+func (h *holderState) admits(now time.Time, sub *job.Submission) (within bool, refusal *exchange.Answer) {
 	if sub.Workspace == "" {
 		return true, nil
 	}
@@ -34,7 +34,7 @@
 	if h.shares.Within(now, ws) {
 		return true, nil
 	}
-	if !h.isRoomy && h.uses(mechanism.RefusedShares) {
+	if !h.hasAmpleRoom && h.isEnabled(mechanism.RefusedShares) {
 		return false, &exchange.Answer{
 			Outcome: exchange.Busy, Reason: "the workspace has sent more than its share, and there is little room",
 			RetryAfter: job.Milliseconds(h.shares.Next(now, ws).Milliseconds()),
@@ -45,10 +45,10 @@
 
 // mayPlace returns how many of the waiting tasks of a step may be placed that need not be
 // tried apart: no more than its workspace may take.
-func (h *holding) mayPlace(s *step) int { return min(h.toPlace(s), h.capRoom(s)) }
+func (h *holderState) mayPlace(s *step) int { return min(h.toPlace(s), h.capRoom(s)) }
 
 // capRoom returns how many more tasks of a step its workspace may take.
-func (h *holding) capRoom(s *step) int {
+func (h *holderState) capRoom(s *step) int {
 	if s.job.workspace == "" {
 		return job.MaxTasks
 	}
@@ -56,22 +56,22 @@
 }
 
 // workspaceOf returns the workspace of a job as it is in force.
-func (h *holding) workspaceOf(j *submitted) workspace.Workspace {
+func (h *holderState) workspaceOf(j *trackedJob) workspace.Workspace {
 	return h.core.config.Workspace(j.workspace)
 }
 
 // placed returns what the tasks of a job take that have a place, unplaced what those would
 // that are neither done nor known to have one.
-func (j *submitted) placed() resource.Vector {
+func (j *trackedJob) placed() resource.Vector {
 	return j.sum(func(s *step) int { return s.attempts })
 }
 
-func (j *submitted) unplaced() resource.Vector {
+func (j *trackedJob) unplaced() resource.Vector {
 	return j.sum(func(s *step) int { return s.waiting })
 }
 
 // sum returns what some tasks of each step of a job need together.
-func (j *submitted) sum(tasks func(*step) int) resource.Vector {
+func (j *trackedJob) sum(tasks func(*step) int) resource.Vector {
 	var all resource.Vector
 	for _, in := range j.instances {
 		for _, s := range in.steps {
@@ -82,9 +82,9 @@
 }
 
 // leave notes what tasks may still run of a job that ended under an earlier holder.
-func (h *holding) leave(now time.Time, p job.Progress) {
+func (h *holderState) leave(now time.Time, p job.Progress) {
 	if p.Workspace != "" && h.core.unixMilli(now)-p.Ended < leftFor.Milliseconds() {
-		h.left[p.Workspace] = h.left[p.Workspace].Plus(p.Left)
+		h.leftoverUsage[p.Workspace] = h.leftoverUsage[p.Workspace].Plus(p.Left)
 	}
 }
 
@@ -95,11 +95,11 @@
 // hearUsage tells the usage what tasks of each workspace may run on workers that have not
 // told what they run: no more than there is room for, and no more than the tasks of which it
 // is not known where they are.
-func (h *holding) hearUsage() {
+func (h *holderState) hearUsage() {
 	var room resource.Vector
 	for _, w := range h.workersByName() {
 		switch {
-		case h.unsettled[w.Name]:
+		case h.unsettledWorkers[w.Name]:
 			room = room.Plus(w.Capacity)
 		case len(w.orphans) > 0:
 			room = room.Plus(w.free)
@@ -110,7 +110,7 @@
 		return
 	}
 	unheard := map[string]resource.Vector{}
-	for name, v := range ordered.Map(h.left) {
+	for name, v := range ordered.Map(h.leftoverUsage) {
 		unheard[name] = v
 	}
 	for _, j := range h.jobs {
@@ -122,12 +122,12 @@
 }
 
 // workspaceStatus says what the tasks of each workspace take and which of its jobs wait.
-func (h *holding) workspaceStatus() []job.WorkspaceStatus {
+func (h *holderState) workspaceStatus() []job.WorkspaceStatus {
 	waiting, capped := map[string]int{}, map[string]int{}
-	for _, s := range h.open {
+	for _, s := range h.openSteps {
 		if s.open && s.waiting > 0 {
 			waiting[s.job.workspace]++
-			if s.capped {
+			if s.heldByCap {
 				capped[s.job.workspace]++
 			}
 		}
--- a/services/dispatch/caps_test.go
+++ b/services/dispatch/caps_test.go
@@ -34,7 +34,7 @@
 			w := newWorld(t, 81000+seed, 3, 8)
 			w.hasWorkspaces()
 			w.lateShare = []float64{0, 0, 0.05}[w.rng.Intn(3)]
-			w.serves()
+			w.waitUntilServing()
 			for range 4 {
 				w.after(time.Duration(w.rng.Intn(15000))*time.Millisecond, w.changeCaps)
 			}
@@ -147,7 +147,7 @@
 func TestAGangThatItsCapCanNeverHoldIsRefusedAtOnce(t *testing.T) {
 	w := newWorld(t, 1, 1, 8)
 	w.hasWorkspaces()
-	w.serves()
+	w.waitUntilServing()
 	s := oneStep("wide", "quick", 40, true)
 	s.Workspace = "small"
 	got := w.answerTo(exchange.Submitted{Submission: s})
@@ -163,7 +163,7 @@
 func TestWhyAStepWaitsNamesTheCap(t *testing.T) {
 	w := newWorld(t, 1, 1, 8)
 	w.hasWorkspaces()
-	w.serves()
+	w.waitUntilServing()
 	s := oneStep("j", "quick", 40, false)
 	s.Workspace, s.Steps[0].Estimate = "small", 5000
 	assert.Equal(t, w.answerTo(exchange.Submitted{Submission: s}).Outcome, exchange.OK)
@@ -209,7 +209,7 @@
 func TestAKeyActsOnItsWorkspacesJobsOnly(t *testing.T) {
 	w := newWorld(t, 1, 1, 8)
 	w.hasWorkspaces()
-	w.serves()
+	w.waitUntilServing()
 	as := func(name string) *workspace.Caller {
 		return &workspace.Caller{Queue: "quick", Version: w.config.Version, Current: true, Workspace: name}
 	}
@@ -237,7 +237,7 @@
 func TestTheNewerConfigurationJudgesAKey(t *testing.T) {
 	w := newWorld(t, 1, 1, 8)
 	w.hasWorkspaces()
-	w.serves()
+	w.waitUntilServing()
 	key := workspace.DigestOf("k")
 	withKey, without := maps.Clone(w.config.Keys), maps.Clone(w.config.Keys)
 	withKey[key] = job.Key{Digest: key, Workspace: "small"}
@@ -283,7 +283,7 @@
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 1, 2, 8)
 			w.hasWorkspaces()
-			w.serves()
+			w.waitUntilServing()
 			first := oneStep("first", "quick", 2, false)
 			first.Workspace, first.Steps[0].Service = "small", true
 			first.Steps[0].Need.Processors = leastCap * resource.Processor / 4
--- a/services/dispatch/choice.go
+++ b/services/dispatch/choice.go
@@ -36,7 +36,7 @@
 }
 
 // largestCapacity returns the capacity of the worker with most processors.
-func (h *holding) largestCapacity() resource.Vector {
+func (h *holderState) largestCapacity() resource.Vector {
 	most := resource.Vector{}
 	for _, w := range h.workersByName() {
 		if w.Capacity.Processors > most.Processors {
@@ -78,12 +78,12 @@
 // widenChoice asks about more workers for a gang until those known to suit, and
 // those that will be by the answers under way, could hold its tasks a few times
 // over. A gang that has waited asks for a wider choice.
-func (h *holding) widenChoice(now time.Time, r ranked, candidates []*worker, roomy bool) {
+func (h *holderState) widenChoice(now time.Time, r ranked, candidates []*worker, roomy bool) {
 	s := r.step
-	if now.Before(s.widenAgain) {
+	if now.Before(s.nextWidenAt) {
 		return
 	}
-	s.widenAgain = now.Add(widenEvery)
+	s.nextWidenAt = now.Add(widenEvery)
 	good := h.learned.GoodShare(r.queue.Name)
 	missing := s.missing(s.choice(now, roomy), candidates, good)
 	if missing <= 0 {
--- a/services/dispatch/claim.go
+++ b/services/dispatch/claim.go
@@ -9,26 +9,26 @@
 	"saddlevane/models/exchange"
 )
 
-// tryClaim claims the cell, renews the claim or gives it to a better box,
+// updateClaim claims the cell, renews the claim or gives it to a better box,
 // whichever is due.
-func (c *Core) tryClaim(now time.Time) {
+func (c *Core) updateClaim(now time.Time) {
 	if a := c.authority.Tick(now); a != nil {
-		c.do(exchange.Append{Purpose: exchange.ForClaim, Number: a.Claim.Renewal, Append: a.Stream})
+		c.emit(exchange.Append{Purpose: exchange.ForClaim, Number: a.Claim.Renewal, Append: a.Stream})
 	}
 	c.askPledges(now)
 	c.moveToLarger(now)
-	c.followAuthority(now)
+	c.syncWithAuthority(now)
 }
 
-// followAuthority begins or ends the holding in line with the authority.
-func (c *Core) followAuthority(now time.Time) {
+// syncWithAuthority begins or ends the holding in line with the authority.
+func (c *Core) syncWithAuthority(now time.Time) {
 	epoch := c.authority.Epoch()
 	if c.holding != nil && (c.holding.epoch != epoch || c.authority.Current().Epoch > epoch) {
 		c.stepDown("another box holds the cell")
 		epoch = c.authority.Epoch()
 	}
 	if c.holding == nil && epoch != 0 && c.authority.Holds(now) {
-		c.holding = newHolding(c, now, epoch)
+		c.holding = newHolderState(c, now, epoch)
 		c.holding.begin(now)
 	}
 }
@@ -41,26 +41,26 @@
 	if h == nil {
 		return
 	}
-	h.refuseAll(why)
-	c.do(exchange.FollowWorkers{On: false})
-	c.note("stopped holding the cell", field("claim", h.epoch), field("reason", why),
-		field("holder", c.authority.Current().Box), field("holder_claim", c.authority.Current().Epoch))
+	h.replyUnsureToAll(why)
+	c.emit(exchange.FollowWorkers{On: false})
+	c.logEvent("stopped holding the cell", logField("claim", h.epoch), logField("reason", why),
+		logField("holder", c.authority.Current().Box), logField("holder_claim", c.authority.Current().Epoch))
 }
 
-// claimsRead takes a part of the stream of claims, or that it could not be
+// handleClaimsRead takes a part of the stream of claims, or that it could not be
 // read.
-func (c *Core) claimsRead(now time.Time, e exchange.ClaimsRead) {
+func (c *Core) handleClaimsRead(now time.Time, e exchange.ClaimsRead) {
 	if e.Failed != "" {
 		if c.authority.Steady() {
-			c.note("the log does not answer", field("reason", e.Failed))
+			c.logEvent("the log does not answer", logField("reason", e.Failed))
 		}
 		c.authority.ReadFailed()
 		return
 	}
 	before := c.authority.Current().Epoch
 	if !c.authority.Steady() {
-		c.logBackAt = now
-		c.note("the log answers", field("next", e.Next))
+		c.logRecoveredAt = now
+		c.logEvent("the log answers", logField("next", e.Next))
 	}
 	if e.Start {
 		c.authority.Start(now, e.Records, e.Next)
@@ -68,9 +68,9 @@
 		c.authority.Read(now, e.Records, e.Next)
 	}
 	if cur := c.authority.Current(); cur.Epoch != before {
-		c.note("a box holds the cell", field("holder", cur.Box), field("claim", cur.Epoch), field("earlier_claim", before))
+		c.logEvent("a box holds the cell", logField("holder", cur.Box), logField("claim", cur.Epoch), logField("earlier_claim", before))
 	}
 	if c.announced && c.config != nil {
-		c.tryClaim(now)
+		c.updateClaim(now)
 	}
 }
--- a/services/dispatch/core_test.go
+++ b/services/dispatch/core_test.go
@@ -13,23 +13,23 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTheEndOfAnEarlierAppendConfirmsNothing(t *testing.T) {
-	d := newDriven(t)
-	first := d.takeOver(time.Second)
-	d.claimed(claim.Claim{Epoch: 2, Box: "b", Incarnation: "b1"})
-	second := d.fences(d.claimed(claim.Claim{Epoch: 2, Box: "b", Incarnation: "b1", Released: true}))
+func TestStaleAppendDoesNotConfirmNewFence(t *testing.T) {
+	d := newHarness(t)
+	first := d.claimCell(time.Second)
+	d.readClaim(claim.Claim{Epoch: 2, Box: "b", Incarnation: "b1"})
+	second := d.confirmClaim(d.readClaim(claim.Claim{Epoch: 2, Box: "b", Incarnation: "b1", Released: true}))
 	effects := d.handle(exchange.AppendEnded{Purpose: exchange.ForJournal, Number: first.Number})
-	assert.Check(t, !loads(effects), "the jobs are read before the fence is in the log")
+	assert.Check(t, !hasLoadJobs(effects), "the jobs are read before the fence is in the log")
 	effects = d.handle(exchange.AppendEnded{Purpose: exchange.ForJournal, Number: second.Number})
-	assert.Check(t, loads(effects))
+	assert.Check(t, hasLoadJobs(effects))
 }
 
-func TestAHolderThatKnowsNoOtherBoxAsksForNoPledges(t *testing.T) {
-	d := newDriven(t)
-	d.takeOver(time.Second)
+func TestHolderWithoutOtherBoxesAsksForNoPledges(t *testing.T) {
+	d := newHarness(t)
+	d.claimCell(time.Second)
 	d.handle(exchange.ClaimsRead{Failed: "down"})
 	for range 10 {
-		for _, e := range d.later(100 * time.Millisecond) {
+		for _, e := range d.advance(100 * time.Millisecond) {
 			_, asked := e.(exchange.AskPledges)
 			assert.Check(t, !asked)
 		}
--- a/services/dispatch/crash_test.go
+++ b/services/dispatch/crash_test.go
@@ -104,7 +104,7 @@
 	t.Helper()
 	w := newWorld(t, seed, 3, workers)
 	w.crashesSeen = true
-	w.serves()
+	w.waitUntilServing()
 	return w
 }
 
--- a/services/dispatch/crashcases_test.go
+++ b/services/dispatch/crashcases_test.go
@@ -172,16 +172,16 @@
 // since the look before. Looks wait for half of a task's usual time, so this comes again and
 // again for the same task.
 func TestALookThatBreaksOffTellsWhenItsWorkerCrashed(t *testing.T) {
-	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
-	starts := only[exchange.StartRun](d.submits(oneStep("guilty", "quick", 1, false)))
+	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	starts := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("guilty", "quick", 1, false)))
 	assert.Equal(t, len(starts), 1)
 	run := starts[0].Order.Run
 	d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: run, Answer: order.Answer{Fate: order.Carried}})
-	waiting := only[exchange.Renew](d.handle(looked(looks["w"], run)))
+	waiting := effectsOf[exchange.Renew](d.handle(renewAnswer(looks["w"], run)))
 	assert.Equal(t, len(waiting), 1)
 	d.now = d.now.Add(waiting[0].Order.Wait.Duration() + 4*time.Millisecond)
 	broke := order.Answer{Fate: order.Unknown, Reason: order.Closed, Problem: "EOF"}
-	again := only[exchange.Renew](d.handle(exchange.RenewEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Look: waiting[0].Look, Answer: broke}))
+	again := effectsOf[exchange.Renew](d.handle(exchange.RenewEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Look: waiting[0].Look, Answer: broke}))
 	assert.Equal(t, len(again), 1)
 	lost := d.handle(exchange.RenewEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Look: again[0].Look, Answer: order.Answer{Fate: order.NoLife}})
 	assert.DeepEqual(t, noted(lost, "a worker crashed under a task", "late"), []any{"0s"})
@@ -190,7 +190,7 @@
 // noted returns the values of a field in the notes of some message.
 func noted(effects []exchange.Effect, message, name string) []any {
 	var all []any
-	for _, n := range only[exchange.Note](effects) {
+	for _, n := range effectsOf[exchange.Note](effects) {
 		for _, f := range n.Fields {
 			if n.Message == message && f.Name == name {
 				all = append(all, f.Value)
--- a/services/dispatch/delay.go
+++ b/services/dispatch/delay.go
@@ -16,13 +16,13 @@
 
 // waited notes what a step waits for at now.
 func (s *step) waited(now time.Time, why delays.Cause) {
-	if since := ordered.Later(s.waitedAt, s.openedAt); s.done+s.attempts == 0 && !since.IsZero() {
-		if s.waits == nil {
-			s.waits = delays.Totals{}
+	if since := ordered.Later(s.waitSumUntil, s.openedAt); s.done+s.attempts == 0 && !since.IsZero() {
+		if s.waitSum == nil {
+			s.waitSum = delays.Totals{}
 		}
-		s.waits[why] += now.Sub(since)
+		s.waitSum[why] += now.Sub(since)
 	}
-	s.waitedAt = now
+	s.waitSumUntil = now
 }
 
 // waitsFor returns what a step waits for that has found no place in a plan.
@@ -30,14 +30,14 @@
 	if s.advice.asking() {
 		return delays.Advice
 	}
-	if s.capped {
+	if s.heldByCap {
 		return delays.Cap
 	}
 	return delays.NoRoom
 }
 
 // last.
-func (j *submitted) delaysOf(in *instance) delays.Totals {
+func (j *trackedJob) delaysOf(in *instance) delays.Totals {
 	d := delays.Totals{}
 	opened := in.openedAt
 	if j.inherited {
@@ -46,7 +46,7 @@
 		d.Add(delays.Log, opened.Sub(in.dueAt))
 	}
 	for s := in.lastOf(nil); s != nil; s = in.lastOf(s.spec.After) {
-		for why, took := range s.delayed {
+		for why, took := range s.delaySum {
 			d[why] += took
 		}
 		if len(s.spec.After) == 0 {
@@ -72,23 +72,23 @@
 
 // usualObjective returns the time within which an instance was wanted whose steps
 // had taken what they usually take.
-func (h *holding) usualObjective(in *instance, q job.Queue) time.Duration {
+func (h *holderState) usualObjective(in *instance, q job.Queue) time.Duration {
 	longest := time.Duration(0)
-	for i, after := range ranking.WorkAfter(in.steps, h.usual, (*step).comesAfter) {
+	for i, after := range ranking.WorkAfter(in.steps, h.usual, (*step).dependencies) {
 		longest = max(longest, after+h.usual(in.steps[i]))
 	}
 	return time.Duration(q.Stretch*float64(longest)) + q.Latency
 }
 
 // noteEnded says how a job ended, against when it was wanted, and what delayed it.
-func (h *holding) noteEnded(now time.Time, j *submitted, state job.State, why string) {
+func (h *holderState) noteEnded(now time.Time, j *trackedJob, state job.State, why string) {
 	fields := []exchange.Field{
-		field("job", string(j.id)), field("queue", j.queue), field("workspace", j.workspace), field("outcome", string(state)), field("reason", why),
-		field("age", now.Sub(j.acceptedAt).String()), field("claim", h.epoch),
+		logField("job", string(j.id)), logField("queue", j.queue), logField("workspace", j.workspace), logField("outcome", string(state)), logField("reason", why),
+		logField("age", now.Sub(j.acceptedAt).String()), logField("claim", h.epoch),
 	}
 	if in := j.instances[0]; in != nil && state == job.Succeeded && j.submission.Instances() == 1 && !in.steps[0].spec.Service {
 		most := h.usualObjective(in, h.queueOf(j))
-		fields = append(fields, field("objective", most.String()), field("late", now.Sub(in.dueAt) > most), field("delays", j.delaysOf(in)))
+		fields = append(fields, logField("objective", most.String()), logField("late", now.Sub(in.dueAt) > most), logField("delays", j.delaysOf(in)))
 	}
-	h.core.note("job ended", fields...)
+	h.core.logEvent("job ended", fields...)
 }
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -50,32 +50,32 @@
 	authority *authority.Authority
 	members   authority.Boxes
 	config    *job.Config
-	// configSeenAt is when the last read of the configurations was asked for that has ended.
-	configSeenAt time.Time
+	// configReadAt is when the last read of the configurations was asked for that has ended.
+	configReadAt time.Time
 	// holding is set while this process holds the cell, or is about to.
-	holding *holding
+	holding *holderState
 	// out has the effects that Decide returns next.
-	out []exchange.Effect
+	effects []exchange.Effect
 
 	// announced says that the log has this life of the box, announcing that an
-	// append of it is under way, announceAt when one may be sent again.
-	announced  bool
-	announcing bool
-	announceAt time.Time
-	// stopAt is when a planned stop is complete, stopDone that this was told.
-	stopAt   time.Time
-	stopDone bool
-	// pledging says that the other boxes are being asked not to claim, pledgeAgain
+	// append of it is under way, announceRetryAt when one may be sent again.
+	announced       bool
+	announcing      bool
+	announceRetryAt time.Time
+	// stopAt is when a planned stop is complete, stopped that this was told.
+	stopDeadline time.Time
+	stopped      bool
+	// pledging says that the other boxes are being asked not to claim, pledgeRetryAt
 	// when they may be asked again.
-	pledging    bool
-	pledgeAgain time.Time
-	// logBackAt is when the log last began to answer after a silence.
-	logBackAt time.Time
+	awaitingPledges bool
+	pledgeRetryAt   time.Time
+	// logRecoveredAt is when the log last began to answer after a silence.
+	logRecoveredAt time.Time
 	// suspended is by how much the time that the reducer is told is ahead of the time of
 	// day, because the machine was suspended.
-	suspended time.Duration
-	// moveAgain is when a larger box may next be asked to take the cell.
-	moveAgain time.Time
+	suspendOffset time.Duration
+	// moveRetryAt is when a larger box may next be asked to take the cell.
+	moveRetryAt time.Time
 }
 
 // New returns the state of a process that has just started.
@@ -86,12 +86,12 @@
 	}
 }
 
-// Woke tells by how much the times that are told from now on are ahead of the time of day,
+// SetSuspendOffset tells by how much the times that are told from now on are ahead of the time of day,
 // because the machine was suspended for so long.
-func (c *Core) Woke(suspended time.Duration) { c.suspended = suspended }
+func (c *Core) SetSuspendOffset(suspended time.Duration) { c.suspendOffset = suspended }
 
 // unixMilli returns the time of day at now, in milliseconds since 1970.
-func (c *Core) unixMilli(now time.Time) int64 { return now.Add(-c.suspended).UnixMilli() }
+func (c *Core) unixMilli(now time.Time) int64 { return now.Add(-c.suspendOffset).UnixMilli() }
 
 // HoldsUntil returns the claim under which this process may give orders, and until when.
 func (c *Core) HoldsUntil() (epoch int64, until time.Time) {
@@ -107,13 +107,13 @@
 // Holder returns the claim in force.
 func (c *Core) Holder() claim.Claim { return c.authority.Current() }
 
-// Holds says whether this process serves the cell's jobs at now.
-func (c *Core) Holds(now time.Time) bool {
-	return c.holding != nil && c.holding.phase == active && c.authority.Holds(now)
+// IsServing says whether this process serves the cell's jobs at now.
+func (c *Core) IsServing(now time.Time) bool {
+	return c.holding != nil && c.holding.phase == phaseActive && c.authority.Holds(now)
 }
 
-// Steady says whether the log answers this process.
-func (c *Core) Steady() bool { return c.authority.Steady() }
+// IsLogReachable says whether the log answers this process.
+func (c *Core) IsLogReachable() bool { return c.authority.Steady() }
 
 // LogReadAt returns when the log last answered a read of this process.
 func (c *Core) LogReadAt() time.Time { return c.authority.ReadAt() }
@@ -124,19 +124,19 @@
 	case exchange.Tick:
 		c.tick(now)
 	case exchange.Decided:
-		c.decided(now, e.Took)
+		c.handleDecided(now, e.Took)
 	case exchange.Stop:
 		c.beginStop(now)
 	case exchange.ConfigRead:
-		c.configRead(e.Config)
+		c.handleConfigRead(e.Config)
 	case exchange.ConfigSeen:
-		c.configSeenAt = ordered.Later(c.configSeenAt, e.AskedAt)
+		c.configReadAt = ordered.Later(c.configReadAt, e.AskedAt)
 	case exchange.ClaimsRead:
-		c.claimsRead(now, e)
+		c.handleClaimsRead(now, e)
 	case exchange.MembersRead:
 		c.membersRead(now, e.Members)
 	case exchange.AppendEnded:
-		c.appendEnded(now, e)
+		c.handleAppendEnded(now, e)
 	case exchange.PledgeAsked:
 		c.pledgeAsked(now, e)
 	case exchange.Pledged:
@@ -146,15 +146,15 @@
 	case exchange.Invited:
 		c.invited(e)
 	case exchange.Submitted:
-		c.call(now, e.Call, e.Caller, func(h *holding) { h.submit(now, e) })
+		c.serveCall(now, e.Call, e.Caller, func(h *holderState) { h.submit(now, e) })
 	case exchange.CancelAsked:
-		c.call(now, e.Call, e.Caller, func(h *holding) { h.cancel(now, e) })
+		c.serveCall(now, e.Call, e.Caller, func(h *holderState) { h.cancel(now, e) })
 	case exchange.StateAsked:
-		c.call(now, e.Call, e.Caller, func(h *holding) { h.replyState(e) })
+		c.serveCall(now, e.Call, e.Caller, func(h *holderState) { h.replyState(e) })
 	case exchange.ExplanationAsked:
-		c.call(now, e.Call, nil, func(h *holding) { h.askExplanation(now, e) })
+		c.serveCall(now, e.Call, nil, func(h *holderState) { h.askExplanation(now, e) })
 	case exchange.CountAsked:
-		c.call(now, e.Call, e.Caller, func(h *holding) { h.replyCount(e) })
+		c.serveCall(now, e.Call, e.Caller, func(h *holderState) { h.replyCount(e) })
 	default:
 		if c.holding != nil {
 			c.holding.handle(now, e)
@@ -168,76 +168,76 @@
 	if h := c.holding; h != nil {
 		h.decide(now)
 	}
-	out := c.out
-	c.out = nil
+	out := c.effects
+	c.effects = nil
 	return out
 }
 
-// decided delays the next plan by what the last one took.
-func (c *Core) decided(now time.Time, took time.Duration) {
+// handleDecided delays the next plan by what the last one took.
+func (c *Core) handleDecided(now time.Time, took time.Duration) {
 	if h := c.holding; h != nil {
-		h.planAt = ordered.Later(h.planAt, now.Add(h.budget.RecordDuration(h.planned.Clamp(took))))
+		h.nextPlanAt = ordered.Later(h.nextPlanAt, now.Add(h.planBudget.RecordDuration(h.planTimes.Clamp(took))))
 	}
 }
 
-// AnswersTake returns the time within which most workers answer the holder at present, or
+// WorkerAnswerTime returns the time within which most workers answer the holder at present, or
 // 0 if that is not known.
-func (c *Core) AnswersTake(now time.Time) time.Duration {
+func (c *Core) WorkerAnswerTime(now time.Time) time.Duration {
 	if c.holding == nil {
 		return 0
 	}
-	return c.holding.answers.UpperQuartile(now)
+	return c.holding.answerDelays.UpperQuartile(now)
 }
 
-// Plans returns how many plans were made under the present claim.
-func (c *Core) Plans() int {
+// PlanCount returns how many plans were made under the present claim.
+func (c *Core) PlanCount() int {
 	if c.holding == nil {
 		return 0
 	}
-	return c.holding.passes
+	return c.holding.planCount
 }
 
-func (c *Core) do(e exchange.Effect) { c.out = append(c.out, e) }
+func (c *Core) emit(e exchange.Effect) { c.effects = append(c.effects, e) }
 
-func (c *Core) note(message string, fields ...exchange.Field) {
-	c.do(exchange.Note{Message: message, Fields: fields})
+func (c *Core) logEvent(message string, fields ...exchange.Field) {
+	c.emit(exchange.Note{Message: message, Fields: fields})
 }
 
-// field returns a named value of a note.
-func field(name string, value any) exchange.Field { return exchange.Field{Name: name, Value: value} }
+// logField returns a named value of a note.
+func logField(name string, value any) exchange.Field { return exchange.Field{Name: name, Value: value} }
 
 func (c *Core) reply(call exchange.CallID, a exchange.Answer) {
-	c.do(exchange.Reply{Call: call, Reply: a})
+	c.emit(exchange.Reply{Call: call, Reply: a})
 }
 
-// call runs f if this process serves the cell's jobs and the caller may call. A holder that
+// serveCall runs f if this process serves the cell's jobs and the caller may call. A holder that
 // was paused does not know what others have done meanwhile.
-func (c *Core) call(now time.Time, id exchange.CallID, caller *workspace.Caller, f func(*holding)) {
-	if !c.Holds(now) {
-		c.elsewhere(id, "this box does not hold the cell")
+func (c *Core) serveCall(now time.Time, id exchange.CallID, caller *workspace.Caller, f func(*holderState)) {
+	if !c.IsServing(now) {
+		c.replyElsewhere(id, "this box does not hold the cell")
 		return
 	}
-	if v := workspaces.Judge(c.config, c.ConfigIsCurrent(now), caller); v != workspaces.Allowed {
+	if v := workspaces.Judge(c.config, c.IsConfigCurrent(now), caller); v != workspaces.Allowed {
 		c.reply(id, workspaces.Refused(v))
 		return
 	}
 	f(c.holding)
 }
 
-// ConfigIsCurrent says whether the configuration is known to be the newest, but for changes
+// IsConfigCurrent says whether the configuration is known to be the newest, but for changes
 // that are not in force everywhere yet.
-func (c *Core) ConfigIsCurrent(now time.Time) bool { return now.Before(c.ConfigIsCurrentUntil()) }
+func (c *Core) IsConfigCurrent(now time.Time) bool { return now.Before(c.ConfigCurrentUntil()) }
 
-// ConfigIsCurrentUntil returns until when that holds if nothing more is read.
-func (c *Core) ConfigIsCurrentUntil() time.Time {
-	return c.configSeenAt.Add(c.settings.ConfigWithin - configMargin)
+// ConfigCurrentUntil returns until when that holds if nothing more is read.
+func (c *Core) ConfigCurrentUntil() time.Time {
+	return c.configReadAt.Add(c.settings.ConfigPropagation - configMargin)
 }
 
-// elsewhere answers that nothing was done here, and when to come back.
-func (c *Core) elsewhere(id exchange.CallID, reason string) {
+// replyElsewhere answers that nothing was done here, and when to come back.
+func (c *Core) replyElsewhere(id exchange.CallID, reason string) {
 	holder := c.Holder()
 	c.reply(id, exchange.Answer{
-		Outcome: exchange.Elsewhere, Reason: reason, Holder: &holder, RetryAfter: job.Milliseconds(comeBack.Milliseconds()),
+		Outcome: exchange.Elsewhere, Reason: reason, Holder: &holder, RetryAfter: job.Milliseconds(noHolderRetryAfter.Milliseconds()),
 	})
 }
 
@@ -245,17 +245,17 @@
 func (c *Core) tick(now time.Time) {
 	c.announce(now)
 	if c.announced && c.config != nil {
-		c.tryClaim(now)
+		c.updateClaim(now)
 	}
 	if h := c.holding; h != nil {
 		h.tick(now)
 	}
-	c.stopOn(now)
+	c.continueStop(now)
 }
 
 // announce tells the other boxes where this one is.
 func (c *Core) announce(now time.Time) {
-	if c.announced || c.announcing || now.Before(c.announceAt) {
+	if c.announced || c.announcing || now.Before(c.announceRetryAt) {
 		return
 	}
 	value, err := json.Marshal(c.self)
@@ -264,40 +264,40 @@
 		panic(err)
 	}
 	c.announcing = true
-	c.do(exchange.Append{Purpose: exchange.ForAnnounce, Append: stream.Append{
+	c.emit(exchange.Append{Purpose: exchange.ForAnnounce, Append: stream.Append{
 		Stream: stream.Boxes, Records: []stream.Record{{Key: c.self.Box, Value: value}},
 	}})
 }
 
-// configRead puts a configuration in force if it is newer.
-func (c *Core) configRead(config job.Config) {
+// handleConfigRead puts a configuration in force if it is newer.
+func (c *Core) handleConfigRead(config job.Config) {
 	if c.config != nil && config.Version <= c.config.Version {
 		return
 	}
 	c.config = &config
-	c.note("configuration in force", field("config", config.Version), field("queues", len(config.Queues)),
-		field("workspaces", len(config.Workspaces)))
+	c.logEvent("configuration in force", logField("config", config.Version), logField("queues", len(config.Queues)),
+		logField("workspaces", len(config.Workspaces)))
 	if c.holding != nil {
 		c.holding.addPools(config)
 		c.holding.planDue = true
 	}
 }
 
-// appendEnded takes the end of an append to whoever asked for it.
-func (c *Core) appendEnded(now time.Time, e exchange.AppendEnded) {
+// handleAppendEnded takes the end of an append to whoever asked for it.
+func (c *Core) handleAppendEnded(now time.Time, e exchange.AppendEnded) {
 	switch e.Purpose {
 	case exchange.ForAnnounce:
 		c.announcing = false
 		c.announced = e.Err == nil
-		c.announceAt = now.Add(appendAgain)
+		c.announceRetryAt = now.Add(appendRetryDelay)
 		if e.Err != nil {
-			c.note("announcing this box failed", field("error", e.Err.Error()))
+			c.logEvent("announcing this box failed", logField("error", e.Err.Error()))
 		}
 	case exchange.ForClaim:
 		if !c.authority.Appended(now, e.Number, e.Offset, e.Err) && e.Err != nil {
-			c.note("a claim or renewal was not confirmed", field("error", e.Err.Error()))
+			c.logEvent("a claim or renewal was not confirmed", logField("error", e.Err.Error()))
 		}
-		c.followAuthority(now)
+		c.syncWithAuthority(now)
 	case exchange.ForJournal:
 		if c.holding != nil {
 			c.holding.journalAppendEnded(now, e)
--- a/services/dispatch/dispatch_test.go
+++ b/services/dispatch/dispatch_test.go
@@ -17,22 +17,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// serving returns a world in which a box serves the cell's jobs.
-func serving(t *testing.T, seed int64, boxes, workers int) *world {
+// newServingWorld returns a world in which a box serves the cell's jobs.
+func newServingWorld(t *testing.T, seed int64, boxes, workers int) *world {
 	t.Helper()
 	w := newWorld(t, seed, boxes, workers)
-	w.serves()
+	w.waitUntilServing()
 	return w
 }
 
-// serves waits until a box serves the cell's jobs.
-func (w *world) serves() {
+// waitUntilServing waits until a box serves the cell's jobs.
+func (w *world) waitUntilServing() {
 	w.until(5*time.Second, "a box holds the cell", func() bool { return w.holder() != nil })
 	w.run(time.Second)
 }
 
-func TestAGangCountsOnceWhenAllItsMembersEndWell(t *testing.T) {
-	w := serving(t, 1, 1, 6)
+func TestGangCompletesOnceWhenAllMembersSucceed(t *testing.T) {
+	w := newServingWorld(t, 1, 1, 6)
 	s := oneStep("j", "quick", 4, true)
 	s.Steps = append(s.Steps, job.Step{Tasks: 2, Need: need, Estimate: 500, After: []int{0}})
 	w.submit(s)
@@ -40,8 +40,8 @@
 	w.check()
 }
 
-func TestTasksOfAWorkerThatNeverAnswersAgainStartElsewhere(t *testing.T) {
-	w := serving(t, 2, 1, 2)
+func TestTasksOfLostWorkerStartElsewhere(t *testing.T) {
+	w := newServingWorld(t, 2, 1, 2)
 	a := w.submit(oneStep("j", "quick", 12, false))
 	w.until(5*time.Second, "tasks run", func() bool { return len(w.workers[0].runs) > 0 || len(w.workers[1].runs) > 0 })
 	lost := w.workers[0]
@@ -54,9 +54,9 @@
 	w.check()
 }
 
-func TestFailedEndsToldAgainToTheNextHolderCountOnce(t *testing.T) {
+func TestFailuresReportedToTwoHoldersCountOnce(t *testing.T) {
 	for seed := range int64(12) {
-		w := serving(t, 100+seed, 3, 4)
+		w := newServingWorld(t, 100+seed, 3, 4)
 		w.workers[0].failAll = true
 		for i := range 6 {
 			w.submit(oneStep(fmt.Sprintf("j%d", i), "wide", 4, false))
@@ -69,7 +69,7 @@
 		w.states()
 		w.run(100 * time.Millisecond)
 		for _, a := range w.jobs {
-			if a.state == job.Failed && !failedOften(a) {
+			if a.state == job.Failed && !reachedMaxFailures(a) {
 				w.fail("%s is shown as failed after %v", a.sub.ID, a.failures)
 			}
 		}
@@ -77,8 +77,8 @@
 	}
 }
 
-// failedOften says whether some task of a job failed as often as it may.
-func failedOften(a *asked) bool {
+// reachedMaxFailures says whether some task of a job failed as often as it may.
+func reachedMaxFailures(a *asked) bool {
 	for _, n := range a.failures {
 		if n >= config().Queues[a.sub.Queue].Attempts {
 			return true
@@ -87,9 +87,9 @@
 	return false
 }
 
-func TestARunThatIsEndingKeepsItsPlace(t *testing.T) {
+func TestStoppingRunKeepsItsRoomUntilItEnds(t *testing.T) {
 	for seed := range int64(10) {
-		w := serving(t, 200+seed, 1, 2)
+		w := newServingWorld(t, 200+seed, 1, 2)
 		for i := range 8 {
 			s := oneStep(fmt.Sprintf("j%d", i), "quick", 2, false)
 			s.Steps[0].Need = resource.Vector{Processors: 30 * resource.Processor}
@@ -101,8 +101,8 @@
 	}
 }
 
-func TestTheCellMovesToABoxThatTheLogAnswers(t *testing.T) {
-	w := serving(t, 3, 3, 4)
+func TestCellMovesToBoxThatReachesTheLog(t *testing.T) {
+	w := newServingWorld(t, 3, 3, 4)
 	first := w.holder()
 	first.noLog = true
 	w.until(1500*time.Millisecond, "another box holds the cell", func() bool {
@@ -114,8 +114,8 @@
 	w.check()
 }
 
-func TestNoCallerWaitsForALogThatIsSilent(t *testing.T) {
-	w := serving(t, 8, 1, 2)
+func TestCallersAreAnsweredWhileLogIsSilent(t *testing.T) {
+	w := newServingWorld(t, 8, 1, 2)
 	w.logSilent = true
 	for i := range 20 {
 		w.after(time.Duration(100*i)*time.Millisecond, func() {
@@ -136,8 +136,8 @@
 	w.check()
 }
 
-func TestAPlannedStopHandsTheCellOver(t *testing.T) {
-	w := serving(t, 9, 3, 4)
+func TestPlannedStopHandsOverTheCell(t *testing.T) {
+	w := newServingWorld(t, 9, 3, 4)
 	s := oneStep("j", "quick", 8, false)
 	s.Steps[0].Estimate = 8000
 	a := w.submit(s)
@@ -157,8 +157,8 @@
 	w.check()
 }
 
-func TestAnOlderConfigurationIsPassedOver(t *testing.T) {
-	w := serving(t, 10, 1, 2)
+func TestOlderConfigurationIsIgnored(t *testing.T) {
+	w := newServingWorld(t, 10, 1, 2)
 	b := w.boxes[0]
 	newer, older := config(), config()
 	newer.Version, older.Version = 7, 5
@@ -170,8 +170,8 @@
 	assert.Equal(t, len(b.core.Config().Queues), 2)
 }
 
-func TestLabelsAndSpreadAreKept(t *testing.T) {
-	w := serving(t, 11, 1, 6)
+func TestLabelAndPerWorkerLimitAreRespected(t *testing.T) {
+	w := newServingWorld(t, 11, 1, 6)
 	s := oneStep("j", "quick", 4, false)
 	s.Steps[0].Label, s.Steps[0].PerWorker = "r1", 2
 	s.Steps[0].Estimate = 3000
@@ -187,8 +187,8 @@
 	w.check()
 }
 
-func TestInstancesStartWhenTheyFallDue(t *testing.T) {
-	w := serving(t, 12, 3, 4)
+func TestInstancesStartWhenDue(t *testing.T) {
+	w := newServingWorld(t, 12, 3, 4)
 	s := oneStep("j", "quick", 2, false)
 	s.Steps[0].Estimate = 300
 	first := w.now.Add(2 * time.Second)
@@ -207,8 +207,8 @@
 	w.check()
 }
 
-func TestServiceTasksRunUntilTheJobIsCancelled(t *testing.T) {
-	w := serving(t, 13, 1, 3)
+func TestServiceTasksRestartUntilJobIsCancelled(t *testing.T) {
+	w := newServingWorld(t, 13, 1, 3)
 	s := oneStep("j", "quick", 3, false)
 	s.Steps[0].Service, s.Steps[0].Estimate = true, 400
 	a := w.submit(s)
@@ -227,8 +227,8 @@
 	}
 }
 
-func TestJobsThatCanNeverRunHoldNobodyUp(t *testing.T) {
-	w := serving(t, 14, 1, 4)
+func TestUnplaceableJobsDoNotBlockOthers(t *testing.T) {
+	w := newServingWorld(t, 14, 1, 4)
 	for i := range 320 {
 		s := oneStep(fmt.Sprintf("never%d", i), "quick", 1, false)
 		s.Steps[0].Need = resource.Vector{Processors: 100 * resource.Processor}
@@ -241,8 +241,8 @@
 	w.check()
 }
 
-func TestAcceptedJobsOutliveTheirQueue(t *testing.T) {
-	w := serving(t, 15, 3, 3)
+func TestAcceptedJobsRunAfterTheirQueueIsRemoved(t *testing.T) {
+	w := newServingWorld(t, 15, 3, 3)
 	s := oneStep("j", "wide", 2, false)
 	s.Steps = append(s.Steps, job.Step{Tasks: 2, Need: need, Estimate: 1000, After: []int{0}})
 	a := w.submit(s)
@@ -257,13 +257,13 @@
 		w.killBox(b, 500*time.Millisecond)
 	}
 	w.until(30*time.Second, "the job has ended", w.ended)
-	assert.Check(t, a.state == job.Succeeded || failedOften(a), "%s", a.state)
+	assert.Check(t, a.state == job.Succeeded || reachedMaxFailures(a), "%s", a.state)
 	w.check()
 }
 
-func TestNoMemberOfAGangWaitsAloneOnACalmDay(t *testing.T) {
+func TestGangsNeverStartIncompleteWithoutFaults(t *testing.T) {
 	for seed := range int64(5) {
-		w := serving(t, 300+seed, 3, 8)
+		w := newServingWorld(t, 300+seed, 3, 8)
 		for i := range 30 {
 			s := w.randomJob(i)
 			for k := range s.Steps {
@@ -277,7 +277,7 @@
 	}
 }
 
-func TestTheCellMovesToALargerBox(t *testing.T) {
+func TestCellMovesToLargerBox(t *testing.T) {
 	w := newWorld(t, 7, 4, 4)
 	w.boxes[2].size = 8
 	w.boxes[2].kill()
@@ -289,7 +289,7 @@
 	w.check()
 }
 
-func TestTheLargestBoxThatTheLogAnswersTakesTheCell(t *testing.T) {
+func TestLargestBoxThatReachesTheLogTakesOver(t *testing.T) {
 	w := newWorld(t, 11, 5, 4)
 	for _, i := range []int{0, 2, 4} {
 		w.boxes[i].size = 8
@@ -308,7 +308,7 @@
 	w.check()
 }
 
-func TestASmallHolderInvitesNoBoxThatIsCutOff(t *testing.T) {
+func TestSmallHolderInvitesNoUnreachableBox(t *testing.T) {
 	w := newWorld(t, 12, 3, 4)
 	w.boxes[2].size = 8
 	w.boxes[2].kill()
@@ -326,8 +326,8 @@
 	}
 }
 
-func TestTheHolderGoesOnWhileTheLogAnswersNobody(t *testing.T) {
-	w := serving(t, 4, 3, 4)
+func TestHolderKeepsSchedulingWhileLogIsDown(t *testing.T) {
+	w := newServingWorld(t, 4, 3, 4)
 	s := oneStep("j", "quick", 2, false)
 	for i := 1; i < 5; i++ {
 		s.Steps = append(s.Steps, job.Step{Tasks: 1, Need: need, Estimate: 1000, After: []int{i - 1}})
@@ -342,8 +342,8 @@
 	w.check()
 }
 
-func TestACancelledJobStartsNothingMore(t *testing.T) {
-	w := serving(t, 5, 3, 2)
+func TestCancelledJobStartsNoMoreTasks(t *testing.T) {
+	w := newServingWorld(t, 5, 3, 2)
 	for i := range 10 {
 		a := w.submit(oneStep(fmt.Sprintf("j%d", i), "quick", 10, false))
 		w.after(500*time.Millisecond, func() { w.cancel(a) })
--- a/services/dispatch/fit.go
+++ b/services/dispatch/fit.go
@@ -38,7 +38,7 @@
 // its data, then those that are not slow, then those whose room no step of higher rank
 // waits for, then those whose tickets are valid, then the fullest that have room, so
 // that large holes stay whole.
-func (h *holding) fit(now time.Time, s *step, suited []*worker) ([]share, int) {
+func (h *holderState) fit(now time.Time, s *step, suited []*worker) ([]share, int) {
 	open := h.candidates(now, s, suited)
 	slices.SortFunc(open, candidate.compare)
 	shares := make([]share, len(open))
@@ -55,7 +55,7 @@
 
 // candidates returns the workers that have room for a step. Avoided ones take no
 // gang; to a step that is not short, slow ones are as good as others.
-func (h *holding) candidates(now time.Time, s *step, suited []*worker) []candidate {
+func (h *holderState) candidates(now time.Time, s *step, suited []*worker) []candidate {
 	open := make([]candidate, 0, len(suited))
 	short := h.expect(s) <= shortStep
 	for _, w := range suited {
@@ -81,7 +81,7 @@
 
 // openTo says whether a step may use a worker: one that is drained for a gang takes
 // short steps only besides, and one with a suspect no suspected gang.
-func (h *holding) openTo(w *worker, s *step, short bool) bool {
+func (h *holderState) openTo(w *worker, s *step, short bool) bool {
 	return (w.drainedFor == nil || w.drainedFor == s || short) && !(w.suspects > 0 && h.gangSuspected(s))
 }
 
--- a/services/dispatch/foreign_test.go
+++ b/services/dispatch/foreign_test.go
@@ -27,34 +27,34 @@
 }
 
 func TestWorkerWithUnreadableEntryKeepsTasksAndGetsNoMore(t *testing.T) {
-	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
-	start := only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))[0]
+	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	start := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))[0]
 	d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
-	d.answers(3*time.Second, looks)
-	told := only[exchange.EntryRefused](d.handle(refusedEntries("it cannot be read", "w", "x")))
+	d.answerRenewals(3*time.Second, looks)
+	told := effectsOf[exchange.EntryRefused](d.handle(refusedEntries("it cannot be read", "w", "x")))
 	assert.Equal(t, len(told), 2)
-	told = only[exchange.EntryRefused](d.handle(refusedEntries("it cannot be read", "w", "x")))
+	told = effectsOf[exchange.EntryRefused](d.handle(refusedEntries("it cannot be read", "w", "x")))
 	assert.Equal(t, len(told), 0, "it is told of once")
-	assert.Equal(t, d.startsOf(oneStep("k", "quick", 1, false), 3, looks), 0, "it gets no more")
-	state := only[exchange.Reply](d.handle(exchange.StateAsked{Call: 9, Job: "j"}))[0].Reply.State
+	assert.Equal(t, d.submitAndCountStarts(oneStep("k", "quick", 1, false), 3, looks), 0, "it gets no more")
+	state := effectsOf[exchange.Reply](d.handle(exchange.StateAsked{Call: 9, Job: "j"}))[0].Reply.State
 	assert.Equal(t, state, job.Running, "it keeps its task")
-	d.handle(exchange.WorkersRead{Listing: order.Listing{Present: []order.Worker{{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize}}}})
-	assert.Equal(t, d.answers(time.Second, looks), 1, "it is a worker again")
+	d.handle(exchange.WorkersRead{Listing: order.Listing{Present: []order.Worker{{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity}}}})
+	assert.Equal(t, d.answerRenewals(time.Second, looks), 1, "it is a worker again")
 }
 
 func TestWorkerOfUnnamedPoolIsNotContacted(t *testing.T) {
-	d, _ := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
-	other := order.Worker{Life: order.Life{Name: "o"}, Address: "o", Pool: "other", Capacity: fullSize}
+	d, _ := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	other := order.Worker{Life: order.Life{Name: "o"}, Address: "o", Pool: "other", Capacity: workerCapacity}
 	effects := d.handle(exchange.WorkersRead{Listing: order.Listing{Present: []order.Worker{other}}})
-	effects = append(effects, d.later(200*time.Millisecond)...)
-	for _, r := range only[exchange.Renew](effects) {
+	effects = append(effects, d.advance(200*time.Millisecond)...)
+	for _, r := range effectsOf[exchange.Renew](effects) {
 		assert.Check(t, r.Worker.Name != "o")
 	}
 	c := config()
 	c.Version, c.Guarded = 2, map[string]bool{"other": false}
-	effects = append(d.handle(exchange.ConfigRead{Config: c}), d.later(200*time.Millisecond)...)
+	effects = append(d.handle(exchange.ConfigRead{Config: c}), d.advance(200*time.Millisecond)...)
 	asked := false
-	for _, r := range only[exchange.Renew](effects) {
+	for _, r := range effectsOf[exchange.Renew](effects) {
 		asked = asked || r.Worker.Name == "o"
 	}
 	assert.Check(t, asked, "a configuration names its pool")
@@ -72,18 +72,18 @@
 	f.Add("times", []byte(`{"quick":[1,2,3]}`))
 	f.Add("other", []byte(`{}`))
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
-		d := newDriven(t)
-		fence := d.takeOver(time.Second)
+		d := newHarness(t)
+		fence := d.claimCell(time.Second)
 		d.handle(exchange.AppendEnded{Purpose: exchange.ForJournal, Number: fence.Number})
 		records := []stream.Record{{Key: "s/j", Value: good, Offset: 1}, {Key: key, Value: value, Offset: 2}}
 		d.handle(exchange.JobsLoaded{Epoch: 1, Records: records})
-		w := order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize}
+		w := order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity}
 		d.handle(exchange.WorkersRead{Listing: order.Listing{Whole: true, Present: []order.Worker{w}}})
-		d.later(time.Second)
+		d.advance(time.Second)
 		if strings.HasSuffix(key, "/j") {
 			return
 		}
-		state := only[exchange.Reply](d.handle(exchange.StateAsked{Call: 9, Job: "j"}))
+		state := effectsOf[exchange.Reply](d.handle(exchange.StateAsked{Call: 9, Job: "j"}))
 		assert.Check(t, len(state) == 0 || state[0].Reply.Outcome != exchange.NoJob, "the others hold")
 	})
 }
--- a/services/dispatch/fuzz_test.go
+++ b/services/dispatch/fuzz_test.go
@@ -35,30 +35,30 @@
 		if json.Unmarshal(data, &s) != nil || s.Check() != nil {
 			return
 		}
-		w := order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize}
-		d, looks := holding(t, w)
-		effects := append(d.handle(exchange.Submitted{Call: 1, Submission: s}), d.later(20*time.Millisecond)...)
+		w := order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity}
+		d, looks := newHolder(t, w)
+		effects := append(d.handle(exchange.Submitted{Call: 1, Submission: s}), d.advance(20*time.Millisecond)...)
 		var records []stream.Record
 		take := func(effects []exchange.Effect) []exchange.Effect {
-			if a := appendFor(effects, exchange.ForJournal); a != nil {
+			if a := findAppend(effects, exchange.ForJournal); a != nil {
 				records = append(records, a.Append.Records...)
 			}
-			return d.keepsAny(effects)
+			return d.confirmAnyAppend(effects)
 		}
-		effects = append(take(effects), d.later(20*time.Millisecond)...)
-		for _, start := range only[exchange.StartRun](effects) {
+		effects = append(take(effects), d.advance(20*time.Millisecond)...)
+		for _, start := range effectsOf[exchange.StartRun](effects) {
 			d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
 		}
 		gone := exchange.RenewEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Look: looks["w"].Look, Answer: order.Answer{Fate: order.NoLife}}
-		take(append(d.handle(gone), d.later(20*time.Millisecond)...))
+		take(append(d.handle(gone), d.advance(20*time.Millisecond)...))
 		for i := range records {
 			records[i].Offset = int64(i)
 		}
-		next := newDriven(t)
-		fence := next.takeOver(time.Second)
+		next := newHarness(t)
+		fence := next.claimCell(time.Second)
 		next.handle(exchange.AppendEnded{Purpose: exchange.ForJournal, Number: fence.Number})
 		next.handle(exchange.JobsLoaded{Epoch: 1, Records: records})
-		state := only[exchange.Reply](next.handle(exchange.StateAsked{Call: 9, Job: s.ID}))
+		state := effectsOf[exchange.Reply](next.handle(exchange.StateAsked{Call: 9, Job: s.ID}))
 		assert.Equal(t, len(state), 1)
 		assert.Check(t, state[0].Reply.Outcome != exchange.NoJob, "%s was kept and is not known", s.ID)
 	})
--- a/services/dispatch/gangs_test.go
+++ b/services/dispatch/gangs_test.go
@@ -82,7 +82,7 @@
 		b.kill()
 		b.start()
 	}
-	w.serves()
+	w.waitUntilServing()
 	return w
 }
 
@@ -95,16 +95,16 @@
 }
 
 // passes lets time pass while the claim is kept and workers go on answering.
-func (d *driven) passes(span time.Duration, looks map[string]exchange.Renew, running map[string][]order.Run) []exchange.Effect {
+func (d *harness) passes(span time.Duration, looks map[string]exchange.Renew, running map[string][]order.Run) []exchange.Effect {
 	d.t.Helper()
 	var all []exchange.Effect
 	for end := d.now.Add(span); d.now.Before(end); {
-		effects := d.later(20 * time.Millisecond)
-		d.claimEnded(effects)
+		effects := d.advance(20 * time.Millisecond)
+		d.confirmClaimRenewal(effects)
 		for _, r := range looks {
-			effects = append(effects, d.handle(looked(r, running[r.Worker.Name]...))...)
+			effects = append(effects, d.handle(renewAnswer(r, running[r.Worker.Name]...))...)
 		}
-		for _, r := range only[exchange.Renew](effects) {
+		for _, r := range effectsOf[exchange.Renew](effects) {
 			looks[r.Worker.Name] = r
 		}
 		all = append(all, effects...)
@@ -113,7 +113,7 @@
 }
 
 // advises answers a call for advice: all workers that it names suit.
-func (d *driven) advises(a exchange.Advise) []exchange.Effect {
+func (d *harness) advises(a exchange.Advise) []exchange.Effect {
 	e := exchange.Advised{Step: a.Step, Box: a.Box, Epoch: a.Epoch, Number: a.Number}
 	for _, w := range a.Workers {
 		e.Good = append(e.Good, order.Ticket{Worker: w, Ticket: "ticket"})
@@ -123,13 +123,13 @@
 
 // full has some workers, of which one runs a task of a sweep that takes some time, and
 // the queues of gangConfig.
-func full(t *testing.T, takes job.Milliseconds, workers ...string) (*driven, map[string]exchange.Renew, map[string][]order.Run) {
+func full(t *testing.T, takes job.Milliseconds, workers ...string) (*harness, map[string]exchange.Renew, map[string][]order.Run) {
 	t.Helper()
 	var all []order.Worker
 	for _, id := range workers {
-		all = append(all, order.Worker{Life: order.Life{Name: id}, Address: id, Pool: pool, Capacity: fullSize})
+		all = append(all, order.Worker{Life: order.Life{Name: id}, Address: id, Pool: pool, Capacity: workerCapacity})
 	}
-	d, looks := holding(t, all...)
+	d, looks := newHolder(t, all...)
 	c := gangConfig()
 	c.Version = 2
 	d.handle(exchange.ConfigRead{Config: c})
@@ -143,9 +143,9 @@
 	sweep.Steps[0].Estimate = takes
 	// A short one that cannot resume is not stopped.
 	sweep.Steps[0].Checkpoints = takes > 2000
-	effects := d.submits(sweep)
-	d.claimEnded(effects)
-	start := only[exchange.StartRun](effects)[0]
+	effects := d.submitAndLog(sweep)
+	d.confirmClaimRenewal(effects)
+	start := effectsOf[exchange.StartRun](effects)[0]
 	d.handle(exchange.StartEnded{Worker: start.Worker, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
 	return d, looks, map[string][]order.Run{start.Worker.Name: {start.Order.Run}}
 }
@@ -155,20 +155,20 @@
 	d, looks, running := full(t, 20_000, "w0", "w1")
 	d.core.Handle(d.now, exchange.Submitted{Call: 10, Submission: ofGang("first", 2)})
 	kept := d.handle(exchange.Submitted{Call: 11, Submission: ofGang("second", 2)})
-	for _, a := range only[exchange.Advise](kept) {
+	for _, a := range effectsOf[exchange.Advise](kept) {
 		d.advises(a)
 	}
 	// The tickets have run out by the time that the log has the jobs.
 	kept = append(kept, d.passes(1500*time.Millisecond, looks, running)...)
 	calls := map[job.ID][]exchange.Advise{}
-	opened := append(d.keepsAny(kept), d.passes(60*time.Millisecond, looks, running)...)
-	for _, a := range only[exchange.Advise](opened) {
+	opened := append(d.confirmAnyAppend(kept), d.passes(60*time.Millisecond, looks, running)...)
+	for _, a := range effectsOf[exchange.Advise](opened) {
 		calls[a.Step.Job] = append(calls[a.Step.Job], a)
 	}
 	assert.Equal(t, len(calls["first"]), 1)
 	assert.Equal(t, len(calls["second"]), 1, "it reserves the room of the sweep's task, which works on")
-	assert.Equal(t, len(only[exchange.StopRun](opened)), 0)
-	starts := only[exchange.StartRun](append(d.advises(calls["first"][0]), d.passes(20*time.Millisecond, looks, running)...))
+	assert.Equal(t, len(effectsOf[exchange.StopRun](opened)), 0)
+	starts := effectsOf[exchange.StartRun](append(d.advises(calls["first"][0]), d.passes(20*time.Millisecond, looks, running)...))
 	assert.Equal(t, len(starts), 2, "its room is free, whatever the second waits for")
 }
 
@@ -179,21 +179,21 @@
 	gang := ofGang("gang", 4)
 	gang.Steps[0].Need.Processors = 40 * resource.Processor
 	effects := d.handle(exchange.Submitted{Call: 10, Submission: gang})
-	effects = append(effects, d.keepsAny(effects)...)
-	for _, a := range only[exchange.Advise](effects) {
+	effects = append(effects, d.confirmAnyAppend(effects)...)
+	for _, a := range effectsOf[exchange.Advise](effects) {
 		d.advises(a)
 	}
 	listed := d.handle(exchange.WorkersRead{Listing: order.Listing{Present: []order.Worker{
-		{Life: order.Life{Name: "w2"}, Address: "w2", Pool: pool, Capacity: fullSize}, {Life: order.Life{Name: "w3"}, Address: "w3", Pool: pool, Capacity: fullSize},
+		{Life: order.Life{Name: "w2"}, Address: "w2", Pool: pool, Capacity: workerCapacity}, {Life: order.Life{Name: "w3"}, Address: "w3", Pool: pool, Capacity: workerCapacity},
 	}}})
-	for _, r := range only[exchange.Renew](listed) {
+	for _, r := range effectsOf[exchange.Renew](listed) {
 		looks[r.Worker.Name] = r
 	}
 	// Two more workers are asked about 0.9 s later.
 	effects = d.passes(800*time.Millisecond, looks, running)
 	for range 3 {
-		effects = append(d.keepsAny(effects), d.passes(100*time.Millisecond, looks, running)...)
-		for _, a := range only[exchange.Advise](effects) {
+		effects = append(d.confirmAnyAppend(effects), d.passes(100*time.Millisecond, looks, running)...)
+		for _, a := range effectsOf[exchange.Advise](effects) {
 			d.advises(a)
 		}
 	}
@@ -208,7 +208,7 @@
 	clear(running)
 	effects = append(effects, d.passes(40*time.Millisecond, looks, running)...)
 	var named []string
-	for _, a := range only[exchange.Advise](effects) {
+	for _, a := range effectsOf[exchange.Advise](effects) {
 		named = append(named, a.Workers...)
 	}
 	assert.DeepEqual(t, slices.Sorted(slices.Values(named)), []string{"w0", "w1", "w2", "w3"})
--- a/services/dispatch/gone.go
+++ b/services/dispatch/gone.go
@@ -11,16 +11,16 @@
 )
 
 // workerUnresponsive notes that a worker does not answer from now on.
-func (h *holding) workerUnresponsive(now time.Time, w *worker) {
-	w.presence.Silent(now, h.core.settings.Wait+renewMargin)
+func (h *holderState) workerUnresponsive(now time.Time, w *worker) {
+	w.presence.Silent(now, h.core.settings.RenewWait+renewMargin)
 	if w.trials == 0 {
-		h.docket.Silent(now, w.Life, w.Rack, w.risk())
+		h.blame.Silent(now, w.Life, w.Rack, w.risk())
 	}
 }
 
 // endingOf tells how the life of a worker has ended that does not answer any more, or
 // of which it is sure that it is over.
-func (h *holding) endingOf(now time.Time, w *worker, over bool) exchange.Ending {
+func (h *holderState) endingOf(now time.Time, w *worker, over bool) exchange.Ending {
 	if w.presence.SilentSince().IsZero() {
 		h.workerUnresponsive(now, w)
 	}
@@ -29,7 +29,7 @@
 
 // loseAttempts frees the tasks of a worker that has surely ended them. Later is the life that has
 // taken its place, or nil: tasks that it may begin are handed down to it.
-func (h *holding) loseAttempts(now time.Time, w, later *worker, how exchange.Ending, why string) {
+func (h *holderState) loseAttempts(now time.Time, w, later *worker, how exchange.Ending, why string) {
 	lost := exchange.TasksLost{How: how, Tasks: len(w.attempts)}
 	at := w.presence.SilentSince()
 	var suspects []blame.On
@@ -38,14 +38,14 @@
 	}
 	for _, a := range w.sortedAttempts() {
 		lost.Worked += a.maxWorkTime(at)
-		a.task().lost++
+		a.task().lostRuns++
 		if later != nil && a.mayStartOnSuccessor() {
 			h.moveToSuccessor(now, a, later)
 			continue
 		}
 		h.loseAttempt(now, a, why)
 	}
-	h.core.do(lost)
+	h.core.emit(lost)
 	if how == exchange.Crashed {
 		h.judge(now, w, suspects)
 	}
@@ -54,8 +54,8 @@
 // workTime returns for how long an attempt had been at work when its worker fell silent
 // at a time, if that is known.
 func (a *attempt) workTime(at time.Time) (time.Duration, bool) {
-	if a.beganAt.IsZero() {
-		return a.silentAfter, a.silentKnown
+	if a.firstOrderedAt.IsZero() {
+		return a.workedUntilSilence, a.workedUntilSilenceKnown
 	}
 	return a.maxWorkTime(at), true
 }
@@ -72,8 +72,8 @@
 // maxWorkTime returns for how long at most an attempt had been at work at a time, or 0
 // if an earlier holder started it.
 func (a *attempt) maxWorkTime(at time.Time) time.Duration {
-	if a.beganAt.IsZero() {
+	if a.firstOrderedAt.IsZero() {
 		return 0
 	}
-	return max(0, at.Sub(a.beganAt))
+	return max(0, at.Sub(a.firstOrderedAt))
 }
--- a/services/dispatch/handover.go
+++ b/services/dispatch/handover.go
@@ -16,25 +16,25 @@
 		return
 	}
 	c.authority.Stop()
-	c.stopAt = now.Add(c.settings.StopGrace)
+	c.stopDeadline = now.Add(c.settings.StopGrace)
 	if h := c.holding; h != nil {
-		h.yielding = true
+		h.shuttingDown = true
 	}
 }
 
-// stopOn hands the cell over once no caller waits for the log. What else waits is not
+// continueStop hands the cell over once no caller waits for the log. What else waits is not
 // lost: workers tell of ends until the log has them. Waiting for that too, a holder under
 // load would never be done, and went on refusing callers for half of its grace.
-func (c *Core) stopOn(now time.Time) {
-	if !c.authority.Stopping() || c.stopDone {
+func (c *Core) continueStop(now time.Time) {
+	if !c.authority.Stopping() || c.stopped {
 		return
 	}
-	if h := c.holding; h != nil && !c.authority.Busy() && (!h.journal.callersWait() || now.After(c.stopAt.Add(-c.settings.StopGrace/2))) {
+	if h := c.holding; h != nil && !c.authority.Busy() && (!h.journal.hasWaitingCallers() || now.After(c.stopDeadline.Add(-c.settings.StopGrace/2))) {
 		c.handOver(now)
 	}
-	if now.After(c.stopAt) {
-		c.stopDone = true
-		c.do(exchange.Stopped{})
+	if now.After(c.stopDeadline) {
+		c.stopped = true
+		c.emit(exchange.Stopped{})
 	}
 }
 
@@ -44,6 +44,6 @@
 	if release == nil {
 		return
 	}
-	c.do(exchange.Append{Purpose: exchange.ForClaim, Number: release.Claim.Renewal, Append: release.Stream})
+	c.emit(exchange.Append{Purpose: exchange.ForClaim, Number: release.Claim.Renewal, Append: release.Stream})
 	c.stepDown("handed over")
 }
--- a/services/dispatch/handover_test.go
+++ b/services/dispatch/handover_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestPlannedStopUnderLoadDoesNotWaitForEnds(t *testing.T) {
-	w := serving(t, 51, 3, 8)
+	w := newServingWorld(t, 51, 3, 8)
 	for i := range 120 {
 		s := oneStep(fmt.Sprint("j", i), "quick", 3, false)
 		s.Steps[0].Estimate = 300
@@ -25,7 +25,7 @@
 	first.post(exchange.Stop{})
 	// Two appends of the journal, at most: one under way, one with jobs that came
 	// before. Half of the grace of the stop is 750 ms.
-	w.until(600*time.Millisecond, "the box has given the cell up", func() bool { return !first.core.Holds(w.now) })
+	w.until(600*time.Millisecond, "the box has given the cell up", func() bool { return !first.core.IsServing(w.now) })
 	w.logSlow = 0
 	w.until(30*time.Second, "the jobs have ended", w.ended)
 	w.check()
--- a/services/dispatch/hidden.go
+++ b/services/dispatch/hidden.go
@@ -14,44 +14,44 @@
 // A worker may crash while no box holds the cell: only the log tells what ran there.
 
 // needsStartRecord says whether the log is told of a start: not if its run has ended well.
-func (h *holding) needsStartRecord(s recent.Start) bool {
+func (h *holderState) needsStartRecord(s recent.Start) bool {
 	st := h.findStep(s.Task.StepID)
 	return st != nil && !st.job.state.Final() && !st.tasks[s.Task.Index].done
 }
 
 // restoreStarts takes over which tasks earlier holders had started last.
-func (h *holding) restoreStarts(records [][]byte) {
+func (h *holderState) restoreStarts(records [][]byte) {
 	told, unread := recent.Read(records)
 	for _, err := range unread {
-		h.core.note("kept starts could not be read", field("error", err.Error()))
+		h.core.logEvent("kept starts could not be read", logField("error", err.Error()))
 	}
-	h.startedLast = told
+	h.inheritedStarts = told
 }
 
 // startedOn returns the tasks that an earlier holder had started on a worker which has not
 // told this one what it runs, as far as they may have run there until it crashed.
-func (h *holding) startedOn(w *worker, at time.Time) []blame.On {
+func (h *holderState) startedOn(w *worker, at time.Time) []blame.On {
 	var all []blame.On
-	for _, s := range h.startedLast.On(w.Life) {
+	for _, s := range h.inheritedStarts.On(w.Life) {
 		if st := h.possiblyLostStep(s); st != nil {
-			on := blame.StartedBefore(st.unit(s.Task.Index), s.UnixMilli, h.core.unixMilli(at), h.startedLast.Workers(st.id, st.spec.Gang))
+			on := blame.StartedBefore(st.unit(s.Task.Index), s.UnixMilli, h.core.unixMilli(at), h.inheritedStarts.Workers(st.id, st.spec.Gang))
 			on.Run, on.Gang = s.Run, st.spec.Gang
 			all = append(all, on)
 		}
 	}
-	h.startedLast.Forget(w.Life)
+	h.inheritedStarts.Forget(w.Life)
 	return all
 }
 
 // possiblyLostStep returns the step of a start if its task is not known to have run on, ended or begun
 // anew since, else nil.
-func (h *holding) possiblyLostStep(s recent.Start) *step {
+func (h *holderState) possiblyLostStep(s recent.Start) *step {
 	st := h.findStep(s.Task.StepID)
 	if st == nil || s.Task.Index >= len(st.tasks) || st.job.state.Final() {
 		return nil
 	}
 	t := &st.tasks[s.Task.Index]
-	if t.done || t.attempt != nil || t.lastRun > s.Run || slices.Contains(t.failed, s.Run) {
+	if t.done || t.attempt != nil || t.lastRun > s.Run || slices.Contains(t.failedRuns, s.Run) {
 		return nil
 	}
 	return st
--- a/services/dispatch/instances.go
+++ b/services/dispatch/instances.go
@@ -11,8 +11,8 @@
 	"saddlevane/services/ranking"
 )
 
-// dueInstances creates the instances that have fallen due.
-func (h *holding) dueInstances(now time.Time, j *submitted) {
+// createDueInstances creates the instances that have fallen due.
+func (h *holderState) createDueInstances(now time.Time, j *trackedJob) {
 	if j.submission.Repeat.Times == 0 {
 		if j.instances[0] == nil {
 			h.addInstance(j, 0, j.acceptedAt)
@@ -32,13 +32,13 @@
 		in := h.addInstance(j, j.nextInstance, now.Add(-time.Duration(h.core.unixMilli(now)-due.UnixMilli())*time.Millisecond))
 		j.nextInstance++
 		if j.accepted {
-			h.openInstance(now, in)
+			h.openReadySteps(now, in)
 		}
 	}
 }
 
 // addInstance creates one instance, which is wanted from due on.
-func (h *holding) addInstance(j *submitted, number int, due time.Time) *instance {
+func (h *holderState) addInstance(j *trackedJob, number int, due time.Time) *instance {
 	in := &instance{dueAt: due}
 	for i := range j.submission.Steps {
 		spec := &j.submission.Steps[i]
@@ -47,53 +47,53 @@
 			tasks: make([]task, spec.Tasks), waiting: spec.Tasks,
 		})
 	}
-	h.chains(in.steps)
+	h.updateCriticalPaths(in.steps)
 	j.instances[number] = in
 	return in
 }
 
-// chains sets how much work follows each step.
-func (h *holding) chains(steps []*step) {
-	for i, after := range ranking.WorkAfter(steps, h.expect, (*step).comesAfter) {
-		steps[i].after = after
-		steps[i].left = after + h.expect(steps[i])
+// updateCriticalPaths sets how much work follows each step.
+func (h *holderState) updateCriticalPaths(steps []*step) {
+	for i, after := range ranking.WorkAfter(steps, h.expect, (*step).dependencies) {
+		steps[i].criticalPathAfter = after
+		steps[i].criticalPath = after + h.expect(steps[i])
 	}
 }
 
-// chain returns the longest chain of an instance's work.
-func (in *instance) chain() time.Duration {
+// criticalPath returns the longest chain of an instance's work.
+func (in *instance) criticalPath() time.Duration {
 	longest := time.Duration(0)
 	for _, s := range in.steps {
-		longest = max(longest, s.left)
+		longest = max(longest, s.criticalPath)
 	}
 	return longest
 }
 
-// opened makes the tasks of a job that the log has ready to be placed.
-func (h *holding) opened(now time.Time, j *submitted) {
+// openInstances makes the tasks of a job that the log has ready to be placed.
+func (h *holderState) openInstances(now time.Time, j *trackedJob) {
 	for _, in := range ordered.Map(j.instances) {
-		h.openInstance(now, in)
+		h.openReadySteps(now, in)
 	}
 }
 
-// openInstance opens the steps whose earlier steps are done.
-func (h *holding) openInstance(now time.Time, in *instance) {
+// openReadySteps opens the steps whose earlier steps are done.
+func (h *holderState) openReadySteps(now time.Time, in *instance) {
 	if in.openedAt.IsZero() {
 		in.openedAt = now
 	}
 	for _, s := range in.steps {
-		if s.open || s.job.state.Final() || !in.reached(s) {
+		if s.open || s.job.state.Final() || !in.isReady(s) {
 			continue
 		}
 		s.open = true
 		s.openedAt = now
-		h.open = append(h.open, s)
+		h.openSteps = append(h.openSteps, s)
 		h.planDue = true
 	}
 }
 
-// reached says whether all steps before a step are done.
-func (in *instance) reached(s *step) bool {
+// isReady says whether all steps before a step are done.
+func (in *instance) isReady(s *step) bool {
 	for _, before := range s.spec.After {
 		if b := in.steps[before]; b.done < len(b.tasks) {
 			return false
@@ -102,15 +102,15 @@
 	return true
 }
 
-// fallDue opens instances of repeating jobs whose time has come.
-func (h *holding) fallDue(now time.Time) {
-	kept := h.repeating[:0]
-	for _, j := range h.repeating {
+// createAllDueInstances opens instances of repeating jobs whose time has come.
+func (h *holderState) createAllDueInstances(now time.Time) {
+	kept := h.repeatingJobs[:0]
+	for _, j := range h.repeatingJobs {
 		if j.state.Final() {
 			continue
 		}
-		h.dueInstances(now, j)
+		h.createDueInstances(now, j)
 		kept = append(kept, j)
 	}
-	h.repeating = kept
+	h.repeatingJobs = kept
 }
--- a/services/dispatch/jobs.go
+++ b/services/dispatch/jobs.go
@@ -15,27 +15,27 @@
 	"saddlevane/services/restarts"
 )
 
-// submitted is one job.
-type submitted struct {
+// trackedJob is one job.
+type trackedJob struct {
 	id    job.ID
 	queue string
 	// workspace is whose job it is, or empty; beyond says that it was more than its share.
-	workspace string
-	beyond    bool
-	// acceptedIn is how the queue was treated when the job was accepted.
-	acceptedIn job.Queue
+	workspace   string
+	beyondShare bool
+	// acceptedQueue is how the queue was treated when the job was accepted.
+	acceptedQueue job.Queue
 	// submission is nil once the job's end is kept.
 	submission *job.Submission
 	// acceptedUnix is in milliseconds since 1970; acceptedAt is the same on the
 	// clock that the reducer is told.
-	acceptedUnix int64
-	acceptedAt   time.Time
-	instances    map[int]*instance
+	acceptedUnixMilli int64
+	acceptedAt        time.Time
+	instances         map[int]*instance
 	// nextInstance is the first one that has not fallen due.
 	nextInstance  int
 	doneInstances int
 	// state is what is believed; shown is what the log has and callers are told.
-	state, shown job.State
+	state, loggedState job.State
 	// accepted says that the log has the job.
 	accepted bool
 	// inherited says that an earlier holder accepted it.
@@ -43,18 +43,18 @@
 	// started says that some task is, or was, at work.
 	started bool
 	// why says why it has failed.
-	why string
+	failReason string
 	// ended is when it reached its final state, in milliseconds since 1970.
-	ended int64
+	endedUnixMilli int64
 	// dirty says that its progress waits for the journal.
 	dirty bool
 	// closed says that the log has the final state.
-	closed bool
+	endLogged bool
 	// ends are those that wait for the next append of the job's progress.
-	ends []*ends.Report[*worker]
-	// waitAccept and waitCancel are callers who wait for the log.
-	waitAccept []exchange.CallID
-	waitCancel []exchange.CallID
+	unloggedEnds []*ends.Report[*worker]
+	// acceptCalls and cancelCalls are callers who wait for the log.
+	acceptCalls []exchange.CallID
+	cancelCalls []exchange.CallID
 }
 
 // instance is one time that a job's steps run.
@@ -69,7 +69,7 @@
 // step is one step of an instance.
 type step struct {
 	id       job.StepID
-	job      *submitted
+	job      *trackedJob
 	instance *instance
 	spec     *job.Step
 	tasks    []task
@@ -83,13 +83,13 @@
 	// lastRun is the highest run number used for the step.
 	lastRun int64
 	// capped says that in the last plan its workspace could take no more, or not all.
-	capped bool
+	heldByCap bool
 	// explainedAt is when a line last said why it waits.
 	explainedAt time.Time
 	// openedAt is when it was opened.
 	openedAt time.Time
-	// widenAgain is when more workers may next be asked about for a gang.
-	widenAgain time.Time
+	// nextWidenAt is when more workers may next be asked about for a gang.
+	nextWidenAt time.Time
 	// preemptedAt is when tasks to stop for it were last looked for.
 	preemptedAt time.Time
 	// failedOn has the workers on which a task of it has failed.
@@ -98,92 +98,92 @@
 	// too often.
 	notBefore time.Time
 	advice    advice
-	// reserveAfter delays the next look for room to reserve.
-	reserveAfter time.Time
+	// nextReserveAt delays the next look for room to reserve.
+	nextReserveAt time.Time
 	// reservation is room kept for a gang, or nil.
 	reservation *reservation
 	// took is how long the step's tasks took at most in whole runs, and interrupted
 	// says that not all ran whole.
-	took        time.Duration
+	longestRun  time.Duration
 	interrupted bool
-	// waits sums up what the step waited for before its first start, until waitedAt.
-	waits    delays.Totals
-	waitedAt time.Time
+	// waits sums up what the step waited for before its first start, until waitSumUntil.
+	waitSum      delays.Totals
+	waitSumUntil time.Time
 	// doneAt is when the last task was done, delayed what it took besides its work.
-	doneAt  time.Time
-	delayed delays.Totals
+	doneAt   time.Time
+	delaySum delays.Totals
 	// left is the longest chain of work from the step on, itself included, after what
 	// of it comes after the step.
-	left, after time.Duration
+	criticalPath, criticalPathAfter time.Duration
 }
 
 // task is one task of a step.
 type task struct {
 	done bool
 	// failed lists the runs that ended failed.
-	failed []int64
+	failedRuns []int64
 	// saved is the newest checkpoint, if any.
-	saved string
+	checkpoint string
 	// lastRun is the highest run that was ordered or reported.
 	lastRun int64
 	// attempt is the one under way, or nil.
 	attempt *attempt
 	// lost counts the runs that were lost with their workers under this claim.
-	lost int
+	lostRuns int
 	// runs is when it was started under this claim, starts bounds how often that is.
-	runs   delays.StartTimes
-	starts restarts.Limiter
+	runs       delays.StartTimes
+	startLimit restarts.Limiter
 }
 
-// wait delays the next start of a step.
-func (s *step) wait(until time.Time) { s.notBefore = ordered.Later(s.notBefore, until) }
+// delayStart delays the next start of a step.
+func (s *step) delayStart(until time.Time) { s.notBefore = ordered.Later(s.notBefore, until) }
 
-// comesAfter returns the steps of its instance that must be done before it.
-func (s *step) comesAfter() []int { return s.spec.After }
+// dependencies returns the steps of its instance that must be done before it.
+func (s *step) dependencies() []int { return s.spec.After }
 
-// newJob adds a job.
-func (h *holding) newJob(now time.Time, sub job.Submission, acceptedUnix int64, in job.Queue) *submitted {
+// addJob adds a job.
+func (h *holderState) addJob(now time.Time, sub job.Submission, acceptedUnix int64, in job.Queue) *trackedJob {
 	age := time.Duration(h.core.unixMilli(now)-acceptedUnix) * time.Millisecond
-	j := &submitted{
-		id: sub.ID, queue: sub.Queue, workspace: sub.Workspace, acceptedIn: in, submission: &sub, acceptedUnix: acceptedUnix,
-		acceptedAt: now.Add(-max(0, age)), instances: map[int]*instance{}, state: job.Queued, shown: job.Queued,
+	j := &trackedJob{
+		id: sub.ID, queue: sub.Queue, workspace: sub.Workspace, acceptedQueue: in, submission: &sub, acceptedUnixMilli: acceptedUnix,
+		acceptedAt: now.Add(-max(0, age)), instances: map[int]*instance{}, state: job.Queued, loggedState: job.Queued,
 	}
 	h.jobs[j.id] = j
-	h.pools[in.Pool] = true
+	h.knownPools[in.Pool] = true
 	if sub.Repeat.Times > 0 {
-		h.repeating = append(h.repeating, j)
+		h.repeatingJobs = append(h.repeatingJobs, j)
 	}
-	h.dueInstances(now, j)
+	h.createDueInstances(now, j)
 	return j
 }
 
 // markDirty has the log take a job's progress.
-func (h *holding) markDirty(j *submitted) {
+func (h *holderState) markDirty(j *trackedJob) {
 	if !j.dirty {
 		j.dirty = true
-		h.journal.dirty = append(h.journal.dirty, j)
+		h.journal.dirtyJobs = append(h.journal.dirtyJobs, j)
 	}
 }
 
-// finish gives a job its final state and ends what still runs of it.
-func (h *holding) finish(now time.Time, j *submitted, state job.State, why string) {
+// finishJob gives a job its final state and ends what still runs of it.
+func (h *holderState) finishJob(now time.Time, j *trackedJob, state job.State, why string) {
 	if j.state.Final() {
 		return
 	}
 	j.state = state
-	j.ended = h.core.unixMilli(now)
+	j.endedUnixMilli = h.core.unixMilli(now)
 	if state == job.Failed {
-		j.why = why
+		j.failReason = why
 	}
 	h.markDirty(j)
-	h.docket.Drop(j.id)
+	h.blame.Drop(j.id)
 	for _, in := range ordered.Map(j.instances) {
 		for _, s := range in.steps {
 			s.open = false
 			h.releasePromises(now, s)
 			for i := range s.tasks {
 				if a := s.tasks[i].attempt; a != nil && state != job.Succeeded {
-					h.stop(now, a)
+					h.stopAttempt(now, a)
 				}
 			}
 		}
@@ -191,20 +191,20 @@
 	h.noteEnded(now, j, state, why)
 }
 
-// close drops all but the final state of a job.
-func (h *holding) close(j *submitted) {
-	if j.closed {
+// closeJob drops all but the final state of a job.
+func (h *holderState) closeJob(j *trackedJob) {
+	if j.endLogged {
 		return
 	}
-	j.closed = true
+	j.endLogged = true
 	h.endedJobs = append(h.endedJobs, j)
-	j.dropIfQuiet()
+	j.releaseIfIdle()
 }
 
-// dropEnded forgets jobs whose final state was kept long enough.
-func (h *holding) dropEnded(now time.Time) {
-	keep := h.core.settings.KeepEnded.Milliseconds()
-	for len(h.endedJobs) > 0 && h.core.unixMilli(now)-h.endedJobs[0].ended > keep {
+// dropExpiredJobs forgets jobs whose final state was kept long enough.
+func (h *holderState) dropExpiredJobs(now time.Time) {
+	keep := h.core.settings.EndedRetention.Milliseconds()
+	for len(h.endedJobs) > 0 && h.core.unixMilli(now)-h.endedJobs[0].endedUnixMilli > keep {
 		j := h.endedJobs[0]
 		h.endedJobs = h.endedJobs[1:]
 		delete(h.jobs, j.id)
@@ -212,8 +212,8 @@
 	}
 }
 
-// dropIfQuiet frees the memory of a job that has ended and has nothing running.
-func (j *submitted) dropIfQuiet() {
+// releaseIfIdle frees the memory of a job that has ended and has nothing running.
+func (j *trackedJob) releaseIfIdle() {
 	for _, in := range ordered.Map(j.instances) {
 		for _, s := range in.steps {
 			if s.attempts > 0 {
--- a/services/dispatch/journal.go
+++ b/services/dispatch/journal.go
@@ -22,159 +22,159 @@
 	epoch    int64
 	sequence int64
 	// extra are records that are not of jobs: the fence, workers, dropped keys.
-	extra []stream.Record
+	extraRecords []stream.Record
 	// recording names workers among the extra records.
-	recording []recording
+	workerRecords []workerRecord
 	// accepts are jobs that the log does not have yet, dirty those whose progress
 	// it does not have.
-	accepts []*submitted
-	dirty   []*submitted
+	unloggedJobs []*trackedJob
+	dirtyJobs    []*trackedJob
 	// starts are the last ones, of which the log is told with what else there is.
-	starts recent.Starts
+	recentStarts recent.Starts
 	// batch is the append under way, or nil.
 	batch *batch
-	// sendAt is when the next append may be sent.
-	sendAt time.Time
+	// nextSendAt is when the next append may be sent.
+	nextSendAt time.Time
 	// failingSince is since when no append has succeeded, or zero.
 	failingSince time.Time
 }
 
 // batch is one append and what is true once it is in the log.
 type batch struct {
-	append   stream.Append
-	recorded []recording
-	accepts  []*submitted
-	progress []batched
-	sent     bool
+	append        stream.Append
+	workerRecords []workerRecord
+	newJobs       []*trackedJob
+	progress      []progressEntry
+	sent          bool
 	// sentAt is when it was first sent.
 	sentAt time.Time
 }
 
-// recording is the record of a worker that is to be in the log, and which one of it that is:
+// workerRecord is the record of a worker that is to be in the log, and which one of it that is:
 // only the last counts.
-type recording struct {
+type workerRecord struct {
 	worker *worker
 	number int
 }
 
-// batched is one job's progress in a batch.
-type batched struct {
-	job     *submitted
-	state   job.State
-	ends    []*ends.Report[*worker]
-	cancels []exchange.CallID
+// progressEntry is one job's progress in a batch.
+type progressEntry struct {
+	job         *trackedJob
+	state       job.State
+	ends        []*ends.Report[*worker]
+	cancelCalls []exchange.CallID
 }
 
-// maxBatch bounds one append, in bytes, well below what the log takes.
-const maxBatch = 512 << 10
+// maxBatchBytes bounds one append, in bytes, well below what the log takes.
+const maxBatchBytes = 512 << 10
 
 // add has a record in the next append.
-func (j *journal) add(r stream.Record) { j.extra = append(j.extra, r) }
+func (j *journal) add(r stream.Record) { j.extraRecords = append(j.extraRecords, r) }
 
-// idle says whether nothing waits for the log.
-func (j *journal) idle() bool {
-	return j.batch == nil && len(j.extra) == 0 && len(j.accepts) == 0 && len(j.dirty) == 0
+// isIdle says whether nothing waits for the log.
+func (j *journal) isIdle() bool {
+	return j.batch == nil && len(j.extraRecords) == 0 && len(j.unloggedJobs) == 0 && len(j.dirtyJobs) == 0
 }
 
-// callersWait says whether a caller's job or cancellation waits for the log.
-func (j *journal) callersWait() bool {
-	if len(j.accepts) > 0 || slices.ContainsFunc(j.dirty, func(s *submitted) bool { return len(s.waitCancel) > 0 }) {
+// hasWaitingCallers says whether a caller's job or cancellation waits for the log.
+func (j *journal) hasWaitingCallers() bool {
+	if len(j.unloggedJobs) > 0 || slices.ContainsFunc(j.dirtyJobs, func(s *trackedJob) bool { return len(s.cancelCalls) > 0 }) {
 		return true
 	}
-	return j.batch != nil && (len(j.batch.accepts) > 0 ||
-		slices.ContainsFunc(j.batch.progress, func(p batched) bool { return len(p.cancels) > 0 }))
+	return j.batch != nil && (len(j.batch.newJobs) > 0 ||
+		slices.ContainsFunc(j.batch.progress, func(p progressEntry) bool { return len(p.cancelCalls) > 0 }))
 }
 
-// failing says whether the log has not taken an append for a while.
-func (j *journal) failing(now time.Time) bool {
-	if !j.failingSince.IsZero() && now.Sub(j.failingSince) > failingAfter {
+// isFailing says whether the log has not taken an append for a while.
+func (j *journal) isFailing(now time.Time) bool {
+	if !j.failingSince.IsZero() && now.Sub(j.failingSince) > appendFailureLimit {
 		return true
 	}
-	return j.batch != nil && j.batch.sent && now.Sub(j.batch.sentAt) > silentLog
+	return j.batch != nil && j.batch.sent && now.Sub(j.batch.sentAt) > appendAnswerLimit
 }
 
 const (
-	// failingAfter is how long appends may fail before callers are refused at once.
-	failingAfter = 150 * time.Millisecond
-	// silentLog is how long an append may go without an answer before callers are
+	// appendFailureLimit is how long appends may fail before callers are refused at once.
+	appendFailureLimit = 150 * time.Millisecond
+	// appendAnswerLimit is how long an append may go without an answer before callers are
 	// refused at once. A usual one takes 5 ms, one at a slow log 0.3 s.
-	silentLog = 450 * time.Millisecond
+	appendAnswerLimit = 450 * time.Millisecond
 )
 
 // flush appends what has gathered, if no append is under way.
-func (h *holding) flush(now time.Time) {
+func (h *holderState) flush(now time.Time) {
 	j := &h.journal
 	if j.batch != nil {
-		if !j.batch.sent && !now.Before(j.sendAt) {
-			h.send(now)
+		if !j.batch.sent && !now.Before(j.nextSendAt) {
+			h.sendBatch(now)
 		}
 		return
 	}
-	if j.idle() && !j.starts.Due(now) || now.Before(j.sendAt) || (h.phase == active && !h.core.authority.Holds(now)) {
+	if j.isIdle() && !j.recentStarts.Due(now) || now.Before(j.nextSendAt) || (h.phase == phaseActive && !h.core.authority.Holds(now)) {
 		return
 	}
-	j.batch = h.compose(now)
+	j.batch = h.composeBatch(now)
 	j.sequence++
 	j.batch.append.Writer = &stream.Writer{Epoch: j.epoch, Sequence: j.sequence}
-	h.send(now)
+	h.sendBatch(now)
 }
 
-// send appends the batch, for the first time or again.
-func (h *holding) send(now time.Time) {
+// sendBatch appends the batch, for the first time or again.
+func (h *holderState) sendBatch(now time.Time) {
 	b := h.journal.batch
 	b.sent = true
 	if b.sentAt.IsZero() {
 		b.sentAt = now
 	}
-	h.journal.sendAt = now.Add(h.core.settings.Gather)
-	h.core.do(exchange.Append{Purpose: exchange.ForJournal, Number: b.append.Writer.Number(), Append: b.append})
+	h.journal.nextSendAt = now.Add(h.core.settings.AppendInterval)
+	h.core.emit(exchange.Append{Purpose: exchange.ForJournal, Number: b.append.Writer.Number(), Append: b.append})
 }
 
-// compose builds the next append.
-func (h *holding) compose(now time.Time) *batch {
+// composeBatch builds the next append.
+func (h *holderState) composeBatch(now time.Time) *batch {
 	j := &h.journal
-	if slot, starts := j.starts.Take(now, h.needsStartRecord); len(starts) > 0 {
+	if slot, starts := j.recentStarts.Take(now, h.needsStartRecord); len(starts) > 0 {
 		j.add(kept.RecentStartsRecord(slot, starts))
 	}
-	b := &batch{append: stream.Append{Stream: stream.Jobs, Records: j.extra}, recorded: j.recording}
-	j.extra, j.recording = nil, nil
-	h.composeProgress(b, j.composeAccepts(b))
+	b := &batch{append: stream.Append{Stream: stream.Jobs, Records: j.extraRecords}, workerRecords: j.workerRecords}
+	j.extraRecords, j.workerRecords = nil, nil
+	h.addProgress(b, j.addNewJobs(b))
 	return b
 }
 
-// composeAccepts adds jobs to accept, as many as fit. It returns the size in
+// addNewJobs adds jobs to accept, as many as fit. It returns the size in
 // bytes.
-func (j *journal) composeAccepts(b *batch) int {
+func (j *journal) addNewJobs(b *batch) int {
 	size := 0
-	for len(j.accepts) > 0 && size < maxBatch {
-		s := j.accepts[0]
-		j.accepts = j.accepts[1:]
-		b.accepts = append(b.accepts, s)
-		size += b.put(kept.Submission{Queue: s.acceptedIn, Submission: *s.submission, Accepted: s.acceptedUnix}.Record())
+	for len(j.unloggedJobs) > 0 && size < maxBatchBytes {
+		s := j.unloggedJobs[0]
+		j.unloggedJobs = j.unloggedJobs[1:]
+		b.newJobs = append(b.newJobs, s)
+		size += b.put(kept.Submission{Queue: s.acceptedQueue, Submission: *s.submission, Accepted: s.acceptedUnixMilli}.Record())
 	}
 	return size
 }
 
-// composeProgress adds the progress of accepted jobs to a batch of some size, in
+// addProgress adds the progress of accepted jobs to a batch of some size, in
 // bytes, as far as it fits; what does not waits for the next append.
-func (h *holding) composeProgress(b *batch, size int) {
+func (h *holderState) addProgress(b *batch, size int) {
 	j := &h.journal
-	dirty := j.dirty
-	j.dirty = nil
+	dirty := j.dirtyJobs
+	j.dirtyJobs = nil
 	for _, s := range dirty {
 		if h.jobs[s.id] != s {
 			// It was refused before it was in any append.
 			s.dirty = false
 			continue
 		}
-		if size >= maxBatch || !s.accepted && !slices.Contains(b.accepts, s) {
-			j.dirty = append(j.dirty, s)
+		if size >= maxBatchBytes || !s.accepted && !slices.Contains(b.newJobs, s) {
+			j.dirtyJobs = append(j.dirtyJobs, s)
 			continue
 		}
 		s.dirty = false
-		b.progress = append(b.progress, batched{job: s, state: s.state, ends: s.ends, cancels: s.waitCancel})
-		s.ends, s.waitCancel = nil, nil
-		size += b.put(kept.ProgressRecord(s.id, s.progress(h.docket)))
+		b.progress = append(b.progress, progressEntry{job: s, state: s.state, ends: s.unloggedEnds, cancelCalls: s.cancelCalls})
+		s.unloggedEnds, s.cancelCalls = nil, nil
+		size += b.put(kept.ProgressRecord(s.id, s.progress(h.blame)))
 		if s.state.Final() {
 			b.append.Records = append(b.append.Records, kept.DropSubmission(s.id))
 		}
--- a/services/dispatch/keep.go
+++ b/services/dispatch/keep.go
@@ -25,7 +25,7 @@
 
 // openWorkers returns the workers that a step may use and that are not drained for
 // another.
-func (h *holding) openWorkers(p *pass, r ranked) []*worker {
+func (h *holderState) openWorkers(p *pass, r ranked) []*worker {
 	short := h.expect(r.step) <= shortStep
 	var open []*worker
 	for _, w := range r.suited(h.workersFor(p, r.step, r.queue.Pool)) {
@@ -38,9 +38,9 @@
 
 // drain keeps long tasks of lower rank off the workers that could hold a gang once
 // they are empty, if not too many are kept like that already.
-func (h *holding) drain(p *pass, s *step, open []*worker) {
+func (h *holderState) drain(p *pass, s *step, open []*worker) {
 	kept, ok := keepEmptied(s, open)
-	if !ok || !h.uses(mechanism.Draining) || p.drained+len(kept) > max(len(kept), len(h.workers)/drainedShare) || p.drained > 0 && len(h.workers) < drainedShare {
+	if !ok || !h.isEnabled(mechanism.Draining) || p.drained+len(kept) > max(len(kept), len(h.workers)/drainedShare) || p.drained > 0 && len(h.workers) < drainedShare {
 		return
 	}
 	p.drained += len(kept)
@@ -61,8 +61,8 @@
 
 // drainSoonest keeps other tasks off the workers that will be empty first, one for each
 // waiting task of a step, if not too many are kept already.
-func (h *holding) drainSoonest(p *pass, r ranked) {
-	if !h.uses(mechanism.Draining) {
+func (h *holderState) drainSoonest(p *pass, r ranked) {
+	if !h.isEnabled(mechanism.Draining) {
 		return
 	}
 	s := r.step
@@ -86,13 +86,13 @@
 }
 
 // emptyIn returns how long the tasks on a worker will be at work.
-func (h *holding) emptyIn(now time.Time, w *worker) time.Duration {
+func (h *holderState) emptyIn(now time.Time, w *worker) time.Duration {
 	longest := time.Duration(0)
 	for _, a := range w.attempts {
 		if a.step.spec.Service {
 			return unbounded
 		}
-		longest = max(longest, h.remaining(now, a))
+		longest = max(longest, h.remainingRunTime(now, a))
 	}
 	return longest
 }
--- a/services/dispatch/late_test.go
+++ b/services/dispatch/late_test.go
@@ -16,18 +16,18 @@
 
 // doneOn is the answer to a look at a worker on which a run has ended well.
 func doneOn(r exchange.Renew, run order.Run) exchange.RenewEnded {
-	e := looked(r)
+	e := renewAnswer(r)
 	e.Report.Ended = []order.End{{Number: 1, Run: run, How: order.Done}}
 	return e
 }
 
 // renewalTimesOut ends a look that ran out of its time, and returns the next one.
-func (d *driven) renewalTimesOut(r exchange.Renew) exchange.Renew {
+func (d *harness) renewalTimesOut(r exchange.Renew) exchange.Renew {
 	d.t.Helper()
 	effects := d.handle(exchange.RenewEnded{Worker: r.Worker, Epoch: r.Epoch, Look: r.Look, Answer: order.Answer{Fate: order.Unknown}})
-	effects = append(effects, d.later(200*time.Millisecond)...)
-	d.keepsAny(effects)
-	next := only[exchange.Renew](effects)
+	effects = append(effects, d.advance(200*time.Millisecond)...)
+	d.confirmAnyAppend(effects)
+	next := effectsOf[exchange.Renew](effects)
 	assert.Equal(d.t, len(next), 1)
 	return next[0]
 }
@@ -47,47 +47,47 @@
 // What settled it: the worker's lines `does not answer` without `answers again` between
 // the end of the run and the next start, on a day without any disturbance.
 func TestEndInLateAnswerCounts(t *testing.T) {
-	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
-	start := only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))[0]
+	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	start := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))[0]
 	d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
 	d.renewalTimesOut(looks["w"])
 	effects := d.handle(doneOn(looks["w"], start.Order.Run))
-	d.keepsAny(append(effects, d.later(20*time.Millisecond)...))
+	d.confirmAnyAppend(append(effects, d.advance(20*time.Millisecond)...))
 	effects = d.handle(exchange.StateAsked{Call: 9, Job: "j"})
-	assert.Equal(t, only[exchange.Reply](effects)[0].Reply.State, job.Succeeded)
+	assert.Equal(t, effectsOf[exchange.Reply](effects)[0].Reply.State, job.Succeeded)
 }
 
 // A late answer is from before the look under way: what ran by then may have ended, and
 // what did not may have begun.
 func TestLateAnswerIsUsedForEndsOnly(t *testing.T) {
-	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
-	start := only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))[0]
+	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	start := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))[0]
 	d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
 	second := d.renewalTimesOut(looks["w"])
 	third := d.renewalTimesOut(second)
-	effects := d.handle(looked(second))
-	effects = append(effects, d.later(20*time.Millisecond)...)
-	assert.Equal(t, len(only[exchange.StartRun](effects)), 0, "an empty list that came late is no proof")
+	effects := d.handle(renewAnswer(second))
+	effects = append(effects, d.advance(20*time.Millisecond)...)
+	assert.Equal(t, len(effectsOf[exchange.StartRun](effects)), 0, "an empty list that came late is no proof")
 	stray := order.Run{Task: job.TaskID{StepID: job.StepID{Job: "gone"}}, Number: 1}
-	effects = d.handle(looked(second, stray))
-	assert.Equal(t, len(only[exchange.StopRun](effects)), 0, "what ran by then may have ended")
-	effects = d.handle(looked(third))
+	effects = d.handle(renewAnswer(second, stray))
+	assert.Equal(t, len(effectsOf[exchange.StopRun](effects)), 0, "what ran by then may have ended")
+	effects = d.handle(renewAnswer(third))
 	// Nothing starts on a worker that was silent before the log has it that it answers.
-	d.keeps(append(effects, d.later(20*time.Millisecond)...))
-	effects = d.later(20 * time.Millisecond)
-	assert.Equal(t, len(only[exchange.StartRun](effects)), 1, "the look under way is one")
+	d.confirmAppend(append(effects, d.advance(20*time.Millisecond)...))
+	effects = d.advance(20 * time.Millisecond)
+	assert.Equal(t, len(effectsOf[exchange.StartRun](effects)), 1, "the look under way is one")
 }
 
 // A refusal says that the job has not run; one that is known may have.
 func TestOverloadedHolderRefusesOnlyUnknownJobs(t *testing.T) {
 	d := oneWorker(t)
-	d.submits(oneStep("known", "quick", 1, false))
+	d.submitAndLog(oneStep("known", "quick", 1, false))
 	again := d.handle(exchange.Submitted{Call: 7, Submission: oneStep("known", "quick", 1, false), ComeBack: 2 * time.Second})
-	assert.Equal(t, only[exchange.Reply](again)[0].Reply.Outcome, exchange.OK)
+	assert.Equal(t, effectsOf[exchange.Reply](again)[0].Reply.Outcome, exchange.OK)
 	fresh := d.handle(exchange.Submitted{Call: 8, Submission: oneStep("new", "quick", 1, false), ComeBack: 2 * time.Second})
-	reply := only[exchange.Reply](fresh)[0].Reply
+	reply := effectsOf[exchange.Reply](fresh)[0].Reply
 	assert.Equal(t, reply.Outcome, exchange.Unavailable)
 	assert.Equal(t, reply.RetryAfter.Duration(), 2*time.Second)
 	state := d.handle(exchange.StateAsked{Call: 9, Job: "new"})
-	assert.Equal(t, only[exchange.Reply](state)[0].Reply.Outcome, exchange.NoJob)
+	assert.Equal(t, effectsOf[exchange.Reply](state)[0].Reply.Outcome, exchange.NoJob)
 }
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -17,7 +17,7 @@
 )
 
 // maxLeaseDuration is how long a lease can last on the slowest clock allowed.
-func (h *holding) maxLeaseDuration() time.Duration {
+func (h *holderState) maxLeaseDuration() time.Duration {
 	return lateness.MaxLeaseDuration(h.core.settings.Lease)
 }
 
@@ -27,7 +27,7 @@
 }
 
 // extendLease returns the end of a lease that begins at now, and notes it.
-func (h *holding) extendLease(now time.Time, w *worker) order.WorkerClock {
+func (h *holderState) extendLease(now time.Time, w *worker) order.WorkerClock {
 	if w.clockAt.IsZero() {
 		return 0
 	}
@@ -36,31 +36,31 @@
 }
 
 // renewAll renews what is due, in a fixed order.
-func (h *holding) renewAll(now time.Time) {
+func (h *holderState) renewAll(now time.Time) {
 	for _, w := range h.workersByName() {
 		h.renew(now, w)
 	}
 }
 
 // renewSoon looks at a worker again once some more ends may have come.
-func (h *holding) renewSoon(now time.Time, w *worker) {
-	if at := now.Add(gatherEnds); at.Before(w.renewAt) && w.failures == 0 {
+func (h *holderState) renewSoon(now time.Time, w *worker) {
+	if at := now.Add(minRenewIntervalAfterEnds); at.Before(w.renewAt) && w.failures == 0 {
 		w.renewAt = at
 	}
 }
 
 // renew renews a worker's lease and asks what it runs, if that is due. The call
 // waits at the worker for an end where there is nothing else to hear.
-func (h *holding) renew(now time.Time, w *worker) {
+func (h *holderState) renew(now time.Time, w *worker) {
 	if w.pendingRenewal != 0 || now.Before(w.renewAt) || w.renewAddress() == "" || !h.mayRenew(now) {
 		return
 	}
-	if !h.pools[w.Pool] && len(w.attempts) == 0 && !h.unsettled[w.Name] {
+	if !h.knownPools[w.Pool] && len(w.attempts) == 0 && !h.unsettledWorkers[w.Name] {
 		// No job could run there.
 		return
 	}
-	h.looks++
-	w.pendingRenewal = h.looks
+	h.renewalsSent++
+	w.pendingRenewal = h.renewalsSent
 	r := order.Renew{Fence: h.fence(w), Seen: w.reportedEnds.Acknowledge(h.canAcknowledgeEnds(now, w))}
 	if w.failures == 0 {
 		// While a worker does not answer its lease must run out some time.
@@ -71,7 +71,7 @@
 		r.Wait = job.Milliseconds(h.renewWait(w).Milliseconds())
 	}
 	w.answerDue = now.Add(r.Wait.Duration())
-	h.core.do(exchange.Renew{
+	h.core.emit(exchange.Renew{
 		Worker: w.Life, Address: w.renewAddress(), Epoch: h.epoch, Look: w.pendingRenewal, Order: r,
 		Timeout: h.adaptiveTimeout(now, renewMargin) + r.Wait.Duration(), Late: h.lateAnswerWindow(now, w),
 	})
@@ -80,12 +80,12 @@
 // canAcknowledgeEnds says whether the life that is known is surely the present one, or has at least
 // not ended any task since: it answered the last look, and told of all tasks started on it
 // that may have ended.
-func (h *holding) canAcknowledgeEnds(now time.Time, w *worker) bool {
+func (h *holderState) canAcknowledgeEnds(now time.Time, w *worker) bool {
 	if w.failures > 0 || w.lives.Doubted() {
 		return false
 	}
 	for _, a := range w.attempts {
-		if a.seenAt.IsZero() && ends.MayHaveEnded(now.Sub(a.beganAt), h.usual(a.step)) {
+		if a.reportedAt.IsZero() && ends.MayHaveEnded(now.Sub(a.firstOrderedAt), h.usual(a.step)) {
 			return false
 		}
 	}
@@ -94,12 +94,12 @@
 
 // mayRenew says whether leases may be renewed: the next holder counts on it that
 // those of this one run out after its authority has ended.
-func (h *holding) mayRenew(now time.Time) bool {
-	return h.core.authority.Holds(now) && !h.suspended
+func (h *holderState) mayRenew(now time.Time) bool {
+	return h.core.authority.Holds(now) && !h.invitePending
 }
 
 // renewEnded takes the end of a renewal's call.
-func (h *holding) renewEnded(now time.Time, e exchange.RenewEnded) {
+func (h *holderState) renewEnded(now time.Time, e exchange.RenewEnded) {
 	if e.Epoch != h.epoch {
 		return
 	}
@@ -135,7 +135,7 @@
 // lateAnswerWindow returns for how long the answer to a look still counts when it is overdue: as
 // long as the worker's lease may last, so that no end is heard too late because this
 // process, its link or the worker was slow.
-func (h *holding) lateAnswerWindow(now time.Time, w *worker) time.Duration {
+func (h *holderState) lateAnswerWindow(now time.Time, w *worker) time.Duration {
 	maps.DeleteFunc(w.overdue, func(_ int64, due time.Time) bool { return now.Sub(due) > h.maxLeaseDuration() })
 	if len(w.overdue) >= maxOverdueRenewals {
 		return 0
@@ -145,14 +145,14 @@
 
 // lateRenewEnded takes the answer to a look that has run out of its time. Ends have numbers
 // and stay true; what ran by then may have ended since, so the rest tells nothing.
-func (h *holding) lateRenewEnded(now time.Time, w *worker, e exchange.RenewEnded) {
+func (h *holderState) lateRenewEnded(now time.Time, w *worker, e exchange.RenewEnded) {
 	due, waited := w.overdue[e.Look]
 	delete(w.overdue, e.Look)
 	if e.Answer.Fate != order.Carried {
 		return
 	}
 	if waited {
-		h.answers.Record(now, now.Sub(due))
+		h.answerDelays.Record(now, now.Sub(due))
 	}
 	switch {
 	case w.IsOther(e.Report.Life) && e.Worker.BornUnixMilli == 0:
@@ -167,9 +167,9 @@
 
 // recordAnswerTime takes how long the answer to a look took beside its wait. Where an end cut
 // the wait short that is not known.
-func (h *holding) recordAnswerTime(now time.Time, w *worker, e exchange.RenewEnded) {
+func (h *holderState) recordAnswerTime(now time.Time, w *worker, e exchange.RenewEnded) {
 	if took := now.Sub(w.answerDue); took > 0 || len(e.Report.Ended) == 0 {
-		h.answers.Record(now, took)
+		h.answerDelays.Record(now, took)
 	}
 }
 
@@ -185,12 +185,12 @@
 )
 
 // renewWait returns how long a look waits at a worker for an end.
-func (h *holding) renewWait(w *worker) time.Duration {
-	wait := h.core.settings.Wait
+func (h *holderState) renewWait(w *worker) time.Duration {
+	wait := h.core.settings.RenewWait
 	if _, shared := w.besideFillers(); shared {
 		wait = min(servingWait, wait)
 	}
-	if !h.uses(mechanism.ShortLooks) {
+	if !h.isEnabled(mechanism.ShortLooks) {
 		return wait
 	}
 	for _, a := range w.attempts {
@@ -210,7 +210,7 @@
 // handleSuperseded acts on an answer which says that the worker meant, or the authority of
 // this holder, has ended. It returns false on any other answer. Look is the number of the
 // look, or 0 for other orders.
-func (h *holding) handleSuperseded(now time.Time, w *worker, a order.Answer, look int64) bool {
+func (h *holderState) handleSuperseded(now time.Time, w *worker, a order.Answer, look int64) bool {
 	switch {
 	case a.Fate == order.NoLife:
 		h.incarnationGone(now, w)
@@ -224,7 +224,7 @@
 }
 
 // renewFailed tries again soon, and ever less often at a worker that runs nothing.
-func (h *holding) renewFailed(now time.Time, w *worker, e exchange.RenewEnded) {
+func (h *holderState) renewFailed(now time.Time, w *worker, e exchange.RenewEnded) {
 	w.failures++
 	if len(w.overdue) < maxOverdueRenewals {
 		w.overdue[e.Look] = w.answerDue
@@ -235,33 +235,33 @@
 			w.aliveAt = now
 		}
 		h.workerUnresponsive(now, w)
-		h.core.note("worker does not answer", field("worker", w.Life.String()), field("problem", e.Answer.Problem), field("tasks", len(w.attempts)))
+		h.core.logEvent("worker does not answer", logField("worker", w.Life.String()), logField("problem", e.Answer.Problem), logField("tasks", len(w.attempts)))
 	}
-	w.renewAt = now.Add(renewAgain)
+	w.renewAt = now.Add(renewRetryDelay)
 	if w.failures == 1 {
 		// Mostly one answer was lost.
 		w.renewAt = now
 		if e.Answer.Reason == order.Closed || e.Answer.Fate == order.NotDone {
-			w.lives.Raise(h.looks)
+			w.lives.Raise(h.renewalsSent)
 		}
 		h.renew(now, w)
 	}
 	if len(w.attempts) == 0 {
-		w.renewAt = now.Add(min(renewAgain*time.Duration(w.failures), renewAgainMost))
+		w.renewAt = now.Add(min(renewRetryDelay*time.Duration(w.failures), maxIdleRenewRetryDelay))
 	}
 }
 
 // renewed takes a worker's report and asks again.
-func (h *holding) renewed(now time.Time, w *worker, e exchange.RenewEnded) {
+func (h *holderState) renewed(now time.Time, w *worker, e exchange.RenewEnded) {
 	if w.failures > 0 {
-		h.core.note("worker answers again", field("worker", w.Life.String()), field("failures", w.failures))
+		h.core.logEvent("worker answers again", logField("worker", w.Life.String()), logField("failures", w.failures))
 	}
 	w.failures = 0
 	w.reportedEnds.ConfirmAck()
 	h.setBirthTime(w, e.Report.Life)
 	h.recordResponsive(w)
 	if w.presence.Answers() {
-		h.docket.Answers(w.Life)
+		h.blame.Answers(w.Life)
 	}
 	clear(w.overdue)
 	w.answeredAt, w.aliveAt = now, now
@@ -272,21 +272,21 @@
 	h.confirmFence(now, w)
 	if !w.reported {
 		w.reported = true
-		h.startedLast.Forget(w.Life)
-		h.docket.Heard(w.Life, w.runs)
-		inherited := h.unsettled[w.Name]
-		delete(h.unsettled, w.Name)
+		h.inheritedStarts.Forget(w.Life)
+		h.blame.Heard(w.Life, w.runs)
+		inherited := h.unsettledWorkers[w.Name]
+		delete(h.unsettledWorkers, w.Name)
 		h.recordWorker(w)
-		if inherited && len(h.unsettled) == 0 {
-			h.core.note("all workers of earlier holders have told what they run", field("claim", h.epoch), field("took", now.Sub(h.since).String()))
+		if inherited && len(h.unsettledWorkers) == 0 {
+			h.core.logEvent("all workers of earlier holders have told what they run", logField("claim", h.epoch), logField("took", now.Sub(h.startedAt).String()))
 		}
 	}
 	h.planDue = true
 	w.renewAt = now
 	if w.reportedEnds.HasPending() {
-		w.renewAt = now.Add(gatherEnds)
+		w.renewAt = now.Add(minRenewIntervalAfterEnds)
 		if w.reportedEnds.IsLastUnlogged() {
-			w.renewAt = now.Add(unkeptWait)
+			w.renewAt = now.Add(renewDelayWhileUnlogged)
 		}
 		return
 	}
@@ -295,9 +295,9 @@
 
 // sweepWorkers renews leases that are due and gives up workers whose lease has
 // run out.
-func (h *holding) sweepWorkers(now time.Time) {
+func (h *holderState) sweepWorkers(now time.Time) {
 	h.dropMissing(now)
-	h.former.Sweep(now)
+	h.formerWorkers.Sweep(now)
 	for _, w := range h.workersByName() {
 		if w.failures > 0 && now.After(w.leaseExpiresBy) {
 			h.leaseExpired(now, w)
@@ -306,24 +306,24 @@
 		}
 		h.refreshUnresponsive(now, w)
 		h.endPreparation(now, w)
-		if h.phase == active {
+		if h.phase == phaseActive {
 			h.renew(now, w)
 		}
 	}
 }
 
 // leaseExpired frees the tasks of a worker that has surely ended them.
-func (h *holding) leaseExpired(now time.Time, w *worker) {
-	if len(w.attempts) > 0 || w.reported || h.unsettled[w.Name] {
-		h.core.note("worker's lease has run out", field("worker", w.Life.String()), field("tasks", len(w.attempts)),
-			field("lapsed_for", now.Sub(w.leaseExpiresBy).String()), field("how", string(h.endingOf(now, w, w.lives.Doubted()))))
+func (h *holderState) leaseExpired(now time.Time, w *worker) {
+	if len(w.attempts) > 0 || w.reported || h.unsettledWorkers[w.Name] {
+		h.core.logEvent("worker's lease has run out", logField("worker", w.Life.String()), logField("tasks", len(w.attempts)),
+			logField("lapsed_for", now.Sub(w.leaseExpiresBy).String()), logField("how", string(h.endingOf(now, w, w.lives.Doubted()))))
 	}
 	h.loseAttempts(now, w, nil, h.endingOf(now, w, w.lives.Doubted()), "the worker's lease has run out")
 	if w.reported {
-		w.lives.Raise(h.looks)
+		w.lives.Raise(h.renewalsSent)
 	}
 	w.reported = false
-	delete(h.unsettled, w.Name)
+	delete(h.unsettledWorkers, w.Name)
 	if w.unresponsive.written {
 		// Nothing runs on it any more.
 		h.recordUnresponsive(now, w)
--- a/services/dispatch/lives.go
+++ b/services/dispatch/lives.go
@@ -25,7 +25,7 @@
 
 // currentWorker returns the worker if the life is the present one of its name, as far as is known,
 // else nil.
-func (h *holding) currentWorker(life order.Life) *worker {
+func (h *holderState) currentWorker(life order.Life) *worker {
 	w := h.workers[life.Name]
 	if w == nil || w.IsOther(life) {
 		return nil
@@ -34,10 +34,10 @@
 }
 
 // fence returns the fence number of orders to a worker.
-func (h *holding) fence(w *worker) int64 { return w.lives.Fence(h.epoch) }
+func (h *holderState) fence(w *worker) int64 { return w.lives.Fence(h.epoch) }
 
 // workerRestarted takes the answer of a life that is later than the one known: that one is over.
-func (h *holding) workerRestarted(now time.Time, w *worker, e exchange.RenewEnded) {
+func (h *holderState) workerRestarted(now time.Time, w *worker, e exchange.RenewEnded) {
 	o, listed := w.lives.Successor(w.Worker, e.Report.Life)
 	n := newWorker(now, o)
 	n.lives = w.lives
@@ -45,10 +45,10 @@
 		n.presence.Entry(o.Leaving)
 	}
 	how := h.endingOf(now, w, true)
-	h.core.note("worker has started again", field("worker", w.Life.String()), field("life", n.Life.String()), field("tasks", len(w.attempts)),
-		field("how", string(how)), field("listed", listed))
+	h.core.logEvent("worker has started again", logField("worker", w.Life.String()), logField("life", n.Life.String()), logField("tasks", len(w.attempts)),
+		logField("how", string(how)), logField("listed", listed))
 	h.workers[n.Name] = n
-	h.sorted = nil
+	h.sortedWorkers = nil
 	h.loseAttempts(now, w, n, how, reasonRestarted)
 	n.fencePending = true
 	n.leaseExpiresBy = now.Add(maxOrderDelay + h.maxForeignLease())
@@ -59,7 +59,7 @@
 
 // confirmFence takes that a later life refuses from now on what was meant for the earlier one:
 // nothing lengthens its lease any more that was asked for by the earlier one's clock.
-func (h *holding) confirmFence(now time.Time, w *worker) {
+func (h *holderState) confirmFence(now time.Time, w *worker) {
 	if w.fencePending {
 		w.fencePending = false
 		w.leaseExpiresBy = now.Add(h.maxForeignLease())
@@ -67,29 +67,29 @@
 }
 
 // maxForeignLease is how long a lease can last that was asked for by the clock of another life.
-func (h *holding) maxForeignLease() time.Duration {
-	return lateness.MaxLeaseDuration(max(h.core.settings.Lease, h.core.settings.LeaseMost))
+func (h *holderState) maxForeignLease() time.Duration {
+	return lateness.MaxLeaseDuration(max(h.core.settings.Lease, h.core.settings.MaxLease))
 }
 
 // mayStartOnSuccessor says whether a later life of its worker may carry an order to start the attempt
 // out: unless all such orders were carried out by the life that has told this holder of the run.
-func (a *attempt) mayStartOnSuccessor() bool { return a.seenAt.IsZero() || a.tries > 1 }
+func (a *attempt) mayStartOnSuccessor() bool { return a.reportedAt.IsZero() || a.tries > 1 }
 
 // moveToSuccessor takes it that a later life of its worker may have begun an attempt, or may yet, until
 // that life has told.
-func (h *holding) moveToSuccessor(now time.Time, a *attempt, to *worker) {
-	h.unplace(a)
+func (h *holderState) moveToSuccessor(now time.Time, a *attempt, to *worker) {
+	h.unassign(a)
 	n := &attempt{
-		step: a.step, index: a.index, run: a.run, worker: to, state: unsure, pace: fullPace, beganAt: a.beganAt, orderedAt: a.orderedAt,
-		checkpoint: a.checkpoint, ticket: a.ticket, tries: a.tries, resumed: a.resumed, unheard: a.unheard, handedDown: true,
+		step: a.step, index: a.index, run: a.run, worker: to, state: attemptUnconfirmed, pace: fullPace, firstOrderedAt: a.firstOrderedAt, lastOrderedAt: a.lastOrderedAt,
+		checkpoint: a.checkpoint, ticket: a.ticket, tries: a.tries, resumed: a.resumed, onlyLogged: a.onlyLogged, fromEarlierLife: true,
 	}
-	h.place(now, n)
-	h.mark(now, n)
+	h.assign(now, n)
+	h.markStateChange(now, n)
 }
 
 // otherIncarnationAnswered takes the answer of a life that is not the present one. A good end stays
 // true; the rest holds for that life only.
-func (h *holding) otherIncarnationAnswered(now time.Time, e exchange.RenewEnded) {
+func (h *holderState) otherIncarnationAnswered(now time.Time, e exchange.RenewEnded) {
 	for _, end := range e.Report.Ended {
 		if end.How == order.Done {
 			h.applyFormerSuccess(now, end)
@@ -98,20 +98,20 @@
 }
 
 // applyFormerSuccess takes a good end that an earlier life has told.
-func (h *holding) applyFormerSuccess(now time.Time, end order.End) {
+func (h *holderState) applyFormerSuccess(now time.Time, end order.End) {
 	s := h.findStep(end.Task.StepID)
 	if s == nil || end.Task.Index >= len(s.tasks) || s.spec.Service || s.job.state.Final() || s.tasks[end.Task.Index].done {
 		return
 	}
 	h.acquit(s, end.Task.Index)
-	h.taskDone(now, s, end)
-	if !s.job.closed {
+	h.completeTask(now, s, end)
+	if !s.job.endLogged {
 		h.markDirty(s.job)
 	}
 }
 
 // setBirthTime takes when a life began of which only the name was known.
-func (h *holding) setBirthTime(w *worker, life order.Life) {
+func (h *holderState) setBirthTime(w *worker, life order.Life) {
 	if w.BornUnixMilli != 0 || life.BornUnixMilli == 0 {
 		return
 	}
@@ -123,7 +123,7 @@
 }
 
 // incarnationGone acts on the answer that no life of the worker is at its address.
-func (h *holding) incarnationGone(now time.Time, w *worker) {
+func (h *holderState) incarnationGone(now time.Time, w *worker) {
 	next, listed := w.lives.Next()
 	h.workerTerminated(now, w, reasonOtherIncarnation)
 	if listed {
@@ -141,7 +141,7 @@
 
 // restoreWorker returns the worker of which the log tells. If the list names another life, the
 // first answer tells which of them is over.
-func (h *holding) restoreWorker(now time.Time, o order.Worker) *worker {
+func (h *holderState) restoreWorker(now time.Time, o order.Worker) *worker {
 	w := h.workers[o.Name]
 	if w == nil {
 		return h.addWorker(now, o)
@@ -152,6 +152,6 @@
 	entry := w.Worker
 	w = h.addWorker(now, o)
 	w.presence.Entry(entry.Leaving)
-	w.lives.Entry(w.Life, entry, h.looks)
+	w.lives.Entry(w.Life, entry, h.renewalsSent)
 	return w
 }
--- a/services/dispatch/lives_test.go
+++ b/services/dispatch/lives_test.go
@@ -18,7 +18,7 @@
 
 // workerEntry is an entry of a worker's life.
 func workerEntry(name string, born int64) order.Worker {
-	return order.Worker{Life: order.Life{Name: name, BornUnixMilli: born}, Address: name, Pool: pool, Capacity: fullSize}
+	return order.Worker{Life: order.Life{Name: name, BornUnixMilli: born}, Address: name, Pool: pool, Capacity: workerCapacity}
 }
 
 // answeredBy makes an answer that of another life of the same worker.
@@ -28,31 +28,31 @@
 }
 
 // startOneTask has a job of one task started, and returns its start.
-func (d *driven) startOneTask() exchange.StartRun {
+func (d *harness) startOneTask() exchange.StartRun {
 	d.t.Helper()
-	return only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))[0]
+	return effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))[0]
 }
 
 // startSucceeds ends the call of a start that was carried out.
-func (d *driven) startSucceeds(s exchange.StartRun) []exchange.Effect {
+func (d *harness) startSucceeds(s exchange.StartRun) []exchange.Effect {
 	return d.handle(exchange.StartEnded{Worker: s.Worker, Epoch: 1, Run: s.Order.Run, Answer: order.Answer{Fate: order.Carried}})
 }
 
 // persist returns what comes of some effects once the log has kept what there is.
-func (d *driven) persist(effects []exchange.Effect) []exchange.Effect {
-	d.keepsAny(effects)
-	all := append(effects, d.later(20*time.Millisecond)...)
-	d.keepsAny(all)
-	return append(all, d.later(20*time.Millisecond)...)
+func (d *harness) persist(effects []exchange.Effect) []exchange.Effect {
+	d.confirmAnyAppend(effects)
+	all := append(effects, d.advance(20*time.Millisecond)...)
+	d.confirmAnyAppend(all)
+	return append(all, d.advance(20*time.Millisecond)...)
 }
 
 // startsWithin lets time pass while the log keeps all and workers answer, and returns the starts.
-func (d *driven) startsWithin(span time.Duration, looks map[string]exchange.Renew) (starts []exchange.StartRun) {
+func (d *harness) startsWithin(span time.Duration, looks map[string]exchange.Renew) (starts []exchange.StartRun) {
 	d.t.Helper()
 	for end := d.now.Add(span); d.now.Before(end); {
 		effects := d.passes(20*time.Millisecond, looks, nil)
-		effects = append(effects, d.keepsAny(effects)...)
-		starts = append(starts, only[exchange.StartRun](effects)...)
+		effects = append(effects, d.confirmAnyAppend(effects)...)
+		starts = append(starts, effectsOf[exchange.StartRun](effects)...)
 	}
 	return starts
 }
@@ -77,21 +77,21 @@
 		{"its start was answered by the earlier life", true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d, looks := holding(t, workerEntry("v", 1000), workerEntry("w", 1000))
+			d, looks := newHolder(t, workerEntry("v", 1000), workerEntry("w", 1000))
 			start := d.startOneTask()
 			if c.answered {
 				d.startSucceeds(start)
 			}
 			look := looks[start.Worker.Name]
-			effects := d.persist(d.handle(answeredBy(looked(look), 700)))
-			assert.Equal(t, len(only[exchange.StartRun](effects)), 0)
-			second := only[exchange.Renew](effects)[0]
+			effects := d.persist(d.handle(answeredBy(renewAnswer(look), 700)))
+			assert.Equal(t, len(effectsOf[exchange.StartRun](effects)), 0)
+			second := effectsOf[exchange.Renew](effects)[0]
 			assert.Equal(t, second.Worker, order.Life{Name: start.Worker.Name, BornUnixMilli: 700})
 			assert.Check(t, second.Order.Fence > start.Order.Fence, "what was meant for the earlier life is refused from then on")
 			assert.Equal(t, second.Order.Until, order.WorkerClock(0), "its clock is not known yet")
 			if c.begun {
-				effects = d.persist(d.handle(looked(second, start.Order.Run)))
-				assert.Equal(t, len(only[exchange.StartRun](effects))+len(only[exchange.StopRun](effects)), 0)
+				effects = d.persist(d.handle(renewAnswer(second, start.Order.Run)))
+				assert.Equal(t, len(effectsOf[exchange.StartRun](effects))+len(effectsOf[exchange.StopRun](effects)), 0)
 				return
 			}
 			looks[start.Worker.Name] = second
@@ -103,65 +103,65 @@
 }
 
 func TestTasksReportedByEarlierIncarnationAreRestarted(t *testing.T) {
-	d, looks := holding(t, workerEntry("v", 1000), workerEntry("w", 1000))
+	d, looks := newHolder(t, workerEntry("v", 1000), workerEntry("w", 1000))
 	start := d.startOneTask()
 	d.startSucceeds(start)
 	d.passes(time.Second, looks, map[string][]order.Run{start.Worker.Name: {start.Order.Run}})
-	looks[start.Worker.Name] = only[exchange.Renew](d.handle(answeredBy(looked(looks[start.Worker.Name]), 2000)))[0]
+	looks[start.Worker.Name] = effectsOf[exchange.Renew](d.handle(answeredBy(renewAnswer(looks[start.Worker.Name]), 2000)))[0]
 	again := d.startsWithin(2*time.Second, looks)
 	assert.Check(t, len(again) > 0)
 	assert.Equal(t, again[0].Worker.Name, otherWorker(start), "the later life is not listed yet")
 }
 
 func TestSuccessReportedByEarlierIncarnationCounts(t *testing.T) {
-	d, looks := holding(t, workerEntry("v", 1000), workerEntry("w", 1000))
+	d, looks := newHolder(t, workerEntry("v", 1000), workerEntry("w", 1000))
 	start := d.startOneTask()
 	d.startSucceeds(start)
 	late := looks[start.Worker.Name]
 	next := d.renewalTimesOut(late)
-	d.persist(d.handle(answeredBy(looked(next), 2000)))
+	d.persist(d.handle(answeredBy(renewAnswer(next), 2000)))
 	d.persist(d.handle(doneOn(late, start.Order.Run)))
 	effects := d.handle(exchange.StateAsked{Call: 9, Job: "j"})
-	assert.Equal(t, only[exchange.Reply](effects)[0].Reply.State, job.Succeeded)
+	assert.Equal(t, effectsOf[exchange.Reply](effects)[0].Reply.State, job.Succeeded)
 }
 
 func TestAnswerToOrderForEarlierIncarnationIsIgnored(t *testing.T) {
-	d, looks := holding(t, workerEntry("v", 1000), workerEntry("w", 1000))
+	d, looks := newHolder(t, workerEntry("v", 1000), workerEntry("w", 1000))
 	start := d.startOneTask()
-	d.persist(d.handle(answeredBy(looked(looks[start.Worker.Name]), 2000)))
+	d.persist(d.handle(answeredBy(renewAnswer(looks[start.Worker.Name]), 2000)))
 	for _, a := range []order.Answer{{Fate: order.NoLife}, {Fate: order.Refused, Reason: order.Fenced}, {Fate: order.Carried}} {
 		d.handle(exchange.StartEnded{Worker: start.Worker, Epoch: 1, Run: start.Order.Run, Answer: a})
 		d.handle(exchange.StopEnded{Worker: start.Worker, Epoch: 1, Run: start.Order.Run, Answer: a})
 	}
-	assert.Check(t, d.core.Holds(d.now), "a later life that refuses such an order has seen no later holder")
+	assert.Check(t, d.core.IsServing(d.now), "a later life that refuses such an order has seen no later holder")
 }
 
 func TestEntryOfOtherIncarnationTriggersRenewalAndBlocksStarts(t *testing.T) {
-	d, looks := holding(t, workerEntry("w", 1000))
+	d, looks := newHolder(t, workerEntry("w", 1000))
 	listed := func(born int64) []exchange.Effect {
 		return d.handle(exchange.WorkersRead{Listing: order.Listing{Present: []order.Worker{workerEntry("w", born)}}})
 	}
-	asked := only[exchange.Renew](listed(400))
+	asked := effectsOf[exchange.Renew](listed(400))
 	assert.Equal(t, len(asked), 1, "the look under way was made before the entry was read")
 	assert.Equal(t, asked[0].Order.Wait, job.Milliseconds(0))
 	assert.Check(t, asked[0].Order.Fence > looks["w"].Order.Fence, "a later life may be there")
-	assert.Equal(t, len(only[exchange.Renew](listed(400))), 0, "the answer is awaited")
-	assert.Equal(t, len(only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))), 0)
-	d.handle(looked(looks["w"]))
-	assert.Equal(t, len(only[exchange.StartRun](d.later(20*time.Millisecond))), 0, "that answer is of before")
-	started := only[exchange.StartRun](d.persist(d.handle(looked(asked[0]))))
+	assert.Equal(t, len(effectsOf[exchange.Renew](listed(400))), 0, "the answer is awaited")
+	assert.Equal(t, len(effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))), 0)
+	d.handle(renewAnswer(looks["w"]))
+	assert.Equal(t, len(effectsOf[exchange.StartRun](d.advance(20*time.Millisecond))), 0, "that answer is of before")
+	started := effectsOf[exchange.StartRun](d.persist(d.handle(renewAnswer(asked[0]))))
 	assert.Equal(t, len(started), 1, "the entry was old")
-	assert.Equal(t, len(only[exchange.Renew](listed(400))), 0, "and is no reason any more")
+	assert.Equal(t, len(effectsOf[exchange.Renew](listed(400))), 0, "and is no reason any more")
 }
 
 // lastAcknowledged lets time pass in which one worker answers that it runs some tasks, and returns the
 // last end that it is asked to forget.
-func (d *driven) lastAcknowledged(looks map[string]exchange.Renew, running ...order.Run) (last int64) {
+func (d *harness) lastAcknowledged(looks map[string]exchange.Renew, running ...order.Run) (last int64) {
 	d.t.Helper()
 	for range 20 {
 		effects := d.passes(20*time.Millisecond, looks, map[string][]order.Run{"w": running})
-		effects = append(effects, d.keepsAny(effects)...)
-		for _, r := range only[exchange.Renew](effects) {
+		effects = append(effects, d.confirmAnyAppend(effects)...)
+		for _, r := range effectsOf[exchange.Renew](effects) {
 			last = max(last, r.Order.Seen)
 		}
 	}
@@ -169,38 +169,38 @@
 }
 
 func TestNoEndIsAcknowledgedWhileSuccessorMayHaveEndedTask(t *testing.T) {
-	d, looks := holding(t, workerEntry("w", 1000))
+	d, looks := newHolder(t, workerEntry("w", 1000))
 	first := d.startOneTask()
 	d.startSucceeds(first)
 	d.lastAcknowledged(looks, first.Order.Run)
-	second := only[exchange.StartRun](d.submits(oneStep("k", "quick", 1, false)))
+	second := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("k", "quick", 1, false)))
 	assert.Equal(t, len(second), 1)
 	d.now = d.now.Add(100 * time.Millisecond)
 	effects := d.handle(doneOn(looks["w"], first.Order.Run))
-	looks["w"] = only[exchange.Renew](append(effects, d.persist(effects)...))[0]
+	looks["w"] = effectsOf[exchange.Renew](append(effects, d.persist(effects)...))[0]
 	assert.Equal(t, d.lastAcknowledged(looks), int64(0), "the second start was not told of yet")
 	d.startSucceeds(second[0])
 	assert.Equal(t, d.lastAcknowledged(looks, second[0].Order.Run), int64(1))
 }
 
 func TestRestartOfRecordedWorkerIsDetectedByItsAnswer(t *testing.T) {
-	d := newDriven(t)
-	fence := d.takeOver(time.Second)
+	d := newHarness(t)
+	fence := d.claimCell(time.Second)
 	d.handle(exchange.AppendEnded{Purpose: exchange.ForJournal, Number: fence.Number})
 	d.handle(exchange.WorkersRead{Listing: order.Listing{Whole: true, Present: []order.Worker{workerEntry("w", 2000)}}})
-	looks := only[exchange.Renew](d.handle(exchange.JobsLoaded{Epoch: 1, Records: []stream.Record{kept.WorkerRecord(workerEntry("w", 1000))}}))
+	looks := effectsOf[exchange.Renew](d.handle(exchange.JobsLoaded{Epoch: 1, Records: []stream.Record{kept.WorkerRecord(workerEntry("w", 1000))}}))
 	assert.Equal(t, len(looks), 1)
-	next := only[exchange.Renew](d.handle(answeredBy(looked(looks[0]), 2000)))
+	next := effectsOf[exchange.Renew](d.handle(answeredBy(renewAnswer(looks[0]), 2000)))
 	assert.Equal(t, len(next), 1)
-	effects := d.persist(d.handle(looked(next[0])))
-	assert.Equal(t, len(only[exchange.StartRun](append(effects, d.submits(oneStep("j", "quick", 1, false))...))), 1)
+	effects := d.persist(d.handle(renewAnswer(next[0])))
+	assert.Equal(t, len(effectsOf[exchange.StartRun](append(effects, d.submitAndLog(oneStep("j", "quick", 1, false))...))), 1)
 }
 
 // A later holder is told by the log of a run on a silent worker, and by another worker of a
 // later run of the same task.
 func TestRunMovedToSuccessorYieldsToLaterRunOfItsTask(t *testing.T) {
-	d := newDriven(t)
-	fence := d.takeOver(time.Second)
+	d := newHarness(t)
+	fence := d.claimCell(time.Second)
 	d.handle(exchange.AppendEnded{Purpose: exchange.ForJournal, Number: fence.Number})
 	d.handle(exchange.WorkersRead{Listing: order.Listing{Whole: true, Present: []order.Worker{workerEntry("v", 1000), workerEntry("w", 2000)}}})
 	s := oneStep("j", "quick", 1, false)
@@ -215,21 +215,21 @@
 		records[i].Offset = int64(i)
 	}
 	looks := map[string]exchange.Renew{}
-	for _, r := range only[exchange.Renew](d.handle(exchange.JobsLoaded{Epoch: 1, Records: records})) {
+	for _, r := range effectsOf[exchange.Renew](d.handle(exchange.JobsLoaded{Epoch: 1, Records: records})) {
 		looks[r.Worker.Name] = r
 	}
-	effects := d.handle(answeredBy(looked(looks["w"]), 2000))
-	effects = append(effects, d.handle(looked(looks["v"], later))...)
-	assert.Equal(t, len(only[exchange.StopRun](effects)), 0, "the later run goes on")
+	effects := d.handle(answeredBy(renewAnswer(looks["w"]), 2000))
+	effects = append(effects, d.handle(renewAnswer(looks["v"], later))...)
+	assert.Equal(t, len(effectsOf[exchange.StopRun](effects)), 0, "the later run goes on")
 	assert.Equal(t, len(d.startsWithin(time.Second, looks)), 0, "and is the only one")
 }
 
 func TestLateAnswerOfOtherIncarnationReplacesCurrentOne(t *testing.T) {
-	d, looks := holding(t, workerEntry("w", 1000))
+	d, looks := newHolder(t, workerEntry("w", 1000))
 	late := looks["w"]
 	d.renewalTimesOut(late)
-	effects := d.handle(answeredBy(looked(late), 400))
-	next := only[exchange.Renew](effects)
+	effects := d.handle(answeredBy(renewAnswer(late), 400))
+	next := effectsOf[exchange.Renew](effects)
 	assert.Equal(t, len(next), 1)
 	assert.Equal(t, next[0].Worker, order.Life{Name: "w", BornUnixMilli: 400}, "the call was made while the other was known")
 }
--- a/services/dispatch/livesworld_test.go
+++ b/services/dispatch/livesworld_test.go
@@ -45,7 +45,7 @@
 		b.kill()
 		b.start()
 	}
-	w.serves()
+	w.waitUntilServing()
 	w.lateShare = []float64{0, 0.02, 0.05}[w.rng.Intn(3)]
 	w.lateHolds = w.rng.Intn(2) == 0
 	for i := range 60 {
@@ -200,7 +200,7 @@
 			for _, f := range w.workers {
 				f.life = order.Life{Name: f.name + "-1"}
 			}
-			w.serves()
+			w.waitUntilServing()
 			w.lateShare = []float64{0, 0, 0.05}[w.rng.Intn(3)]
 			w.plays()
 		})
--- a/services/dispatch/load.go
+++ b/services/dispatch/load.go
@@ -13,46 +13,46 @@
 )
 
 // loaded takes the whole stream of jobs and begins to serve them.
-func (h *holding) loaded(now time.Time, e exchange.JobsLoaded) {
-	if e.Epoch != h.epoch || h.phase != loading {
+func (h *holderState) loaded(now time.Time, e exchange.JobsLoaded) {
+	if e.Epoch != h.epoch || h.phase != phaseLoading {
 		return
 	}
 	if e.Err != nil {
-		h.core.note("reading the jobs failed", field("error", e.Err.Error()))
-		h.core.do(exchange.LoadJobs{Epoch: h.epoch})
+		h.core.logEvent("reading the jobs failed", logField("error", e.Err.Error()))
+		h.core.emit(exchange.LoadJobs{Epoch: h.epoch})
 		return
 	}
 	h.fold(now, e.Records)
-	h.phase = active
-	h.docket.Saw(now, h.byRack())
+	h.phase = phaseActive
+	h.blame.Saw(now, h.byRack())
 	h.planDue = true
-	h.core.note("serves the cell's jobs", field("claim", h.epoch), field("jobs", len(h.jobs)),
-		field("workers_to_ask", len(h.unsettled)), field("took", now.Sub(h.since).String()))
+	h.core.logEvent("serves the cell's jobs", logField("claim", h.epoch), logField("jobs", len(h.jobs)),
+		logField("workers_to_ask", len(h.unsettledWorkers)), logField("took", now.Sub(h.startedAt).String()))
 	h.renewAll(now)
 }
 
 // fold builds the jobs from the newest record of each key.
-func (h *holding) fold(now time.Time, records []stream.Record) {
+func (h *holderState) fold(now time.Time, records []stream.Record) {
 	state := kept.Decode(records)
 	for _, u := range state.Unread {
-		h.core.note("a kept record could not be read", field("key", u.Key), field("error", u.Reason))
+		h.core.logEvent("a kept record could not be read", logField("key", u.Key), logField("error", u.Reason))
 	}
 	if err := h.learned.Resume(state.RunTimes); err != nil {
-		h.core.note("kept run times could not be read", field("error", err.Error()))
+		h.core.logEvent("kept run times could not be read", logField("error", err.Error()))
 	}
-	if err := h.docket.ResumeRate(state.CrashRate); err != nil {
-		h.core.note("the kept rate of crashes could not be read", field("error", err.Error()))
+	if err := h.blame.ResumeRate(state.CrashRate); err != nil {
+		h.core.logEvent("the kept rate of crashes could not be read", logField("error", err.Error()))
 	}
 	h.restoreStarts(state.RecentStarts)
 	for _, k := range state.Jobs {
-		j := h.newJob(now, k.Submission.Submission, k.Accepted, k.Queue)
+		j := h.addJob(now, k.Submission.Submission, k.Accepted, k.Queue)
 		j.accepted = true
 		j.inherited = true
-		h.resume(now, j, k.Progress)
+		h.restoreJob(now, j, k.Progress)
 	}
 	for _, e := range state.Ended {
 		p := e.Progress
-		j := &submitted{id: e.ID, queue: p.Queue, workspace: p.Workspace, state: p.State, shown: p.State, accepted: true, ended: p.Ended, why: p.Why}
+		j := &trackedJob{id: e.ID, queue: p.Queue, workspace: p.Workspace, state: p.State, loggedState: p.State, accepted: true, endedUnixMilli: p.Ended, failReason: p.Why}
 		h.jobs[e.ID] = j
 		h.endedJobs = append(h.endedJobs, j)
 		h.leave(now, p)
@@ -64,7 +64,7 @@
 
 // foldWorker takes over a worker on which an earlier holder may have started
 // tasks.
-func (h *holding) foldWorker(now time.Time, k kept.KnownWorker) {
+func (h *holderState) foldWorker(now time.Time, k kept.KnownWorker) {
 	o := k.Worker
 	w := h.restoreWorker(now, o)
 	if k.Silent != nil && !w.reported {
@@ -75,6 +75,6 @@
 	// An earlier holder may have renewed its lease until just now.
 	w.leaseExpiresBy = ordered.Later(w.leaseExpiresBy, now.Add(h.maxLeaseDuration()))
 	if !w.reported {
-		h.unsettled[o.Name] = true
+		h.unsettledWorkers[o.Name] = true
 	}
 }
--- a/services/dispatch/look_test.go
+++ b/services/dispatch/look_test.go
@@ -17,19 +17,19 @@
 // the start reached it, and the holder, which was late, heard of both at once and
 // with a time from before the look was sent.
 func TestRenewalSentBeforeStartDoesNotProveAbsence(t *testing.T) {
-	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
-	starts := only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))
+	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	starts := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))
 	assert.Equal(t, len(starts), 1)
 	run := starts[0].Order.Run
 	d.now = d.now.Add(-15 * time.Millisecond)
 	d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: run, Answer: order.Answer{Fate: order.Carried}})
 	d.now = d.now.Add(40 * time.Millisecond)
-	effects := d.handle(looked(looks["w"]))
-	effects = append(effects, d.later(20*time.Millisecond)...)
-	assert.Equal(t, len(only[exchange.StartRun](effects)), 0, "the task is started again beside its first run")
+	effects := d.handle(renewAnswer(looks["w"]))
+	effects = append(effects, d.advance(20*time.Millisecond)...)
+	assert.Equal(t, len(effectsOf[exchange.StartRun](effects)), 0, "the task is started again beside its first run")
 
-	next := only[exchange.Renew](effects)
+	next := effectsOf[exchange.Renew](effects)
 	assert.Equal(t, len(next), 1)
-	effects = append(d.handle(looked(next[0])), d.later(20*time.Millisecond)...)
-	assert.Equal(t, len(only[exchange.StartRun](effects)), 1, "a later look shows that the worker no longer has it")
+	effects = append(d.handle(renewAnswer(next[0])), d.advance(20*time.Millisecond)...)
+	assert.Equal(t, len(effectsOf[exchange.StartRun](effects)), 1, "a later look shows that the worker no longer has it")
 }
--- a/services/dispatch/mechanism_test.go
+++ b/services/dispatch/mechanism_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestMechanismsHaveNames(t *testing.T) {
+func TestMechanismNamesAreParsedAndDocumented(t *testing.T) {
 	var names []string
 	for _, m := range mechanism.All() {
 		names = append(names, string(m))
@@ -30,9 +30,9 @@
 	}
 }
 
-// TestWorldsWithoutEachMechanism holds that what is switched off to be measured is
+// TestRandomWorldsWithoutEachMechanism holds that what is switched off to be measured is
 // policy only: no promise rests on it.
-func TestWorldsWithoutEachMechanism(t *testing.T) {
+func TestRandomWorldsWithoutEachMechanism(t *testing.T) {
 	for i, m := range mechanism.All() {
 		t.Run(string(m), func(t *testing.T) {
 			t.Parallel()
--- a/services/dispatch/missing_test.go
+++ b/services/dispatch/missing_test.go
@@ -14,22 +14,22 @@
 )
 
 func TestWorkersWhoseEntriesExpiredInLogOutageStayInUse(t *testing.T) {
-	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
+	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	d.handle(exchange.ClaimsRead{Failed: "down"})
-	d.handle(exchange.ClaimsRead{Start: true, Next: d.next})
+	d.handle(exchange.ClaimsRead{Start: true, Next: d.nextOffset})
 	d.handle(exchange.WorkersRead{Listing: order.Listing{Whole: true}})
-	starts := only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))
+	starts := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))
 	assert.Equal(t, len(starts), 1, "the entry may only have lapsed")
 	d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: starts[0].Order.Run, Answer: order.Answer{Fate: order.Carried}})
 
-	d.answers(2500*time.Millisecond, looks)
-	assert.Equal(t, d.startsOf(oneStep("k", "quick", 1, false), 2, looks), 0, "an entry that has not come back is gone")
+	d.answerRenewals(2500*time.Millisecond, looks)
+	assert.Equal(t, d.submitAndCountStarts(oneStep("k", "quick", 1, false), 2, looks), 0, "an entry that has not come back is gone")
 }
 
 func TestUnlistedWorkerGetsNoNewTasks(t *testing.T) {
-	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
-	d.answers(3*time.Second, looks)
-	assert.Check(t, d.startsOf(oneStep("j", "quick", 1, false), 1, looks) > 0)
+	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	d.answerRenewals(3*time.Second, looks)
+	assert.Check(t, d.submitAndCountStarts(oneStep("j", "quick", 1, false), 1, looks) > 0)
 	d.handle(exchange.WorkersRead{Listing: order.Listing{Gone: []string{"w"}}})
-	assert.Equal(t, d.startsOf(oneStep("k", "quick", 1, false), 2, looks), 0)
+	assert.Equal(t, d.submitAndCountStarts(oneStep("k", "quick", 1, false), 2, looks), 0)
 }
--- a/services/dispatch/move.go
+++ b/services/dispatch/move.go
@@ -18,15 +18,15 @@
 // larger ones: a small box cannot keep up with many workers.
 func (c *Core) moveToLarger(now time.Time) {
 	h := c.holding
-	if h == nil || h.phase != active || h.suspended || h.yielding || c.pledging || !c.authority.Small() || now.Before(c.moveAgain) {
+	if h == nil || h.phase != phaseActive || h.invitePending || h.shuttingDown || c.awaitingPledges || !c.authority.Small() || now.Before(c.moveRetryAt) {
 		return
 	}
-	c.moveAgain = now.Add(moveEvery)
+	c.moveRetryAt = now.Add(moveEvery)
 	if c.members.Largest(c.self).Box == c.self.Box {
 		return
 	}
-	c.pledging = true
-	c.do(exchange.AskPledges{Epoch: h.epoch, Addresses: c.members.Others(c.self)})
+	c.awaitingPledges = true
+	c.emit(exchange.AskPledges{Epoch: h.epoch, Addresses: c.members.Others(c.self)})
 }
 
 // inviteOne invites the largest of the boxes that the log answers to take the cell
@@ -36,17 +36,17 @@
 	best := c.members.LargestAt(steady)
 	reason := "it is larger"
 	switch {
-	case best.Box == "" || h.suspended || h.yielding:
+	case best.Box == "" || h.invitePending || h.shuttingDown:
 		return
 	case !c.authority.Steady():
 		reason = "the log answers it and not this box"
 	case !authority.MuchLarger(best, c.self):
 		return
 	}
-	h.suspended = true
-	c.note("invites another box to take the cell over", field("claim", h.epoch), field("box", best.Box), field("address", best.Address),
-		field("reason", reason), field("size", c.self.Size), field("its_size", best.Size), field("could", len(steady)))
-	c.do(exchange.Invite{Epoch: h.epoch, Address: best.Address})
+	h.invitePending = true
+	c.logEvent("invites another box to take the cell over", logField("claim", h.epoch), logField("box", best.Box), logField("address", best.Address),
+		logField("reason", reason), logField("size", c.self.Size), logField("its_size", best.Size), logField("could", len(steady)))
+	c.emit(exchange.Invite{Epoch: h.epoch, Address: best.Address})
 }
 
 // inviteAsked answers a holder that wants this box to claim the cell.
@@ -56,7 +56,7 @@
 		a.Outcome = exchange.OK
 	}
 	c.reply(e.Call, a)
-	c.tryClaim(now)
+	c.updateClaim(now)
 }
 
 // invited ends the holding unless the other box has surely refused.
@@ -66,7 +66,7 @@
 		return
 	}
 	if e.Refused {
-		h.suspended = false
+		h.invitePending = false
 		return
 	}
 	c.stepDown("another box was invited to take over")
@@ -79,7 +79,7 @@
 	for _, m := range members {
 		if m.Box == c.self.Box && m.Incarnation != c.self.Incarnation && c.announced {
 			// An append of an earlier life of this box has come late.
-			c.announced, c.announceAt = false, now
+			c.announced, c.announceRetryAt = false, now
 		}
 		former, known := c.members[m.Box]
 		c.members[m.Box] = m
--- a/services/dispatch/outage.go
+++ b/services/dispatch/outage.go
@@ -16,7 +16,7 @@
 // askPledges asks the other boxes when the claim cannot be renewed.
 func (c *Core) askPledges(now time.Time) {
 	h := c.holding
-	if h == nil || h.suspended || c.pledging || now.Before(c.pledgeAgain) || c.authority.Stopping() {
+	if h == nil || h.invitePending || c.awaitingPledges || now.Before(c.pledgeRetryAt) || c.authority.Stopping() {
 		return
 	}
 	if len(c.members) == 0 {
@@ -26,8 +26,8 @@
 	if c.authority.Steady() && c.authority.HoldsUntil().Sub(now) > c.settings.Authority.HoldFor/2 {
 		return
 	}
-	c.pledging = true
-	c.do(exchange.AskPledges{Epoch: h.epoch, Addresses: c.members.Others(c.self)})
+	c.awaitingPledges = true
+	c.emit(exchange.AskPledges{Epoch: h.epoch, Addresses: c.members.Others(c.self)})
 }
 
 // pledgeAsked answers a holder that wants this box not to claim for a while.
@@ -41,8 +41,8 @@
 
 // pledged takes what the other boxes have answered.
 func (c *Core) pledged(e exchange.Pledged) {
-	c.pledging = false
-	c.pledgeAgain = e.SentAt.Add(c.settings.Authority.Renew / 2)
+	c.awaitingPledges = false
+	c.pledgeRetryAt = e.SentAt.Add(c.settings.Authority.Renew / 2)
 	if e.All {
 		c.authority.Pledged(e.SentAt, e.Epoch)
 	}
--- a/services/dispatch/overview.go
+++ b/services/dispatch/overview.go
@@ -16,7 +16,7 @@
 const overviewEvery = 2 * time.Second
 
 // byRack counts the workers of each rack that answer: what is down cannot crash.
-func (h *holding) byRack() map[string]int {
+func (h *holderState) byRack() map[string]int {
 	n := map[string]int{}
 	for _, w := range h.workersByName() {
 		if w.failures == 0 {
@@ -28,12 +28,12 @@
 
 // overview says how full the workers are and what waits, so that a late job can
 // be seen in its surroundings.
-func (h *holding) overview(now time.Time) {
-	if now.Before(h.overviewAt) {
+func (h *holderState) overview(now time.Time) {
+	if now.Before(h.nextOverviewAt) {
 		return
 	}
-	h.overviewAt = now.Add(overviewEvery)
-	h.docket.Saw(now, h.byRack())
+	h.nextOverviewAt = now.Add(overviewEvery)
+	h.blame.Saw(now, h.byRack())
 	var capacity, free, promised, stopping resource.Vector
 	taking, kept := 0, 0
 	for _, w := range h.workersByName() {
@@ -50,25 +50,25 @@
 		}
 	}
 	tiers := map[ranking.Tier]int{}
-	for _, s := range h.open {
+	for _, s := range h.openSteps {
 		if s.open && s.waiting > 0 {
 			tiers[h.rank(now, s).Tier]++
 		}
 	}
 	all := h.workspaceStatus()
-	h.core.do(exchange.WorkspacesSeen{All: all})
+	h.core.emit(exchange.WorkspacesSeen{All: all})
 	for _, ws := range all {
 		if ws.Capped > 0 {
-			h.core.note("a workspace waits for its cap", field("workspace", ws.Name), field("steps", ws.Capped), field("used", ws.Used), field("cap", ws.Most))
+			h.core.logEvent("a workspace waits for its cap", logField("workspace", ws.Name), logField("steps", ws.Capped), logField("used", ws.Used), logField("cap", ws.Most))
 		}
 	}
-	h.core.note("state of the cell", field("claim", h.epoch), field("workers", len(h.workers)), field("taking", taking),
-		field("processors", capacity.Processors.String()), field("free", free.Processors.String()),
-		field("accelerators", capacity.Accelerators), field("free_accelerators", free.Accelerators), field("promised_accelerators", promised.Accelerators),
-		field("promised", promised.Processors.String()), field("stopping", stopping.Processors.String()),
-		field("workers_kept", kept), field("steps_on_time", tiers[ranking.OnTime]), field("steps_late", tiers[ranking.Late]),
-		field("steps_hopeless", tiers[ranking.Hopeless]), field("unsettled", len(h.unsettled)), field("plans", h.passes),
-		field("advice_time", fmt.Sprint(h.advisers.CallTimeByQueue)), field("stop_time", h.learned.StopTime().String()),
-		field("answers_take", h.answers.UpperQuartile(now).String()), field("gangs_reserving", h.reserved.Len()), field("reserved", h.reserved.Processors().String()), field("reservations_ended", fmt.Sprint(h.reserved.TakeTotals())))
+	h.core.logEvent("state of the cell", logField("claim", h.epoch), logField("workers", len(h.workers)), logField("taking", taking),
+		logField("processors", capacity.Processors.String()), logField("free", free.Processors.String()),
+		logField("accelerators", capacity.Accelerators), logField("free_accelerators", free.Accelerators), logField("promised_accelerators", promised.Accelerators),
+		logField("promised", promised.Processors.String()), logField("stopping", stopping.Processors.String()),
+		logField("workers_kept", kept), logField("steps_on_time", tiers[ranking.OnTime]), logField("steps_late", tiers[ranking.Late]),
+		logField("steps_hopeless", tiers[ranking.Hopeless]), logField("unsettled", len(h.unsettledWorkers)), logField("plans", h.planCount),
+		logField("advice_time", fmt.Sprint(h.advisers.CallTimeByQueue)), logField("stop_time", h.learned.StopTime().String()),
+		logField("answers_take", h.answerDelays.UpperQuartile(now).String()), logField("gangs_reserving", h.reservations.Len()), logField("reserved", h.reservations.Processors().String()), logField("reservations_ended", fmt.Sprint(h.reservations.TakeTotals())))
 	clear(h.advisers.CallTimeByQueue)
 }
--- a/services/dispatch/paused_test.go
+++ b/services/dispatch/paused_test.go
@@ -25,10 +25,10 @@
 // The cause: plans may take a fifth of the time, by how long they took, so the next one waited
 // for four times the pause.
 func TestPauseDuringPlanDoesNotDelayNextPlan(t *testing.T) {
-	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
+	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	pause := time.Second
 	d.now = d.now.Add(pause)
 	d.handle(exchange.Decided{Took: pause})
 	// As for any job that comes to an idle cell.
-	assert.Equal(t, d.startsOf(oneStep("j", "quick", 1, false), 1, looks), 1)
+	assert.Equal(t, d.submitAndCountStarts(oneStep("j", "quick", 1, false), 1, looks), 1)
 }
--- a/services/dispatch/placement.go
+++ b/services/dispatch/placement.go
@@ -11,7 +11,7 @@
 
 // placeStep starts what it can of a step, or asks for the advice that this
 // needs. It returns false if tasks are left for want of room.
-func (h *holding) placeStep(p *pass, r ranked) bool {
+func (h *holderState) placeStep(p *pass, r ranked) bool {
 	s := r.step
 	defer func() { s.advice.goesFirst = false }()
 	if r.queue.Pool == "" || s.advice.keepsRoom() {
@@ -22,10 +22,10 @@
 		return h.placeGang(p, r, set)
 	}
 	wanted := h.mayPlace(s)
-	if s.capped = wanted < h.toPlace(s); s.capped && wanted == 0 {
+	if s.heldByCap = wanted < h.toPlace(s); s.heldByCap && wanted == 0 {
 		return true
 	}
-	if h.docket.Suspects(s.id) > 0 {
+	if h.blame.Suspects(s.id) > 0 {
 		h.tryOut(p, r, set)
 		if h.toPlace(s) == 0 {
 			return true
@@ -55,7 +55,7 @@
 }
 
 // placeGang starts a gang whole, or not at all.
-func (h *holding) placeGang(p *pass, r ranked, set *workerSet) bool {
+func (h *holderState) placeGang(p *pass, r ranked, set *workerSet) bool {
 	s := r.step
 	if h.gangSuspected(s) && !h.mayTry(p.now, s, 0) {
 		return true
@@ -64,7 +64,7 @@
 		h.advance(p, r)
 		return true
 	}
-	if s.capped = h.capRoom(s) < len(s.tasks); s.capped {
+	if s.heldByCap = h.capRoom(s) < len(s.tasks); s.heldByCap {
 		return true
 	}
 	if r.queue.Advice != nil {
@@ -102,20 +102,20 @@
 }
 
 // startShares starts a step's waiting tasks on the workers chosen.
-func (h *holding) startShares(now time.Time, s *step, shares []share) {
+func (h *holderState) startShares(now time.Time, s *step, shares []share) {
 	next := 0
-	run := h.nextRun(s)
+	run := h.nextRunNumber(s)
 	for _, sh := range shares {
 		ticket, _ := s.advice.TicketFor(now, sh.Worker)
 		for range sh.Tasks {
 			for s.tasks[next].done || s.tasks[next].attempt != nil || h.waitsSuspected(s, next) {
 				next++
 			}
-			h.start(now, s, next, run, sh.Worker, ticket)
+			h.startTask(now, s, next, run, sh.Worker, ticket)
 		}
 	}
-	h.core.note("tasks started", field("job", string(s.job.id)), field("step", s.id.String()), field("run", run),
-		field("workers", slots.Format(shares, func(w *worker) string { return w.Name })), field("still_waiting", s.waiting), field("advised", s.advice.told()),
-		field("claim", h.epoch), field("config", h.core.config.Version), field("age", now.Sub(s.instance.dueAt).String()),
-		field("slack", h.slack(now, s).String()))
+	h.core.logEvent("tasks started", logField("job", string(s.job.id)), logField("step", s.id.String()), logField("run", run),
+		logField("workers", slots.Format(shares, func(w *worker) string { return w.Name })), logField("still_waiting", s.waiting), logField("advised", s.advice.told()),
+		logField("claim", h.epoch), logField("config", h.core.config.Version), logField("age", now.Sub(s.instance.dueAt).String()),
+		logField("slack", h.slack(now, s).String()))
 }
--- a/services/dispatch/plan.go
+++ b/services/dispatch/plan.go
@@ -38,7 +38,7 @@
 }
 
 // rankOf returns how a step ranks in a pass.
-func (h *holding) rankOf(p *pass, s *step) placed {
+func (h *holderState) rankOf(p *pass, s *step) placed {
 	r, ok := p.ranks[s]
 	if !ok {
 		r = placed{ranked: h.rank(p.now, s), slack: h.slack(p.now, s)}
@@ -48,8 +48,8 @@
 }
 
 // plan places the tasks of open steps, the first in rank first.
-func (h *holding) plan(now time.Time) {
-	h.passes++
+func (h *holderState) plan(now time.Time) {
+	h.planCount++
 	ranked := h.rankOpen(now)
 	if len(ranked) == 0 {
 		return
@@ -60,10 +60,10 @@
 	}
 	h.hearUsage()
 	p := newPass(now)
-	p.roomy = h.isRoomy
-	defer func() { h.isCrowded = p.misses > 0 }()
+	p.roomy = h.hasAmpleRoom
+	defer func() { h.hasUnplacedTasks = p.misses > 0 }()
 	for _, r := range ranked {
-		if p.misses >= h.budget.MissLimit() && !h.budget.IsFullPlan(h.passes) {
+		if p.misses >= h.planBudget.MissLimit() && !h.planBudget.IsFullPlan(h.planCount) {
 			return
 		}
 		if !h.placeStep(p, r) {
@@ -80,7 +80,7 @@
 const roomyShare = 0.4
 
 // roomy says whether much of the workers' room is free, and notes how much there is of it.
-func (h *holding) roomy(now time.Time) bool {
+func (h *holderState) roomy(now time.Time) bool {
 	var free resource.Vector
 	h.capacity = resource.Vector{}
 	for _, w := range h.workersByName() {
@@ -95,7 +95,7 @@
 // missed has a gang that found no room reserve some, if not too many gangs do, and
 // any other step stop what may give way to it. Where that does not do, workers are
 // kept free for tasks that share theirs with few others.
-func (h *holding) missed(p *pass, r ranked) {
+func (h *holderState) missed(p *pass, r ranked) {
 	if !r.step.spec.Gang {
 		if !h.makeWay(p, r) && r.Tier == ranking.OnTime && h.workersFor(p, r.step, r.queue.Pool).large(r.step) {
 			h.drainSoonest(p, r)
@@ -117,7 +117,7 @@
 const explainEvery = 2 * time.Second
 
 // explainWait says why a gang does not start.
-func (h *holding) explainWait(p *pass, r ranked) {
+func (h *holderState) explainWait(p *pass, r ranked) {
 	s := r.step
 	if p.now.Sub(s.explainedAt) < explainEvery {
 		return
@@ -125,8 +125,8 @@
 	s.explainedAt = p.now
 	suited := r.suited(h.workersFor(p, s, r.queue.Pool))
 	_, placed := h.fit(p.now, s, suited)
-	h.core.note("gang waits for room", field("job", string(s.job.id)), field("step", s.id.String()), field("tasks", len(s.tasks)),
-		field("need", s.spec.Need.Processors.String()), field("room_for", placed), field("workers_asked", s.advice.told()),
-		field("workers_suited", len(suited)), field("gangs_reserving", h.reserved.Len()), field("tier", int(r.Tier)),
-		field("slack", h.slack(p.now, s).String()))
+	h.core.logEvent("gang waits for room", logField("job", string(s.job.id)), logField("step", s.id.String()), logField("tasks", len(s.tasks)),
+		logField("need", s.spec.Need.Processors.String()), logField("room_for", placed), logField("workers_asked", s.advice.told()),
+		logField("workers_suited", len(suited)), logField("gangs_reserving", h.reservations.Len()), logField("tier", int(r.Tier)),
+		logField("slack", h.slack(p.now, s).String()))
 }
--- a/services/dispatch/preempt.go
+++ b/services/dispatch/preempt.go
@@ -45,7 +45,7 @@
 // makeWay stops tasks that may give way to a step which is no gang, as many as its
 // waiting tasks need, if they end soon enough for it to be on time. It returns
 // whether that gives room for all of them.
-func (h *holding) makeWay(p *pass, r ranked) bool {
+func (h *holderState) makeWay(p *pass, r ranked) bool {
 	s := r.step
 	if r.Tier != ranking.OnTime || h.slack(p.now, s) < h.learned.StopTime() {
 		return false
@@ -60,7 +60,7 @@
 // gainsFor returns what a step could have on some workers: what is free or ending
 // there and, if that is not room for the tasks wanted and it may have tasks
 // stopped, what can be gained by that.
-func (h *holding) gainsFor(p *pass, r ranked, open []*worker, wanted int, mayStop bool) []gain {
+func (h *holderState) gainsFor(p *pass, r ranked, open []*worker, wanted int, mayStop bool) []gain {
 	s := r.step
 	all := s.gainsSoon(p.now, open)
 	if slots.TotalTasks(all) >= wanted || !mayStop || p.now.Sub(s.preemptedAt) < preemptEvery {
@@ -75,13 +75,13 @@
 
 // take stops what the chosen gains need, and holds their room for a step until the
 // pass ends.
-func (h *holding) take(p *pass, r ranked, chosen []gain, wanted int) {
+func (h *holderState) take(p *pass, r ranked, chosen []gain, wanted int) {
 	stopped := 0
 	for _, g := range chosen {
 		g.Worker.hold(r.step, min(wanted, g.Tasks))
 		wanted -= g.Tasks
 		for _, a := range g.Victims {
-			h.stop(p.now, a)
+			h.stopAttempt(p.now, a)
 			stopped++
 		}
 	}
@@ -89,10 +89,10 @@
 }
 
 // noteStopped says that tasks are stopped for a step.
-func (h *holding) noteStopped(p *pass, s *step, stopped, workers int) {
+func (h *holderState) noteStopped(p *pass, s *step, stopped, workers int) {
 	if stopped > 0 {
-		h.core.note("tasks are stopped for a step", field("job", string(s.job.id)), field("step", s.id.String()),
-			field("stopped", stopped), field("workers", workers), field("slack", h.slack(p.now, s).String()), field("claim", h.epoch))
+		h.core.logEvent("tasks are stopped for a step", logField("job", string(s.job.id)), logField("step", s.id.String()),
+			logField("stopped", stopped), logField("workers", workers), logField("slack", h.slack(p.now, s).String()), logField("claim", h.epoch))
 	}
 }
 
@@ -111,7 +111,7 @@
 
 // gainsByStops returns what can be gained on a worker by stopping more and more of its
 // tasks. Costs rise along them.
-func (h *holding) gainsByStops(p *pass, r ranked, w *worker) []gain {
+func (h *holderState) gainsByStops(p *pass, r ranked, w *worker) []gain {
 	room := w.soon()
 	have := w.slots(r.step, room)
 	var all []gain
@@ -135,7 +135,7 @@
 
 // lost returns the work that stopping a task loses, in processor seconds.
 func (a *attempt) lost(now time.Time) float64 {
-	ran := now.Sub(a.since)
+	ran := now.Sub(a.stateSince)
 	if a.step.spec.Checkpoints {
 		ran = min(ran, resumeLoses)
 	}
@@ -144,7 +144,7 @@
 
 // victims returns the tasks on a worker that may be stopped for a step, those that
 // lose least for their size first.
-func (h *holding) victims(p *pass, r ranked, w *worker) []*attempt {
+func (h *holderState) victims(p *pass, r ranked, w *worker) []*attempt {
 	var all []*attempt
 	for _, a := range w.sortedAttempts() {
 		if h.mayStop(p, r, a) {
@@ -162,12 +162,12 @@
 
 // mayStop says whether a task may be stopped for a step: it is of less use, or can
 // start again and still be on time.
-func (h *holding) mayStop(p *pass, r ranked, a *attempt) bool {
+func (h *holderState) mayStop(p *pass, r ranked, a *attempt) bool {
 	s := a.step
-	if !h.uses(mechanism.Preemption) || a.state != running || a.marked || a.trial || s.spec.Gang || s.spec.Service || s.job.state.Final() {
+	if !h.isEnabled(mechanism.Preemption) || a.state != attemptRunning || a.markedForStop || a.isolated || s.spec.Gang || s.spec.Service || s.job.state.Final() {
 		return false
 	}
-	if !s.spec.Checkpoints && (p.now.Sub(a.since) > youngTask || h.expect(s) < shortTask) {
+	if !s.spec.Checkpoints && (p.now.Sub(a.stateSince) > youngTask || h.expect(s) < shortTask) {
 		return false
 	}
 	if h.spares(p.now, r, a) {
@@ -179,9 +179,9 @@
 
 // spares says whether a task is left alone because a stop would gain little. Not for a gang:
 // it needs much room at once, and what it marks works on until its tickets come.
-func (h *holding) spares(now time.Time, r ranked, a *attempt) bool {
-	if r.step.spec.Gang || !h.uses(mechanism.SparedTasks) {
+func (h *holderState) spares(now time.Time, r ranked, a *attempt) bool {
+	if r.step.spec.Gang || !h.isEnabled(mechanism.SparedTasks) {
 		return false
 	}
-	return a.resumed && now.Sub(a.since) < resumedWorks || h.remaining(now, a) < h.learned.StopTime()+endsSoon
+	return a.resumed && now.Sub(a.stateSince) < resumedWorks || h.remainingRunTime(now, a) < h.learned.StopTime()+endsSoon
 }
--- a/services/dispatch/progress.go
+++ b/services/dispatch/progress.go
@@ -11,11 +11,11 @@
 	"saddlevane/services/blame"
 )
 
-// resume applies the log's progress to a job that has just been read.
-func (h *holding) resume(now time.Time, j *submitted, p job.Progress) {
+// restoreJob applies the log's progress to a job that has just been read.
+func (h *holderState) restoreJob(now time.Time, j *trackedJob, p job.Progress) {
 	j.started = p.Started
 	if p.State != "" {
-		j.state, j.shown, j.why = p.State, p.State, p.Why
+		j.state, j.loggedState, j.failReason = p.State, p.State, p.Why
 	}
 	for _, sp := range p.Steps {
 		in := j.instances[sp.Instance]
@@ -26,7 +26,7 @@
 			in = h.addInstance(j, sp.Instance, now)
 		}
 		if sp.Step >= 0 && sp.Step < len(in.steps) {
-			h.resumeStep(in.steps[sp.Step], sp)
+			h.restoreStep(in.steps[sp.Step], sp)
 		}
 	}
 	for _, in := range ordered.Map(j.instances) {
@@ -36,11 +36,11 @@
 		h.markDirty(j)
 		return
 	}
-	h.opened(now, j)
+	h.openInstances(now, j)
 }
 
-// resumeStep applies the log's progress to a step.
-func (h *holding) resumeStep(s *step, p job.StepProgress) {
+// restoreStep applies the log's progress to a step.
+func (h *holderState) restoreStep(s *step, p job.StepProgress) {
 	for i := range s.tasks {
 		t := &s.tasks[i]
 		if p.HasEndedWell(i) {
@@ -48,16 +48,16 @@
 			s.done++
 			s.waiting--
 		}
-		t.failed = p.Failed[i]
-		t.saved = p.Saved[i]
+		t.failedRuns = p.Failed[i]
+		t.checkpoint = p.Saved[i]
 		if b, held := p.Blame[i]; held {
-			h.docket.Resume(s.unit(i), b)
+			h.blame.Resume(s.unit(i), b)
 		}
 	}
 }
 
 // countDone counts the steps that are done, and the instance if all are.
-func (in *instance) countDone(j *submitted) {
+func (in *instance) countDone(j *trackedJob) {
 	for _, s := range in.steps {
 		if s.done == len(s.tasks) {
 			in.doneSteps++
@@ -69,8 +69,8 @@
 }
 
 // progress returns what the log must keep of a job.
-func (j *submitted) progress(d *blame.Docket) job.Progress {
-	p := job.Progress{State: j.state, Started: j.started, Queue: j.queue, Workspace: j.workspace, Ended: j.ended, Why: j.why}
+func (j *trackedJob) progress(d *blame.Docket) job.Progress {
+	p := job.Progress{State: j.state, Started: j.started, Queue: j.queue, Workspace: j.workspace, Ended: j.endedUnixMilli, Why: j.failReason}
 	if j.state.Final() {
 		p.Left = j.placed()
 		return p
@@ -91,13 +91,13 @@
 	sp := job.StepProgress{Instance: s.id.Instance, Step: s.id.Step}
 	for i := range s.tasks {
 		t := &s.tasks[i]
-		sp.Fails(i, t.failed)
+		sp.Fails(i, t.failedRuns)
 		if t.done {
 			sp.EndsWell(i, len(s.tasks))
 			continue
 		}
 		sp.Blames(i, d.Of(job.TaskID{StepID: s.id, Index: i}))
-		sp.Saves(i, t.saved)
+		sp.Saves(i, t.checkpoint)
 	}
 	return sp, !sp.IsNothing()
 }
--- a/services/dispatch/random_test.go
+++ b/services/dispatch/random_test.go
@@ -52,7 +52,7 @@
 			t.Parallel()
 			w := newWorld(t, 7000+seed, 3, 8)
 			w.lateLooks = []float64{0.1, 0.4, 0.8}[w.rng.Intn(3)]
-			w.serves()
+			w.waitUntilServing()
 			w.plays()
 		})
 	}
@@ -71,7 +71,7 @@
 		b.kill()
 		b.start()
 	}
-	w.serves()
+	w.waitUntilServing()
 	w.lateShare = []float64{0, 0, 0.05}[w.rng.Intn(3)]
 	w.plays()
 }
--- a/services/dispatch/rank.go
+++ b/services/dispatch/rank.go
@@ -16,22 +16,22 @@
 
 // queueOf returns how the configuration treats a job. Jobs of a queue that is
 // gone are treated as when they were accepted.
-func (h *holding) queueOf(j *submitted) job.Queue {
+func (h *holderState) queueOf(j *trackedJob) job.Queue {
 	if q, ok := h.core.config.Queues[j.queue]; ok {
 		return q
 	}
-	return j.acceptedIn
+	return j.acceptedQueue
 }
 
 // objective returns the time within which an instance is wanted.
 func objective(in *instance, q job.Queue) time.Duration {
-	return time.Duration(q.Stretch*float64(in.chain())) + q.Latency
+	return time.Duration(q.Stretch*float64(in.criticalPath())) + q.Latency
 }
 
 // slack returns how much later than now a step may start and be on time.
-func (h *holding) slack(now time.Time, s *step) time.Duration {
+func (h *holderState) slack(now time.Time, s *step) time.Duration {
 	wanted := s.instance.dueAt.Add(objective(s.instance, h.queueOf(s.job)))
-	return wanted.Sub(now) - h.leftNow(now, s)
+	return wanted.Sub(now) - h.remainingCriticalPath(now, s)
 }
 
 // ranked is a step with what orders it.
@@ -42,12 +42,12 @@
 }
 
 // rank says what orders a step. A service has no end, so it is never late.
-func (h *holding) rank(now time.Time, s *step) ranked {
+func (h *holderState) rank(now time.Time, s *step) ranked {
 	q := h.queueOf(s.job)
-	left := h.leftNow(now, s)
+	left := h.remainingCriticalPath(now, s)
 	t := ranking.Times{DueAt: s.instance.dueAt, Objective: objective(s.instance, q), Finish: now.Add(left)}
 	r := ranked{step: s, queue: q, Rank: ranking.Rank{
-		First: s.advice.goesFirst, Tier: t.Tier(now), Beyond: s.job.beyond && h.uses(mechanism.SharedOrder),
+		First: s.advice.goesFirst, Tier: t.Tier(now), Beyond: s.job.beyondShare && h.isEnabled(mechanism.SharedOrder),
 		Priority: q.Priority, WantedAt: t.WantedAt(), Step: s.id,
 	}}
 	if s.spec.Service {
@@ -60,11 +60,11 @@
 }
 
 // rankOpen returns the steps that have tasks to place, in order.
-func (h *holding) rankOpen(now time.Time) []ranked {
-	kept := h.open[:0]
+func (h *holderState) rankOpen(now time.Time) []ranked {
+	kept := h.openSteps[:0]
 	var all []ranked
 	var waiting resource.Vector
-	for _, s := range h.open {
+	for _, s := range h.openSteps {
 		if !s.open || s.job.state.Final() {
 			continue
 		}
@@ -72,16 +72,16 @@
 		if s.waiting == 0 || now.Before(s.notBefore) || s.spec.Gang && s.attempts > 0 {
 			continue
 		}
-		if s.job.inherited && len(h.unsettled) > 0 {
+		if s.job.inherited && len(h.unsettledWorkers) > 0 {
 			s.waited(now, delays.Takeover)
 			continue
 		}
 		all = append(all, h.rank(now, s))
 		waiting = waiting.Plus(s.spec.Need.Times(s.waiting))
 	}
-	clear(h.open[len(kept):])
-	h.open = kept
-	backlog := h.uses(mechanism.LeastWork) && ranking.Backlog(waiting, h.capacity)
+	clear(h.openSteps[len(kept):])
+	h.openSteps = kept
+	backlog := h.isEnabled(mechanism.LeastWork) && ranking.Backlog(waiting, h.capacity)
 	slices.SortFunc(all, func(a, b ranked) int { return a.Compare(b.Rank, backlog) })
 	return all
 }
--- a/services/dispatch/rates_test.go
+++ b/services/dispatch/rates_test.go
@@ -124,7 +124,7 @@
 		// Ten minutes without a crash.
 		w.log[stream.Jobs].records = append(w.log[stream.Jobs].records, kept.CrashRateRecord(map[string]any{"all": map[string]float64{"crashes": 0, "seconds": 9000}}))
 	}
-	w.serves()
+	w.waitUntilServing()
 	product := w.rng
 	w.rng = rand.New(rand.NewSource(seed))
 	for i := range 60 {
--- a/services/dispatch/reports.go
+++ b/services/dispatch/reports.go
@@ -13,7 +13,7 @@
 )
 
 // applyReport brings what is believed of a worker in line with its own word.
-func (h *holding) applyReport(now time.Time, w *worker, e exchange.RenewEnded) {
+func (h *holderState) applyReport(now time.Time, w *worker, e exchange.RenewEnded) {
 	h.applyEnds(now, w, e.Report.Ended)
 	clear(w.orphans)
 	present := make(map[order.Run]bool, len(e.Report.Running))
@@ -23,7 +23,7 @@
 	}
 	h.throttle(now, w)
 	for _, a := range w.sortedAttempts() {
-		if !present[a.name()] {
+		if !present[a.runID()] {
 			h.applyAbsence(now, a, e.Look)
 		}
 	}
@@ -31,16 +31,16 @@
 }
 
 // applyEnds takes the ends of a list that were not heard before.
-func (h *holding) applyEnds(now time.Time, w *worker, all []order.End) {
+func (h *holderState) applyEnds(now time.Time, w *worker, all []order.End) {
 	for _, end := range all {
 		if note, news := w.reportedEnds.Add(w, end.Number); news {
-			h.ended(now, w, end, note)
+			h.handleRunEnd(now, w, end, note)
 		}
 	}
 }
 
 // applyRunning notes that a run is at work on a worker.
-func (h *holding) applyRunning(now time.Time, w *worker, r order.Running) {
+func (h *holderState) applyRunning(now time.Time, w *worker, r order.Running) {
 	a := w.attempts[r.Run]
 	if a == nil {
 		a = h.adopt(now, w, r)
@@ -50,22 +50,22 @@
 			return
 		}
 	}
-	a.silentKnown, a.handedDown = false, false
+	a.workedUntilSilenceKnown, a.fromEarlierLife = false, false
 	a.seen(now, r)
 	h.worksOn(now, a)
 	if a.step.spec.Checkpoints && r.Checkpoint != "" {
-		a.task().saved = r.Checkpoint
+		a.task().checkpoint = r.Checkpoint
 	}
-	if a.state == unsure || a.state == starting {
-		a.state = running
-		h.mark(now, a)
-		h.started(a)
+	if a.state == attemptUnconfirmed || a.state == attemptStarting {
+		a.state = attemptRunning
+		h.markStateChange(now, a)
+		h.markStarted(a)
 	}
 }
 
 // adopt takes over a run that an earlier holder started. It returns nil if the
 // run should not be there.
-func (h *holding) adopt(now time.Time, w *worker, r order.Running) *attempt {
+func (h *holderState) adopt(now time.Time, w *worker, r order.Running) *attempt {
 	s := h.findStep(r.Task.StepID)
 	if s == nil || r.Task.Index >= len(s.tasks) || s.job.state.Final() {
 		return nil
@@ -75,21 +75,21 @@
 		return nil
 	}
 	if t.attempt != nil {
-		h.unplace(t.attempt)
+		h.unassign(t.attempt)
 	}
 	a := &attempt{
-		step: s, index: r.Task.Index, run: r.Number, worker: w, state: running, since: now, looks: h.looks, confirmed: true, adopted: true,
+		step: s, index: r.Task.Index, run: r.Number, worker: w, state: attemptRunning, stateSince: now, renewalsSent: h.renewalsSent, stopConfirmed: true, adopted: true,
 		pace: paceUnknown,
 	}
-	h.place(now, a)
+	h.assign(now, a)
 	s.lastRun = max(s.lastRun, r.Number)
-	h.started(a)
+	h.markStarted(a)
 	return a
 }
 
 // findStep returns a step, or nil if it is not known or nothing runs of its job any
 // more.
-func (h *holding) findStep(id job.StepID) *step {
+func (h *holderState) findStep(id job.StepID) *step {
 	j := h.jobs[id.Job]
 	if j == nil || j.instances == nil {
 		return nil
@@ -102,44 +102,44 @@
 }
 
 // stopOrphan ends a run that the holder would not have started.
-func (h *holding) stopOrphan(now time.Time, w *worker, run order.Run) {
-	h.core.note("a run that should not be there is stopped", field("task", run.Task.String()), field("run", run.Number), field("worker", w.Life.String()))
-	h.orderStop(now, w, run)
+func (h *holderState) stopOrphan(now time.Time, w *worker, run order.Run) {
+	h.core.logEvent("a run that should not be there is stopped", logField("task", run.Task.String()), logField("run", run.Number), logField("worker", w.Life.String()))
+	h.sendStop(now, w, run)
 }
 
 // applyAbsence acts on an attempt that a report does not name. A look that was asked
 // for before the attempt came to its present state proves nothing: the worker may
 // have answered it earlier. A run that is being stopped is named as running until
 // its end is told.
-func (h *holding) applyAbsence(now time.Time, a *attempt, look int64) {
-	if a.state == starting || look <= a.looks {
+func (h *holderState) applyAbsence(now time.Time, a *attempt, look int64) {
+	if a.state == attemptStarting || look <= a.renewalsSent {
 		return
 	}
-	if a.handedDown {
+	if a.fromEarlierLife {
 		h.loseAttempt(now, a, "the worker's present life has not begun it")
 		return
 	}
-	if a.state == unsure {
-		h.stop(now, a)
+	if a.state == attemptUnconfirmed {
+		h.stopAttempt(now, a)
 		return
 	}
 	switch {
-	case a.state == running:
+	case a.state == attemptRunning:
 		h.loseAttempt(now, a, "the worker no longer has it")
-	case a.confirmed:
+	case a.stopConfirmed:
 		h.loseAttempt(now, a, "it was stopped before it began")
 	}
 }
 
 // loseAttempt frees an attempt of which the worker knows nothing any more.
-func (h *holding) loseAttempt(now time.Time, a *attempt, why string) {
-	h.unplace(a)
+func (h *holderState) loseAttempt(now time.Time, a *attempt, why string) {
+	h.unassign(a)
 	a.task().runs.RecordInterruption(delays.RunLost)
-	h.core.note("task lost", field("job", string(a.step.job.id)), field("task", a.name().Task.String()), field("run", a.run),
-		field("worker", a.worker.Life.String()), field("state", string(a.state)), field("reason", why),
-		field("worked_most", a.maxWorkTime(a.worker.presence.SilentSince()).String()), field("times_lost", a.task().lost))
+	h.core.logEvent("task lost", logField("job", string(a.step.job.id)), logField("task", a.runID().Task.String()), logField("run", a.run),
+		logField("worker", a.worker.Life.String()), logField("state", string(a.state)), logField("reason", why),
+		logField("worked_most", a.maxWorkTime(a.worker.presence.SilentSince()).String()), logField("times_lost", a.task().lostRuns))
 	if !a.step.job.state.Final() {
-		h.gangBroke(now, a.step)
+		h.restartGang(now, a.step)
 	}
-	h.afterEnd(a.step)
+	h.replanAfterEnd(a.step)
 }
--- a/services/dispatch/reserve.go
+++ b/services/dispatch/reserve.go
@@ -48,28 +48,28 @@
 )
 
 // mayReserve says whether one more gang may reserve room.
-func (h *holding) mayReserve() bool {
-	return h.reserved.Len() < gangsReserving+len(h.workers)/workersPerGang
+func (h *holderState) mayReserve() bool {
+	return h.reservations.Len() < gangsReserving+len(h.workers)/workersPerGang
 }
 
 // reserve keeps room for a waiting gang: what is free, what is ending and, where
 // that is not enough, what tasks take that may give way to it. If all of that would
 // not do, workers are drained for it.
-func (h *holding) reserve(p *pass, r ranked) {
+func (h *holderState) reserve(p *pass, r ranked) {
 	s := r.step
-	if p.now.Before(s.reserveAfter) {
+	if p.now.Before(s.nextReserveAt) {
 		return
 	}
 	open := h.openWorkers(p, r)
 	gains := h.gainsFor(p, r, open, len(s.tasks), r.Tier != ranking.Hopeless || p.roomy)
 	if slots.TotalTasks(gains) < len(s.tasks) {
-		s.reserveAfter = p.now.Add(lookAgain)
+		s.nextReserveAt = p.now.Add(lookAgain)
 		h.drain(p, s, open)
 		return
 	}
 	s.reservation = newReservation(p.now, s, slots.Cheapest(gains, len(s.tasks), byName))
 	h.usage.Take(s.job.workspace, s.spec.Need.Times(len(s.tasks)))
-	h.reserved.Begin(p.now, s.id, s.spec.Reserved().Times(len(s.tasks)).Processors)
+	h.reservations.Begin(p.now, s.id, s.spec.Reserved().Times(len(s.tasks)).Processors)
 	h.advance(p, r)
 }
 
@@ -82,7 +82,7 @@
 		res.add(g.Worker, min(wanted, g.Tasks))
 		wanted -= g.Tasks
 		for _, a := range g.Victims {
-			a.marked = true
+			a.markedForStop = true
 			res.victims = append(res.victims, a)
 		}
 	}
@@ -104,7 +104,7 @@
 }
 
 // unreserve gives back the room reserved for a step, if any is.
-func (h *holding) unreserve(now time.Time, s *step, o reservations.Outcome) {
+func (h *holderState) unreserve(now time.Time, s *step, o reservations.Outcome) {
 	res := s.reservation
 	if res == nil {
 		return
@@ -114,24 +114,24 @@
 		sh.Worker.reserved = slices.DeleteFunc(sh.Worker.reserved, func(k keptRoom) bool { return k.step == s })
 	}
 	for _, a := range res.victims {
-		a.marked = false
+		a.markedForStop = false
 	}
 	s.reservation = nil
 	h.usage.Return(s.job.workspace, s.spec.Need.Times(len(s.tasks)))
-	h.reserved.End(now, s.id, o)
+	h.reservations.End(now, s.id, o)
 	h.planDue = true
 }
 
 // advance brings a gang with reserved room nearer to its start: it asks for
 // tickets, stops what is in the way once they are about to come, and starts the
 // gang when both are there.
-func (h *holding) advance(p *pass, r ranked) {
+func (h *holderState) advance(p *pass, r ranked) {
 	s := r.step
 	res := s.reservation
 	if failed := h.failure(p.now, s); failed != "" {
 		h.noteFailed(p.now, s, failed)
 		h.unreserve(p.now, s, failed)
-		s.wait(p.now.Add(reserveAgain))
+		s.delayStart(p.now.Add(reserveAgain))
 		return
 	}
 	ready, due := h.ticketsFor(p.now, r)
@@ -140,7 +140,7 @@
 	}
 	if ready && len(res.victims) == 0 && h.isFree(s) {
 		h.unreserve(p.now, s, reservations.Started)
-		if s.capped = h.capRoom(s) < len(s.tasks); s.capped {
+		if s.heldByCap = h.capRoom(s) < len(s.tasks); s.heldByCap {
 			// The cap has fallen since.
 			return
 		}
@@ -149,7 +149,7 @@
 }
 
 // failure returns why the reservation of a step comes to nothing, or "".
-func (h *holding) failure(now time.Time, s *step) reservations.Outcome {
+func (h *holderState) failure(now time.Time, s *step) reservations.Outcome {
 	if !h.usable(now, s.reservation, s.spec.Reserved()) {
 		return reservations.WorkerUnusable
 	}
@@ -168,21 +168,21 @@
 }
 
 // noteFailed says why a gang gives room back without having started.
-func (h *holding) noteFailed(now time.Time, s *step, why reservations.Outcome) {
+func (h *holderState) noteFailed(now time.Time, s *step, why reservations.Outcome) {
 	_, stale := s.splitByTicket(now, s.reservation.shares)
 	due := now
 	for _, c := range s.advice.calls {
 		due = ordered.Later(due, c.due)
 	}
-	h.core.note("a gang gives room back", field("job", string(s.job.id)), field("step", s.id.String()), field("reason", string(why)),
-		field("tasks", len(s.tasks)), field("workers", len(s.reservation.shares)), field("without_ticket", len(stale)),
-		field("calls", len(s.advice.calls)), field("tickets_due_in", due.Sub(now).String()), field("to_stop", len(s.reservation.victims)),
-		field("held_for", now.Sub(s.reservation.since).String()), field("claim", h.epoch))
+	h.core.logEvent("a gang gives room back", logField("job", string(s.job.id)), logField("step", s.id.String()), logField("reason", string(why)),
+		logField("tasks", len(s.tasks)), logField("workers", len(s.reservation.shares)), logField("without_ticket", len(stale)),
+		logField("calls", len(s.advice.calls)), logField("tickets_due_in", due.Sub(now).String()), logField("to_stop", len(s.reservation.victims)),
+		logField("held_for", now.Sub(s.reservation.since).String()), logField("claim", h.epoch))
 }
 
 // usable says whether all workers of a reservation still take tasks, and could hold those
 // that need some room each: room may shrink.
-func (h *holding) usable(now time.Time, res *reservation, need resource.Vector) bool {
+func (h *holderState) usable(now time.Time, res *reservation, need resource.Vector) bool {
 	return !slices.ContainsFunc(res.shares, func(sh share) bool {
 		return h.workers[sh.Worker.Name] != sh.Worker || !h.isSchedulable(now, sh.Worker) || !need.Times(sh.Tasks).Fits(sh.Worker.Capacity)
 	})
@@ -191,7 +191,7 @@
 // isFree says whether all room reserved for a step is there. Room that was reserved
 // later on the same worker takes nothing from it: the later gang waits for tasks that it
 // has stopped, and each could wait for the other.
-func (h *holding) isFree(s *step) bool {
+func (h *holderState) isFree(s *step) bool {
 	return !slices.ContainsFunc(s.reservation.shares, func(sh share) bool {
 		room := sh.Worker.free.Minus(sh.Worker.promised)
 		for _, later := range sh.Worker.reservedAfter(s) {
@@ -219,7 +219,7 @@
 
 // ticketsFor says whether a gang with reserved room has all its tickets, or when
 // those should come that are being asked for.
-func (h *holding) ticketsFor(now time.Time, r ranked) (ready bool, due time.Time) {
+func (h *holderState) ticketsFor(now time.Time, r ranked) (ready bool, due time.Time) {
 	s := r.step
 	if r.queue.Advice == nil {
 		return true, now
@@ -240,7 +240,7 @@
 // notAwaited returns the workers of a reservation whose tickets are not being asked for
 // and would have run out when the answers about some workers come: all tickets of a gang
 // must hold at one time, and a call takes about as long as one holds.
-func (h *holding) notAwaited(now time.Time, r ranked, asked int) []*worker {
+func (h *holderState) notAwaited(now time.Time, r ranked, asked int) []*worker {
 	s := r.step
 	takes := r.queue.Advice.Base + time.Duration(min(asked, advisers.MaxWorkersPerCall))*r.queue.Advice.Each
 	_, stale := s.splitByTicket(now.Add(takes+advisers.MaxQueueTime+tickets.StartMargin), s.reservation.shares)
@@ -255,7 +255,7 @@
 
 // askTogether calls for tickets in as many calls of one size as it takes, so that their
 // answers come at about the same time. It returns false if not all could be made.
-func (h *holding) askTogether(now time.Time, r ranked, workers []*worker) bool {
+func (h *holderState) askTogether(now time.Time, r ranked, workers []*worker) bool {
 	if now.Before(r.step.advice.askAgain) {
 		return true
 	}
@@ -269,16 +269,16 @@
 }
 
 // stopVictims stops the tasks that are in the place of a gang.
-func (h *holding) stopVictims(p *pass, s *step) {
+func (h *holderState) stopVictims(p *pass, s *step) {
 	res := s.reservation
 	if len(res.victims) == 0 {
 		return
 	}
 	stopped := 0
 	for _, a := range res.victims {
-		a.marked = false
-		if a.state == running && a.worker.attempts[a.name()] == a {
-			h.stop(p.now, a)
+		a.markedForStop = false
+		if a.state == attemptRunning && a.worker.attempts[a.runID()] == a {
+			h.stopAttempt(p.now, a)
 			stopped++
 		}
 	}
--- a/services/dispatch/restarts_test.go
+++ b/services/dispatch/restarts_test.go
@@ -14,15 +14,15 @@
 )
 
 // A worker refuses each run of a task as one that has ended there, and tells no end.
-func TestATaskIsNotStartedWithoutEndWhereEachStartIsRefused(t *testing.T) {
-	d, looks := holding(t, workerEntry("w", 1000))
+func TestRefusedStartsAreRateLimited(t *testing.T) {
+	d, looks := newHolder(t, workerEntry("w", 1000))
 	waiting := []exchange.StartRun{d.startOneTask()}
 	starts := 0
 	for end := d.now.Add(10 * time.Second); d.now.Before(end); {
 		var next []exchange.StartRun
 		for _, s := range waiting {
 			starts++
-			next = append(next, only[exchange.StartRun](d.handle(exchange.StartEnded{
+			next = append(next, effectsOf[exchange.StartRun](d.handle(exchange.StartEnded{
 				Worker: s.Worker, Epoch: 1, Run: s.Order.Run, Answer: order.Answer{Fate: order.Refused, Reason: order.OldRun},
 			}))...)
 		}
--- a/services/dispatch/room.go
+++ b/services/dispatch/room.go
@@ -23,7 +23,7 @@
 }
 
 // workersFor returns the workers that may run a step, advice aside.
-func (h *holding) workersFor(p *pass, s *step, pool string) *workerSet {
+func (h *holderState) workersFor(p *pass, s *step, pool string) *workerSet {
 	key := setKey{pool, s.spec.Label}
 	if set := p.sets[key]; set != nil {
 		return set
@@ -55,7 +55,7 @@
 func (w *worker) soon() resource.Vector {
 	room := w.room()
 	for _, a := range w.attempts {
-		if a.state == stopping {
+		if a.state == attemptStopping {
 			room = room.Plus(a.step.spec.Reserved())
 		}
 	}
--- a/services/dispatch/runtimes.go
+++ b/services/dispatch/runtimes.go
@@ -14,26 +14,26 @@
 const keepTimesEvery = 3 * time.Second
 
 // keepTimes has the log keep what is known of run times, if there is more of it.
-func (h *holding) keepTimes(now time.Time) {
-	if now.Before(h.keepTimesAt) || h.phase != active || !h.learned.Changed() || h.journal.failing(now) {
+func (h *holderState) keepTimes(now time.Time) {
+	if now.Before(h.nextRunTimesAt) || h.phase != phaseActive || !h.learned.Changed() || h.journal.isFailing(now) {
 		return
 	}
-	h.keepTimesAt = now.Add(keepTimesEvery)
+	h.nextRunTimesAt = now.Add(keepTimesEvery)
 	h.journal.add(kept.RunTimesRecord(h.learned.Times()))
 }
 
 // expect returns how long a step takes: what it took if it is done, else what
 // steps of its queue with its estimate should take.
-func (h *holding) expect(s *step) time.Duration {
-	if s.took > 0 && s.done == len(s.tasks) {
-		return s.took
+func (h *holderState) expect(s *step) time.Duration {
+	if s.longestRun > 0 && s.done == len(s.tasks) {
+		return s.longestRun
 	}
 	return h.usual(s)
 }
 
 // usual returns what steps of a step's queue with its estimate usually take.
-func (h *holding) usual(s *step) time.Duration {
-	if !h.uses(mechanism.LearnedTimes) {
+func (h *holderState) usual(s *step) time.Duration {
+	if !h.isEnabled(mechanism.LearnedTimes) {
 		return s.spec.Estimate.Duration()
 	}
 	return h.learned.Expect(s.job.queue, s.spec.Estimate.Duration())
@@ -42,20 +42,20 @@
 // tookUntil notes that a task of a step ends well at now. Only whole runs show
 // how long a step takes.
 func (s *step) tookUntil(now time.Time, a *attempt) {
-	if a == nil || a.adopted || a.resumed || a.state != running {
+	if a == nil || a.adopted || a.resumed || a.state != attemptRunning {
 		s.interrupted = true
 		return
 	}
-	s.took = max(s.took, now.Sub(a.since))
+	s.longestRun = max(s.longestRun, now.Sub(a.stateSince))
 }
 
 // learnTimes takes how long a step took that is done, and sets anew how much work
 // follows the steps of its instance.
-func (h *holding) learnTimes(s *step) {
-	if s.interrupted || s.took == 0 {
-		s.took = 0
+func (h *holderState) learnTimes(s *step) {
+	if s.interrupted || s.longestRun == 0 {
+		s.longestRun = 0
 	} else {
-		h.learned.Took(s.job.queue, s.spec.Estimate.Duration(), s.took)
+		h.learned.Took(s.job.queue, s.spec.Estimate.Duration(), s.longestRun)
 	}
-	h.chains(s.instance.steps)
+	h.updateCriticalPaths(s.instance.steps)
 }
--- a/services/dispatch/runtimes_test.go
+++ b/services/dispatch/runtimes_test.go
@@ -27,7 +27,7 @@
 }
 
 func TestRunTimesAreLearnedAndOutliveTheHolder(t *testing.T) {
-	w := serving(t, 31, 3, 6)
+	w := newServingWorld(t, 31, 3, 6)
 	for _, f := range w.workers {
 		f.slowBy = 4
 	}
--- a/services/dispatch/shrink_test.go
+++ b/services/dispatch/shrink_test.go
@@ -40,7 +40,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(t, 11000+seed, 3, 8)
-			w.serves()
+			w.waitUntilServing()
 			for i := range 40 {
 				w.after(time.Duration(w.rng.Intn(15000))*time.Millisecond, func() { w.submit(w.randomJob(i)) })
 			}
@@ -52,7 +52,7 @@
 			}
 			w.watch(100)
 			for _, f := range w.workers {
-				f.resize(fullSize)
+				f.resize(workerCapacity)
 			}
 			w.untilEnded()
 		})
@@ -64,7 +64,7 @@
 	f := w.workers[w.rng.Intn(len(w.workers))]
 	part := []int64{0, 1, 2, 3, 4, 4}[w.rng.Intn(6)]
 	f.resize(resource.Vector{
-		Processors: fullSize.Processors * resource.Millis(part) / 4, Memory: fullSize.Memory * resource.Bytes(part) / 4,
+		Processors: workerCapacity.Processors * resource.Millis(part) / 4, Memory: workerCapacity.Memory * resource.Bytes(part) / 4,
 	})
 }
 
@@ -74,18 +74,18 @@
 }
 
 func TestRegrownCapacityIsUsed(t *testing.T) {
-	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
+	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	d.handle(resizedEntry("w", resource.Vector{}))
-	assert.Equal(t, d.startsOf(oneStep("j", "quick", 2, false), 1, looks), 0, "there is no room")
-	d.handle(resizedEntry("w", fullSize))
-	assert.Equal(t, d.answers(time.Second, looks), 2)
+	assert.Equal(t, d.submitAndCountStarts(oneStep("j", "quick", 2, false), 1, looks), 0, "there is no room")
+	d.handle(resizedEntry("w", workerCapacity))
+	assert.Equal(t, d.answerRenewals(time.Second, looks), 2)
 }
 
 // A gang had room reserved on a worker whose room shrank below what was reserved: the
 // reservation was kept for its 3 s, and with it the room on all other workers of the gang.
 func TestReservationThatNoLongerFitsIsReleased(t *testing.T) {
-	d, _ := holding(t,
-		order.Worker{Life: order.Life{Name: "v"}, Address: "v", Pool: pool, Capacity: fullSize}, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
+	d, _ := newHolder(t,
+		order.Worker{Life: order.Life{Name: "v"}, Address: "v", Pool: pool, Capacity: workerCapacity}, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	c := config()
 	wide := c.Queues["wide"]
 	wide.Advice = nil
@@ -96,17 +96,17 @@
 		s.Steps[0].Checkpoints = true
 		s.Steps[0].Need = resource.Vector{Processors: 40 * resource.Processor}
 		s.Steps[0].Estimate = 60_000
-		for _, start := range only[exchange.StartRun](d.submits(s)) {
+		for _, start := range effectsOf[exchange.StartRun](d.submitAndLog(s)) {
 			d.handle(exchange.StartEnded{Worker: start.Worker, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
 		}
 	}
 	gang := oneStep("g", "quick", 2, true)
 	gang.Steps[0].Need = resource.Vector{Processors: 60 * resource.Processor}
 	gang.Steps[0].Estimate = 500
-	assert.Equal(t, len(only[exchange.StopRun](d.submits(gang))), 2, "room is made for the gang")
-	shrunk := resource.Vector{Processors: 50 * resource.Processor, Memory: fullSize.Memory}
+	assert.Equal(t, len(effectsOf[exchange.StopRun](d.submitAndLog(gang))), 2, "room is made for the gang")
+	shrunk := resource.Vector{Processors: 50 * resource.Processor, Memory: workerCapacity.Memory}
 	given := 0
-	for _, n := range only[exchange.Note](append(d.handle(resizedEntry("w", shrunk)), d.later(50*time.Millisecond)...)) {
+	for _, n := range effectsOf[exchange.Note](append(d.handle(resizedEntry("w", shrunk)), d.advance(50*time.Millisecond)...)) {
 		if n.Message == "a gang gives room back" {
 			given++
 		}
