--- a/services/dispatch/silence.go
+++ b/services/dispatch/silence.go
@@ -37,12 +37,12 @@
 )
 
 // refreshUnresponsive has the log tell what may run on a worker that does not answer.
-func (h *holding) refreshUnresponsive(now time.Time, w *worker) {
+func (h *holderState) refreshUnresponsive(now time.Time, w *worker) {
 	again := w.unresponsive.written
 	switch {
 	case w.failures < failuresBeforeRecord, !again && !w.reported:
 		return
-	case again && (now.Sub(w.unresponsive.writtenAt) < unresponsiveRecordInterval || h.journal.failing(now)):
+	case again && (now.Sub(w.unresponsive.writtenAt) < unresponsiveRecordInterval || h.journal.isFailing(now)):
 		return
 	}
 	h.recordUnresponsive(now, w)
@@ -50,14 +50,14 @@
 
 // recordUnresponsive adds the record of a silent worker to the next append. No start may be ordered
 // to it until a later record says that it answers.
-func (h *holding) recordUnresponsive(now time.Time, w *worker) {
+func (h *holderState) recordUnresponsive(now time.Time, w *worker) {
 	late := w.detectionDelay()
 	w.unresponsive = unresponsiveRecord{written: true, writtenAt: now, detectionDelay: w.unresponsive.detectionDelay}
 	w.recorded, w.recording = false, false
 	w.records++
 	s := kept.SilentState{DetectionDelay: job.Milliseconds(late.Milliseconds()), LeaseLeft: job.Milliseconds(max(0, w.leaseExpiresBy.Sub(now)).Milliseconds())}
 	for _, a := range w.sortedAttempts() {
-		s.Runs = append(s.Runs, a.name())
+		s.Runs = append(s.Runs, a.runID())
 		s.RunTimes = append(s.RunTimes, a.recordedWorkTime(w.presence.SilentSince()))
 	}
 	for run := range ordered.By(w.orphans, order.Run.Compare) {
@@ -77,7 +77,7 @@
 }
 
 // recordResponsive has the log tell that a worker answers again.
-func (h *holding) recordResponsive(w *worker) {
+func (h *holderState) recordResponsive(w *worker) {
 	if w.unresponsive.written {
 		w.unresponsive = unresponsiveRecord{}
 		w.recorded, w.recording = false, false
@@ -87,13 +87,13 @@
 
 // restoreUnresponsive takes over a worker that was silent under an earlier holder: what may run on it
 // is known, and counts as being at work until it answers or its lease is over.
-func (h *holding) restoreUnresponsive(now time.Time, w *worker, s *kept.SilentState) {
+func (h *holderState) restoreUnresponsive(now time.Time, w *worker, s *kept.SilentState) {
 	w.unresponsive = unresponsiveRecord{written: true, writtenAt: now, detectionDelay: s.DetectionDelay.Duration()}
 	w.leaseExpiresBy = ordered.Later(w.leaseExpiresBy, now.Add(min(h.maxLeaseDuration(), s.LeaseLeft.Duration())))
 	for i, run := range s.Runs {
 		a := h.restoreRun(now, w, run)
 		if worked, known := s.RunTime(i); a != nil && known {
-			a.silentAfter, a.silentKnown = worked, true
+			a.workedUntilSilence, a.workedUntilSilenceKnown = worked, true
 		}
 	}
 }
@@ -101,7 +101,7 @@
 // restoreRun takes a run as being at work on a silent worker, and returns it, or nil if it is
 // over. Where the log names two runs of a task, the first was over before the second was
 // ordered.
-func (h *holding) restoreRun(now time.Time, w *worker, run order.Run) *attempt {
+func (h *holderState) restoreRun(now time.Time, w *worker, run order.Run) *attempt {
 	s := h.findStep(run.Task.StepID)
 	if s == nil || run.Task.Index >= len(s.tasks) || s.job.state.Final() {
 		return nil
@@ -111,13 +111,13 @@
 		return nil
 	}
 	if t.attempt != nil {
-		h.unplace(t.attempt)
+		h.unassign(t.attempt)
 	}
 	a := &attempt{
-		step: s, index: run.Task.Index, run: run.Number, worker: w, state: running, since: now, confirmed: true, adopted: true,
-		pace: paceUnknown, unheard: true,
+		step: s, index: run.Task.Index, run: run.Number, worker: w, state: attemptRunning, stateSince: now, stopConfirmed: true, adopted: true,
+		pace: paceUnknown, onlyLogged: true,
 	}
-	h.place(now, a)
+	h.assign(now, a)
 	s.lastRun = max(s.lastRun, run.Number)
 	return a
 }
@@ -128,5 +128,5 @@
 	if t.attempt == nil {
 		return run.Number > t.lastRun
 	}
-	return t.attempt.unheard && run.Number > t.attempt.run
+	return t.attempt.onlyLogged && run.Number > t.attempt.run
 }
--- a/services/dispatch/silence_test.go
+++ b/services/dispatch/silence_test.go
@@ -27,7 +27,7 @@
 // The holder before knew which tasks were on them.
 func TestJobsDoNotWaitForWorkersUnresponsiveBeforeTakeover(t *testing.T) {
 	w := newWorld(t, 1, 2, 9)
-	w.serves()
+	w.waitUntilServing()
 	lost := w.submit(longStep("lost", 1))
 	w.until(time.Second, "the first job runs", func() bool { return w.runningOf("lost") == 1 })
 	gone := w.workers[0]
@@ -75,7 +75,7 @@
 			w.hasWorkspaces()
 			w.publishCaps(0)
 			w.lateShare = []float64{0, 0, 0.05}[w.rng.Intn(3)]
-			w.serves()
+			w.waitUntilServing()
 			for range 12 {
 				f := w.workers[w.rng.Intn(len(w.workers))]
 				lasts := time.Duration(400+w.rng.Intn(5000)) * time.Millisecond
--- a/services/dispatch/silent_test.go
+++ b/services/dispatch/silent_test.go
@@ -14,81 +14,81 @@
 )
 
 // startUnanswered ends the call of a start that had no answer.
-func (d *driven) startUnanswered(s exchange.StartRun) []exchange.Effect {
+func (d *harness) startUnanswered(s exchange.StartRun) []exchange.Effect {
 	return d.handle(exchange.StartEnded{Worker: s.Worker, Epoch: 1, Run: s.Order.Run, Answer: order.Answer{Fate: order.Unknown}})
 }
 
 // oneWorker returns a reducer that holds the cell with one worker.
-func oneWorker(t *testing.T) *driven {
+func oneWorker(t *testing.T) *harness {
 	t.Helper()
-	d, _ := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
+	d, _ := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	return d
 }
 
 func TestUnansweredStartIsResent(t *testing.T) {
 	d := oneWorker(t)
-	starts := only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))
+	starts := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))
 	assert.Equal(t, len(starts), 1)
 	first := starts[0]
 	for range 3 {
-		again := only[exchange.StartRun](d.startUnanswered(first))
+		again := effectsOf[exchange.StartRun](d.startUnanswered(first))
 		assert.Equal(t, len(again), 1)
 		assert.Equal(t, again[0].Order.Run, first.Order.Run, "the same run is ordered")
 		assert.Equal(t, again[0].Order.Ticket, first.Order.Ticket)
 	}
 	effects := d.startUnanswered(first)
-	assert.Equal(t, len(only[exchange.StartRun](effects)), 0, "it is not tried for ever")
+	assert.Equal(t, len(effectsOf[exchange.StartRun](effects)), 0, "it is not tried for ever")
 }
 
 func TestStartSentTwiceMayHaveBeenCarriedOut(t *testing.T) {
 	for _, fate := range []order.Fate{order.NotDone, order.Refused} {
 		d := oneWorker(t)
-		first := only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))[0]
+		first := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))[0]
 		d.startUnanswered(first)
 		effects := d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: first.Order.Run, Answer: order.Answer{Fate: fate, Reason: order.NoRoom}})
-		effects = append(effects, d.later(200*time.Millisecond)...)
-		assert.Equal(t, len(only[exchange.StartRun](effects)), 0, "after %s the first order may still be carried out", fate)
+		effects = append(effects, d.advance(200*time.Millisecond)...)
+		assert.Equal(t, len(effectsOf[exchange.StartRun](effects)), 0, "after %s the first order may still be carried out", fate)
 	}
 }
 
 func TestWorkerWithOverdueStartGetsNoMoreStarts(t *testing.T) {
 	d := oneWorker(t)
-	first := only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))[0]
+	first := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))[0]
 	d.now = d.now.Add(150 * time.Millisecond)
-	assert.Equal(t, len(only[exchange.StartRun](d.submits(oneStep("k", "quick", 1, false)))), 0)
+	assert.Equal(t, len(effectsOf[exchange.StartRun](d.submitAndLog(oneStep("k", "quick", 1, false)))), 0)
 	effects := d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: first.Order.Run, Answer: order.Answer{Fate: order.Carried}})
-	effects = append(effects, d.later(100*time.Millisecond)...)
-	assert.Equal(t, len(only[exchange.StartRun](effects)), 1, "it has answered")
+	effects = append(effects, d.advance(100*time.Millisecond)...)
+	assert.Equal(t, len(effectsOf[exchange.StartRun](effects)), 1, "it has answered")
 }
 
 func TestHolderWithoutAuthorityRenewsNoLease(t *testing.T) {
-	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
+	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	// The log confirms no renewal of the claim any more.
-	d.later(settings().Authority.HoldFor)
-	effects := d.handle(looked(looks["w"]))
-	effects = append(effects, d.later(200*time.Millisecond)...)
-	assert.Equal(t, len(only[exchange.Renew](effects)), 0, "the next holder counts on leases to run out")
-	assert.Check(t, !d.core.Holds(d.now))
+	d.advance(settings().Authority.HoldFor)
+	effects := d.handle(renewAnswer(looks["w"]))
+	effects = append(effects, d.advance(200*time.Millisecond)...)
+	assert.Equal(t, len(effectsOf[exchange.Renew](effects)), 0, "the next holder counts on leases to run out")
+	assert.Check(t, !d.core.IsServing(d.now))
 }
 
 func TestRenewalWaitsAtMostHalfTheShortestTask(t *testing.T) {
-	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
-	assert.Equal(t, looks["w"].Order.Wait.Duration(), settings().Wait, "nothing runs there")
+	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	assert.Equal(t, looks["w"].Order.Wait.Duration(), settings().RenewWait, "nothing runs there")
 	s := oneStep("j", "quick", 1, false)
 	s.Steps[0].Estimate = 600
-	start := only[exchange.StartRun](d.submits(s))[0]
+	start := effectsOf[exchange.StartRun](d.submitAndLog(s))[0]
 	d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
-	effects := d.handle(looked(looks["w"], start.Order.Run))
-	look := only[exchange.Renew](effects)[0]
+	effects := d.handle(renewAnswer(looks["w"], start.Order.Run))
+	look := effectsOf[exchange.Renew](effects)[0]
 	assert.Equal(t, look.Order.Wait.Duration(), 300*time.Millisecond)
 	assert.Check(t, look.Timeout <= 500*time.Millisecond, "a lost answer is noticed after %v", look.Timeout)
 	// The next look follows at once.
 	effects = d.handle(exchange.RenewEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Look: look.Look, Answer: order.Answer{Fate: order.Unknown}})
-	assert.Equal(t, len(only[exchange.Renew](effects)), 1)
+	assert.Equal(t, len(effectsOf[exchange.Renew](effects)), 1)
 }
 
 func TestStalledRunsAreMoved(t *testing.T) {
-	w := serving(t, 31, 1, 3)
+	w := newServingWorld(t, 31, 1, 3)
 	w.workers[0].stalls = true
 	for i := range 12 {
 		w.submit(oneStep(string(rune('a'+i)), "quick", 2, false))
@@ -99,7 +99,7 @@
 }
 
 func TestCellIsTakenOverSoonAfterLogReturns(t *testing.T) {
-	w := serving(t, 41, 3, 4)
+	w := newServingWorld(t, 41, 3, 4)
 	first := w.holder()
 	w.logDown = true
 	w.run(2 * time.Second)
@@ -116,7 +116,7 @@
 
 func TestStartIsNotResentWithoutAuthority(t *testing.T) {
 	d := oneWorker(t)
-	first := only[exchange.StartRun](d.submits(oneStep("j", "quick", 1, false)))[0]
-	d.later(settings().Authority.HoldFor)
-	assert.Equal(t, len(only[exchange.StartRun](d.startUnanswered(first))), 0)
+	first := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))[0]
+	d.advance(settings().Authority.HoldFor)
+	assert.Equal(t, len(effectsOf[exchange.StartRun](d.startUnanswered(first))), 0)
 }
--- a/services/dispatch/speed.go
+++ b/services/dispatch/speed.go
@@ -11,8 +11,8 @@
 )
 
 // slownessOf returns how slow a worker is among all.
-func (h *holding) slownessOf(now time.Time, w *worker) learned.Slowness {
-	if !h.uses(mechanism.SlowWorkers) {
+func (h *holderState) slownessOf(now time.Time, w *worker) learned.Slowness {
+	if !h.isEnabled(mechanism.SlowWorkers) {
 		return learned.Usual
 	}
 	return w.speed.Among(now, h.learned.FleetSpeed())
@@ -20,12 +20,12 @@
 
 // learnSpeed takes how long a task took on its worker. Members of a gang end
 // together, so they tell nothing of one worker.
-func (h *holding) learnSpeed(now time.Time, a *attempt) {
+func (h *holderState) learnSpeed(now time.Time, a *attempt) {
 	s := a.step
-	if s.spec.Gang || s.spec.Service || a.adopted || a.resumed || a.state != running {
+	if s.spec.Gang || s.spec.Service || a.adopted || a.resumed || a.state != attemptRunning {
 		return
 	}
-	ratio := max(now.Sub(a.since), learned.LeastTime).Seconds() / max(h.expect(s), learned.LeastTime).Seconds()
+	ratio := max(now.Sub(a.stateSince), learned.LeastTime).Seconds() / max(h.expect(s), learned.LeastTime).Seconds()
 	a.worker.speed.Observe(now, ratio)
 	h.learned.Worked(ratio)
 }
--- a/services/dispatch/speed_test.go
+++ b/services/dispatch/speed_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestAWorkerThatTurnsSlowGetsFewTasksAndIsTriedAgain(t *testing.T) {
-	w := serving(t, 21, 1, 4)
+	w := newServingWorld(t, 21, 1, 4)
 	few := func(name string, jobs int) (slow, all int) {
 		before := w.workers[0].begun
 		for i := range jobs {
--- a/services/dispatch/stall.go
+++ b/services/dispatch/stall.go
@@ -21,7 +21,7 @@
 
 // seen takes what a look tells of a run at work.
 func (a *attempt) seen(now time.Time, r order.Running) {
-	a.figure, a.seenAt = r.Figure, now
+	a.figure, a.reportedAt = r.Figure, now
 	if r.Progress > a.progress {
 		a.progress, a.progressAt = r.Progress, now
 	}
@@ -29,17 +29,17 @@
 
 // standsStill says whether a run has come no further for longer than it should take.
 // Services make no progress once they have started.
-func (h *holding) standsStill(a *attempt) bool {
-	if a.state != running || a.step.spec.Service || a.step.spec.Filler || a.progress >= workDone {
+func (h *holderState) standsStill(a *attempt) bool {
+	if a.state != attemptRunning || a.step.spec.Service || a.step.spec.Filler || a.progress >= workDone {
 		return false
 	}
-	return a.seenAt.Sub(ordered.Later(a.since, a.progressAt)) > h.stallPatience(a)
+	return a.reportedAt.Sub(ordered.Later(a.stateSince, a.progressAt)) > h.stallPatience(a)
 }
 
 // stallPatience returns how long a run may show no further progress.
-func (h *holding) stallPatience(a *attempt) time.Duration {
+func (h *holderState) stallPatience(a *attempt) time.Duration {
 	return lateness.StallTimeout(lateness.RunProgress{
-		UsualTime: max(h.usual(a.step), a.step.spec.Estimate.Duration()), Progress: a.progress, ProgressTime: a.progressAt.Sub(a.since),
+		UsualTime: max(h.usual(a.step), a.step.spec.Estimate.Duration()), Progress: a.progress, ProgressTime: a.progressAt.Sub(a.stateSince),
 		Resumed: a.resumed || a.adopted,
 	})
 }
@@ -47,29 +47,29 @@
 // moveStalled stops the runs on a worker that stand still, so that their tasks start
 // elsewhere, and leaves the worker out. A gang is stopped if all its members stand
 // still.
-func (h *holding) moveStalled(now time.Time, w *worker) {
-	if !h.uses(mechanism.MovedRuns) {
+func (h *holderState) moveStalled(now time.Time, w *worker) {
+	if !h.isEnabled(mechanism.MovedRuns) {
 		return
 	}
 	for _, a := range w.sortedAttempts() {
 		if !h.standsStill(a) || a.step.spec.Gang && !h.gangStandsStill(a.step) {
 			continue
 		}
-		h.core.note("a run stands still and is moved", field("job", string(a.step.job.id)), field("task", a.name().Task.String()),
-			field("run", a.run), field("worker", w.Life.String()), field("progress", a.progress), field("ran", now.Sub(a.since).String()),
-			field("usual", h.usual(a.step).String()))
+		h.core.logEvent("a run stands still and is moved", logField("job", string(a.step.job.id)), logField("task", a.runID().Task.String()),
+			logField("run", a.run), logField("worker", w.Life.String()), logField("progress", a.progress), logField("ran", now.Sub(a.stateSince).String()),
+			logField("usual", h.usual(a.step).String()))
 		w.excludedUntil = ordered.Later(w.excludedUntil, now.Add(excludeFor))
 		a.task().runs.RecordInterruption(delays.RunStalled)
 		if a.step.spec.Gang {
-			h.gangBroke(now, a.step)
+			h.restartGang(now, a.step)
 		} else {
-			h.stop(now, a)
+			h.stopAttempt(now, a)
 		}
 	}
 }
 
 // gangStandsStill says whether all members of a gang stand still.
-func (h *holding) gangStandsStill(s *step) bool {
+func (h *holderState) gangStandsStill(s *step) bool {
 	for i := range s.tasks {
 		if a := s.tasks[i].attempt; a == nil || !h.standsStill(a) {
 			return false
--- a/services/dispatch/status.go
+++ b/services/dispatch/status.go
@@ -17,7 +17,7 @@
 // Status returns what this process knows of the cell.
 func (c *Core) Status(now time.Time) job.CellStatus {
 	s := job.CellStatus{
-		Box: c.self.Box, Holder: c.Holder().Box, Claim: c.Holder().Epoch, Holds: c.Holds(now), LogAnswers: c.Steady(),
+		Box: c.self.Box, Holder: c.Holder().Box, Claim: c.Holder().Epoch, Holds: c.IsServing(now), LogAnswers: c.IsLogReachable(),
 	}
 	if c.config != nil {
 		s.Config = c.config.Version
@@ -32,12 +32,12 @@
 }
 
 // status adds what only the holder knows.
-func (h *holding) status(now time.Time, s *job.CellStatus) {
+func (h *holderState) status(now time.Time, s *job.CellStatus) {
 	s.Jobs = map[job.State]int{}
 	for _, j := range h.jobs {
-		s.Jobs[j.shown]++
+		s.Jobs[j.loggedState]++
 	}
-	s.Open, s.Unsure, s.Failing = len(h.open), len(h.unsettled), h.journal.failing(now)
+	s.Open, s.Unsure, s.Failing = len(h.openSteps), len(h.unsettledWorkers), h.journal.isFailing(now)
 	var capacity, used resource.Vector
 	for id, w := range ordered.Map(h.workers) {
 		s.Workers = append(s.Workers, job.WorkerStatus{
@@ -52,24 +52,24 @@
 }
 
 // askExplanation answers why a job is as it is.
-func (h *holding) askExplanation(now time.Time, e exchange.ExplanationAsked) {
+func (h *holderState) askExplanation(now time.Time, e exchange.ExplanationAsked) {
 	j := h.jobs[e.Job]
 	if j == nil {
 		h.core.reply(e.Call, exchange.Answer{Outcome: exchange.NoJob})
 		return
 	}
-	x := job.Explanation{ID: j.id, Queue: j.queue, Workspace: j.workspace, State: j.shown, Why: j.why}
+	x := job.Explanation{ID: j.id, Queue: j.queue, Workspace: j.workspace, State: j.loggedState, Why: j.failReason}
 	for _, in := range ordered.Map(j.instances) {
 		x.Slack = job.Milliseconds(in.dueAt.Add(objective(in, h.queueOf(j))).Sub(now).Milliseconds())
 		for _, s := range in.steps {
 			x.Steps = append(x.Steps, h.explainStep(now, s))
 		}
 	}
-	h.core.reply(e.Call, exchange.Answer{Outcome: exchange.OK, State: j.shown, Explanation: &x})
+	h.core.reply(e.Call, exchange.Answer{Outcome: exchange.OK, State: j.loggedState, Explanation: &x})
 }
 
 // explainStep says what became of the tasks of a step, and why some wait.
-func (h *holding) explainStep(now time.Time, s *step) job.StepExplanation {
+func (h *holderState) explainStep(now time.Time, s *step) job.StepExplanation {
 	x := job.StepExplanation{Step: s.id.String(), Tasks: len(s.tasks), Done: s.done, Placed: s.attempts, Waiting: s.waiting}
 	switch {
 	case s.job.state.Final():
@@ -82,20 +82,20 @@
 }
 
 // whyWaits says in one sentence what a step's waiting tasks wait for.
-func (h *holding) whyWaits(now time.Time, s *step) string {
+func (h *holderState) whyWaits(now time.Time, s *step) string {
 	q := h.queueOf(s.job)
 	set := h.workersFor(newPass(now), s, q.Pool)
 	switch {
-	case h.docket.Suspects(s.id) > 0 && h.toPlace(s) <= 0:
+	case h.blame.Suspects(s.id) > 0 && h.toPlace(s) <= 0:
 		return h.whySuspected(s)
 	case !s.job.accepted:
 		return "the log has not confirmed the job yet"
-	case !s.instance.reached(s):
+	case !s.instance.isReady(s):
 		return fmt.Sprintf("it comes after steps %v, which are not done", s.spec.After)
 	case q.Pool == "":
 		return "the configuration no longer names a pool of workers for the queue"
-	case s.job.inherited && len(h.unsettled) > 0:
-		return fmt.Sprintf("%d workers of an earlier holder have not told yet what they run", len(h.unsettled))
+	case s.job.inherited && len(h.unsettledWorkers) > 0:
+		return fmt.Sprintf("%d workers of an earlier holder have not told yet what they run", len(h.unsettledWorkers))
 	case s.spec.Gang && s.attempts > 0:
 		return fmt.Sprintf("%d members of the gang's last run have not ended yet", s.attempts)
 	case h.mayPlace(s) == 0 || s.spec.Gang && h.capRoom(s) < len(s.tasks):
--- a/services/dispatch/stops.go
+++ b/services/dispatch/stops.go
@@ -10,27 +10,27 @@
 	"saddlevane/models/order"
 )
 
-// stop orders the end of an attempt. Its room stays taken until it has ended.
-func (h *holding) stop(now time.Time, a *attempt) {
-	if a.state == stopping {
+// stopAttempt orders the end of an attempt. Its room stays taken until it has ended.
+func (h *holderState) stopAttempt(now time.Time, a *attempt) {
+	if a.state == attemptStopping {
 		return
 	}
-	a.state = stopping
-	h.mark(now, a)
-	a.confirmed = false
-	a.stopAt = now
-	h.orderStop(now, a.worker, a.name())
+	a.state = attemptStopping
+	h.markStateChange(now, a)
+	a.stopConfirmed = false
+	a.stopOrderedAt = now
+	h.sendStop(now, a.worker, a.runID())
 }
 
-// orderStop sends a worker the order to end a run.
-func (h *holding) orderStop(now time.Time, w *worker, run order.Run) {
-	h.core.do(exchange.StopRun{Worker: w.Life, Address: w.Address, Epoch: h.epoch, Order: order.Stop{Run: run, Fence: h.fence(w)}, Timeout: h.orderTimeout(now)})
+// sendStop sends a worker the order to end a run.
+func (h *holderState) sendStop(now time.Time, w *worker, run order.Run) {
+	h.core.emit(exchange.StopRun{Worker: w.Life, Address: w.Address, Epoch: h.epoch, Order: order.Stop{Run: run, Fence: h.fence(w)}, Timeout: h.orderTimeout(now)})
 }
 
-// awaitsStop says whether some stop was not confirmed.
-func (w *worker) awaitsStop() bool {
+// hasUnconfirmedStop says whether some stop was not confirmed.
+func (w *worker) hasUnconfirmedStop() bool {
 	for _, a := range w.attempts {
-		if a.state == stopping && !a.confirmed {
+		if a.state == attemptStopping && !a.stopConfirmed {
 			return true
 		}
 	}
@@ -38,21 +38,21 @@
 }
 
 // resendStops sends stops again that had no answer.
-func (h *holding) resendStops(now time.Time, w *worker) {
-	if w.failures > 0 || !w.awaitsStop() {
+func (h *holderState) resendStops(now time.Time, w *worker) {
+	if w.failures > 0 || !w.hasUnconfirmedStop() {
 		return
 	}
 	for _, a := range w.sortedAttempts() {
-		if a.state == stopping && !a.confirmed && now.Sub(a.since) > h.adaptiveTimeout(now, stopAgain) {
-			h.mark(now, a)
-			h.orderStop(now, a.worker, a.name())
+		if a.state == attemptStopping && !a.stopConfirmed && now.Sub(a.stateSince) > h.adaptiveTimeout(now, stopRetryDelay) {
+			h.markStateChange(now, a)
+			h.sendStop(now, a.worker, a.runID())
 		}
 	}
 }
 
-// stopEnded takes the end of a stop's call. The place stays taken until a report
+// handleStopEnded takes the end of a stop's call. The place stays taken until a report
 // tells the end of the run.
-func (h *holding) stopEnded(now time.Time, e exchange.StopEnded) {
+func (h *holderState) handleStopEnded(now time.Time, e exchange.StopEnded) {
 	w := h.currentWorker(e.Worker)
 	if w == nil || e.Epoch != h.epoch {
 		return
@@ -61,12 +61,12 @@
 		return
 	}
 	a := w.attempts[e.Run]
-	if a == nil || a.state != stopping || a.confirmed {
+	if a == nil || a.state != attemptStopping || a.stopConfirmed {
 		return
 	}
 	if e.Answer.Fate == order.Carried || e.Answer.Fate == order.Refused && e.Answer.Reason != order.Fenced {
-		a.confirmed = true
-		h.mark(now, a)
+		a.stopConfirmed = true
+		h.markStateChange(now, a)
 		h.renewSoon(now, w)
 	}
 }
--- a/services/dispatch/suspects.go
+++ b/services/dispatch/suspects.go
@@ -37,21 +37,21 @@
 }
 
 // blameOf returns what is held against a task.
-func (h *holding) blameOf(s *step, index int) job.Blame { return h.docket.Of(s.unit(index)) }
+func (h *holderState) blameOf(s *step, index int) job.Blame { return h.blame.Of(s.unit(index)) }
 
 // gangSuspected says whether a step is a gang that is to be kept apart from other suspects.
-func (h *holding) gangSuspected(s *step) bool { return s.spec.Gang && h.docket.Suspects(s.id) > 0 }
+func (h *holderState) gangSuspected(s *step) bool { return s.spec.Gang && h.blame.Suspects(s.id) > 0 }
 
 // waitsSuspected says whether a task waits for a place that is to be tried apart.
-func (h *holding) waitsSuspected(s *step, index int) bool {
+func (h *holderState) waitsSuspected(s *step, index int) bool {
 	t := &s.tasks[index]
-	return !s.spec.Gang && !t.done && t.attempt == nil && h.docket.Suspects(s.id) > 0 && blame.Suspected(h.blameOf(s, index))
+	return !s.spec.Gang && !t.done && t.attempt == nil && h.blame.Suspects(s.id) > 0 && blame.Suspected(h.blameOf(s, index))
 }
 
 // toPlace counts the waiting tasks that need not be tried apart.
-func (h *holding) toPlace(s *step) int {
+func (h *holderState) toPlace(s *step) int {
 	n := s.waiting
-	if h.docket.Suspects(s.id) == 0 {
+	if h.blame.Suspects(s.id) == 0 {
 		return n
 	}
 	for i := range s.tasks {
@@ -63,7 +63,7 @@
 }
 
 // tasksOn returns the tasks on a worker that stopped answering at a time.
-func (h *holding) tasksOn(w *worker, at time.Time) []blame.On {
+func (h *holderState) tasksOn(w *worker, at time.Time) []blame.On {
 	var all []blame.On
 	for _, a := range w.sortedAttempts() {
 		if a.step.job.state.Final() {
@@ -118,40 +118,40 @@
 // atWorkLeast returns for how long an attempt that an earlier holder began has been at
 // work at a time, or longer: as long as this holder knows it and a lease lasts, or so it is
 // taken. Little is held against it.
-func (h *holding) atWorkLeast(a *attempt, at time.Time) time.Duration {
-	return max(0, at.Sub(a.since)) + h.core.settings.Lease
+func (h *holderState) atWorkLeast(a *attempt, at time.Time) time.Duration {
+	return max(0, at.Sub(a.stateSince)) + h.core.settings.Lease
 }
 
 // judge tells what the crash of a worker says of the tasks that were on it.
-func (h *holding) judge(now time.Time, w *worker, on []blame.On) {
+func (h *holderState) judge(now time.Time, w *worker, on []blame.On) {
 	at := w.presence.SilentSince()
 	c := blame.Crash{Life: w.Life, Rack: w.Rack, At: at, UnixMilli: h.core.unixMilli(at), Heard: w.reported || w.unresponsive.written, On: on}
-	for _, f := range h.docket.Crashed(now, c) {
-		h.core.note("a worker crashed under a task", field("job", string(f.Task.Job)), field("task", f.Task.String()), field("worker", w.Life.String()),
-			field("crashes", f.Blame.Crashes), field("guilty", fmt.Sprintf("%.3g", blame.Probability(f.Blame))), field("worked_most", f.Worked.String()),
-			field("time", string(f.Time)), field("late", f.Late.String()), field("alone", f.Alone), field("odds", fmt.Sprintf("%.3g", f.Blame.Odds)),
-			field("crashes_otherwise_every", fmt.Sprintf("%.3gs", 1/f.Otherwise)))
+	for _, f := range h.blame.Crashed(now, c) {
+		h.core.logEvent("a worker crashed under a task", logField("job", string(f.Task.Job)), logField("task", f.Task.String()), logField("worker", w.Life.String()),
+			logField("crashes", f.Blame.Crashes), logField("guilty", fmt.Sprintf("%.3g", blame.Probability(f.Blame))), logField("worked_most", f.Worked.String()),
+			logField("time", string(f.Time)), logField("late", f.Late.String()), logField("alone", f.Alone), logField("odds", fmt.Sprintf("%.3g", f.Blame.Odds)),
+			logField("crashes_otherwise_every", fmt.Sprintf("%.3gs", 1/f.Otherwise)))
 		h.markDirty(h.jobs[f.Task.Job])
 	}
-	h.journal.add(kept.CrashRateRecord(h.docket.Learned()))
+	h.journal.add(kept.CrashRateRecord(h.blame.Learned()))
 }
 
 // verdicts gives up the jobs of tasks that are found guilty.
-func (h *holding) verdicts(now time.Time) {
-	for _, t := range h.docket.Verdicts(now) {
-		j, b := h.jobs[t.Job], h.docket.Of(t)
+func (h *holderState) verdicts(now time.Time) {
+	for _, t := range h.blame.Verdicts(now) {
+		j, b := h.jobs[t.Job], h.blame.Of(t)
 		h.markDirty(j)
 		if blame.Guilty(b) {
-			h.core.do(exchange.GivenUp{Crashes: b.Crashes})
-			h.finish(now, j, job.Failed, fmt.Sprintf("%d workers crashed under task %s", b.Crashes, t))
+			h.core.emit(exchange.GivenUp{Crashes: b.Crashes})
+			h.finishJob(now, j, job.Failed, fmt.Sprintf("%d workers crashed under task %s", b.Crashes, t))
 		}
 	}
 }
 
 // acquit drops what is held against a task: a run of it has ended well, or has been at
 // work for long. The crashes that were put down to it have had other causes.
-func (h *holding) acquit(s *step, index int) {
-	if !h.docket.Acquit(s.unit(index)) {
+func (h *holderState) acquit(s *step, index int) {
+	if !h.blame.Acquit(s.unit(index)) {
 		return
 	}
 	for i := range s.tasks {
@@ -165,20 +165,20 @@
 }
 
 // worksOn takes that an attempt is at work on a worker that lives.
-func (h *holding) worksOn(now time.Time, a *attempt) {
-	worked := now.Sub(a.since)
+func (h *holderState) worksOn(now time.Time, a *attempt) {
+	worked := now.Sub(a.stateSince)
 	if b := h.blameOf(a.step, a.index); b.Crashes > 0 && blame.Cleared(b, min(worked, a.wholeFor())) {
 		h.acquit(a.step, a.index)
 	}
-	if a.trial && worked > trialFor {
+	if a.isolated && worked > trialFor {
 		a.endTrial()
 	}
 }
 
 // tellTrial has the log tell that a suspect is tried on a worker from now on. It returns false
 // if nothing is held against the task.
-func (h *holding) tellTrial(now time.Time, s *step, index int, w *worker) bool {
-	if !h.docket.Tried(s.unit(index), w.Life, h.core.unixMilli(now)) {
+func (h *holderState) tellTrial(now time.Time, s *step, index int, w *worker) bool {
+	if !h.blame.Tried(s.unit(index), w.Life, h.core.unixMilli(now)) {
 		return false
 	}
 	h.markDirty(s.job)
@@ -188,23 +188,23 @@
 // wholeFor returns for how long all members of an attempt's gang have surely been at work: those
 // that are left wait for a member that has crashed its worker, and are named as running.
 func (a *attempt) wholeFor() time.Duration {
-	least := a.worker.aliveAt.Sub(a.since)
+	least := a.worker.aliveAt.Sub(a.stateSince)
 	if !a.step.spec.Gang {
 		return least
 	}
 	for i := range a.step.tasks {
 		m := a.step.tasks[i].attempt
-		if m == nil || m.state != running {
+		if m == nil || m.state != attemptRunning {
 			return 0
 		}
-		least = min(least, m.worker.aliveAt.Sub(m.since))
+		least = min(least, m.worker.aliveAt.Sub(m.stateSince))
 	}
 	return least
 }
 
 // enterTrial notes on its worker, and for the next holder, that an attempt is of a
 // suspect.
-func (h *holding) enterTrial(now time.Time, a *attempt) {
+func (h *holderState) enterTrial(now time.Time, a *attempt) {
 	if !h.tellTrial(now, a.step, a.index, a.worker) {
 		return
 	}
@@ -212,13 +212,13 @@
 	if !blame.Suspected(b) {
 		return
 	}
-	a.risk = blame.Probability(b)
+	a.crashRisk = blame.Probability(b)
 	if a.step.spec.Gang {
-		a.risk /= float64(len(a.step.tasks))
+		a.crashRisk /= float64(len(a.step.tasks))
 	}
 	a.worker.suspects++
 	if blame.MustBeAlone(b) || a.worker.prepared.isFor(a) {
-		a.trial = true
+		a.isolated = true
 		a.worker.trials++
 	}
 	a.worker.prepared = nil
@@ -226,25 +226,25 @@
 
 // leaveTrial takes back what enterTrial noted.
 func (a *attempt) leaveTrial() {
-	if a.risk == 0 {
+	if a.crashRisk == 0 {
 		return
 	}
-	a.risk = 0
+	a.crashRisk = 0
 	a.worker.suspects--
 	a.endTrial()
 }
 
 // endTrial lets the worker of a likely suspect take other tasks.
 func (a *attempt) endTrial() {
-	if a.trial {
-		a.trial = false
+	if a.isolated {
+		a.isolated = false
 		a.worker.trials--
 	}
 }
 
 // tryOut starts the waiting suspects of a step that may be tried now, each on a worker
 // without another. It is told which workers suit the step.
-func (h *holding) tryOut(p *pass, r ranked, set *workerSet) {
+func (h *holderState) tryOut(p *pass, r ranked, set *workerSet) {
 	s := r.step
 	for i := range s.tasks {
 		if !h.waitsSuspected(s, i) || !h.mayTry(p.now, s, i) || h.capRoom(s) == 0 {
@@ -274,26 +274,26 @@
 			// the crash with it.
 			continue
 		}
-		h.start(p.now, s, i, h.nextRun(s), w, ticket)
-		h.core.note("a suspected task is tried", field("job", string(s.job.id)), field("task", s.unit(i).String()), field("run", s.lastRun),
-			field("worker", w.Life.String()), field("beside", len(w.attempts)-1), field("crashes", h.blameOf(s, i).Crashes), field("claim", h.epoch))
+		h.startTask(p.now, s, i, h.nextRunNumber(s), w, ticket)
+		h.core.logEvent("a suspected task is tried", logField("job", string(s.job.id)), logField("task", s.unit(i).String()), logField("run", s.lastRun),
+			logField("worker", w.Life.String()), logField("beside", len(w.attempts)-1), logField("crashes", h.blameOf(s, i).Crashes), logField("claim", h.epoch))
 	}
 }
 
 // mayPrepare says whether a worker is kept for a suspect, or may be: few are at a time.
-func (h *holding) mayPrepare(s *step, index int) bool {
+func (h *holderState) mayPrepare(s *step, index int) bool {
 	kept := 0
 	for _, w := range h.workersByName() {
 		if w.prepared != nil || w.trials > 0 {
 			kept++
 		}
 	}
-	return blame.MayKeep(kept, len(h.workers), h.isRoomy && !h.isCrowded) || h.preparedFor(s, index) != nil
+	return blame.MayKeep(kept, len(h.workers), h.hasAmpleRoom && !h.hasUnplacedTasks) || h.preparedFor(s, index) != nil
 }
 
 // trialPlace returns a worker for a suspect, or nil: one without another suspect. For one
 // that is to be alone it is the emptiest, which from then on gets nothing else.
-func (h *holding) trialPlace(p *pass, r ranked, set *workerSet, index int, alone bool) *worker {
+func (h *holderState) trialPlace(p *pass, r ranked, set *workerSet, index int, alone bool) *worker {
 	s := r.step
 	if w := h.preparedFor(s, index); alone && w != nil {
 		if w.slots(s, w.room()) > 0 {
@@ -331,7 +331,7 @@
 }
 
 // preparedFor returns the worker that is kept for a suspect, or nil.
-func (h *holding) preparedFor(s *step, index int) *worker {
+func (h *holderState) preparedFor(s *step, index int) *worker {
 	for _, w := range h.workersByName() {
 		if w.prepared != nil && w.prepared.step == s && w.prepared.index == index {
 			return w
@@ -341,7 +341,7 @@
 }
 
 // endPreparation lets a worker take other tasks again whose suspect does not come.
-func (h *holding) endPreparation(now time.Time, w *worker) {
+func (h *holderState) endPreparation(now time.Time, w *worker) {
 	if pr := w.prepared; pr != nil && (now.Sub(pr.since) > prepareMost || !pr.step.open || !h.waitsSuspected(pr.step, pr.index) || !h.isHealthy(now, w)) {
 		w.prepared = nil
 		h.planDue = true
@@ -350,14 +350,14 @@
 
 // calm says whether nothing was started on a worker lately.
 func (w *worker) calm(now time.Time) bool {
-	return !slices.ContainsFunc(w.sortedAttempts(), func(a *attempt) bool { return now.Sub(a.beganAt) < calmBefore })
+	return !slices.ContainsFunc(w.sortedAttempts(), func(a *attempt) bool { return now.Sub(a.firstOrderedAt) < calmBefore })
 }
 
 // mayTry says whether a suspect may be tried now: what is held against it is in the log
 // if it is likely to be guilty, and not too many workers are at risk.
-func (h *holding) mayTry(now time.Time, s *step, index int) bool {
+func (h *holderState) mayTry(now time.Time, s *step, index int) bool {
 	b := h.blameOf(s, index)
-	if h.docket.Waits(now, s.unit(index)) || blame.Likely(b) && h.journal.awaits(s.job) {
+	if h.blame.Waits(now, s.unit(index)) || blame.Likely(b) && h.journal.awaits(s.job) {
 		return false
 	}
 	risk := blame.Probability(b)
@@ -367,15 +367,15 @@
 
 // atRisk returns how many workers are expected to crash under the suspects on them, all
 // and those of a job.
-func (h *holding) atRisk(j *submitted) (all, ofJob float64) {
+func (h *holderState) atRisk(j *trackedJob) (all, ofJob float64) {
 	for _, w := range h.workersByName() {
 		if w.suspects == 0 {
 			continue
 		}
 		for _, a := range w.sortedAttempts() {
-			all += a.risk
+			all += a.crashRisk
 			if a.step.job == j {
-				ofJob += a.risk
+				ofJob += a.crashRisk
 			}
 		}
 	}
@@ -386,7 +386,7 @@
 func (w *worker) risk() float64 {
 	risk := 0.0
 	for _, a := range w.attempts {
-		risk += a.risk
+		risk += a.crashRisk
 	}
 	return min(1, risk)
 }
@@ -401,12 +401,12 @@
 }
 
 // awaits says whether the log does not have the last progress of a job yet.
-func (j *journal) awaits(s *submitted) bool {
-	return s.dirty || j.batch != nil && slices.ContainsFunc(j.batch.progress, func(b batched) bool { return b.job == s })
+func (j *journal) awaits(s *trackedJob) bool {
+	return s.dirty || j.batch != nil && slices.ContainsFunc(j.batch.progress, func(b progressEntry) bool { return b.job == s })
 }
 
 // whySuspected says why the suspects of a step wait, or "".
-func (h *holding) whySuspected(s *step) string {
+func (h *holderState) whySuspected(s *step) string {
 	for i := range s.tasks {
 		if b := h.blameOf(s, i); blame.Suspected(b) {
 			return fmt.Sprintf("%d workers crashed under task %d, which crashes them with probability %.2g; it is tried apart",
--- a/services/dispatch/throttle.go
+++ b/services/dispatch/throttle.go
@@ -46,7 +46,7 @@
 
 // throttle sets the pace of a worker's fillers by the tails of what serves beside
 // them.
-func (h *holding) throttle(now time.Time, w *worker) {
+func (h *holderState) throttle(now time.Time, w *worker) {
 	worst, shared := w.besideFillers()
 	if !shared {
 		w.fillPace = fullPace
@@ -58,23 +58,23 @@
 
 // changePace sets the pace of a worker's fillers by the worst tail beside them, as a
 // share of its target.
-func (h *holding) changePace(now time.Time, w *worker, worst float64) {
+func (h *holderState) changePace(now time.Time, w *worker, worst float64) {
 	next := pace.Next(w.fillPace, worst)
 	if next == w.fillPace {
 		return
 	}
-	h.core.note("fillers change their pace", field("worker", w.Life.String()), field("percent", next), field("before", w.fillPace),
-		field("tail_of_target", worst), field("claim", h.epoch))
+	h.core.logEvent("fillers change their pace", logField("worker", w.Life.String()), logField("percent", next), logField("before", w.fillPace),
+		logField("tail_of_target", worst), logField("claim", h.epoch))
 	w.fillPace, w.throttledAt = next, now
 }
 
 // orderPace orders the pace of a worker's fillers where they work at another.
-func (h *holding) orderPace(now time.Time, w *worker) {
+func (h *holderState) orderPace(now time.Time, w *worker) {
 	for _, a := range w.sortedAttempts() {
-		if a.step.spec.Filler && a.state == running && a.pace != w.fillPace && !a.pacing {
-			a.pacing = true
-			h.core.do(exchange.ThrottleRun{Worker: w.Life, Address: w.Address, Epoch: h.epoch, Order: order.Throttle{
-				Run: a.name(), Percent: w.fillPace, Fence: h.fence(w),
+		if a.step.spec.Filler && a.state == attemptRunning && a.pace != w.fillPace && !a.paceOrdered {
+			a.paceOrdered = true
+			h.core.emit(exchange.ThrottleRun{Worker: w.Life, Address: w.Address, Epoch: h.epoch, Order: order.Throttle{
+				Run: a.runID(), Percent: w.fillPace, Fence: h.fence(w),
 			}, Timeout: h.orderTimeout(now)})
 		}
 	}
@@ -82,7 +82,7 @@
 
 // throttleEnded takes the end of an order of a pace. One that may not have been
 // carried out is given again at the next look.
-func (h *holding) throttleEnded(e exchange.ThrottleEnded) {
+func (h *holderState) throttleEnded(e exchange.ThrottleEnded) {
 	w := h.currentWorker(e.Worker)
 	if w == nil || e.Epoch != h.epoch {
 		return
@@ -91,7 +91,7 @@
 	if a == nil {
 		return
 	}
-	a.pacing = false
+	a.paceOrdered = false
 	if e.Answer.Fate == order.Carried {
 		a.pace = e.Percent
 	}
--- a/services/dispatch/throttle_test.go
+++ b/services/dispatch/throttle_test.go
@@ -16,7 +16,7 @@
 
 // sharedWorker is a worker on which a task serves and another fills.
 type sharedWorker struct {
-	*driven
+	*harness
 	look           exchange.Renew
 	serves, filler order.Run
 	losesOrders    bool
@@ -25,16 +25,16 @@
 // newSharedWorker starts both tasks.
 func newSharedWorker(t *testing.T) *sharedWorker {
 	t.Helper()
-	d, looks := holding(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: fullSize})
+	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	s := oneStep("j", "quick", 1, false)
 	s.Steps[0].Service, s.Steps[0].TailTarget = true, 100
 	s.Steps = append(s.Steps, job.Step{Tasks: 1, Need: need, Filler: true})
-	starts := only[exchange.StartRun](d.submits(s))
+	starts := effectsOf[exchange.StartRun](d.submitAndLog(s))
 	assert.Equal(t, len(starts), 2)
 	for _, start := range starts {
 		d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
 	}
-	w := &sharedWorker{driven: d, look: looks["w"], serves: starts[0].Order.Run, filler: starts[1].Order.Run}
+	w := &sharedWorker{harness: d, look: looks["w"], serves: starts[0].Order.Run, filler: starts[1].Order.Run}
 	if w.serves.Task.Step != 0 {
 		w.serves, w.filler = w.filler, w.serves
 	}
@@ -46,14 +46,14 @@
 func (w *sharedWorker) tail(tail int64) []int {
 	w.t.Helper()
 	w.now = w.now.Add(700 * time.Millisecond)
-	w.claimEnded(w.later(time.Millisecond))
-	answer := looked(w.look)
+	w.confirmClaimRenewal(w.advance(time.Millisecond))
+	answer := renewAnswer(w.look)
 	answer.Report.Running = []order.Running{{Run: w.serves, Progress: 100, Figure: tail}, {Run: w.filler, Progress: 3, Figure: 4000}}
 	effects := w.handle(answer)
-	effects = append(effects, w.later(20*time.Millisecond)...)
-	w.look = only[exchange.Renew](effects)[0]
+	effects = append(effects, w.advance(20*time.Millisecond)...)
+	w.look = effectsOf[exchange.Renew](effects)[0]
 	var paces []int
-	for _, e := range only[exchange.ThrottleRun](effects) {
+	for _, e := range effectsOf[exchange.ThrottleRun](effects) {
 		assert.Equal(w.t, e.Order.Run, w.filler)
 		paces = append(paces, e.Order.Percent)
 		fate := order.Carried
--- a/services/dispatch/turns_test.go
+++ b/services/dispatch/turns_test.go
@@ -14,10 +14,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// scarceAdvice is a configuration with two queues that need advice: gangs rank higher
+// scarceAdviceConfig is a configuration with two queues that need advice: gangs rank higher
 // and ask for so long that all boxes together make two calls a second, and
 // sweeps are late soon.
-func scarceAdvice(boxes int) job.Config {
+func scarceAdviceConfig(boxes int) job.Config {
 	c := config()
 	c.Queues = map[string]job.Queue{
 		"gangs": {
@@ -32,16 +32,16 @@
 	return c
 }
 
-// gang returns a job of two tasks that take most of a worker each.
-func gang(id string) job.Submission {
+// gangJob returns a job of two tasks that take most of a worker each.
+func gangJob(id string) job.Submission {
 	s := oneStep(id, "gangs", 2, true)
 	s.Steps[0].Need = resource.Vector{Processors: 40 * resource.Processor, Memory: resource.GiB}
 	s.Steps[0].Estimate = 3000
 	return s
 }
 
-// startedWithin says whether a job's first task starts within some time.
-func (w *world) startedWithin(most time.Duration, a *asked) bool {
+// startsWithin says whether a job's first task starts within some time.
+func (w *world) startsWithin(most time.Duration, a *asked) bool {
 	first := job.TaskID{StepID: job.StepID{Job: a.sub.ID}}
 	for end := w.now.Add(most); w.now.Before(end); {
 		if w.starts[first] > 0 {
@@ -52,23 +52,23 @@
 	return false
 }
 
-func TestNoQueueWaitsForEverWhereAdviceIsScarce(t *testing.T) {
+func TestNoQueueStarvesWhenAdviceIsScarce(t *testing.T) {
 	for boxes := 1; boxes <= 4; boxes++ {
 		w := newWorld(t, int64(60+boxes), boxes, 12)
-		w.config = scarceAdvice(boxes)
+		w.config = scarceAdviceConfig(boxes)
 		for _, b := range w.boxes {
 			b.kill()
 			b.start()
 		}
-		w.serves()
+		w.waitUntilServing()
 		// More gangs than the boxes can ask about, and than the workers hold.
 		for i := range 80 {
-			w.after(time.Duration(i)*300*time.Millisecond, func() { w.submit(gang(fmt.Sprintf("gang%d", i))) })
+			w.after(time.Duration(i)*300*time.Millisecond, func() { w.submit(gangJob(fmt.Sprintf("gang%d", i))) })
 		}
 		w.run(3 * time.Second)
 		for i := range 4 {
 			a := w.submit(oneStep(fmt.Sprintf("sweep%d", i), "sweeps", 1, false))
-			assert.Check(t, w.startedWithin(5*time.Second, a), "boxes: %d: sweep %d has not started after 5 s", boxes, i)
+			assert.Check(t, w.startsWithin(5*time.Second, a), "boxes: %d: sweep %d has not started after 5 s", boxes, i)
 		}
 		// A takeover finds the backlog.
 		w.killBox(w.holder(), time.Second)
--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -115,23 +115,23 @@
 
 // workersByName returns the workers in the order of their names. The reducer walks them in
 // that order wherever it matters.
-func (h *holding) workersByName() []*worker {
-	if h.sorted == nil {
-		h.sorted = slices.Collect(maps.Values(h.workers))
-		slices.SortFunc(h.sorted, byName)
-		for i, w := range h.sorted {
+func (h *holderState) workersByName() []*worker {
+	if h.sortedWorkers == nil {
+		h.sortedWorkers = slices.Collect(maps.Values(h.workers))
+		slices.SortFunc(h.sortedWorkers, byName)
+		for i, w := range h.sortedWorkers {
 			w.nameIndex = i
 		}
 	}
-	return h.sorted
+	return h.sortedWorkers
 }
 
 // addWorker adds the first life of a worker that is known.
-func (h *holding) addWorker(now time.Time, o order.Worker) *worker {
+func (h *holderState) addWorker(now time.Time, o order.Worker) *worker {
 	w := newWorker(now, o)
-	w.lives = h.former.Back(o.Name)
+	w.lives = h.formerWorkers.Back(o.Name)
 	h.workers[o.Name] = w
-	h.sorted = nil
+	h.sortedWorkers = nil
 	return w
 }
 
@@ -139,59 +139,59 @@
 // events always have the same effects.
 func (w *worker) sortedAttempts() []*attempt {
 	all := slices.Collect(maps.Values(w.attempts))
-	slices.SortFunc(all, func(a, b *attempt) int { return a.name().Compare(b.name()) })
+	slices.SortFunc(all, func(a, b *attempt) int { return a.runID().Compare(b.runID()) })
 	return all
 }
 
 // isSchedulable says whether new tasks may be started on the worker.
-func (h *holding) isSchedulable(now time.Time, w *worker) bool {
+func (h *holderState) isSchedulable(now time.Time, w *worker) bool {
 	return w.trials == 0 && w.prepared == nil && h.isHealthy(now, w)
 }
 
 // isHealthy says whether a worker could take new tasks if it were not kept for a suspect.
-func (h *holding) isHealthy(now time.Time, w *worker) bool {
+func (h *holderState) isHealthy(now time.Time, w *worker) bool {
 	return w.reported && w.presence.Listed() && w.recorded && !w.Leaving && !w.lives.Doubted() && w.failures == 0 && len(w.orphans) == 0 &&
-		now.Sub(w.answeredAt) < h.core.settings.Wait+h.adaptiveTimeout(now, silentAfter) && !now.Before(w.excludedUntil) && !(h.uses(mechanism.OwedAnswers) && h.hasOverdueStart(now, w))
+		now.Sub(w.answeredAt) < h.core.settings.RenewWait+h.adaptiveTimeout(now, silentWorkerTimeout) && !now.Before(w.excludedUntil) && !(h.isEnabled(mechanism.OwedAnswers) && h.hasOverdueStart(now, w))
 }
 
 // hasOverdueStart says whether a worker has not answered the starts that it was given.
-func (h *holding) hasOverdueStart(now time.Time, w *worker) bool {
-	return !w.unansweredSince.IsZero() && now.Sub(w.unansweredSince) > h.adaptiveTimeout(now, owesAfter)
+func (h *holderState) hasOverdueStart(now time.Time, w *worker) bool {
+	return !w.unansweredSince.IsZero() && now.Sub(w.unansweredSince) > h.adaptiveTimeout(now, startAnswerTimeout)
 }
 
 // adaptiveTimeout returns how long to wait for an answer that is waited for some time as a
 // rule: longer while most workers' answers are late. A call that is given up and made
 // again makes a link that is full, or a process that is late, later still.
-func (h *holding) adaptiveTimeout(now time.Time, rule time.Duration) time.Duration {
-	return h.answers.Timeout(now, rule, h.core.settings.Lease/waitShare)
+func (h *holderState) adaptiveTimeout(now time.Time, rule time.Duration) time.Duration {
+	return h.answerDelays.Timeout(now, rule, h.core.settings.Lease/leaseWaitDivisor)
 }
 
 // recordWorker has the log name a worker before anything is started on it.
-func (h *holding) recordWorker(w *worker) {
+func (h *holderState) recordWorker(w *worker) {
 	if w.recorded || w.recording {
 		return
 	}
 	w.recording = true
 	w.records++
-	h.journal.recording = append(h.journal.recording, recording{worker: w, number: w.records})
+	h.journal.workerRecords = append(h.journal.workerRecords, workerRecord{worker: w, number: w.records})
 	h.journal.add(kept.WorkerRecord(w.Worker))
 }
 
 // workerTerminated frees the tasks of a worker whose life is over for sure.
-func (h *holding) workerTerminated(now time.Time, w *worker, why string) {
+func (h *holderState) workerTerminated(now time.Time, w *worker, why string) {
 	how := h.endingOf(now, w, true)
-	h.core.note("worker is gone", field("worker", w.Life.String()), field("reason", why), field("tasks", len(w.attempts)), field("how", string(how)))
+	h.core.logEvent("worker is gone", logField("worker", w.Life.String()), logField("reason", why), logField("tasks", len(w.attempts)), logField("how", string(how)))
 	h.loseAttempts(now, w, nil, how, why)
-	delete(h.unsettled, w.Name)
+	delete(h.unsettledWorkers, w.Name)
 	h.removeWorker(now, w)
 }
 
 // removeWorker drops a worker here and in the log.
-func (h *holding) removeWorker(now time.Time, w *worker) {
+func (h *holderState) removeWorker(now time.Time, w *worker) {
 	delete(h.workers, w.Name)
-	h.sorted = nil
+	h.sortedWorkers = nil
 	w.lives.End(w.Life)
-	h.former.Gone(now, w.Name, w.lives)
+	h.formerWorkers.Gone(now, w.Name, w.lives)
 	if w.recorded || w.recording || w.unresponsive.written {
 		h.journal.add(kept.DropWorker(w.Name))
 	}
--- a/services/dispatch/worldbox_test.go
+++ b/services/dispatch/worldbox_test.go
@@ -44,7 +44,7 @@
 	b.calls = map[exchange.CallID]func(exchange.Answer){}
 	self := claim.Member{Box: b.name, Incarnation: fmt.Sprintf("%s/%d", b.name, b.life), Domain: "a", Address: b.name, Size: 1 + b.size}
 	s := settings()
-	s.Without = b.w.without
+	s.Disabled = b.w.without
 	b.core = dispatch.New(s, self)
 	b.post(exchange.ConfigRead{Config: b.w.config})
 	b.tick(b.life)
@@ -94,7 +94,7 @@
 	b.readMembers(life)
 	claims := b.w.log[stream.Claims]
 	next := int64(len(claims.records))
-	if b.started && next == b.nextClaim && b.core.Steady() {
+	if b.started && next == b.nextClaim && b.core.IsLogReachable() {
 		return
 	}
 	records := slices.Clone(claims.records[b.nextClaim:])
@@ -238,7 +238,7 @@
 // holder returns the box that serves the cell's jobs, or nil.
 func (w *world) holder() *fakeBox {
 	for _, b := range w.boxes {
-		if b.alive && b.core.Holds(b.w.now) {
+		if b.alive && b.core.IsServing(b.w.now) {
 			return b
 		}
 	}
--- a/services/jobrun/jobrun_test.go
+++ b/services/jobrun/jobrun_test.go
@@ -44,9 +44,9 @@
 	return jobrun.Settings{
 		Dispatch: dispatch.Settings{
 			Authority: authority.Settings{Renew: 100 * time.Millisecond, HoldFor: 400 * time.Millisecond, ClaimAfter: 500 * time.Millisecond},
-			Lease:     2 * time.Second, Wait: 200 * time.Millisecond,
-			OrderTimeout: 300 * time.Millisecond, Gather: 2 * time.Millisecond, KeepEnded: time.Minute, StopGrace: 100 * time.Millisecond,
-			ConfigWithin: 3 * time.Second, Share: 5 * time.Second,
+			Lease:     2 * time.Second, RenewWait: 200 * time.Millisecond,
+			OrderTimeout: 300 * time.Millisecond, AppendInterval: 2 * time.Millisecond, EndedRetention: time.Minute, StopGrace: 100 * time.Millisecond,
+			ConfigPropagation: 3 * time.Second, ShareWindow: 5 * time.Second,
 		},
 		Tick: 10 * time.Millisecond, ReadWait: 200 * time.Millisecond, WorkersEvery: 50 * time.Millisecond,
 		CallTimeout: 300 * time.Millisecond, PeerTimeout: 300 * time.Millisecond,
@@ -107,7 +107,7 @@
 
 func (p *process) holds() bool {
 	held := false
-	p.loop.Query(func(now time.Time, c *dispatch.Core) { held = c.Holds(now) })
+	p.loop.Query(func(now time.Time, c *dispatch.Core) { held = c.IsServing(now) })
 	return held
 }
 
--- a/services/jobrun/load.go
+++ b/services/jobrun/load.go
@@ -94,7 +94,7 @@
 
 // noteLoad writes the line about the load of a process that holds the cell, if it is due.
 func (l *Loop) noteLoad(now time.Time) {
-	if now.Before(l.load.noteAt) || !l.core.Holds(now) {
+	if now.Before(l.load.noteAt) || !l.core.IsServing(now) {
 		return
 	}
 	l.load.noteAt = now.Add(loadEvery)
@@ -123,7 +123,7 @@
 
 // lookAtGate adapts the share of new jobs that is taken.
 func (l *Loop) lookAtGate(now time.Time) {
-	l.gate.RecordResponseTime(l.core.AnswersTake(now))
+	l.gate.RecordResponseTime(l.core.WorkerAnswerTime(now))
 	if !l.gate.Update(now) {
 		return
 	}
--- a/services/jobrun/loop.go
+++ b/services/jobrun/loop.go
@@ -207,7 +207,7 @@
 			f(l.now(), l.core)
 		case <-ticker.C:
 			now := l.now()
-			l.core.Woke(l.clock.Suspended())
+			l.core.SetSuspendOffset(l.clock.Suspended())
 			l.core.Handle(now, exchange.Tick{})
 			l.drain()
 			l.decide(l.now())
@@ -224,7 +224,7 @@
 	l.load.took(waited)
 	l.metrics.waited.Observe(waited.Seconds())
 	l.gate.RecordQueueAge(waited)
-	l.core.Woke(l.clock.Suspended())
+	l.core.SetSuspendOffset(l.clock.Suspended())
 	l.core.Handle(now, l.admit(now, waited, p.event))
 }
 
@@ -245,9 +245,9 @@
 // decide has the reducer decide, and carries out its effects; callers see the
 // state that came of it.
 func (l *Loop) decide(now time.Time) {
-	plans := l.core.Plans()
+	plans := l.core.PlanCount()
 	effects := l.core.Decide(now)
-	if l.core.Plans() != plans {
+	if l.core.PlanCount() != plans {
 		took := l.now().Sub(now)
 		l.metrics.planned.Observe(took.Seconds())
 		l.load.planned(took)
@@ -261,8 +261,8 @@
 
 // show has callers and the orders under way see the state that the reducer has come to.
 func (l *Loop) show(now time.Time) {
-	v := view{config: l.core.Config(), holder: l.core.Holder(), holds: l.core.Holds(now), steadyAt: l.core.LogReadAt()}
-	v.configUntil = l.core.ConfigIsCurrentUntil()
+	v := view{config: l.core.Config(), holder: l.core.Holder(), holds: l.core.IsServing(now), steadyAt: l.core.LogReadAt()}
+	v.configUntil = l.core.ConfigCurrentUntil()
 	v.epoch, v.orderUntil = l.core.HoldsUntil()
 	l.mu.Lock()
 	l.view = v
--- a/services/jobrun/suspended_test.go
+++ b/services/jobrun/suspended_test.go
@@ -32,9 +32,9 @@
 	}, poll.WithTimeout(10*time.Second))
 	var before, after bool
 	p.loop.Query(func(now time.Time, core *dispatch.Core) {
-		before = core.Holds(now)
+		before = core.IsServing(now)
 		suspended.Add(int64(5 * time.Second))
-		after = core.Holds(c.Now())
+		after = core.IsServing(c.Now())
 	})
 	assert.Check(t, before)
 	assert.Check(t, !after, "it holds the cell by an authority that ended while it was suspended")
