--- a/services/blame/background.go
+++ b/services/blame/background.go
@@ -14,39 +14,39 @@
 )
 
 const (
-	// firstRate is how often a worker is believed to crash that no task crashes, a
-	// second, before anything was seen, and firstWeight how many seconds of one worker
+	// priorRate is how often a worker is believed to crash that no task crashes, a
+	// second, before anything was seen, and priorSeconds how many seconds of one worker
 	// that belief counts for: with 600 s the 24 workers of a cell that each crashed every
 	// 29 s were still taken to crash every 60 s after half a minute.
-	firstRate   = 1.0 / 3600
-	firstWeight = 100.0
-	// rackWeight is how many seconds of one worker the rate of all counts for in that of
+	priorRate    = 1.0 / 3600
+	priorSeconds = 100.0
+	// rackPriorSeconds is how many seconds of one worker the rate of all counts for in that of
 	// a rack.
-	rackWeight = 600.0
-	// remembers is the time after which what was seen counts for a third, remembersLately
+	rackPriorSeconds = 600.0
+	// decayTime is the time after which what was seen counts for a third, recentDecayTime
 	// the same where only the last crashes count: a cell that was calm for long and in which
 	// workers begin to crash is seen within some seconds.
-	remembers       = 10 * time.Minute
-	remembersLately = 20 * time.Second
-	// together is how far apart two workers may stop to answer that have one cause, atOnce
+	decayTime       = 10 * time.Minute
+	recentDecayTime = 20 * time.Second
+	// commonCauseWindow is how far apart two workers may stop to answer that have one cause, atOnce
 	// how far where both are seen at once: a look that waits at a worker breaks off at once,
 	// others run out of their time. As many are taken to be seen at once as are not.
-	together    = 1500 * time.Millisecond
-	atOnce      = 150 * time.Millisecond
-	atOnceShare = 0.5
+	commonCauseWindow  = 1500 * time.Millisecond
+	simultaneousWindow = 150 * time.Millisecond
+	simultaneousShare  = 0.5
 )
 
 // Background is how often workers crash that no task crashes: over all, by rack, and
 // together with others. The zero value knows nothing yet.
 type Background struct {
-	all, lately exposure
+	all, recent exposure
 	racks       map[string]*exposure
-	// workers counts the workers by rack, total them all, at seenAt.
-	workers map[string]int
-	total   int
-	seenAt  time.Time
+	// workers counts the workers by rack, total them all, at observedAt.
+	workers    map[string]int
+	total      int
+	observedAt time.Time
 	// silent has the workers that stopped answering lately, the first first.
-	silent []silence
+	silentWorkers []silentWorker
 }
 
 // exposure is how many crashes there were in how many seconds of one worker.
@@ -55,12 +55,12 @@
 	Seconds float64 `json:"seconds"`
 }
 
-// Learned is how often workers crash by themselves, as the log keeps it for the next holder:
+// LearnedRate is how often workers crash by themselves, as the log keeps it for the next holder:
 // without it three crashes within 10 s of two takeovers, of workers that crashed every 60 s,
 // gave up a job that crashes nothing.
-type Learned struct {
+type LearnedRate struct {
 	All    exposure `json:"all"`
-	Lately exposure `json:"lately"`
+	Recent exposure `json:"lately"`
 }
 
 // UnmarshalJSON reads what was kept, and refuses what makes no sense.
@@ -77,24 +77,24 @@
 	return nil
 }
 
-// Learned returns how often workers crash by themselves.
-func (b *Background) Learned() Learned { return Learned{All: b.all, Lately: b.lately} }
+// LearnedRate returns how often workers crash by themselves.
+func (b *Background) LearnedRate() LearnedRate { return LearnedRate{All: b.all, Recent: b.recent} }
 
-// ResumeRate takes over what an earlier holder had learned, from the log.
-func (b *Background) ResumeRate(kept []byte) error {
+// RestoreRate takes over what an earlier holder had learned, from the log.
+func (b *Background) RestoreRate(kept []byte) error {
 	if len(kept) == 0 {
 		return nil
 	}
-	var l Learned
+	var l LearnedRate
 	if err := json.Unmarshal(kept, &l); err != nil {
 		return fmt.Errorf("kept rate of crashes: %w", err)
 	}
-	b.all, b.lately = l.All, l.Lately
+	b.all, b.recent = l.All, l.Recent
 	return nil
 }
 
-// silence is a worker that stopped answering.
-type silence struct {
+// silentWorker is a worker that stopped answering.
+type silentWorker struct {
 	at   time.Time
 	life order.Life
 	rack string
@@ -102,31 +102,31 @@
 	weight float64
 }
 
-// Saw tells how many workers of each rack there are at now. It is called every second
+// ObserveWorkers tells how many workers of each rack there are at now. It is called every second
 // or so.
-func (b *Background) Saw(now time.Time, workers map[string]int) {
+func (b *Background) ObserveWorkers(now time.Time, workers map[string]int) {
 	if b.racks == nil {
 		b.racks = map[string]*exposure{}
 	}
-	if !b.seenAt.IsZero() {
-		b.pass(now.Sub(b.seenAt))
+	if !b.observedAt.IsZero() {
+		b.advance(now.Sub(b.observedAt))
 	}
-	b.seenAt, b.workers, b.total = now, workers, 0
+	b.observedAt, b.workers, b.total = now, workers, 0
 	for _, n := range workers {
 		b.total += n
 	}
-	for len(b.silent) > 0 && now.Sub(b.silent[0].at) > 2*together {
-		b.silent = b.silent[1:]
+	for len(b.silentWorkers) > 0 && now.Sub(b.silentWorkers[0].at) > 2*commonCauseWindow {
+		b.silentWorkers = b.silentWorkers[1:]
 	}
 }
 
-// pass lets time pass for the workers seen last.
-func (b *Background) pass(passed time.Duration) {
-	keep := math.Exp(-passed.Seconds() / remembers.Seconds())
-	b.all.pass(keep, passed, b.total)
-	b.lately.pass(math.Exp(-passed.Seconds()/remembersLately.Seconds()), passed, b.total)
+// advance lets time pass for the workers seen last.
+func (b *Background) advance(passed time.Duration) {
+	keep := math.Exp(-passed.Seconds() / decayTime.Seconds())
+	b.all.advance(keep, passed, b.total)
+	b.recent.advance(math.Exp(-passed.Seconds()/recentDecayTime.Seconds()), passed, b.total)
 	for rack, n := range b.workers {
-		b.rack(rack).pass(keep, passed, n)
+		b.rackExposure(rack).advance(keep, passed, n)
 	}
 	for rack, e := range b.racks {
 		if b.workers[rack] == 0 && e.Crashes == 0 {
@@ -135,12 +135,12 @@
 	}
 }
 
-func (e *exposure) pass(keep float64, passed time.Duration, workers int) {
+func (e *exposure) advance(keep float64, passed time.Duration, workers int) {
 	e.Crashes *= keep
 	e.Seconds = e.Seconds*keep + passed.Seconds()*float64(workers)
 }
 
-func (b *Background) rack(name string) *exposure {
+func (b *Background) rackExposure(name string) *exposure {
 	if b.racks == nil {
 		b.racks = map[string]*exposure{}
 	}
@@ -150,39 +150,39 @@
 	return b.racks[name]
 }
 
-// Crashed takes a crash of a worker of some rack that no task caused with some probability.
-func (b *Background) Crashed(rack string, unexplained float64) {
-	for _, e := range []*exposure{&b.all, &b.lately, b.rack(rack)} {
+// AddCrash takes a crash of a worker of some rack that no task caused with some probability.
+func (b *Background) AddCrash(rack string, unexplained float64) {
+	for _, e := range []*exposure{&b.all, &b.recent, b.rackExposure(rack)} {
 		e.Crashes += unexplained
 	}
 }
 
-// Explained takes back that some crashes were by no fault of a task. Some of them may be
+// RemoveCrashes takes back that some crashes were by no fault of a task. Some of them may be
 // forgotten. Those of its rack are left: they hardly weigh there.
-func (b *Background) Explained(crashes float64) {
-	for _, e := range []*exposure{&b.all, &b.lately} {
+func (b *Background) RemoveCrashes(crashes float64) {
+	for _, e := range []*exposure{&b.all, &b.recent} {
 		e.Crashes = max(0, e.Crashes-crashes)
 	}
 }
 
-// Silent takes that a life of a worker has stopped answering, to which its suspects have brought
+// RecordSilence takes that a life of a worker has stopped answering, to which its suspects have brought
 // it with some probability.
-func (b *Background) Silent(now time.Time, life order.Life, rack string, risk float64) {
-	b.silent = append(b.silent, silence{at: now, life: life, rack: rack, weight: 1 - risk})
+func (b *Background) RecordSilence(now time.Time, life order.Life, rack string, risk float64) {
+	b.silentWorkers = append(b.silentWorkers, silentWorker{at: now, life: life, rack: rack, weight: 1 - risk})
 }
 
-// Answers takes that a worker has answered again: it had not crashed.
-func (b *Background) Answers(life order.Life) {
-	b.silent = slices.DeleteFunc(b.silent, func(s silence) bool { return s.life == life })
+// RecordAnswer takes that a worker has answered again: it had not crashed.
+func (b *Background) RecordAnswer(life order.Life) {
+	b.silentWorkers = slices.DeleteFunc(b.silentWorkers, func(s silentWorker) bool { return s.life == life })
 }
 
 // rate returns how often a worker crashes by no fault of its tasks, a second, over all: as
 // often as lately, if that is more.
-func (b *Background) rate() float64 { return max(b.all.rate(), b.lately.rate()) }
+func (b *Background) rate() float64 { return max(b.all.rate(), b.recent.rate()) }
 
 // rate returns how often a worker crashes, a second.
 func (e exposure) rate() float64 {
-	return (e.Crashes + firstRate*firstWeight) / (e.Seconds + firstWeight)
+	return (e.Crashes + priorRate*priorSeconds) / (e.Seconds + priorSeconds)
 }
 
 // Hazard returns how likely a worker was to crash at a time by no fault of its tasks, a
@@ -193,10 +193,10 @@
 	return alone + atOnce + about
 }
 
-// Single returns the probability that a crash which no task caused has no cause in common
+// IndependentProbability returns the probability that a crash which no task caused has no cause in common
 // with others that were seen at once. Only such a one tells how often workers crash: a rack
 // that loses power is one event, and not as many as it has workers.
-func (b *Background) Single(at time.Time, life order.Life, rack string) float64 {
+func (b *Background) IndependentProbability(at time.Time, life order.Life, rack string) float64 {
 	alone, atOnce, _ := b.hazards(at, life, rack)
 	return alone / (alone + atOnce)
 }
@@ -205,28 +205,28 @@
 // cause is that of others which were seen at once, or about then.
 func (b *Background) hazards(at time.Time, life order.Life, rack string) (alone, once, about float64) {
 	all := b.rate()
-	r := b.rack(rack)
-	alone = (r.Crashes + all*rackWeight) / (r.Seconds + rackWeight)
-	ofAll, ofRack := among{life: life, workers: b.total, rate: all}, among{life: life, rack: rack, workers: b.workers[rack], rate: alone}
-	once = atOnceShare * max(b.common(at, atOnce, ofAll), b.common(at, atOnce, ofRack))
-	about = (1 - atOnceShare) * max(b.common(at, together, ofAll), b.common(at, together, ofRack))
+	r := b.rackExposure(rack)
+	alone = (r.Crashes + all*rackPriorSeconds) / (r.Seconds + rackPriorSeconds)
+	ofAll, ofRack := peerGroup{life: life, workers: b.total, rate: all}, peerGroup{life: life, rack: rack, workers: b.workers[rack], rate: alone}
+	once = simultaneousShare * max(b.commonCauseHazard(at, simultaneousWindow, ofAll), b.commonCauseHazard(at, simultaneousWindow, ofRack))
+	about = (1 - simultaneousShare) * max(b.commonCauseHazard(at, commonCauseWindow, ofAll), b.commonCauseHazard(at, commonCauseWindow, ofRack))
 	return alone, once, about
 }
 
-// among are the workers of a rack, or all, beside one, and how often each crashes, a second.
-type among struct {
+// peerGroup are the workers of a rack, or all, beside one, and how often each crashes, a second.
+type peerGroup struct {
 	life    order.Life
 	rack    string
 	workers int
 	rate    float64
 }
 
-// common returns how much likelier a worker was to crash at a time, a second, because others
+// commonCauseHazard returns how much likelier a worker was to crash at a time, a second, because others
 // stopped answering within some time of it. One that did is no sign of a common cause, and
 // neither are as many as the rate explains.
-func (b *Background) common(at time.Time, within time.Duration, of among) float64 {
+func (b *Background) commonCauseHazard(at time.Time, within time.Duration, of peerGroup) float64 {
 	n := 0.0
-	for _, s := range b.silent {
+	for _, s := range b.silentWorkers {
 		if s.life != of.life && s.at.Sub(at).Abs() <= within && (of.rack == "" || s.rack == of.rack) {
 			n += s.weight
 		}
--- a/services/blame/bench_test.go
+++ b/services/blame/bench_test.go
@@ -11,20 +11,20 @@
 	"saddlevane/services/blame"
 )
 
-// BenchmarkARackThatCrashes measures what a holder takes to judge the crash of 48 workers with
+// BenchmarkRackCrash measures what a holder takes to judge the crash of 48 workers with
 // 40 tasks each, under which nothing has crashed before.
-func BenchmarkARackThatCrashes(b *testing.B) {
+func BenchmarkRackCrash(b *testing.B) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for b.Loop() {
-		d := blame.NewDocket()
-		d.Saw(now, map[string]int{"r": 48})
+		d := blame.NewTracker()
+		d.ObserveWorkers(now, map[string]int{"r": 48})
 		for worker := range 48 {
-			var on []blame.On
+			var on []blame.RunningTask
 			for i := range 40 {
 				task := job.TaskID{StepID: job.StepID{Job: "j", Step: worker}, Index: i}
-				on = append(on, blame.On{Task: task, Run: 1, Worked: time.Duration(i) * 100 * time.Millisecond})
+				on = append(on, blame.RunningTask{Task: task, Run: 1, Worked: time.Duration(i) * 100 * time.Millisecond})
 			}
-			d.Crashed(now, blame.Crash{Life: life("w"), Rack: "r", At: now, Heard: true, On: on})
+			d.RecordCrash(now, blame.Crash{Life: life("w"), Rack: "r", At: now, TasksKnown: true, Tasks: on})
 		}
 	}
 }
--- a/services/blame/blame.go
+++ b/services/blame/blame.go
@@ -33,33 +33,33 @@
 	// priorOdds is what is believed of a task under which no worker has crashed: one in a
 	// thousand is guilty.
 	priorOdds = 1e-3
-	// suspected is the probability of guilt from which on a task is kept apart from other
+	// suspectThreshold is the probability of guilt from which on a task is kept apart from other
 	// suspects, likely the one from which on it is tried on a worker that gets nothing else
 	// meanwhile. Of tasks that crash nothing and were on a worker that crashed, 42% come to
 	// suspected and 11% to likely (14,266 in random worlds).
-	suspected = 0.005
-	likely    = 0.05
-	// alone is from which probability on it rather waits than is tried beside others.
-	alone = 0.2
+	suspectThreshold = 0.005
+	likelyThreshold  = 0.05
+	// aloneThreshold is from which probability on it rather waits than is tried beside others.
+	aloneThreshold = 0.2
 
-	// crashesLeast is how many workers must have crashed under a task before it is given
+	// minCrashes is how many workers must have crashed under a task before it is given
 	// up.
-	crashesLeast = 2
-	// crashesMany is from how many crashes on it is tried alone whatever the odds.
-	crashesMany = 3
+	minCrashes = 2
+	// manyCrashes is from how many crashes on it is tried alone whatever the odds.
+	manyCrashes = 3
 
 	// A run that has been at work for clearFactor times as long as any before at the
-	// crash of its worker, and clearLeast more, clears its task.
+	// crash of its worker, and clearMargin more, clears its task.
 	clearFactor = 2
-	clearLeast  = 2 * time.Second
+	clearMargin = 2 * time.Second
 
-	// tryAgain is how long a task waits that is likely to be guilty, doubled with each
-	// further crash up to tryAgainMost.
-	tryAgain     = 500 * time.Millisecond
-	tryAgainMost = 4 * time.Second
+	// firstRetryDelay is how long a task waits that is likely to be guilty, doubled with each
+	// further crash up to maxRetryDelay.
+	firstRetryDelay = 500 * time.Millisecond
+	maxRetryDelay   = 4 * time.Second
 )
 
-// guiltyOdds are the odds from which a task is given up under which crashesLeast or more
+// guiltyOdds are the odds from which a task is given up under which minCrashes or more
 // workers have crashed. A job that is given up is lost for good, a further try costs one worker,
 // so the first error is bounded: by Wald's sequential test (1945) odds of 1e4, that is crashes
 // 1e7 times as likely as without guilt, give up one in ten million tasks that crash nothing, or
@@ -82,40 +82,42 @@
 	return b.Odds / (1 + b.Odds)
 }
 
-// Suspected says whether a task is to be kept apart from other suspects.
-func Suspected(b job.Blame) bool { return Probability(b) >= suspected }
+// IsSuspect says whether a task is to be kept apart from other suspects.
+func IsSuspect(b job.Blame) bool { return Probability(b) >= suspectThreshold }
 
-// Likely says whether a task is to be tried on a worker that gets nothing else: it is
+// IsLikely says whether a task is to be tried on a worker that gets nothing else: it is
 // likely to be guilty, or so many workers have crashed under it that it is time to know.
-func Likely(b job.Blame) bool { return Probability(b) >= likely || b.Crashes >= crashesMany }
+func IsLikely(b job.Blame) bool { return Probability(b) >= likelyThreshold || b.Crashes >= manyCrashes }
 
 // MustBeAlone says whether a task is not to be tried beside others, even if it has to wait.
-func MustBeAlone(b job.Blame) bool { return Probability(b) >= alone || b.Crashes >= crashesMany }
+func MustBeAlone(b job.Blame) bool {
+	return Probability(b) >= aloneThreshold || b.Crashes >= manyCrashes
+}
 
-// Guilty says whether a task is to be given up.
-func Guilty(b job.Blame) bool {
-	further := b.Crashes - crashesLeast
+// IsGuilty says whether a task is to be given up.
+func IsGuilty(b job.Blame) bool {
+	further := b.Crashes - minCrashes
 	if further < 0 || further <= 1 && b.Alone == 0 {
 		return false
 	}
 	return b.Odds >= guiltyOdds
 }
 
-// Cleared says whether a run that has been at work for some time, on a worker that lives,
+// IsClearedBy says whether a run that has been at work for some time, on a worker that lives,
 // clears its task.
-func Cleared(b job.Blame, worked time.Duration) bool {
-	return worked > clearFactor*b.Longest.Duration()+clearLeast
+func IsClearedBy(b job.Blame, worked time.Duration) bool {
+	return worked > clearFactor*b.Longest.Duration()+clearMargin
 }
 
-// Wait returns how long a task waits before it is tried again: crashes of other workers
+// RetryDelay returns how long a task waits before it is tried again: crashes of other workers
 // at the same time are known by then, and it does not take one after another.
-func Wait(b job.Blame) time.Duration {
-	if !Likely(b) {
+func RetryDelay(b job.Blame) time.Duration {
+	if !IsLikely(b) {
 		return 0
 	}
-	wait := tryAgain
-	for range b.Crashes - crashesLeast {
-		wait = min(2*wait, tryAgainMost)
+	wait := firstRetryDelay
+	for range b.Crashes - minCrashes {
+		wait = min(2*wait, maxRetryDelay)
 	}
 	return wait
 }
@@ -123,7 +125,7 @@
 // Suspect is a task that was on a worker when it crashed.
 type Suspect struct {
 	// Before is what was held against it before.
-	Before job.Blame
+	Prior job.Blame
 	// Worked is for how long it had been at work, and Time what is known of that.
 	Worked time.Duration
 	Time   job.CrashTime
@@ -143,28 +145,28 @@
 	}
 }
 
-// Judge returns what is held against each task that was on a worker when it crashed.
+// Assess returns what is held against each task that was on a worker when it crashed.
 // Background is the hazard, a second, of a crash that none of them caused.
-func Judge(suspects []Suspect, background float64) []job.Blame {
+func Assess(suspects []Suspect, background float64) []job.Blame {
 	caused := make([]float64, len(suspects))
 	all := 0.0
 	for i, s := range suspects {
-		odds := oddsOf(s.Before.Seen, 0)
-		caused[i] = odds / (1 + odds) * hazardOf(s.Before.Seen, s.crash())
+		odds := oddsOf(s.Prior.Seen, 0)
+		caused[i] = odds / (1 + odds) * nextCrashHazard(s.Prior.Seen, s.crash())
 		all += caused[i]
 	}
 	judged := make([]job.Blame, len(suspects))
 	for i, s := range suspects {
 		c := s.crash()
 		c.Others, c.Itself = max(0, all-caused[i]), background
-		judged[i] = s.after(c)
+		judged[i] = s.afterCrash(c)
 	}
 	return judged
 }
 
-// after returns what is held against a task after one more crash.
-func (s Suspect) after(c job.Crash) job.Blame {
-	b := s.Before
+// afterCrash returns what is held against a task after one more crash.
+func (s Suspect) afterCrash(c job.Crash) job.Blame {
+	b := s.Prior
 	b.Crashes++
 	if s.Alone {
 		b.Alone++
@@ -177,22 +179,22 @@
 	}
 	b.TriedOn, b.TriedAt = nil, 0
 	b.Seen = append(slices.Clone(b.Seen), c)
-	b.Seen = b.Seen[max(0, len(b.Seen)-crashesKept):]
-	return Again(b, 0)
+	b.Seen = b.Seen[max(0, len(b.Seen)-maxCrashesKept):]
+	return Reassess(b, 0)
 }
 
-// Again judges all crashes under a task again. Rate is how often a worker crashes by no
+// Reassess judges all crashes under a task again. Rate is how often a worker crashes by no
 // fault of its tasks by what is known now, a second.
-func Again(b job.Blame, rate float64) job.Blame {
+func Reassess(b job.Blame, rate float64) job.Blame {
 	if len(b.Seen) > 0 {
 		b.Odds = oddsOf(b.Seen, rate)
 	}
 	return b
 }
 
-// Unexplained returns the probability that none of the tasks that were judged caused the
+// UnexplainedProbability returns the probability that none of the tasks that were judged caused the
 // crash, or somewhat more.
-func Unexplained(judged []job.Blame) float64 {
+func UnexplainedProbability(judged []job.Blame) float64 {
 	most := 0.0
 	for _, b := range judged {
 		most = max(most, Probability(b))
--- a/services/blame/blame_test.go
+++ b/services/blame/blame_test.go
@@ -15,29 +15,29 @@
 	"gotest.tools/v3/assert"
 )
 
-// quiet is the hazard, a second, of a crash by itself where workers seldom crash.
-const quiet = 1.0 / 3600
+// rareCrashHazard is the hazard, a second, of a crash by itself where workers seldom crash.
+const rareCrashHazard = 1.0 / 3600
 
-func TestTheTaskThatBeganLastIsSuspectedMost(t *testing.T) {
+func TestLastStartedTaskIsMostSuspected(t *testing.T) {
 	on := []blame.Suspect{{Worked: 15 * time.Millisecond}, {Worked: 2 * time.Second}, {Worked: time.Minute}}
-	judged := blame.Judge(on, quiet)
-	assert.Check(t, blame.Likely(judged[0]), "%+v", judged[0])
-	assert.Check(t, blame.Suspected(judged[1]) && !blame.Likely(judged[1]), "%+v", judged[1])
-	assert.Check(t, !blame.Suspected(judged[2]), "%+v", judged[2])
+	judged := blame.Assess(on, rareCrashHazard)
+	assert.Check(t, blame.IsLikely(judged[0]), "%+v", judged[0])
+	assert.Check(t, blame.IsSuspect(judged[1]) && !blame.IsLikely(judged[1]), "%+v", judged[1])
+	assert.Check(t, !blame.IsSuspect(judged[2]), "%+v", judged[2])
 }
 
-// repeat judges the same task after several crashes, each with others beside it that had
+// assessRepeatedly judges the same task after several crashes, each with others beside it that had
 // been at work for long.
-func repeat(times int, alone bool, worked time.Duration, background float64) job.Blame {
+func assessRepeatedly(times int, alone bool, worked time.Duration, background float64) job.Blame {
 	var b job.Blame
 	for range times {
-		on := []blame.Suspect{{Before: b, Worked: worked, Alone: alone}, {Worked: 3 * time.Second}, {Worked: 5 * time.Second}}
-		b = blame.Judge(on, background)[0]
+		on := []blame.Suspect{{Prior: b, Worked: worked, Alone: alone}, {Worked: 3 * time.Second}, {Worked: 5 * time.Second}}
+		b = blame.Assess(on, background)[0]
 	}
 	return b
 }
 
-func TestHowManyCrashesGiveATaskUp(t *testing.T) {
+func TestGuiltByNumberOfCrashes(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		crashes    int
@@ -46,16 +46,16 @@
 		background float64
 		guilty     bool
 	}{
-		{"one is never enough", 1, true, 10 * time.Millisecond, quiet, false},
-		{"two are, alone and at once, where workers seldom crash", 2, true, 10 * time.Millisecond, quiet, true},
-		{"two among tasks that had just begun are not", 2, false, 10 * time.Millisecond, quiet, false},
-		{"three are after half a second", 3, true, 500 * time.Millisecond, quiet, true},
+		{"one is never enough", 1, true, 10 * time.Millisecond, rareCrashHazard, false},
+		{"two are, alone and at once, where workers seldom crash", 2, true, 10 * time.Millisecond, rareCrashHazard, true},
+		{"two among tasks that had just begun are not", 2, false, 10 * time.Millisecond, rareCrashHazard, false},
+		{"three are after half a second", 3, true, 500 * time.Millisecond, rareCrashHazard, true},
 		{"three late ones are not where workers crash every ten seconds", 3, true, 5 * time.Second, 0.1, false},
 		{"five late ones are not where workers crash every ten seconds", 5, true, 20 * time.Second, 0.1, false},
 		{"four are, beside others", 4, false, 10 * time.Millisecond, 0.01, true},
 	} {
-		b := repeat(c.crashes, c.alone, c.worked, c.background)
-		assert.Check(t, blame.Guilty(b) == c.guilty, "%s: %+v", c.name, b)
+		b := assessRepeatedly(c.crashes, c.alone, c.worked, c.background)
+		assert.Check(t, blame.IsGuilty(b) == c.guilty, "%s: %+v", c.name, b)
 	}
 }
 
@@ -66,8 +66,8 @@
 		guilty := false
 		for crashes := 1; crashes <= 16; crashes++ {
 			b := job.Blame{Crashes: crashes, Alone: crashes, Odds: odds}
-			assert.Check(t, !guilty || blame.Guilty(b), "%d crashes, odds %g", crashes, odds)
-			guilty = blame.Guilty(b)
+			assert.Check(t, !guilty || blame.IsGuilty(b), "%d crashes, odds %g", crashes, odds)
+			guilty = blame.IsGuilty(b)
 		}
 	}
 }
@@ -81,75 +81,75 @@
 //
 // The cause: from the fifth crash on 300 were enough where workers seemed to crash less often than
 // every 40 s, and with few seconds of one worker between them that changes from crash to crash.
-func TestManyCrashesAreNotEnoughForLowOdds(t *testing.T) {
-	assert.Check(t, !blame.Guilty(job.Blame{Crashes: 6, Alone: 2, Odds: 3_620}))
-	assert.Check(t, blame.Guilty(job.Blame{Crashes: 6, Alone: 2, Odds: 10_000}))
+func TestManyCrashesWithLowOddsAreNotGuilty(t *testing.T) {
+	assert.Check(t, !blame.IsGuilty(job.Blame{Crashes: 6, Alone: 2, Odds: 3_620}))
+	assert.Check(t, blame.IsGuilty(job.Blame{Crashes: 6, Alone: 2, Odds: 10_000}))
 }
 
-func TestCrashesAtDifferentPointsOfTheWorkSayLess(t *testing.T) {
-	first := repeat(1, true, 4*time.Second, quiet)
-	same := blame.Judge([]blame.Suspect{{Before: first, Worked: 4 * time.Second}}, quiet)[0]
-	other := blame.Judge([]blame.Suspect{{Before: first, Worked: 9 * time.Second}}, quiet)[0]
+func TestCrashesAtDifferentPointsGiveLowerOdds(t *testing.T) {
+	first := assessRepeatedly(1, true, 4*time.Second, rareCrashHazard)
+	same := blame.Assess([]blame.Suspect{{Prior: first, Worked: 4 * time.Second}}, rareCrashHazard)[0]
+	other := blame.Assess([]blame.Suspect{{Prior: first, Worked: 9 * time.Second}}, rareCrashHazard)[0]
 	assert.Check(t, same.Odds > 5*other.Odds, "%v, %v", same.Odds, other.Odds)
 }
 
-func TestARunThatOutlivesTheCrashesClearsItsTask(t *testing.T) {
-	b := repeat(2, true, 3*time.Second, quiet)
-	assert.Check(t, !blame.Cleared(b, 7*time.Second))
-	assert.Check(t, blame.Cleared(b, 9*time.Second))
+func TestLongRunClearsTask(t *testing.T) {
+	b := assessRepeatedly(2, true, 3*time.Second, rareCrashHazard)
+	assert.Check(t, !blame.IsClearedBy(b, 7*time.Second))
+	assert.Check(t, blame.IsClearedBy(b, 9*time.Second))
 }
 
-func TestAKnownSuspectShieldsWhatIsBesideIt(t *testing.T) {
-	known := repeat(2, true, 10*time.Millisecond, quiet)
-	judged := blame.Judge([]blame.Suspect{{Before: known, Worked: 10 * time.Millisecond}, {Worked: 200 * time.Millisecond}}, quiet)
-	assert.Check(t, !blame.Suspected(judged[1]), "%+v", judged[1])
-	assert.Check(t, blame.Unexplained(judged) < 0.01)
-	assert.Equal(t, blame.Unexplained(nil), 1.0, "an empty worker crashed by itself")
+func TestKnownSuspectLowersSuspicionOfOthers(t *testing.T) {
+	known := assessRepeatedly(2, true, 10*time.Millisecond, rareCrashHazard)
+	judged := blame.Assess([]blame.Suspect{{Prior: known, Worked: 10 * time.Millisecond}, {Worked: 200 * time.Millisecond}}, rareCrashHazard)
+	assert.Check(t, !blame.IsSuspect(judged[1]), "%+v", judged[1])
+	assert.Check(t, blame.UnexplainedProbability(judged) < 0.01)
+	assert.Equal(t, blame.UnexplainedProbability(nil), 1.0, "an empty worker crashed by itself")
 }
 
-func TestWaitsGrow(t *testing.T) {
-	assert.Equal(t, blame.Wait(job.Blame{Crashes: 1, Odds: 0.01}), time.Duration(0))
+func TestRetryDelayGrows(t *testing.T) {
+	assert.Equal(t, blame.RetryDelay(job.Blame{Crashes: 1, Odds: 0.01}), time.Duration(0))
 	last := time.Duration(0)
 	for n := 2; n < 6; n++ {
-		wait := blame.Wait(job.Blame{Crashes: n, Odds: 1})
+		wait := blame.RetryDelay(job.Blame{Crashes: n, Odds: 1})
 		assert.Check(t, wait > last && wait <= 4*time.Second, "%v after %v", wait, last)
 		last = wait
 	}
 }
 
-func TestWorkersThatCrashTogetherHaveOneCause(t *testing.T) {
+func TestSimultaneousCrashesHaveCommonCause(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	var b blame.Background
-	b.Saw(now, map[string]int{"r1": 4, "r2": 20})
+	b.ObserveWorkers(now, map[string]int{"r1": 4, "r2": 20})
 	calm := b.Hazard(now, life("a"), "r1")
-	b.Silent(now, life("b"), "r2", 0)
+	b.RecordSilence(now, life("b"), "r2", 0)
 	assert.Equal(t, b.Hazard(now, life("a"), "r1"), calm, "one more is no sign of a common cause")
-	b.Silent(now, life("c"), "r1", 0)
-	b.Silent(now, life("d"), "r1", 0)
+	b.RecordSilence(now, life("c"), "r1", 0)
+	b.RecordSilence(now, life("d"), "r1", 0)
 	together := b.Hazard(now, life("a"), "r1")
 	assert.Check(t, together > 100*calm, "%v, %v", together, calm)
 	assert.Check(t, b.Hazard(now, life("e"), "r2") < together, "it struck one rack")
-	b.Answers(life("c"))
-	b.Answers(life("d"))
+	b.RecordAnswer(life("c"))
+	b.RecordAnswer(life("d"))
 	assert.Equal(t, b.Hazard(now, life("a"), "r1"), calm, "they had not crashed")
 }
 
-func TestHowOftenWorkersCrashIsLearnedByRack(t *testing.T) {
+func TestCrashRateIsLearnedPerRack(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	var b blame.Background
 	for range 100 {
-		b.Saw(now, map[string]int{"bad": 6, "good": 42})
+		b.ObserveWorkers(now, map[string]int{"bad": 6, "good": 42})
 		now = now.Add(time.Second)
 	}
 	for range 6 {
-		b.Crashed("bad", 1)
+		b.AddCrash("bad", 1)
 	}
 	bad, good := b.Hazard(now, life("x"), "bad"), b.Hazard(now, life("y"), "good")
 	assert.Check(t, bad > 0.004 && bad < 0.01, "%v; six in 600 seconds of one worker are 0.01", bad)
 	assert.Check(t, good < 0.001, "%v", good)
 }
 
-func TestWhatIsHeldAgainstATaskIsCheckedWhenItIsRead(t *testing.T) {
+func TestBlameIsValidatedOnUnmarshal(t *testing.T) {
 	kept := job.Blame{Crashes: 3, Alone: 1, Odds: 12.5, Longest: 20, Shortest: 10, TriedOn: []string{"w"}, TriedAt: 77}
 	data, err := json.Marshal(kept)
 	assert.NilError(t, err)
@@ -165,51 +165,51 @@
 // exact, a crash at 0.6 s that was seen at 1 s spoke for a run that had worked on beyond its
 // point, as if the task crashed its workers at another each time: beside workers that crash
 // every 29 s 14 of 300 worlds had a sixth start before, 3 since, under the same seeds.
-func TestACrashThatWasSeenLateDoesNotSpeakForATask(t *testing.T) {
+func TestLateDetectedCrashDoesNotLowerOdds(t *testing.T) {
 	var exact, late job.Blame
 	for _, worked := range []time.Duration{610 * time.Millisecond, time.Second, 605 * time.Millisecond, 608 * time.Millisecond} {
-		suspect := blame.Suspect{Before: exact, Worked: worked, Alone: true}
-		exact = blame.Judge([]blame.Suspect{suspect}, 0.03)[0]
-		suspect.Before = late
+		suspect := blame.Suspect{Prior: exact, Worked: worked, Alone: true}
+		exact = blame.Assess([]blame.Suspect{suspect}, 0.03)[0]
+		suspect.Prior = late
 		if worked == time.Second {
 			suspect.Late = 400 * time.Millisecond
 		}
-		late = blame.Judge([]blame.Suspect{suspect}, 0.03)[0]
+		late = blame.Assess([]blame.Suspect{suspect}, 0.03)[0]
 	}
 	assert.Check(t, late.Odds > 50*exact.Odds, "%v, %v", late.Odds, exact.Odds)
-	assert.Check(t, blame.Guilty(late), "%+v", late)
-	assert.Check(t, !blame.Guilty(exact), "%+v", exact)
+	assert.Check(t, blame.IsGuilty(late), "%+v", late)
+	assert.Check(t, !blame.IsGuilty(exact), "%+v", exact)
 }
 
-func TestARateThatIsLearnedLaterCounts(t *testing.T) {
-	b := repeat(3, true, 900*time.Millisecond, quiet)
-	assert.Check(t, blame.Guilty(b))
-	assert.Check(t, !blame.Guilty(blame.Again(b, 1.0/29)), "workers crash every 29 s")
+func TestReassessUsesLaterCrashRate(t *testing.T) {
+	b := assessRepeatedly(3, true, 900*time.Millisecond, rareCrashHazard)
+	assert.Check(t, blame.IsGuilty(b))
+	assert.Check(t, !blame.IsGuilty(blame.Reassess(b, 1.0/29)), "workers crash every 29 s")
 }
 
-func TestCrashesAtTwoPointsAreNotFourAtOne(t *testing.T) {
+func TestCrashesAtTwoPointsAreNotCountedAsOnePoint(t *testing.T) {
 	var b job.Blame
 	for _, worked := range []time.Duration{286, 310, 2022, 2190, 292} {
-		b = blame.Judge([]blame.Suspect{{Before: b, Worked: worked * time.Millisecond, Alone: true}}, 1.0/40)[0]
+		b = blame.Assess([]blame.Suspect{{Prior: b, Worked: worked * time.Millisecond, Alone: true}}, 1.0/40)[0]
 	}
-	assert.Check(t, !blame.Guilty(b), "%+v", b)
+	assert.Check(t, !blame.IsGuilty(b), "%+v", b)
 }
 
-func TestAnUnexplainedCrashIsTakenBackOnceItIsExplained(t *testing.T) {
+func TestAttributedCrashesLeaveBackgroundRate(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	d := blame.NewDocket()
-	d.Saw(now, map[string]int{"r": 24})
+	d := blame.NewTracker()
+	d.ObserveWorkers(now, map[string]int{"r": 24})
 	task := job.TaskID{StepID: job.StepID{Job: "j"}}
 	for n := range 3 {
 		now = now.Add(5 * time.Second)
-		d.Saw(now, map[string]int{"r": 24})
-		d.Crashed(now, blame.Crash{Life: life("w"), Rack: "r", At: now, Heard: true, On: []blame.On{{Task: task, Run: int64(n), Worked: 12 * time.Millisecond, Alone: true}}})
+		d.ObserveWorkers(now, map[string]int{"r": 24})
+		d.RecordCrash(now, blame.Crash{Life: life("w"), Rack: "r", At: now, TasksKnown: true, Tasks: []blame.RunningTask{{Task: task, Run: int64(n), Worked: 12 * time.Millisecond, Alone: true}}})
 	}
-	assert.Check(t, blame.Guilty(d.Of(task)), "%+v", d.Of(task))
-	assert.Equal(t, d.Learned().All.Crashes, 0.0, "all three were the task's")
+	assert.Check(t, blame.IsGuilty(d.Blame(task)), "%+v", d.Blame(task))
+	assert.Equal(t, d.LearnedRate().All.Crashes, 0.0, "all three were the task's")
 }
 
-func TestWhatIsKeptOfCrashesIsCheckedWhenItIsRead(t *testing.T) {
+func TestStoredCrashesAreValidatedOnUnmarshal(t *testing.T) {
 	kept := job.Blame{Crashes: 1, Odds: 2, Seen: []job.Crash{{Worked: 600, Time: job.Within, Late: 5, Workers: 2, Others: 0.5, Itself: 0.25, Counted: 1}}}
 	data, err := json.Marshal(kept)
 	assert.NilError(t, err)
@@ -222,21 +222,21 @@
 	} {
 		assert.Check(t, json.Unmarshal([]byte(bad), &read) != nil, bad)
 	}
-	var learned blame.Learned
+	var learned blame.LearnedRate
 	assert.Check(t, json.Unmarshal([]byte(`{"all":{"crashes":-1,"seconds":5}}`), &learned) != nil)
 }
 
 // An earlier holder meant to try a task on two workers. One has told that it does not run it, so
 // that its crash says nothing of the task.
-func TestATrialThatDidNotBeginIsNotBlamed(t *testing.T) {
+func TestTrialThatDidNotStartIsNotBlamed(t *testing.T) {
 	task := job.TaskID{StepID: job.StepID{Job: "j"}}
 	for _, runs := range []bool{false, true} {
-		d := blame.NewDocket()
-		before := repeat(1, true, time.Second, quiet)
+		d := blame.NewTracker()
+		before := assessRepeatedly(1, true, time.Second, rareCrashHazard)
 		before.TriedOn, before.TriedAt = []string{"w"}, 1_000
-		d.Resume(task, before)
-		d.Heard(life("w"), func(job.TaskID) bool { return runs })
-		found := d.Crashed(time.Unix(5, 0), blame.Crash{Life: life("w"), At: time.Unix(5, 0), UnixMilli: 5_000, Heard: true})
+		d.Restore(task, before)
+		d.RecordReport(life("w"), func(job.TaskID) bool { return runs })
+		found := d.RecordCrash(time.Unix(5, 0), blame.Crash{Life: life("w"), At: time.Unix(5, 0), UnixMilli: 5_000, TasksKnown: true})
 		assert.Equal(t, len(found) == 1, runs)
 	}
 }
--- a/services/blame/docket.go
+++ b/services/blame/docket.go
@@ -13,101 +13,101 @@
 )
 
 const (
-	// verdictAfter is how long after a crash a task is given up for it: about as long as it
+	// giveUpDelay is how long after a crash a task is given up for it: about as long as it
 	// takes until other workers that crashed at the same time are seen.
-	verdictAfter = time.Second
-	// unknownTasks is the hazard, a second, of a crash by tasks that are not known: those
+	giveUpDelay = time.Second
+	// unreportedTasksHazard is the hazard, a second, of a crash by tasks that are not known: those
 	// on a worker that a new holder has not heard yet, about a dozen.
-	unknownTasks = 0.01
+	unreportedTasksHazard = 0.01
 )
 
-// Docket has what is held against tasks. One task of a gang stands for all its members.
-type Docket struct {
+// Tracker has what is held against tasks. One task of a gang stands for all its members.
+type Tracker struct {
 	// Background is how often workers crash by no fault of their tasks.
 	Background
 
-	cases map[job.TaskID]*charge
+	tasks map[job.TaskID]*taskRecord
 	// suspects counts the suspected tasks of a step.
-	suspects map[job.StepID]int
-	// triedOn has the tasks that earlier holders had started, by the worker's life.
-	triedOn map[string][]job.TaskID
+	suspectCounts map[job.StepID]int
+	// earlierStarts has the tasks that earlier holders had started, by the worker's life.
+	earlierStarts map[string][]job.TaskID
 	// accused are the tasks that are to be given up, the first due first.
-	accused []accusation
+	pendingGiveUps []pendingGiveUp
 }
 
-// charge is what is held against one task.
-type charge struct {
+// taskRecord is what is held against one task.
+type taskRecord struct {
 	blame job.Blame
-	// run is the one under which a worker crashed last, tryAfter when the task may be tried
+	// run is the one under which a worker crashed last, retryAt when the task may be tried
 	// again.
-	run      int64
-	tryAfter time.Time
+	run     int64
+	retryAt time.Time
 	// accused says that the task is about to be given up.
-	accused bool
+	giveUpPending bool
 }
 
-// NewDocket returns a docket without a charge.
-func NewDocket() *Docket {
-	return &Docket{cases: map[job.TaskID]*charge{}, suspects: map[job.StepID]int{}, triedOn: map[string][]job.TaskID{}}
+// NewTracker returns a docket without a charge.
+func NewTracker() *Tracker {
+	return &Tracker{tasks: map[job.TaskID]*taskRecord{}, suspectCounts: map[job.StepID]int{}, earlierStarts: map[string][]job.TaskID{}}
 }
 
-// Of returns what is held against a task.
-func (d *Docket) Of(t job.TaskID) job.Blame {
-	if c := d.cases[t]; c != nil {
+// Blame returns what is held against a task.
+func (d *Tracker) Blame(t job.TaskID) job.Blame {
+	if c := d.tasks[t]; c != nil {
 		return c.blame
 	}
 	return job.Blame{}
 }
 
-// Suspects counts the tasks of a step that are to be kept apart from other suspects.
-func (d *Docket) Suspects(s job.StepID) int { return d.suspects[s] }
+// SuspectCount counts the tasks of a step that are to be kept apart from other suspects.
+func (d *Tracker) SuspectCount(s job.StepID) int { return d.suspectCounts[s] }
 
-// Waits says whether a task may not be tried yet.
-func (d *Docket) Waits(now time.Time, t job.TaskID) bool {
-	c := d.cases[t]
-	return c != nil && (c.accused || now.Before(c.tryAfter))
+// MustWait says whether a task may not be tried yet.
+func (d *Tracker) MustWait(now time.Time, t job.TaskID) bool {
+	c := d.tasks[t]
+	return c != nil && (c.giveUpPending || now.Before(c.retryAt))
 }
 
-// hold notes what is held against a task from now on.
-func (d *Docket) hold(t job.TaskID, b job.Blame) *charge {
-	c := d.cases[t]
+// setBlame notes what is held against a task from now on.
+func (d *Tracker) setBlame(t job.TaskID, b job.Blame) *taskRecord {
+	c := d.tasks[t]
 	if c == nil {
-		c = &charge{}
-		d.cases[t] = c
+		c = &taskRecord{}
+		d.tasks[t] = c
 	}
-	d.count(t.StepID, c.blame, -1)
+	d.countSuspect(t.StepID, c.blame, -1)
 	c.blame = b
-	d.count(t.StepID, b, 1)
+	d.countSuspect(t.StepID, b, 1)
 	return c
 }
 
-// count counts a task among the suspects of its step, or no more.
-func (d *Docket) count(s job.StepID, b job.Blame, by int) {
-	if !Suspected(b) {
+// countSuspect counts a task among the suspects of its step, or no more.
+func (d *Tracker) countSuspect(s job.StepID, b job.Blame, by int) {
+	if !IsSuspect(b) {
 		return
 	}
-	if d.suspects[s] += by; d.suspects[s] == 0 {
-		delete(d.suspects, s)
+	if d.suspectCounts[s] += by; d.suspectCounts[s] == 0 {
+		delete(d.suspectCounts, s)
 	}
 }
 
-// Resume takes over what an earlier holder held against a task.
-func (d *Docket) Resume(t job.TaskID, b job.Blame) {
-	c := d.hold(t, b)
+// Restore takes over what an earlier holder held against a task.
+func (d *Tracker) Restore(t job.TaskID, b job.Blame) {
+	c := d.setBlame(t, b)
 	for _, worker := range b.TriedOn {
-		d.triedOn[worker] = append(d.triedOn[worker], t)
+		d.earlierStarts[worker] = append(d.earlierStarts[worker], t)
 	}
-	if Guilty(b) {
+	if IsGuilty(b) {
 		// That holder was lost before it gave the job up.
-		c.accused = true
-		d.accused = append(d.accused, accusation{task: t})
+		c.giveUpPending = true
+		d.pendingGiveUps = append(d.pendingGiveUps, pendingGiveUp{task: t})
 	}
 }
 
-// Tried notes that a task was started on a worker at a time, in milliseconds since 1970. It
+// RecordStart notes that a task was started on a worker at a time, in milliseconds since 1970. It
 // returns whether anything is held against the task, so that the log is to know.
-func (d *Docket) Tried(t job.TaskID, life order.Life, unixMilli int64) bool {
-	b := d.Of(t)
+func (d *Tracker) RecordStart(t job.TaskID, life order.Life, unixMilli int64) bool {
+	b := d.Blame(t)
 	if b.Crashes == 0 {
 		return false
 	}
@@ -115,45 +115,45 @@
 		b.TriedOn, b.TriedAt = nil, unixMilli
 	}
 	b.TriedOn = append(slices.Clone(b.TriedOn), life.String())
-	d.hold(t, b)
+	d.setBlame(t, b)
 	return true
 }
 
-// Heard takes that a worker has told what it runs: a task that an earlier holder had meant to
+// RecordReport takes that a worker has told what it runs: a task that an earlier holder had meant to
 // try there, and that is not among it, will not crash it.
-func (d *Docket) Heard(life order.Life, runs func(job.TaskID) bool) {
+func (d *Tracker) RecordReport(life order.Life, runs func(job.TaskID) bool) {
 	worker := life.String()
-	tried := slices.DeleteFunc(d.triedOn[worker], func(t job.TaskID) bool { return !runs(t) })
-	if d.triedOn[worker] = tried; len(tried) == 0 {
-		delete(d.triedOn, worker)
+	tried := slices.DeleteFunc(d.earlierStarts[worker], func(t job.TaskID) bool { return !runs(t) })
+	if d.earlierStarts[worker] = tried; len(tried) == 0 {
+		delete(d.earlierStarts, worker)
 	}
 }
 
-// Acquit drops what is held against a task: a run of it has ended well, or has been at
+// Clear drops what is held against a task: a run of it has ended well, or has been at
 // work for long. It returns whether anything was.
-func (d *Docket) Acquit(t job.TaskID) bool {
-	if d.cases[t] == nil {
+func (d *Tracker) Clear(t job.TaskID) bool {
+	if d.tasks[t] == nil {
 		return false
 	}
-	d.hold(t, job.Blame{})
-	delete(d.cases, t)
+	d.setBlame(t, job.Blame{})
+	delete(d.tasks, t)
 	return true
 }
 
-// Drop forgets the tasks of a job.
-func (d *Docket) Drop(id job.ID) {
-	for t := range d.cases {
+// ForgetJob forgets the tasks of a job.
+func (d *Tracker) ForgetJob(id job.ID) {
+	for t := range d.tasks {
 		if t.Job == id {
-			d.Acquit(t)
+			d.Clear(t)
 		}
 	}
-	maps.DeleteFunc(d.triedOn, func(_ string, tasks []job.TaskID) bool {
-		return !slices.ContainsFunc(tasks, func(t job.TaskID) bool { return d.cases[t] != nil })
+	maps.DeleteFunc(d.earlierStarts, func(_ string, tasks []job.TaskID) bool {
+		return !slices.ContainsFunc(tasks, func(t job.TaskID) bool { return d.tasks[t] != nil })
 	})
 }
 
-// On is a task that was on a worker when it crashed.
-type On struct {
+// RunningTask is a task that was on a worker when it crashed.
+type RunningTask struct {
 	Task job.TaskID
 	Run  int64
 	// Gang says that it stands for a gang, whose run ends with the first crash: workers
@@ -176,138 +176,140 @@
 	UnixMilli int64
 	// Heard says that what ran on the worker is known: it had told this holder, or an
 	// earlier one the log.
-	Heard bool
-	On    []On
+	TasksKnown bool
+	Tasks      []RunningTask
 }
 
 // Finding is what is held against a task after a crash.
 type Finding struct {
-	On
+	RunningTask
 	Blame job.Blame
 	// Otherwise is the hazard, a second, of a crash that none of the worker's tasks
 	// caused, by which it was judged.
-	Otherwise float64
+	BackgroundHazard float64
 }
 
-// judgement is a crash and what was held against the tasks before it.
-type judgement struct {
-	crash Crash
-	input []Suspect
+// assessment is a crash and what was held against the tasks before it.
+type assessment struct {
+	crash    Crash
+	suspects []Suspect
 	// counted is the weight with which the crash counts among those by themselves.
-	counted float64
+	backgroundWeight float64
 }
 
-// otherwise returns the hazard, a second, of a crash that none of the tasks caused, by what
+// backgroundHazard returns the hazard, a second, of a crash that none of the tasks caused, by what
 // is known of other workers now.
-func (j *judgement) otherwise(b *Background) float64 {
+func (j *assessment) backgroundHazard(b *Background) float64 {
 	hazard := b.Hazard(j.crash.At, j.crash.Life, j.crash.Rack)
-	if !j.crash.Heard {
-		hazard += unknownTasks
+	if !j.crash.TasksKnown {
+		hazard += unreportedTasksHazard
 	}
 	return hazard
 }
 
-// by returns what the crash says of the tasks by what is known of other workers now.
-func (j *judgement) by(b *Background) []job.Blame { return Judge(j.input, j.otherwise(b)) }
+// reassess returns what the crash says of the tasks by what is known of other workers now.
+func (j *assessment) reassess(b *Background) []job.Blame {
+	return Assess(j.suspects, j.backgroundHazard(b))
+}
 
-// Crashed judges the tasks that were on a worker that has crashed.
-func (d *Docket) Crashed(now time.Time, c Crash) []Finding {
-	j := &judgement{crash: c}
-	j.crash.On = d.all(c)
-	for _, on := range j.crash.On {
-		j.input = append(j.input, Suspect{Before: d.Of(on.Task), Worked: on.Worked, Time: on.Time, Late: on.Late, Alone: on.Alone, Workers: on.Workers})
+// RecordCrash judges the tasks that were on a worker that has crashed.
+func (d *Tracker) RecordCrash(now time.Time, c Crash) []Finding {
+	j := &assessment{crash: c}
+	j.crash.Tasks = d.tasksOn(c)
+	for _, on := range j.crash.Tasks {
+		j.suspects = append(j.suspects, Suspect{Prior: d.Blame(on.Task), Worked: on.Worked, Time: on.Time, Late: on.Late, Alone: on.Alone, Workers: on.Workers})
 	}
-	otherwise := j.otherwise(&d.Background)
-	judged := Judge(j.input, otherwise)
-	if Unexplained(judged) > 1-convicting {
-		j.counted = d.Background.Single(c.At, c.Life, c.Rack)
+	otherwise := j.backgroundHazard(&d.Background)
+	judged := Assess(j.suspects, otherwise)
+	if UnexplainedProbability(judged) > 1-attributionThreshold {
+		j.backgroundWeight = d.Background.IndependentProbability(c.At, c.Life, c.Rack)
 	}
-	d.Background.Crashed(c.Rack, j.counted)
+	d.Background.AddCrash(c.Rack, j.backgroundWeight)
 	found := make([]Finding, len(judged))
 	for i, b := range judged {
-		b = d.charge(now, j, i, b)
-		found[i] = Finding{On: j.crash.On[i], Blame: b, Otherwise: otherwise}
+		b = d.recordBlame(now, j, i, b)
+		found[i] = Finding{RunningTask: j.crash.Tasks[i], Blame: b, BackgroundHazard: otherwise}
 	}
 	return found
 }
 
-// charge holds a crash against a task, and returns what is held against it from now on. One
+// recordBlame holds a crash against a task, and returns what is held against it from now on. One
 // that is found guilty is judged again shortly.
-func (d *Docket) charge(now time.Time, j *judgement, place int, b job.Blame) job.Blame {
-	b.Seen[len(b.Seen)-1].Counted = j.counted
-	b = d.explained(Again(b, d.Background.rate()))
-	on := j.crash.On[place]
-	c := d.hold(on.Task, b)
-	c.run, c.tryAfter = on.Run, now.Add(Wait(b))
-	if Guilty(b) {
-		c.accused = true
-		d.accused = append(d.accused, accusation{task: on.Task, judgement: j, place: place, due: now.Add(verdictAfter)})
+func (d *Tracker) recordBlame(now time.Time, j *assessment, place int, b job.Blame) job.Blame {
+	b.Seen[len(b.Seen)-1].Counted = j.backgroundWeight
+	b = d.attributeCrashes(Reassess(b, d.Background.rate()))
+	on := j.crash.Tasks[place]
+	c := d.setBlame(on.Task, b)
+	c.run, c.retryAt = on.Run, now.Add(RetryDelay(b))
+	if IsGuilty(b) {
+		c.giveUpPending = true
+		d.pendingGiveUps = append(d.pendingGiveUps, pendingGiveUp{task: on.Task, assessment: j, index: place, due: now.Add(giveUpDelay)})
 	}
 	return b
 }
 
-// convicting is the probability from which on a task is taken for the cause of its crashes.
-const convicting = 0.9
+// attributionThreshold is the probability from which on a task is taken for the cause of its crashes.
+const attributionThreshold = 0.9
 
-// explained takes the crashes under a task back from those by themselves once it is as good
+// attributeCrashes takes the crashes under a task back from those by themselves once it is as good
 // as sure that the task has caused them: else three guilty tasks make workers seem to crash
 // every 30 s, and little is held against any of them.
-func (d *Docket) explained(b job.Blame) job.Blame {
-	if Probability(b) < convicting {
+func (d *Tracker) attributeCrashes(b job.Blame) job.Blame {
+	if Probability(b) < attributionThreshold {
 		return b
 	}
 	b.Seen = slices.Clone(b.Seen)
 	for i := range b.Seen {
-		d.Background.Explained(b.Seen[i].Counted)
+		d.Background.RemoveCrashes(b.Seen[i].Counted)
 		b.Seen[i].Counted = 0
 	}
-	return Again(b, d.Background.rate())
+	return Reassess(b, d.Background.rate())
 }
 
-// all returns the tasks that were on a worker, each once, with those that an earlier holder
+// tasksOn returns the tasks that were on a worker, each once, with those that an earlier holder
 // had started there.
-func (d *Docket) all(c Crash) []On {
-	var all []On
-	add := func(next On) {
-		if known := d.cases[next.Task]; next.Gang && next.Run != 0 && known != nil && known.run == next.Run {
+func (d *Tracker) tasksOn(c Crash) []RunningTask {
+	var all []RunningTask
+	add := func(next RunningTask) {
+		if known := d.tasks[next.Task]; next.Gang && next.Run != 0 && known != nil && known.run == next.Run {
 			return
 		}
-		if i := slices.IndexFunc(all, func(o On) bool { return o.Task == next.Task }); i >= 0 {
-			all[i].join(next)
+		if i := slices.IndexFunc(all, func(o RunningTask) bool { return o.Task == next.Task }); i >= 0 {
+			all[i].merge(next)
 			return
 		}
 		all = append(all, next)
 	}
-	for _, on := range c.On {
+	for _, on := range c.Tasks {
 		add(on)
 	}
 	life := c.Life.String()
-	for _, t := range d.triedOn[life] {
-		if b := d.Of(t); slices.Contains(b.TriedOn, life) {
-			add(StartedBefore(t, b.TriedAt, c.UnixMilli, len(b.TriedOn)))
+	for _, t := range d.earlierStarts[life] {
+		if b := d.Blame(t); slices.Contains(b.TriedOn, life) {
+			add(StartedByEarlierHolder(t, b.TriedAt, c.UnixMilli, len(b.TriedOn)))
 		}
 	}
-	delete(d.triedOn, life)
+	delete(d.earlierStarts, life)
 	return all
 }
 
-// clockStepped is taken for the time at work where the clocks of two boxes say that a task
+// elapsedAfterClockStep is taken for the time at work where the clocks of two boxes say that a task
 // was tried after its worker crashed: little is held against it.
-const clockStepped = 10 * time.Second
+const elapsedAfterClockStep = 10 * time.Second
 
-// StartedBefore returns a task that an earlier holder had started at a time, on a worker which
+// StartedByEarlierHolder returns a task that an earlier holder had started at a time, on a worker which
 // crashed at another, both in milliseconds since 1970. A gang was started on several workers.
-func StartedBefore(t job.TaskID, startedAt, crashedAt int64, workers int) On {
-	on := On{Task: t, Worked: time.Duration(crashedAt-startedAt) * time.Millisecond, Time: job.Within, Workers: workers}
+func StartedByEarlierHolder(t job.TaskID, startedAt, crashedAt int64, workers int) RunningTask {
+	on := RunningTask{Task: t, Worked: time.Duration(crashedAt-startedAt) * time.Millisecond, Time: job.Within, Workers: workers}
 	if on.Worked < 0 {
-		on.Worked, on.Time = clockStepped, job.AtLeast
+		on.Worked, on.Time = elapsedAfterClockStep, job.AtLeast
 	}
 	return on
 }
 
-// join takes what else is known of the same task on the same worker: of a gang, or of a run
+// merge takes what else is known of the same task on the same worker: of a gang, or of a run
 // that the log tells of and whose worker is known to have had it.
-func (o *On) join(next On) {
+func (o *RunningTask) merge(next RunningTask) {
 	o.Alone = o.Alone && (next.Alone || next.Time == job.Within)
 	if o.Time == job.AtLeast {
 		o.Worked, o.Time = next.Worked, next.Time
@@ -318,38 +320,38 @@
 	}
 }
 
-// accusation is a task that is to be given up, unless more is known of the crash by then:
+// pendingGiveUp is a task that is to be given up, unless more is known of the crash by then:
 // when the first of several workers that crash together is seen, the others are not.
-type accusation struct {
+type pendingGiveUp struct {
 	task job.TaskID
 	// judgement is what it is accused by, and its place there, or nil under an earlier
 	// holder.
-	judgement *judgement
-	place     int
-	due       time.Time
+	assessment *assessment
+	index      int
+	due        time.Time
 }
 
-// Verdicts returns the accused tasks whose time has come, after all that is known now.
+// GiveUpsDue returns the accused tasks whose time has come, after all that is known now.
 // Those that are guilty still are to be given up.
-func (d *Docket) Verdicts(now time.Time) []job.TaskID {
+func (d *Tracker) GiveUpsDue(now time.Time) []job.TaskID {
 	var due []job.TaskID
-	for len(d.accused) > 0 && !now.Before(d.accused[0].due) {
-		a := d.accused[0]
-		d.accused = d.accused[1:]
-		c := d.cases[a.task]
+	for len(d.pendingGiveUps) > 0 && !now.Before(d.pendingGiveUps[0].due) {
+		a := d.pendingGiveUps[0]
+		d.pendingGiveUps = d.pendingGiveUps[1:]
+		c := d.tasks[a.task]
 		if c == nil {
 			continue
 		}
-		c.accused = false
-		if a.judgement != nil {
-			b := a.judgement.by(&d.Background)[a.place]
+		c.giveUpPending = false
+		if a.assessment != nil {
+			b := a.assessment.reassess(&d.Background)[a.index]
 			if c.blame.Crashes != b.Crashes {
 				continue
 			}
 			for i := range b.Seen {
 				b.Seen[i].Counted = c.blame.Seen[i].Counted
 			}
-			d.hold(a.task, Again(b, d.Background.rate()))
+			d.setBlame(a.task, Reassess(b, d.Background.rate()))
 		}
 		due = append(due, a.task)
 	}
--- a/services/blame/evidence.go
+++ b/services/blame/evidence.go
@@ -18,36 +18,36 @@
 // a run that worked on for 2 s had passed the point at 0.3 s.
 
 const (
-	// seenWithin is how exactly the time of a crash is known at best: calls to a worker that
+	// timeResolution is how exactly the time of a crash is known at best: calls to a worker that
 	// are under way break off within some milliseconds, an order takes as long again.
-	seenWithin = 25 * time.Millisecond
-	// horizon is the longest time after which a guilty task crashes its worker that is
+	timeResolution = 25 * time.Millisecond
+	// maxCrashTime is the longest time after which a guilty task crashes its worker that is
 	// reckoned with. Between both any order of magnitude is as likely as another.
-	horizon = time.Hour
-	// mostOdds bounds the odds: more says nothing more.
-	mostOdds = 1e9
+	maxCrashTime = time.Hour
+	// maxOdds bounds the odds: more says nothing more.
+	maxOdds = 1e9
 
-	// samePoint is the share of guilty tasks that crash their workers at about the same
+	// samePointShare is the share of guilty tasks that crash their workers at about the same
 	// point of their work each time.
-	samePoint = 0.8
+	samePointShare = 0.8
 	// closeShare is how many of these crashes come close to the point, the others around it.
 	closeShare = 0.5
-	// closePart and aroundPart are the parts of the time up to a point that are close to it
-	// or around it, and aroundLeast is the least that is around: an order or an answer may
+	// closeDivisor and aroundDivisor are the parts of the time up to a point that are close to it
+	// or around it, and minAroundSpan is the least that is around: an order or an answer may
 	// have been late by some 100 ms.
-	closePart   = 25
-	aroundPart  = 4
-	aroundLeast = 100 * time.Millisecond
+	closeDivisor  = 25
+	aroundDivisor = 4
+	minAroundSpan = 100 * time.Millisecond
 	// pointRatio is how far apart the points are that are reckoned with: each time is close
 	// to two of them.
 	pointRatio = 1.04
-	// passed is how likely a run of a task that crashes its workers at one point works on
+	// passedLikelihood is how likely a run of a task that crashes its workers at one point works on
 	// beyond it.
-	passed = 0.05
+	passedLikelihood = 0.05
 
-	// crashesKept is how many crashes of a task are weighed, and take room in the log: more
+	// maxCrashesKept is how many crashes of a task are weighed, and take room in the log: more
 	// say nothing more.
-	crashesKept = 16
+	maxCrashesKept = 16
 )
 
 // point is a time into its work at which a guilty task may crash its workers, and how likely
@@ -58,25 +58,25 @@
 }
 
 // points are those that are reckoned with, the first at once.
-var points = spread()
+var points = makePoints()
 
-// orders is how many times e lies between seenWithin and horizon.
-var orders = math.Log(float64(horizon) / float64(seenWithin))
+// logTimeRange is how many times e lies between timeResolution and horizon.
+var logTimeRange = math.Log(float64(maxCrashTime) / float64(timeResolution))
 
-func spread() []point {
-	all := []point{{prior: 1 / orders}}
-	for at := float64(seenWithin); at < float64(horizon); at *= pointRatio {
-		all = append(all, point{at: time.Duration(at), prior: math.Log(pointRatio) / orders})
+func makePoints() []point {
+	all := []point{{prior: 1 / logTimeRange}}
+	for at := float64(timeResolution); at < float64(maxCrashTime); at *= pointRatio {
+		all = append(all, point{at: time.Duration(at), prior: math.Log(pointRatio) / logTimeRange})
 	}
 	return all
 }
 
-// belief is what the crashes under a task say of it: how much likelier they all are if it
+// posterior is what the crashes under a task say of it: how much likelier they all are if it
 // crashes its workers at each of the points, or at any time, times how likely that was
 // believed to be before.
-type belief struct {
-	at   []float64
-	ever float64
+type posterior struct {
+	atPoint []float64
+	anyTime float64
 }
 
 // oddsOf returns how much likelier it is than not that a task is guilty under which there were
@@ -87,67 +87,69 @@
 		return priorOdds
 	}
 	if c := crashes[0]; len(crashes) == 1 && c.Time == job.Exact {
-		return min(mostOdds, priorOdds*(1+firstHazard(c)/(c.Others+max(c.Itself, rate))))
+		return min(maxOdds, priorOdds*(1+firstCrashHazard(c)/(c.Others+max(c.Itself, rate))))
 	}
-	return believe(crashes, rate).odds()
+	return posteriorOf(crashes, rate).odds()
 }
 
-// hazardOf returns the hazard, a second, of one more crash by a task if it is guilty.
-func hazardOf(before []job.Crash, c job.Crash) float64 {
+// nextCrashHazard returns the hazard, a second, of one more crash by a task if it is guilty.
+func nextCrashHazard(before []job.Crash, c job.Crash) float64 {
 	if len(before) == 0 && c.Time == job.Exact {
-		return firstHazard(c)
+		return firstCrashHazard(c)
 	}
-	return believe(before, 0).hazard(c)
+	return posteriorOf(before, 0).hazard(c)
 }
 
-// firstHazard returns the hazard, a second, of the first crash under a task: each point says
+// firstCrashHazard returns the hazard, a second, of the first crash under a task: each point says
 // the same of it. A rack of 48 workers with 40 tasks each is judged in a sixth of the time that
 // it takes point by point (BenchmarkARackThatCrashes: 181 ms and 29 ms, beside other load), so
 // that a holder on a fifth of a core stands still for less.
-func firstHazard(c job.Crash) float64 { return perWorker(c, hazard(c.Worked.Duration())) }
+func firstCrashHazard(c job.Crash) float64 {
+	return perWorker(c, uninformedHazard(c.Worked.Duration()))
+}
 
-// believe weighs crashes. Rate is how often a worker crashes by no fault of its tasks by
+// posteriorOf weighs crashes. Rate is how often a worker crashes by no fault of its tasks by
 // what is known now, a second: the first crashes in a cell, or under a holder, are judged
 // while little is known of it.
-func believe(crashes []job.Crash, rate float64) belief {
-	b := belief{at: make([]float64, len(points)), ever: priorOdds * (1 - samePoint)}
+func posteriorOf(crashes []job.Crash, rate float64) posterior {
+	b := posterior{atPoint: make([]float64, len(points)), anyTime: priorOdds * (1 - samePointShare)}
 	for i, p := range points {
-		b.at[i] = priorOdds * samePoint * p.prior
+		b.atPoint[i] = priorOdds * samePointShare * p.prior
 	}
 	for _, c := range crashes {
 		otherwise := c.Others + max(c.Itself, rate)
-		b.ever *= 1 + perWorker(c, hazard(c.Worked.Duration()))/otherwise
+		b.anyTime *= 1 + perWorker(c, uninformedHazard(c.Worked.Duration()))/otherwise
 		for i, p := range points {
-			b.at[i] *= likelier(c, p, otherwise)
+			b.atPoint[i] *= likelihoodRatio(c, p, otherwise)
 		}
 	}
 	return b
 }
 
-// likelier returns how much likelier a crash is if the task crashes its workers at a point
+// likelihoodRatio returns how much likelier a crash is if the task crashes its workers at a point
 // of its work than if it does not, where others cause one with some hazard, a second.
-func likelier(c job.Crash, p point, otherwise float64) float64 {
-	if c.Time == job.Exact && c.Worked.Duration()-c.Late.Duration() > p.at+p.around() {
-		return passed
+func likelihoodRatio(c job.Crash, p point, otherwise float64) float64 {
+	if c.Time == job.Exact && c.Worked.Duration()-c.Late.Duration() > p.at+p.aroundSpan() {
+		return passedLikelihood
 	}
 	return 1 + perWorker(c, hazardAt(c, p))/otherwise
 }
 
 // odds returns how much likelier it is that the task is guilty than that it is not.
-func (b belief) odds() float64 {
-	sum := b.ever
-	for _, at := range b.at {
+func (b posterior) odds() float64 {
+	sum := b.anyTime
+	for _, at := range b.atPoint {
 		sum += at
 	}
-	return min(mostOdds, sum)
+	return min(maxOdds, sum)
 }
 
 // hazard returns the hazard, a second, of one more crash if the task is guilty.
-func (b belief) hazard(c job.Crash) float64 {
-	sum, all := b.ever*hazard(c.Worked.Duration()), b.ever
+func (b posterior) hazard(c job.Crash) float64 {
+	sum, all := b.anyTime*uninformedHazard(c.Worked.Duration()), b.anyTime
 	for i, p := range points {
-		sum += b.at[i] * hazardAt(c, p)
-		all += b.at[i]
+		sum += b.atPoint[i] * hazardAt(c, p)
+		all += b.atPoint[i]
 	}
 	return perWorker(c, sum/all)
 }
@@ -165,18 +167,18 @@
 		if p.at > worked {
 			return 0
 		}
-		return 1 / max(worked, seenWithin).Seconds()
+		return 1 / max(worked, timeResolution).Seconds()
 	case job.AtLeast:
-		return hazard(worked)
+		return uninformedHazard(worked)
 	}
-	return closeShare*p.density(c, p.close()) + (1-closeShare)*p.density(c, p.around())
+	return closeShare*p.density(c, p.closeSpan()) + (1-closeShare)*p.density(c, p.aroundSpan())
 }
 
-// close returns how far from a point crashes are that come close to it, around how far all
+// closeSpan returns how far from a point crashes are that come close to it, around how far all
 // are that count as crashes at it.
-func (p point) close() time.Duration { return max(seenWithin, p.at/closePart) }
+func (p point) closeSpan() time.Duration { return max(timeResolution, p.at/closeDivisor) }
 
-func (p point) around() time.Duration { return max(aroundLeast, p.at/aroundPart) }
+func (p point) aroundSpan() time.Duration { return max(minAroundSpan, p.at/aroundDivisor) }
 
 // density returns the density, a second, of a crash that comes within some span of the point,
 // where any such time is as likely as another, and which may have been seen late.
@@ -188,9 +190,9 @@
 	return 1 / (span + min(span, p.at) + late).Seconds()
 }
 
-// hazard returns the hazard, a second, of a crash by a guilty task of which nothing else
-// is known: the density of a time of which any order of magnitude between seenWithin and
+// uninformedHazard returns the hazard, a second, of a crash by a guilty task of which nothing else
+// is known: the density of a time of which any order of magnitude between timeResolution and
 // horizon is as likely as another.
-func hazard(worked time.Duration) float64 {
-	return 1 / (orders * min(max(worked, seenWithin), horizon).Seconds())
+func uninformedHazard(worked time.Duration) float64 {
+	return 1 / (logTimeRange * min(max(worked, timeResolution), maxCrashTime).Seconds())
 }
--- a/services/dispatch/attempts.go
+++ b/services/dispatch/attempts.go
@@ -95,7 +95,7 @@
 func (h *holderState) assign(now time.Time, a *attempt) {
 	a.worker.attempts[a.runID()] = a
 	a.worker.free = a.worker.free.Minus(a.step.spec.Reserved())
-	h.usage.Take(a.step.job.workspace, a.step.spec.Need)
+	h.usage.Add(a.step.job.workspace, a.step.spec.Need)
 	t := a.task()
 	t.attempt = a
 	t.lastRun = a.run
@@ -111,7 +111,7 @@
 	a.leaveTrial()
 	delete(a.worker.attempts, a.runID())
 	a.worker.free = a.worker.free.Plus(a.step.spec.Reserved())
-	h.usage.Return(a.step.job.workspace, a.step.spec.Need)
+	h.usage.Subtract(a.step.job.workspace, a.step.spec.Need)
 	t := a.task()
 	if t.attempt == a {
 		t.attempt = nil
--- a/services/dispatch/caps.go
+++ b/services/dispatch/caps.go
@@ -25,19 +25,19 @@
 	}
 	ws := h.core.config.Workspace(sub.Workspace)
 	for i := range sub.Steps {
-		if need := sub.Steps[i].Least(); !workspaces.MayEver(ws, need) {
+		if need := sub.Steps[i].Least(); !workspaces.FitsCap(ws, need) {
 			return false, &exchange.Answer{
 				Outcome: exchange.Busy, Reason: fmt.Sprintf("step %d needs %v at a time, and the workspace may have %v", i, need, ws.Most),
 			}
 		}
 	}
-	if h.shares.Within(now, ws) {
+	if h.shares.TakeToken(now, ws) {
 		return true, nil
 	}
 	if !h.hasAmpleRoom && h.isEnabled(mechanism.RefusedShares) {
 		return false, &exchange.Answer{
 			Outcome: exchange.Busy, Reason: "the workspace has sent more than its share, and there is little room",
-			RetryAfter: job.Milliseconds(h.shares.Next(now, ws).Milliseconds()),
+			RetryAfter: job.Milliseconds(h.shares.TimeToToken(now, ws).Milliseconds()),
 		}
 	}
 	return false, nil
@@ -52,7 +52,7 @@
 	if s.job.workspace == "" {
 		return job.MaxTasks
 	}
-	return h.usage.Left(h.workspaceOf(s.job)).Holds(s.spec.Need, job.MaxTasks)
+	return h.usage.Remaining(h.workspaceOf(s.job)).Holds(s.spec.Need, job.MaxTasks)
 }
 
 // workspaceOf returns the workspace of a job as it is in force.
@@ -106,7 +106,7 @@
 		}
 	}
 	if room.IsZero() {
-		h.usage.Unheard(nil)
+		h.usage.SetUnreported(nil)
 		return
 	}
 	unheard := map[string]resource.Vector{}
@@ -118,7 +118,7 @@
 			unheard[j.workspace] = unheard[j.workspace].Plus(j.unplaced())
 		}
 	}
-	h.usage.UnheardWithin(unheard, room)
+	h.usage.SetUnreportedWithin(unheard, room)
 }
 
 // workspaceStatus says what the tasks of each workspace take and which of its jobs wait.
--- a/services/dispatch/delay.go
+++ b/services/dispatch/delay.go
@@ -74,7 +74,7 @@
 // had taken what they usually take.
 func (h *holderState) usualObjective(in *instance, q job.Queue) time.Duration {
 	longest := time.Duration(0)
-	for i, after := range ranking.WorkAfter(in.steps, h.usual, (*step).dependencies) {
+	for i, after := range ranking.CriticalPathAfter(in.steps, h.usual, (*step).dependencies) {
 		longest = max(longest, after+h.usual(in.steps[i]))
 	}
 	return time.Duration(q.Stretch*float64(longest)) + q.Latency
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -217,8 +217,8 @@
 		c.replyElsewhere(id, "this box does not hold the cell")
 		return
 	}
-	if v := workspaces.Judge(c.config, c.IsConfigCurrent(now), caller); v != workspaces.Allowed {
-		c.reply(id, workspaces.Refused(v))
+	if v := workspaces.AuthorizeAtHolder(c.config, c.IsConfigCurrent(now), caller); v != workspaces.Allowed {
+		c.reply(id, workspaces.RefusalAnswer(v))
 		return
 	}
 	f(c.holding)
--- a/services/dispatch/ends.go
+++ b/services/dispatch/ends.go
@@ -29,7 +29,7 @@
 		s = a.step
 		h.unassign(a)
 		if end.How == order.Stopped && !a.stopOrderedAt.IsZero() {
-			h.learned.Stopped(now.Sub(a.stopOrderedAt))
+			h.learned.ObserveStop(now.Sub(a.stopOrderedAt))
 		}
 	}
 	if s == nil || end.Task.Index >= len(s.tasks) {
--- a/services/dispatch/fit.go
+++ b/services/dispatch/fit.go
@@ -72,7 +72,7 @@
 			continue
 		}
 		if c.slowness == learned.Slow && !short {
-			c.slowness = learned.Usual
+			c.slowness = learned.Normal
 		}
 		open = append(open, c)
 	}
--- a/services/dispatch/gone.go
+++ b/services/dispatch/gone.go
@@ -12,9 +12,9 @@
 
 // workerUnresponsive notes that a worker does not answer from now on.
 func (h *holderState) workerUnresponsive(now time.Time, w *worker) {
-	w.presence.Silent(now, h.core.settings.RenewWait+renewMargin)
+	w.presence.RecordSilence(now, h.core.settings.RenewWait+renewMargin)
 	if w.trials == 0 {
-		h.blame.Silent(now, w.Life, w.Rack, w.risk())
+		h.blame.RecordSilence(now, w.Life, w.Rack, w.risk())
 	}
 }
 
@@ -24,7 +24,7 @@
 	if w.presence.SilentSince().IsZero() {
 		h.workerUnresponsive(now, w)
 	}
-	return w.presence.Ended(over)
+	return w.presence.Ending(over)
 }
 
 // loseAttempts frees the tasks of a worker that has surely ended them. Later is the life that has
@@ -32,7 +32,7 @@
 func (h *holderState) loseAttempts(now time.Time, w, later *worker, how exchange.Ending, why string) {
 	lost := exchange.TasksLost{How: how, Tasks: len(w.attempts)}
 	at := w.presence.SilentSince()
-	var suspects []blame.On
+	var suspects []blame.RunningTask
 	if how == exchange.Crashed {
 		suspects = h.tasksOn(w, at)
 	}
--- a/services/dispatch/hidden.go
+++ b/services/dispatch/hidden.go
@@ -30,11 +30,11 @@
 
 // startedOn returns the tasks that an earlier holder had started on a worker which has not
 // told this one what it runs, as far as they may have run there until it crashed.
-func (h *holderState) startedOn(w *worker, at time.Time) []blame.On {
-	var all []blame.On
-	for _, s := range h.inheritedStarts.On(w.Life) {
+func (h *holderState) startedOn(w *worker, at time.Time) []blame.RunningTask {
+	var all []blame.RunningTask
+	for _, s := range h.inheritedStarts.StartedOn(w.Life) {
 		if st := h.possiblyLostStep(s); st != nil {
-			on := blame.StartedBefore(st.unit(s.Task.Index), s.UnixMilli, h.core.unixMilli(at), h.inheritedStarts.Workers(st.id, st.spec.Gang))
+			on := blame.StartedByEarlierHolder(st.unit(s.Task.Index), s.UnixMilli, h.core.unixMilli(at), h.inheritedStarts.WorkerCount(st.id, st.spec.Gang))
 			on.Run, on.Gang = s.Run, st.spec.Gang
 			all = append(all, on)
 		}
--- a/services/dispatch/holding.go
+++ b/services/dispatch/holding.go
@@ -59,7 +59,7 @@
 	// workers has the present life of each worker by its name, former what is remembered of
 	// workers that are gone.
 	workers       map[string]*worker
-	formerWorkers presence.Former
+	formerWorkers presence.FormerWorkers
 	// sorted has the workers by their names, or is nil after a change.
 	sortedWorkers []*worker
 	// early is the pass with which jobs that come at once are asked about.
@@ -69,7 +69,7 @@
 	// pools has the pools that configurations, or jobs, have named, foreign the entries that
 	// name no worker.
 	knownPools     map[string]bool
-	foreignEntries presence.Foreign
+	foreignEntries presence.ForeignEntries
 	// looks counts the renewals asked for.
 	renewalsSent int64
 	// unsettled names workers of earlier holders that have not told what they
@@ -78,18 +78,18 @@
 
 	// advisers are the boxes through which calls for advice are made.
 	advisers *advisers.Balancer[*adviceCall]
-	learned  *learned.Lessons
+	learned  *learned.Estimates
 	// usage counts what the tasks of each workspace take, shares says which jobs are beyond
 	// a workspace's share, and left what may still run of jobs that had ended under earlier
 	// holders.
 	usage         *workspaces.Usage
-	shares        *workspaces.Shares
+	shares        *workspaces.ShareLimiter
 	leftoverUsage map[string]resource.Vector
 	// docket has what is held against tasks under which workers crashed.
-	blame *blame.Docket
+	blame *blame.Tracker
 	// inheritedStarts are the tasks that earlier holders had started last on workers that have
 	// not told yet what they run.
-	inheritedStarts recent.Told
+	inheritedStarts recent.LoggedStarts
 	// answers tells how late workers' answers are.
 	answerDelays lateness.ResponseTimes
 
@@ -120,9 +120,9 @@
 	h := &holderState{
 		core: c, epoch: epoch, phase: phaseFencing, startedAt: now,
 		journal: journal{epoch: epoch}, jobs: map[job.ID]*trackedJob{},
-		workers: map[string]*worker{}, unsettledWorkers: map[string]bool{}, blame: blame.NewDocket(),
-		advisers: advisers.New[*adviceCall](c.self.Box), learned: learned.NewLessons(), planBudget: planning.New(), reservations: reservations.New(),
-		usage: workspaces.NewUsage(), shares: workspaces.NewShares(c.settings.ShareWindow), leftoverUsage: map[string]resource.Vector{},
+		workers: map[string]*worker{}, unsettledWorkers: map[string]bool{}, blame: blame.NewTracker(),
+		advisers: advisers.New[*adviceCall](c.self.Box), learned: learned.NewEstimates(), planBudget: planning.New(), reservations: reservations.New(),
+		usage: workspaces.NewUsage(), shares: workspaces.NewShareLimiter(c.settings.ShareWindow), leftoverUsage: map[string]resource.Vector{},
 		knownPools: map[string]bool{},
 	}
 	if c.config != nil {
--- a/services/dispatch/jobs.go
+++ b/services/dispatch/jobs.go
@@ -176,7 +176,7 @@
 		j.failReason = why
 	}
 	h.markDirty(j)
-	h.blame.Drop(j.id)
+	h.blame.ForgetJob(j.id)
 	for _, in := range ordered.Map(j.instances) {
 		for _, s := range in.steps {
 			s.open = false
--- a/services/dispatch/journal.go
+++ b/services/dispatch/journal.go
@@ -30,7 +30,7 @@
 	unloggedJobs []*trackedJob
 	dirtyJobs    []*trackedJob
 	// starts are the last ones, of which the log is told with what else there is.
-	recentStarts recent.Starts
+	recentStarts recent.Buffer
 	// batch is the append under way, or nil.
 	batch *batch
 	// nextSendAt is when the next append may be sent.
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -66,7 +66,7 @@
 		// While a worker does not answer its lease must run out some time.
 		r.Until = h.extendLease(now, w)
 	}
-	mayWait := w.reported && !w.lives.Doubted()
+	mayWait := w.reported && !w.lives.HasCandidate()
 	if mayWait && (w.failures == 0 && !w.reportedEnds.HasPending() || len(w.attempts) == 0) {
 		r.Wait = job.Milliseconds(h.renewWait(w).Milliseconds())
 	}
@@ -81,7 +81,7 @@
 // not ended any task since: it answered the last look, and told of all tasks started on it
 // that may have ended.
 func (h *holderState) canAcknowledgeEnds(now time.Time, w *worker) bool {
-	if w.failures > 0 || w.lives.Doubted() {
+	if w.failures > 0 || w.lives.HasCandidate() {
 		return false
 	}
 	for _, a := range w.attempts {
@@ -119,7 +119,7 @@
 		// There is no life where another life's entry says, which may be old.
 		h.renewFailed(now, w, e)
 	case h.handleSuperseded(now, w, e.Answer, e.Look):
-	case carried && w.lives.Answered(w.Life, e.Report.Life, e.Look):
+	case carried && w.lives.RecordAnswer(w.Life, e.Report.Life, e.Look):
 		h.workerRestarted(now, w, e)
 	case carried:
 		h.renewed(now, w, e)
@@ -158,7 +158,7 @@
 	case w.IsOther(e.Report.Life) && e.Worker.BornUnixMilli == 0:
 		// It may be an earlier life or a later one.
 		h.otherIncarnationAnswered(now, e)
-	case w.lives.Answered(w.Life, e.Report.Life, 0):
+	case w.lives.RecordAnswer(w.Life, e.Report.Life, 0):
 		h.workerRestarted(now, w, e)
 	default:
 		h.applyEnds(now, w, e.Report.Ended)
@@ -215,7 +215,7 @@
 	case a.Fate == order.NoLife:
 		h.incarnationGone(now, w)
 		return true
-	case w.lives.Outranked(a, look):
+	case w.lives.IsFencedByLaterHolder(a, look):
 		h.core.stepDown(reasonLaterHolder)
 		return true
 	default:
@@ -242,7 +242,7 @@
 		// Mostly one answer was lost.
 		w.renewAt = now
 		if e.Answer.Reason == order.Closed || e.Answer.Fate == order.NotDone {
-			w.lives.Raise(h.renewalsSent)
+			w.lives.RaiseFence(h.renewalsSent)
 		}
 		h.renew(now, w)
 	}
@@ -260,8 +260,8 @@
 	w.reportedEnds.ConfirmAck()
 	h.setBirthTime(w, e.Report.Life)
 	h.recordResponsive(w)
-	if w.presence.Answers() {
-		h.blame.Answers(w.Life)
+	if w.presence.RecordAnswer() {
+		h.blame.RecordAnswer(w.Life)
 	}
 	clear(w.overdue)
 	w.answeredAt, w.aliveAt = now, now
@@ -273,7 +273,7 @@
 	if !w.reported {
 		w.reported = true
 		h.inheritedStarts.Forget(w.Life)
-		h.blame.Heard(w.Life, w.runs)
+		h.blame.RecordReport(w.Life, w.runs)
 		inherited := h.unsettledWorkers[w.Name]
 		delete(h.unsettledWorkers, w.Name)
 		h.recordWorker(w)
@@ -297,7 +297,7 @@
 // run out.
 func (h *holderState) sweepWorkers(now time.Time) {
 	h.dropMissing(now)
-	h.formerWorkers.Sweep(now)
+	h.formerWorkers.Expire(now)
 	for _, w := range h.workersByName() {
 		if w.failures > 0 && now.After(w.leaseExpiresBy) {
 			h.leaseExpired(now, w)
@@ -316,11 +316,11 @@
 func (h *holderState) leaseExpired(now time.Time, w *worker) {
 	if len(w.attempts) > 0 || w.reported || h.unsettledWorkers[w.Name] {
 		h.core.logEvent("worker's lease has run out", logField("worker", w.Life.String()), logField("tasks", len(w.attempts)),
-			logField("lapsed_for", now.Sub(w.leaseExpiresBy).String()), logField("how", string(h.endingOf(now, w, w.lives.Doubted()))))
+			logField("lapsed_for", now.Sub(w.leaseExpiresBy).String()), logField("how", string(h.endingOf(now, w, w.lives.HasCandidate()))))
 	}
-	h.loseAttempts(now, w, nil, h.endingOf(now, w, w.lives.Doubted()), "the worker's lease has run out")
+	h.loseAttempts(now, w, nil, h.endingOf(now, w, w.lives.HasCandidate()), "the worker's lease has run out")
 	if w.reported {
-		w.lives.Raise(h.renewalsSent)
+		w.lives.RaiseFence(h.renewalsSent)
 	}
 	w.reported = false
 	delete(h.unsettledWorkers, w.Name)
@@ -328,7 +328,7 @@
 		// Nothing runs on it any more.
 		h.recordUnresponsive(now, w)
 	}
-	if !w.presence.Listed() {
+	if !w.presence.IsListed() {
 		h.removeWorker(now, w)
 	}
 }
--- a/services/dispatch/listing.go
+++ b/services/dispatch/listing.go
@@ -35,8 +35,8 @@
 
 // reportForeign tells of entries that name no worker. A worker of that name keeps its tasks.
 func (h *holderState) reportForeign(l order.Listing) {
-	for _, r := range h.foreignEntries.News(l) {
-		h.core.logEvent("an entry names no worker", logField("entry", r.Entry), logField("reason", r.Why), logField("known", h.workers[r.Entry] != nil))
+	for _, r := range h.foreignEntries.Update(l) {
+		h.core.logEvent("an entry names no worker", logField("entry", r.Entry), logField("reason", r.Reason), logField("known", h.workers[r.Entry] != nil))
 		h.core.emit(exchange.EntryRefused{})
 	}
 }
@@ -67,8 +67,8 @@
 // entryMissing acts on a worker that is no longer listed. Shortly after the log was
 // away its entry may only have lapsed, and it is used on as long as it answers.
 func (h *holderState) entryMissing(now time.Time, w *worker) {
-	w.lives.EntryGone()
-	w.presence.Missing(now, h.entriesMayReturn(now))
+	w.lives.RecordEntryRemoved()
+	w.presence.RecordMissing(now, h.entriesMayReturn(now))
 }
 
 // entriesMayReturn says whether entries may be missing that will be back.
@@ -82,7 +82,7 @@
 		return
 	}
 	for _, w := range h.workersByName() {
-		if w.presence.GiveUp() {
+		if w.presence.UnlistMissing() {
 			h.planDue = true
 		}
 	}
@@ -91,14 +91,14 @@
 // otherIncarnationListed takes that the platform lists another life of a worker, which may be an earlier
 // one or a later one: the worker tells.
 func (h *holderState) otherIncarnationListed(now time.Time, w *worker, o order.Worker) {
-	if !w.lives.Doubted() {
+	if !w.lives.HasCandidate() {
 		return
 	}
 	h.core.logEvent("another life of a worker is listed", logField("worker", w.Life.String()), logField("life", o.Life.String()))
-	if h.phase != phaseActive || w.pendingRenewal != 0 && !w.lives.Outdated(w.pendingRenewal) {
+	if h.phase != phaseActive || w.pendingRenewal != 0 && !w.lives.PrecedesCandidate(w.pendingRenewal) {
 		return
 	}
-	w.lives.Raise(h.renewalsSent)
+	w.lives.RaiseFence(h.renewalsSent)
 	if w.pendingRenewal != 0 {
 		w.overdue[w.pendingRenewal] = w.answerDue
 		w.pendingRenewal = 0
@@ -114,7 +114,7 @@
 		w = h.addWorker(now, o)
 		h.core.logEvent("worker listed", logField("worker", o.Life.String()), logField("address", o.Address), logField("pool", o.Pool), logField("domain", o.Domain))
 	}
-	if !w.lives.Entry(w.Life, o, h.renewalsSent) {
+	if !w.lives.RecordEntry(w.Life, o, h.renewalsSent) {
 		h.otherIncarnationListed(now, w, o)
 		return
 	}
@@ -123,7 +123,7 @@
 	if o.Leaving && !w.Leaving {
 		h.core.logEvent("worker is leaving", logField("worker", o.Life.String()), logField("remaining", o.Remaining.String()), logField("tasks", len(w.attempts)))
 	}
-	w.presence.Entry(o.Leaving)
+	w.presence.RecordEntry(o.Leaving)
 	used := w.Capacity.Minus(w.free)
 	w.Worker = o
 	w.free = o.Capacity.Minus(used)
--- a/services/dispatch/lives.go
+++ b/services/dispatch/lives.go
@@ -42,7 +42,7 @@
 	n := newWorker(now, o)
 	n.lives = w.lives
 	if listed {
-		n.presence.Entry(o.Leaving)
+		n.presence.RecordEntry(o.Leaving)
 	}
 	how := h.endingOf(now, w, true)
 	h.core.logEvent("worker has started again", logField("worker", w.Life.String()), logField("life", n.Life.String()), logField("tasks", len(w.attempts)),
@@ -124,7 +124,7 @@
 
 // incarnationGone acts on the answer that no life of the worker is at its address.
 func (h *holderState) incarnationGone(now time.Time, w *worker) {
-	next, listed := w.lives.Next()
+	next, listed := w.lives.Candidate()
 	h.workerTerminated(now, w, reasonOtherIncarnation)
 	if listed {
 		h.workerListed(now, next)
@@ -133,7 +133,7 @@
 
 // renewAddress is where a worker is looked at: where its newest entry says.
 func (w *worker) renewAddress() string {
-	if next, doubted := w.lives.Next(); doubted {
+	if next, doubted := w.lives.Candidate(); doubted {
 		return next.Address
 	}
 	return w.Address
@@ -151,7 +151,7 @@
 	}
 	entry := w.Worker
 	w = h.addWorker(now, o)
-	w.presence.Entry(entry.Leaving)
-	w.lives.Entry(w.Life, entry, h.renewalsSent)
+	w.presence.RecordEntry(entry.Leaving)
+	w.lives.RecordEntry(w.Life, entry, h.renewalsSent)
 	return w
 }
--- a/services/dispatch/load.go
+++ b/services/dispatch/load.go
@@ -24,7 +24,7 @@
 	}
 	h.fold(now, e.Records)
 	h.phase = phaseActive
-	h.blame.Saw(now, h.byRack())
+	h.blame.ObserveWorkers(now, h.byRack())
 	h.planDue = true
 	h.core.logEvent("serves the cell's jobs", logField("claim", h.epoch), logField("jobs", len(h.jobs)),
 		logField("workers_to_ask", len(h.unsettledWorkers)), logField("took", now.Sub(h.startedAt).String()))
@@ -37,10 +37,10 @@
 	for _, u := range state.Unread {
 		h.core.logEvent("a kept record could not be read", logField("key", u.Key), logField("error", u.Reason))
 	}
-	if err := h.learned.Resume(state.RunTimes); err != nil {
+	if err := h.learned.Restore(state.RunTimes); err != nil {
 		h.core.logEvent("kept run times could not be read", logField("error", err.Error()))
 	}
-	if err := h.blame.ResumeRate(state.CrashRate); err != nil {
+	if err := h.blame.RestoreRate(state.CrashRate); err != nil {
 		h.core.logEvent("the kept rate of crashes could not be read", logField("error", err.Error()))
 	}
 	h.restoreStarts(state.RecentStarts)
--- a/services/dispatch/overview.go
+++ b/services/dispatch/overview.go
@@ -33,7 +33,7 @@
 		return
 	}
 	h.nextOverviewAt = now.Add(overviewEvery)
-	h.blame.Saw(now, h.byRack())
+	h.blame.ObserveWorkers(now, h.byRack())
 	var capacity, free, promised, stopping resource.Vector
 	taking, kept := 0, 0
 	for _, w := range h.workersByName() {
--- a/services/dispatch/placement.go
+++ b/services/dispatch/placement.go
@@ -25,7 +25,7 @@
 	if s.heldByCap = wanted < h.toPlace(s); s.heldByCap && wanted == 0 {
 		return true
 	}
-	if h.blame.Suspects(s.id) > 0 {
+	if h.blame.SuspectCount(s.id) > 0 {
 		h.tryOut(p, r, set)
 		if h.toPlace(s) == 0 {
 			return true
--- a/services/dispatch/progress.go
+++ b/services/dispatch/progress.go
@@ -51,7 +51,7 @@
 		t.failedRuns = p.Failed[i]
 		t.checkpoint = p.Saved[i]
 		if b, held := p.Blame[i]; held {
-			h.blame.Resume(s.unit(i), b)
+			h.blame.Restore(s.unit(i), b)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 }
 
 // progress returns what the log must keep of a job.
-func (j *trackedJob) progress(d *blame.Docket) job.Progress {
+func (j *trackedJob) progress(d *blame.Tracker) job.Progress {
 	p := job.Progress{State: j.state, Started: j.started, Queue: j.queue, Workspace: j.workspace, Ended: j.endedUnixMilli, Why: j.failReason}
 	if j.state.Final() {
 		p.Left = j.placed()
@@ -87,7 +87,7 @@
 
 // progress returns what the log must keep of a step, and whether that is
 // anything.
-func (s *step) progress(d *blame.Docket) (job.StepProgress, bool) {
+func (s *step) progress(d *blame.Tracker) (job.StepProgress, bool) {
 	sp := job.StepProgress{Instance: s.id.Instance, Step: s.id.Step}
 	for i := range s.tasks {
 		t := &s.tasks[i]
@@ -96,7 +96,7 @@
 			sp.EndsWell(i, len(s.tasks))
 			continue
 		}
-		sp.Blames(i, d.Of(job.TaskID{StepID: s.id, Index: i}))
+		sp.Blames(i, d.Blame(job.TaskID{StepID: s.id, Index: i}))
 		sp.Saves(i, t.checkpoint)
 	}
 	return sp, !sp.IsNothing()
--- a/services/dispatch/rank.go
+++ b/services/dispatch/rank.go
@@ -47,13 +47,13 @@
 	left := h.remainingCriticalPath(now, s)
 	t := ranking.Times{DueAt: s.instance.dueAt, Objective: objective(s.instance, q), Finish: now.Add(left)}
 	r := ranked{step: s, queue: q, Rank: ranking.Rank{
-		First: s.advice.goesFirst, Tier: t.Tier(now), Beyond: s.job.beyondShare && h.isEnabled(mechanism.SharedOrder),
-		Priority: q.Priority, WantedAt: t.WantedAt(), Step: s.id,
+		AdviceExpiring: s.advice.goesFirst, Tier: t.Tier(now), OverShare: s.job.beyondShare && h.isEnabled(mechanism.SharedOrder),
+		Priority: q.Priority, Deadline: t.Deadline(), Step: s.id,
 	}}
 	if s.spec.Service {
 		r.Tier = ranking.OnTime
 	}
-	if !t.Overdue(now) {
+	if !t.IsOverdue(now) {
 		r.Work = s.spec.Need.Times(s.waiting).DominantShare(h.capacity) * left.Seconds()
 	}
 	return r
@@ -81,7 +81,7 @@
 	}
 	clear(h.openSteps[len(kept):])
 	h.openSteps = kept
-	backlog := h.isEnabled(mechanism.LeastWork) && ranking.Backlog(waiting, h.capacity)
+	backlog := h.isEnabled(mechanism.LeastWork) && ranking.IsBacklog(waiting, h.capacity)
 	slices.SortFunc(all, func(a, b ranked) int { return a.Compare(b.Rank, backlog) })
 	return all
 }
--- a/services/dispatch/reserve.go
+++ b/services/dispatch/reserve.go
@@ -68,7 +68,7 @@
 		return
 	}
 	s.reservation = newReservation(p.now, s, slots.Cheapest(gains, len(s.tasks), byName))
-	h.usage.Take(s.job.workspace, s.spec.Need.Times(len(s.tasks)))
+	h.usage.Add(s.job.workspace, s.spec.Need.Times(len(s.tasks)))
 	h.reservations.Begin(p.now, s.id, s.spec.Reserved().Times(len(s.tasks)).Processors)
 	h.advance(p, r)
 }
@@ -117,7 +117,7 @@
 		a.markedForStop = false
 	}
 	s.reservation = nil
-	h.usage.Return(s.job.workspace, s.spec.Need.Times(len(s.tasks)))
+	h.usage.Subtract(s.job.workspace, s.spec.Need.Times(len(s.tasks)))
 	h.reservations.End(now, s.id, o)
 	h.planDue = true
 }
--- a/services/dispatch/runtimes.go
+++ b/services/dispatch/runtimes.go
@@ -15,11 +15,11 @@
 
 // keepTimes has the log keep what is known of run times, if there is more of it.
 func (h *holderState) keepTimes(now time.Time) {
-	if now.Before(h.nextRunTimesAt) || h.phase != phaseActive || !h.learned.Changed() || h.journal.isFailing(now) {
+	if now.Before(h.nextRunTimesAt) || h.phase != phaseActive || !h.learned.HasChanged() || h.journal.isFailing(now) {
 		return
 	}
 	h.nextRunTimesAt = now.Add(keepTimesEvery)
-	h.journal.add(kept.RunTimesRecord(h.learned.Times()))
+	h.journal.add(kept.RunTimesRecord(h.learned.TakeRunTimes()))
 }
 
 // expect returns how long a step takes: what it took if it is done, else what
@@ -36,7 +36,7 @@
 	if !h.isEnabled(mechanism.LearnedTimes) {
 		return s.spec.Estimate.Duration()
 	}
-	return h.learned.Expect(s.job.queue, s.spec.Estimate.Duration())
+	return h.learned.ExpectedRunTime(s.job.queue, s.spec.Estimate.Duration())
 }
 
 // tookUntil notes that a task of a step ends well at now. Only whole runs show
@@ -55,7 +55,7 @@
 	if s.interrupted || s.longestRun == 0 {
 		s.longestRun = 0
 	} else {
-		h.learned.Took(s.job.queue, s.spec.Estimate.Duration(), s.longestRun)
+		h.learned.ObserveRunTime(s.job.queue, s.spec.Estimate.Duration(), s.longestRun)
 	}
 	h.updateCriticalPaths(s.instance.steps)
 }
--- a/services/dispatch/speed.go
+++ b/services/dispatch/speed.go
@@ -13,9 +13,9 @@
 // slownessOf returns how slow a worker is among all.
 func (h *holderState) slownessOf(now time.Time, w *worker) learned.Slowness {
 	if !h.isEnabled(mechanism.SlowWorkers) {
-		return learned.Usual
+		return learned.Normal
 	}
-	return w.speed.Among(now, h.learned.FleetSpeed())
+	return w.speed.Slowness(now, h.learned.FleetSpeed())
 }
 
 // learnSpeed takes how long a task took on its worker. Members of a gang end
@@ -25,7 +25,7 @@
 	if s.spec.Gang || s.spec.Service || a.adopted || a.resumed || a.state != attemptRunning {
 		return
 	}
-	ratio := max(now.Sub(a.stateSince), learned.LeastTime).Seconds() / max(h.expect(s), learned.LeastTime).Seconds()
+	ratio := max(now.Sub(a.stateSince), learned.MinTime).Seconds() / max(h.expect(s), learned.MinTime).Seconds()
 	a.worker.speed.Observe(now, ratio)
-	h.learned.Worked(ratio)
+	h.learned.ObserveSpeed(ratio)
 }
--- a/services/dispatch/starts.go
+++ b/services/dispatch/starts.go
@@ -90,7 +90,7 @@
 		h.answerDelays.Record(now, now.Sub(a.lastOrderedAt))
 	}
 	a.stopConfirmed = a.stopConfirmed && a.state == attemptStopping
-	if a.tries > 1 && e.Answer.Fate != order.Carried && !w.lives.Outranked(e.Answer, 0) {
+	if a.tries > 1 && e.Answer.Fate != order.Carried && !w.lives.IsFencedByLaterHolder(e.Answer, 0) {
 		// An earlier order may have been carried out, or may be yet.
 		h.handleStartUnconfirmed(now, a, e.Answer)
 		return
@@ -149,7 +149,7 @@
 		logField("run", a.run), logField("worker", a.worker.Life.String()), logField("reason", string(answer.Reason)))
 	switch answer.Reason {
 	case order.Fenced:
-		if a.worker.lives.Outranked(answer, 0) {
+		if a.worker.lives.IsFencedByLaterHolder(answer, 0) {
 			h.core.stepDown(reasonLaterHolder)
 			return
 		}
--- a/services/dispatch/status.go
+++ b/services/dispatch/status.go
@@ -86,7 +86,7 @@
 	q := h.queueOf(s.job)
 	set := h.workersFor(newPass(now), s, q.Pool)
 	switch {
-	case h.blame.Suspects(s.id) > 0 && h.toPlace(s) <= 0:
+	case h.blame.SuspectCount(s.id) > 0 && h.toPlace(s) <= 0:
 		return h.whySuspected(s)
 	case !s.job.accepted:
 		return "the log has not confirmed the job yet"
--- a/services/dispatch/suspects.go
+++ b/services/dispatch/suspects.go
@@ -37,21 +37,23 @@
 }
 
 // blameOf returns what is held against a task.
-func (h *holderState) blameOf(s *step, index int) job.Blame { return h.blame.Of(s.unit(index)) }
+func (h *holderState) blameOf(s *step, index int) job.Blame { return h.blame.Blame(s.unit(index)) }
 
 // gangSuspected says whether a step is a gang that is to be kept apart from other suspects.
-func (h *holderState) gangSuspected(s *step) bool { return s.spec.Gang && h.blame.Suspects(s.id) > 0 }
+func (h *holderState) gangSuspected(s *step) bool {
+	return s.spec.Gang && h.blame.SuspectCount(s.id) > 0
+}
 
 // waitsSuspected says whether a task waits for a place that is to be tried apart.
 func (h *holderState) waitsSuspected(s *step, index int) bool {
 	t := &s.tasks[index]
-	return !s.spec.Gang && !t.done && t.attempt == nil && h.blame.Suspects(s.id) > 0 && blame.Suspected(h.blameOf(s, index))
+	return !s.spec.Gang && !t.done && t.attempt == nil && h.blame.SuspectCount(s.id) > 0 && blame.IsSuspect(h.blameOf(s, index))
 }
 
 // toPlace counts the waiting tasks that need not be tried apart.
 func (h *holderState) toPlace(s *step) int {
 	n := s.waiting
-	if h.blame.Suspects(s.id) == 0 {
+	if h.blame.SuspectCount(s.id) == 0 {
 		return n
 	}
 	for i := range s.tasks {
@@ -63,13 +65,13 @@
 }
 
 // tasksOn returns the tasks on a worker that stopped answering at a time.
-func (h *holderState) tasksOn(w *worker, at time.Time) []blame.On {
-	var all []blame.On
+func (h *holderState) tasksOn(w *worker, at time.Time) []blame.RunningTask {
+	var all []blame.RunningTask
 	for _, a := range w.sortedAttempts() {
 		if a.step.job.state.Final() {
 			continue
 		}
-		on := blame.On{
+		on := blame.RunningTask{
 			Task: a.step.unit(a.index), Run: a.run, Gang: a.step.spec.Gang, Alone: a.isAlone(at), Workers: a.step.workersOf(),
 		}
 		worked, known := a.workTime(at)
@@ -123,25 +125,25 @@
 }
 
 // judge tells what the crash of a worker says of the tasks that were on it.
-func (h *holderState) judge(now time.Time, w *worker, on []blame.On) {
+func (h *holderState) judge(now time.Time, w *worker, on []blame.RunningTask) {
 	at := w.presence.SilentSince()
-	c := blame.Crash{Life: w.Life, Rack: w.Rack, At: at, UnixMilli: h.core.unixMilli(at), Heard: w.reported || w.unresponsive.written, On: on}
-	for _, f := range h.blame.Crashed(now, c) {
+	c := blame.Crash{Life: w.Life, Rack: w.Rack, At: at, UnixMilli: h.core.unixMilli(at), TasksKnown: w.reported || w.unresponsive.written, Tasks: on}
+	for _, f := range h.blame.RecordCrash(now, c) {
 		h.core.logEvent("a worker crashed under a task", logField("job", string(f.Task.Job)), logField("task", f.Task.String()), logField("worker", w.Life.String()),
 			logField("crashes", f.Blame.Crashes), logField("guilty", fmt.Sprintf("%.3g", blame.Probability(f.Blame))), logField("worked_most", f.Worked.String()),
 			logField("time", string(f.Time)), logField("late", f.Late.String()), logField("alone", f.Alone), logField("odds", fmt.Sprintf("%.3g", f.Blame.Odds)),
-			logField("crashes_otherwise_every", fmt.Sprintf("%.3gs", 1/f.Otherwise)))
+			logField("crashes_otherwise_every", fmt.Sprintf("%.3gs", 1/f.BackgroundHazard)))
 		h.markDirty(h.jobs[f.Task.Job])
 	}
-	h.journal.add(kept.CrashRateRecord(h.blame.Learned()))
+	h.journal.add(kept.CrashRateRecord(h.blame.LearnedRate()))
 }
 
 // verdicts gives up the jobs of tasks that are found guilty.
 func (h *holderState) verdicts(now time.Time) {
-	for _, t := range h.blame.Verdicts(now) {
-		j, b := h.jobs[t.Job], h.blame.Of(t)
+	for _, t := range h.blame.GiveUpsDue(now) {
+		j, b := h.jobs[t.Job], h.blame.Blame(t)
 		h.markDirty(j)
-		if blame.Guilty(b) {
+		if blame.IsGuilty(b) {
 			h.core.emit(exchange.GivenUp{Crashes: b.Crashes})
 			h.finishJob(now, j, job.Failed, fmt.Sprintf("%d workers crashed under task %s", b.Crashes, t))
 		}
@@ -151,7 +153,7 @@
 // acquit drops what is held against a task: a run of it has ended well, or has been at
 // work for long. The crashes that were put down to it have had other causes.
 func (h *holderState) acquit(s *step, index int) {
-	if !h.blame.Acquit(s.unit(index)) {
+	if !h.blame.Clear(s.unit(index)) {
 		return
 	}
 	for i := range s.tasks {
@@ -167,7 +169,7 @@
 // worksOn takes that an attempt is at work on a worker that lives.
 func (h *holderState) worksOn(now time.Time, a *attempt) {
 	worked := now.Sub(a.stateSince)
-	if b := h.blameOf(a.step, a.index); b.Crashes > 0 && blame.Cleared(b, min(worked, a.wholeFor())) {
+	if b := h.blameOf(a.step, a.index); b.Crashes > 0 && blame.IsClearedBy(b, min(worked, a.wholeFor())) {
 		h.acquit(a.step, a.index)
 	}
 	if a.isolated && worked > trialFor {
@@ -178,7 +180,7 @@
 // tellTrial has the log tell that a suspect is tried on a worker from now on. It returns false
 // if nothing is held against the task.
 func (h *holderState) tellTrial(now time.Time, s *step, index int, w *worker) bool {
-	if !h.blame.Tried(s.unit(index), w.Life, h.core.unixMilli(now)) {
+	if !h.blame.RecordStart(s.unit(index), w.Life, h.core.unixMilli(now)) {
 		return false
 	}
 	h.markDirty(s.job)
@@ -209,7 +211,7 @@
 		return
 	}
 	b := h.blameOf(a.step, a.index)
-	if !blame.Suspected(b) {
+	if !blame.IsSuspect(b) {
 		return
 	}
 	a.crashRisk = blame.Probability(b)
@@ -250,7 +252,7 @@
 		if !h.waitsSuspected(s, i) || !h.mayTry(p.now, s, i) || h.capRoom(s) == 0 {
 			continue
 		}
-		alone := blame.Likely(h.blameOf(s, i))
+		alone := blame.IsLikely(h.blameOf(s, i))
 		if alone && !h.mayPrepare(s, i) {
 			if blame.MustBeAlone(h.blameOf(s, i)) {
 				continue
@@ -288,7 +290,7 @@
 			kept++
 		}
 	}
-	return blame.MayKeep(kept, len(h.workers), h.hasAmpleRoom && !h.hasUnplacedTasks) || h.preparedFor(s, index) != nil
+	return blame.MayDedicateWorker(kept, len(h.workers), h.hasAmpleRoom && !h.hasUnplacedTasks) || h.preparedFor(s, index) != nil
 }
 
 // trialPlace returns a worker for a suspect, or nil: one without another suspect. For one
@@ -357,12 +359,12 @@
 // if it is likely to be guilty, and not too many workers are at risk.
 func (h *holderState) mayTry(now time.Time, s *step, index int) bool {
 	b := h.blameOf(s, index)
-	if h.blame.Waits(now, s.unit(index)) || blame.Likely(b) && h.journal.awaits(s.job) {
+	if h.blame.MustWait(now, s.unit(index)) || blame.IsLikely(b) && h.journal.awaits(s.job) {
 		return false
 	}
 	risk := blame.Probability(b)
 	all, ofJob := h.atRisk(s.job)
-	return blame.MayRisk(risk, all, ofJob, len(h.workers))
+	return blame.MayTry(risk, all, ofJob, len(h.workers))
 }
 
 // atRisk returns how many workers are expected to crash under the suspects on them, all
@@ -408,7 +410,7 @@
 // whySuspected says why the suspects of a step wait, or "".
 func (h *holderState) whySuspected(s *step) string {
 	for i := range s.tasks {
-		if b := h.blameOf(s, i); blame.Suspected(b) {
+		if b := h.blameOf(s, i); blame.IsSuspect(b) {
 			return fmt.Sprintf("%d workers crashed under task %d, which crashes them with probability %.2g; it is tried apart",
 				b.Crashes, i, blame.Probability(b))
 		}
--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -129,7 +129,7 @@
 // addWorker adds the first life of a worker that is known.
 func (h *holderState) addWorker(now time.Time, o order.Worker) *worker {
 	w := newWorker(now, o)
-	w.lives = h.formerWorkers.Back(o.Name)
+	w.lives = h.formerWorkers.Take(o.Name)
 	h.workers[o.Name] = w
 	h.sortedWorkers = nil
 	return w
@@ -150,7 +150,7 @@
 
 // isHealthy says whether a worker could take new tasks if it were not kept for a suspect.
 func (h *holderState) isHealthy(now time.Time, w *worker) bool {
-	return w.reported && w.presence.Listed() && w.recorded && !w.Leaving && !w.lives.Doubted() && w.failures == 0 && len(w.orphans) == 0 &&
+	return w.reported && w.presence.IsListed() && w.recorded && !w.Leaving && !w.lives.HasCandidate() && w.failures == 0 && len(w.orphans) == 0 &&
 		now.Sub(w.answeredAt) < h.core.settings.RenewWait+h.adaptiveTimeout(now, silentWorkerTimeout) && !now.Before(w.excludedUntil) && !(h.isEnabled(mechanism.OwedAnswers) && h.hasOverdueStart(now, w))
 }
 
@@ -191,7 +191,7 @@
 	delete(h.workers, w.Name)
 	h.sortedWorkers = nil
 	w.lives.End(w.Life)
-	h.formerWorkers.Gone(now, w.Name, w.lives)
+	h.formerWorkers.Add(now, w.Name, w.lives)
 	if w.recorded || w.recording || w.unresponsive.written {
 		h.journal.add(kept.DropWorker(w.Name))
 	}
--- a/services/jobrun/callers.go
+++ b/services/jobrun/callers.go
@@ -22,12 +22,12 @@
 	}
 	// A box that was suspended must not judge by what it knew before.
 	current := l.now().Before(v.configUntil)
-	caller, verdict := workspaces.Take(v.config, current, queue, keys)
-	if verdict == workspaces.Allowed || verdict == workspaces.NotKnown && caller != nil {
+	caller, verdict := workspaces.AuthorizeAtBox(v.config, current, queue, keys)
+	if verdict == workspaces.Allowed || verdict == workspaces.Undetermined && caller != nil {
 		// The holder may know what this box does not.
 		return caller, nil
 	}
-	a := workspaces.Refused(verdict)
+	a := workspaces.RefusalAnswer(verdict)
 	l.noteRefused(queue, a, v.config.Version, current)
 	return nil, &a
 }
--- a/services/learned/lessons.go
+++ b/services/learned/lessons.go
@@ -10,97 +10,97 @@
 )
 
 const (
-	// firstGood is believed of a queue of which nothing is known.
-	firstGood = 0.4
-	// leastGood bounds how many workers are asked about at once.
-	leastGood = 0.1
-	// forgetting is the weight of one answer among those before.
-	forgetting = 0.05
-	// firstStopTime is believed of stops as long as none was seen.
-	firstStopTime = 200 * time.Millisecond
+	// defaultSuitableShare is believed of a queue of which nothing is known.
+	defaultSuitableShare = 0.4
+	// minSuitableShare bounds how many workers are asked about at once.
+	minSuitableShare = 0.1
+	// smoothingFactor is the weight of one answer among those before.
+	smoothingFactor = 0.05
+	// defaultStopTime is believed of stops as long as none was seen.
+	defaultStopTime = 200 * time.Millisecond
 )
 
-// Lessons are what ends and answers have shown.
-type Lessons struct {
+// Estimates are what ends and answers have shown.
+type Estimates struct {
 	// good is the share of workers that suited a queue's steps.
-	good map[string]float64
+	suitableShares map[string]float64
 	// stopTime is how long it usually takes until a task that is to end has ended.
 	stopTime time.Duration
 	// fleetSpeed is the mean over all workers of what Speed.mean is of one.
 	fleetSpeed float64
 	// times is what is known of the run times of each queue's steps.
-	times map[string]*RunTimes
+	runTimes map[string]*RunTimes
 	// changed says that times were learned that the log does not have.
 	changed bool
 }
 
-// NewLessons returns what is believed before anything was seen.
-func NewLessons() *Lessons {
-	return &Lessons{good: map[string]float64{}, times: map[string]*RunTimes{}, stopTime: firstStopTime}
+// NewEstimates returns what is believed before anything was seen.
+func NewEstimates() *Estimates {
+	return &Estimates{suitableShares: map[string]float64{}, runTimes: map[string]*RunTimes{}, stopTime: defaultStopTime}
 }
 
-// Advised takes how many of the workers asked about suited a step of a queue.
-func (l *Lessons) Advised(queue string, asked, good int) {
+// ObserveAdvice takes how many of the workers asked about suited a step of a queue.
+func (l *Estimates) ObserveAdvice(queue string, asked, good int) {
 	if asked == 0 {
 		return
 	}
-	l.good[queue] = l.GoodShare(queue)*(1-forgetting) + forgetting*float64(good)/float64(asked)
+	l.suitableShares[queue] = l.SuitableShare(queue)*(1-smoothingFactor) + smoothingFactor*float64(good)/float64(asked)
 }
 
-// GoodShare returns the share of workers that are expected to suit.
-func (l *Lessons) GoodShare(queue string) float64 {
-	if share, ok := l.good[queue]; ok {
-		return max(leastGood, share)
+// SuitableShare returns the share of workers that are expected to suit.
+func (l *Estimates) SuitableShare(queue string) float64 {
+	if share, ok := l.suitableShares[queue]; ok {
+		return max(minSuitableShare, share)
 	}
-	return firstGood
+	return defaultSuitableShare
 }
 
-// Stopped takes how long a stop took from its order until its end was told.
-func (l *Lessons) Stopped(took time.Duration) {
-	l.stopTime += time.Duration(forgetting * float64(took-l.stopTime))
+// ObserveStop takes how long a stop took from its order until its end was told.
+func (l *Estimates) ObserveStop(took time.Duration) {
+	l.stopTime += time.Duration(smoothingFactor * float64(took-l.stopTime))
 }
 
 // StopTime returns how long it usually takes until a task that is to end has ended.
-func (l *Lessons) StopTime() time.Duration { return l.stopTime }
+func (l *Estimates) StopTime() time.Duration { return l.stopTime }
 
 // FleetSpeed returns how slow workers are on average.
-func (l *Lessons) FleetSpeed() float64 { return l.fleetSpeed }
+func (l *Estimates) FleetSpeed() float64 { return l.fleetSpeed }
 
-// Worked takes how long a task took on some worker, against what it should have.
-func (l *Lessons) Worked(ratio float64) { l.fleetSpeed = Fleet(l.fleetSpeed, ratio) }
+// ObserveSpeed takes how long a task took on some worker, against what it should have.
+func (l *Estimates) ObserveSpeed(ratio float64) { l.fleetSpeed = UpdateFleetMean(l.fleetSpeed, ratio) }
 
-// Expect returns how long a queue's steps take that are estimated at some time.
-func (l *Lessons) Expect(queue string, estimate time.Duration) time.Duration {
-	return l.timesOf(queue).Expect(estimate)
+// ExpectedRunTime returns how long a queue's steps take that are estimated at some time.
+func (l *Estimates) ExpectedRunTime(queue string, estimate time.Duration) time.Duration {
+	return l.runTimesOf(queue).Expected(estimate)
 }
 
-// Took takes how long a step of a queue took that was estimated at some time.
-func (l *Lessons) Took(queue string, estimate, took time.Duration) {
-	l.timesOf(queue).Observe(estimate, took)
+// ObserveRunTime takes how long a step of a queue took that was estimated at some time.
+func (l *Estimates) ObserveRunTime(queue string, estimate, took time.Duration) {
+	l.runTimesOf(queue).Observe(estimate, took)
 	l.changed = true
 }
 
-// timesOf returns what is known of a queue's run times.
-func (l *Lessons) timesOf(queue string) *RunTimes {
-	r := l.times[queue]
+// runTimesOf returns what is known of a queue's run times.
+func (l *Estimates) runTimesOf(queue string) *RunTimes {
+	r := l.runTimes[queue]
 	if r == nil {
 		r = &RunTimes{}
-		l.times[queue] = r
+		l.runTimes[queue] = r
 	}
 	return r
 }
 
-// Changed says whether there is more for the log to keep than when Times was called last.
-func (l *Lessons) Changed() bool { return l.changed }
+// HasChanged says whether there is more for the log to keep than when Times was called last.
+func (l *Estimates) HasChanged() bool { return l.changed }
 
-// Times returns what the log is to keep of run times.
-func (l *Lessons) Times() map[string]*RunTimes {
+// TakeRunTimes returns what the log is to keep of run times.
+func (l *Estimates) TakeRunTimes() map[string]*RunTimes {
 	l.changed = false
-	return l.times
+	return l.runTimes
 }
 
-// Resume takes over what an earlier holder knew of run times.
-func (l *Lessons) Resume(kept []byte) error {
+// Restore takes over what an earlier holder knew of run times.
+func (l *Estimates) Restore(kept []byte) error {
 	if len(kept) == 0 {
 		return nil
 	}
@@ -110,7 +110,7 @@
 	}
 	for queue, r := range times {
 		if r != nil {
-			l.times[queue] = r
+			l.runTimes[queue] = r
 		}
 	}
 	return nil
--- a/services/learned/runtimes.go
+++ b/services/learned/runtimes.go
@@ -22,15 +22,15 @@
 	weight float64
 	// estimate and took are the means of the logarithms of the estimates and of the
 	// times that the steps took.
-	estimate, took float64
+	meanEstimate, meanTook float64
 	// spread is the variance of the estimates' logarithms, joint their covariance
 	// with the times', scatter the variance of the times'.
-	spread, joint, scatter float64
+	estimateVariance, covariance, tookVariance float64
 }
 
 // MarshalJSON writes the figures as a list.
 func (r *RunTimes) MarshalJSON() ([]byte, error) {
-	return json.Marshal([]float64{r.weight, r.estimate, r.took, r.spread, r.joint, r.scatter})
+	return json.Marshal([]float64{r.weight, r.meanEstimate, r.meanTook, r.estimateVariance, r.covariance, r.tookVariance})
 }
 
 // UnmarshalJSON reads what MarshalJSON wrote.
@@ -39,11 +39,11 @@
 	if err := json.Unmarshal(data, &f); err != nil {
 		return err
 	}
-	if len(f) != figuresKept {
+	if len(f) != encodedLength {
 		return fmt.Errorf("run times: %v make no sense", f)
 	}
-	read := RunTimes{weight: f[0], estimate: f[1], took: f[2], spread: f[3], joint: f[4], scatter: f[5]}
-	if read.weight < 0 || read.weight > stepsRemembered || read.spread < 0 || read.scatter < 0 {
+	read := RunTimes{weight: f[0], meanEstimate: f[1], meanTook: f[2], estimateVariance: f[3], covariance: f[4], tookVariance: f[5]}
+	if read.weight < 0 || read.weight > maxWeight || read.estimateVariance < 0 || read.tookVariance < 0 {
 		return fmt.Errorf("run times: %v make no sense", f)
 	}
 	*r = read
@@ -51,49 +51,49 @@
 }
 
 const (
-	// figuresKept is how many figures the log keeps of a queue.
-	figuresKept = 6
-	// trustedSteps is how many observations the first belief, that estimates are
+	// encodedLength is how many figures the log keeps of a queue.
+	encodedLength = 6
+	// priorWeight is how many observations the first belief, that estimates are
 	// right, counts for.
-	trustedSteps = 6
-	// trustedSpread is the variance of the logarithms in that belief: estimates
+	priorWeight = 6
+	// priorVariance is the variance of the logarithms in that belief: estimates
 	// differ by a factor of 1.6 or so.
-	trustedSpread = 0.25
-	// stepsRemembered bounds the weight of what was observed, so that old steps are
+	priorVariance = 0.25
+	// maxWeight bounds the weight of what was observed, so that old steps are
 	// forgotten.
-	stepsRemembered = 200
-	// LeastTime is the least time of which a logarithm is taken, to keep it finite.
-	LeastTime = time.Millisecond
+	maxWeight = 200
+	// MinTime is the least time of which a logarithm is taken, to keep it finite.
+	MinTime = time.Millisecond
 )
 
-// logTime returns the logarithm of a length of time in seconds.
-func logTime(d time.Duration) float64 { return math.Log(max(d, LeastTime).Seconds()) }
+// logSeconds returns the logarithm of a length of time in seconds.
+func logSeconds(d time.Duration) float64 { return math.Log(max(d, MinTime).Seconds()) }
 
 // Observe takes how long a step took that was estimated at some time.
 func (r *RunTimes) Observe(estimate, took time.Duration) {
-	x, y := logTime(estimate), logTime(took)
+	x, y := logSeconds(estimate), logSeconds(took)
 	if r.weight == 0 {
-		*r = RunTimes{weight: trustedSteps, estimate: x, took: x, spread: trustedSpread, joint: trustedSpread, scatter: trustedSpread}
+		*r = RunTimes{weight: priorWeight, meanEstimate: x, meanTook: x, estimateVariance: priorVariance, covariance: priorVariance, tookVariance: priorVariance}
 	}
-	r.weight = min(r.weight+1, stepsRemembered)
+	r.weight = min(r.weight+1, maxWeight)
 	share := 1 / r.weight
-	dx, dy := x-r.estimate, y-r.took
-	r.estimate += share * dx
-	r.took += share * dy
-	r.spread += share * (dx*(x-r.estimate) - r.spread)
-	r.joint += share * (dx*(y-r.took) - r.joint)
-	r.scatter += share * (dy*(y-r.took) - r.scatter)
+	dx, dy := x-r.meanEstimate, y-r.meanTook
+	r.meanEstimate += share * dx
+	r.meanTook += share * dy
+	r.estimateVariance += share * (dx*(x-r.meanEstimate) - r.estimateVariance)
+	r.covariance += share * (dx*(y-r.meanTook) - r.covariance)
+	r.tookVariance += share * (dy*(y-r.meanTook) - r.tookVariance)
 }
 
-// Expect returns how long a step with an estimate should take.
-func (r *RunTimes) Expect(estimate time.Duration) time.Duration {
-	if r.weight == 0 || r.spread <= 0 {
+// Expected returns how long a step with an estimate should take.
+func (r *RunTimes) Expected(estimate time.Duration) time.Duration {
+	if r.weight == 0 || r.estimateVariance <= 0 {
 		return estimate
 	}
-	slope := min(1, max(0, r.joint/r.spread))
+	slope := min(1, max(0, r.covariance/r.estimateVariance))
 	// The mean of a log-normal time lies above its median by half the variance that
 	// the line leaves.
-	left := max(0, r.scatter-slope*r.joint)
-	mean := r.took + slope*(logTime(estimate)-r.estimate) + left/2
+	left := max(0, r.tookVariance-slope*r.covariance)
+	mean := r.meanTook + slope*(logSeconds(estimate)-r.meanEstimate) + left/2
 	return time.Duration(math.Exp(mean) * float64(time.Second))
 }
--- a/services/learned/speed.go
+++ b/services/learned/speed.go
@@ -12,35 +12,35 @@
 type Speed struct {
 	// seen is how many tasks the mean stands for, mean that of the logarithms of how
 	// many times as long as expected they took.
-	seen, mean float64
+	tasks, meanLogRatio float64
 	// lastAt is when the last of them ended.
 	lastAt time.Time
 }
 
 const (
-	// speedWeight is the least weight of one task among those before: one task says
+	// minTaskWeight is the least weight of one task among those before: one task says
 	// little, since its work may differ by half from what is expected.
-	speedWeight = 0.1
-	// fleetWeight is that among the tasks of all workers.
-	fleetWeight = 0.01
-	// speedFor is how long a worker's speed is believed after its last task, so that a
+	minTaskWeight = 0.1
+	// fleetTaskWeight is that among the tasks of all workers.
+	fleetTaskWeight = 0.01
+	// speedValidity is how long a worker's speed is believed after its last task, so that a
 	// slow one is tried again.
-	speedFor = 10 * time.Second
-	// slowTasks is how many tasks show that a worker is slow, fewSlowTasks how many
+	speedValidity = 10 * time.Second
+	// minSlowTasks is how many tasks show that a worker is slow, minAvoidedTasks how many
 	// that it is so slow that it is avoided.
-	slowTasks, fewSlowTasks = 10, 3
-	// slowBy and avoidBy are the logarithms of how many times as long tasks take on
+	minSlowTasks, minAvoidedTasks = 10, 3
+	// slowLogRatio and avoidedLogRatio are the logarithms of how many times as long tasks take on
 	// such workers: 1.15 and 2.2.
-	slowBy, avoidBy = 0.14, 0.79
+	slowLogRatio, avoidedLogRatio = 0.14, 0.79
 )
 
 // Observe takes how many times as long as expected a task took.
 func (p *Speed) Observe(now time.Time, ratio float64) {
-	if now.Sub(p.lastAt) > speedFor {
-		p.seen, p.mean = 0, 0
+	if now.Sub(p.lastAt) > speedValidity {
+		p.tasks, p.meanLogRatio = 0, 0
 	}
-	p.seen++
-	p.mean += max(1/p.seen, speedWeight) * (math.Log(ratio) - p.mean)
+	p.tasks++
+	p.meanLogRatio += max(1/p.tasks, minTaskWeight) * (math.Log(ratio) - p.meanLogRatio)
 	p.lastAt = now
 }
 
@@ -49,7 +49,7 @@
 
 // The kinds of slowness.
 const (
-	Usual Slowness = iota
+	Normal Slowness = iota
 	// Slow workers are left to tasks that are in no hurry.
 	Slow
 	// Avoided ones get tasks last, and no members of gangs, which are as slow as the
@@ -57,20 +57,22 @@
 	Avoided
 )
 
-// Among returns how slow the worker is among all, whose mean is given.
-func (p *Speed) Among(now time.Time, fleet float64) Slowness {
-	if p.seen < fewSlowTasks || now.Sub(p.lastAt) > speedFor {
-		return Usual
+// Slowness returns how slow the worker is among all, whose mean is given.
+func (p *Speed) Slowness(now time.Time, fleet float64) Slowness {
+	if p.tasks < minAvoidedTasks || now.Sub(p.lastAt) > speedValidity {
+		return Normal
 	}
-	switch by := p.mean - fleet; {
-	case by >= avoidBy:
+	switch by := p.meanLogRatio - fleet; {
+	case by >= avoidedLogRatio:
 		return Avoided
-	case by >= slowBy && p.seen >= slowTasks:
+	case by >= slowLogRatio && p.tasks >= minSlowTasks:
 		return Slow
 	default:
-		return Usual
+		return Normal
 	}
 }
 
-// Fleet returns the mean of all workers after a task of one of them.
-func Fleet(mean, ratio float64) float64 { return mean + fleetWeight*(math.Log(ratio)-mean) }
+// UpdateFleetMean returns the mean of all workers after a task of one of them.
+func UpdateFleetMean(mean, ratio float64) float64 {
+	return mean + fleetTaskWeight*(math.Log(ratio)-mean)
+}
--- a/services/placement/index.go
+++ b/services/placement/index.go
@@ -18,17 +18,17 @@
 // largest worker on, and one for less. Most workers of a full shard have little
 // free, so that is where the steps have to be fine.
 const (
-	perDoubling = 3
-	doublings   = 7
-	grid        = perDoubling*doublings + 1
+	bucketsPerDoubling = 3
+	doublings          = 7
+	gridSize           = bucketsPerDoubling*doublings + 1
 )
 
 // The bounds of one search.
 const (
-	// candidates is how many fitting workers are compared.
-	candidates = 12
-	// cellScan is how many workers of one cell are looked at.
-	cellScan = 48
+	// maxCandidates is how many fitting workers are compared.
+	maxCandidates = 12
+	// maxCellScan is how many workers of one cell are looked at.
+	maxCellScan = 48
 )
 
 // Node is a worker as placement sees it.
@@ -66,19 +66,19 @@
 	}
 	reserved := n.capacity.Minus(n.free)
 	n.capacity = capacity
-	n.move(capacity.Minus(reserved))
+	n.setFree(capacity.Minus(reserved))
 }
 
 // Reserve takes amount from what is free.
-func (n *Node) Reserve(amount resource.Vector) { n.move(n.free.Minus(amount)) }
+func (n *Node) Reserve(amount resource.Vector) { n.setFree(n.free.Minus(amount)) }
 
 // Release gives amount back.
-func (n *Node) Release(amount resource.Vector) { n.move(n.free.Plus(amount)) }
+func (n *Node) Release(amount resource.Vector) { n.setFree(n.free.Plus(amount)) }
 
 // Clear gives back all that is reserved.
-func (n *Node) Clear() { n.move(n.capacity) }
+func (n *Node) Clear() { n.setFree(n.capacity) }
 
-func (n *Node) move(free resource.Vector) {
+func (n *Node) setFree(free resource.Vector) {
 	n.free = free
 	if n.index == nil {
 		return
@@ -92,10 +92,10 @@
 // Index is a set of workers that may be given tasks.
 type Index struct {
 	// largest is the most that any worker ever added had.
-	largest resource.Vector
-	cells   [grid * grid][]*Node
-	size    int
-	turn    int
+	largest    resource.Vector
+	cells      [gridSize * gridSize][]*Node
+	size       int
+	scanOffset int
 }
 
 // Len returns how many workers the index has.
@@ -140,30 +140,30 @@
 }
 
 func (x *Index) cellOf(v resource.Vector) int {
-	return step(int64(v.Processors), int64(x.largest.Processors))*grid + step(int64(v.Memory), int64(x.largest.Memory))
+	return bucketOf(int64(v.Processors), int64(x.largest.Processors))*gridSize + bucketOf(int64(v.Memory), int64(x.largest.Memory))
 }
 
-// steps holds where the steps begin, in parts of the largest worker.
-var steps = makeSteps()
+// bucketBounds holds where the steps begin, in parts of the largest worker.
+var bucketBounds = makeBucketBounds()
 
-func makeSteps() [grid]float64 {
-	var all [grid]float64
-	for i := 1; i < grid; i++ {
-		all[i] = math.Exp2(float64(i-1)/perDoubling - doublings)
+func makeBucketBounds() [gridSize]float64 {
+	var all [gridSize]float64
+	for i := 1; i < gridSize; i++ {
+		all[i] = math.Exp2(float64(i-1)/bucketsPerDoubling - doublings)
 	}
 	return all
 }
 
-// step returns which of the grid's steps part falls in.
-func step(part, whole int64) int {
+// bucketOf returns which of the grid's steps part falls in.
+func bucketOf(part, whole int64) int {
 	if part <= 0 || whole <= 0 {
 		return 0
 	}
 	share := float64(part) / float64(whole)
-	low, high := 0, grid
+	low, high := 0, gridSize
 	for low+1 < high {
 		middle := (low + high) / 2
-		if share >= steps[middle] {
+		if share >= bucketBounds[middle] {
 			low = middle
 		} else {
 			high = middle
@@ -186,16 +186,16 @@
 	x.cells[n.cell] = cell[:last]
 }
 
-// diagonal lists cell offsets by how far they are from the tightest fit.
-var diagonal = makeDiagonal()
+// offsetsByDistance lists cell offsets by how far they are from the tightest fit.
+var offsetsByDistance = makeOffsetsByDistance()
 
 // offset is a distance in the grid.
 type offset struct{ processors, memory int }
 
-func makeDiagonal() []offset {
+func makeOffsetsByDistance() []offset {
 	var all []offset
-	for p := range grid {
-		for m := range grid {
+	for p := range gridSize {
+		for m := range gridSize {
 			all = append(all, offset{p, m})
 		}
 	}
@@ -207,7 +207,7 @@
 // worker has room. It compares a bounded number of workers, tightest first; only
 // if none of those fits does it look at all that might.
 func (x *Index) Best(need resource.Vector, score func(*Node) float64) *Node {
-	if n := x.search(need, score, cellScan); n != nil {
+	if n := x.search(need, score, maxCellScan); n != nil {
 		return n
 	}
 	return x.search(need, score, x.size)
@@ -216,16 +216,16 @@
 func (x *Index) search(need resource.Vector, score func(*Node) float64, scan int) *Node {
 	var best *Node
 	bestScore, compared := 0.0, 0
-	p0, m0 := step(int64(need.Processors), int64(x.largest.Processors)), step(int64(need.Memory), int64(x.largest.Memory))
-	x.turn++
-	for _, d := range diagonal {
+	p0, m0 := bucketOf(int64(need.Processors), int64(x.largest.Processors)), bucketOf(int64(need.Memory), int64(x.largest.Memory))
+	x.scanOffset++
+	for _, d := range offsetsByDistance {
 		p, m := p0+d.processors, m0+d.memory
-		if p >= grid || m >= grid {
+		if p >= gridSize || m >= gridSize {
 			continue
 		}
-		cell := x.cells[p*grid+m]
+		cell := x.cells[p*gridSize+m]
 		for i := range min(len(cell), scan) {
-			n := cell[(x.turn+i)%len(cell)]
+			n := cell[(x.scanOffset+i)%len(cell)]
 			if !need.Fits(n.free) {
 				continue
 			}
@@ -234,7 +234,7 @@
 			}
 			compared++
 		}
-		if compared >= candidates {
+		if compared >= maxCandidates {
 			return best
 		}
 	}
--- a/services/placement/index_test.go
+++ b/services/placement/index_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestAPlaceIsFoundIfThereIsOneAndAlwaysFits(t *testing.T) {
+func TestBestFindsFittingWorkerIfAny(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		amount := func(label string, most int64) resource.Vector {
 			return resource.Vector{
@@ -59,7 +59,7 @@
 	})
 }
 
-func TestAWorkerThatWasTakenOutIsNotFound(t *testing.T) {
+func TestRemovedWorkerIsNotFound(t *testing.T) {
 	var x placement.Index
 	n := placement.NewNode("w", "r", resource.Vector{Processors: 4000, Memory: resource.GiB})
 	x.Add(n)
@@ -68,7 +68,7 @@
 	assert.Check(t, x.Best(resource.Vector{Processors: 1}, func(*placement.Node) float64 { return 0 }) == nil)
 }
 
-func TestTheTighterPlaceIsPreferred(t *testing.T) {
+func TestTighterWorkerIsPreferred(t *testing.T) {
 	var x placement.Index
 	need := resource.Vector{Processors: 1000, Memory: resource.GiB}
 	for i := range 40 {
--- a/services/placement/score.go
+++ b/services/placement/score.go
@@ -19,12 +19,12 @@
 // Score rates placing need on n; lower is better.
 func (w Weights) Score(n *Node, need resource.Vector) float64 {
 	left := n.free.Minus(need)
-	processors := part(int64(left.Processors), int64(n.capacity.Processors))
-	memory := part(int64(left.Memory), int64(n.capacity.Memory))
+	processors := fraction(int64(left.Processors), int64(n.capacity.Processors))
+	memory := fraction(int64(left.Memory), int64(n.capacity.Memory))
 	return w.Tight*(processors+memory)/2 + w.Balance*max(processors-memory, memory-processors)
 }
 
-func part(a, b int64) float64 {
+func fraction(a, b int64) float64 {
 	if b <= 0 {
 		return 0
 	}
--- a/services/presence/foreign.go
+++ b/services/presence/foreign.go
@@ -5,37 +5,37 @@
 
 import "saddlevane/models/order"
 
-// foreignMost bounds the entries of other writers that are remembered, so that each is
+// maxForeignEntries bounds the entries of other writers that are remembered, so that each is
 // told of once.
-const foreignMost = 1000
+const maxForeignEntries = 1000
 
-// Foreign are the entries that name no worker, and why. The zero value knows none.
-type Foreign struct{ why map[string]string }
+// ForeignEntries are the entries that name no worker, and why. The zero value knows none.
+type ForeignEntries struct{ reasons map[string]string }
 
-// Refused is an entry that names no worker.
-type Refused struct{ Entry, Why string }
+// ForeignEntry is an entry that names no worker.
+type ForeignEntry struct{ Entry, Reason string }
 
-// News takes a change of the list, and returns the entries that name no worker, each once for
+// Update takes a change of the list, and returns the entries that name no worker, each once for
 // each reason.
-func (f *Foreign) News(l order.Listing) []Refused {
-	if f.why == nil {
-		f.why = map[string]string{}
+func (f *ForeignEntries) Update(l order.Listing) []ForeignEntry {
+	if f.reasons == nil {
+		f.reasons = map[string]string{}
 	}
 	for _, o := range l.Present {
-		delete(f.why, o.Name)
+		delete(f.reasons, o.Name)
 	}
-	var news []Refused
+	var news []ForeignEntry
 	for _, id := range l.Gone {
 		why, foreign := l.Foreign[id]
 		if !foreign {
-			delete(f.why, id)
+			delete(f.reasons, id)
 			continue
 		}
-		if f.why[id] == why || len(f.why) >= foreignMost {
+		if f.reasons[id] == why || len(f.reasons) >= maxForeignEntries {
 			continue
 		}
-		f.why[id] = why
-		news = append(news, Refused{Entry: id, Why: why})
+		f.reasons[id] = why
+		news = append(news, ForeignEntry{Entry: id, Reason: why})
 	}
 	return news
 }
--- a/services/presence/former.go
+++ b/services/presence/former.go
@@ -5,43 +5,43 @@
 
 import "time"
 
-// formerFor is for how long the lives of a worker that is gone are remembered: longer than an
+// formerRetention is for how long the lives of a worker that is gone are remembered: longer than an
 // order may be on its way.
-const formerFor = time.Minute
+const formerRetention = time.Minute
 
-// Former remembers the lives of workers that are gone, by name: one may come back under its
+// FormerWorkers remembers the lives of workers that are gone, by name: one may come back under its
 // name. The zero value knows none.
-type Former struct{ gone map[string]former }
+type FormerWorkers struct{ workers map[string]formerWorker }
 
-// former are the lives of a worker that is gone since some time.
-type former struct {
+// formerWorker are the lives of a worker that is gone since some time.
+type formerWorker struct {
 	lives *Lives
 	since time.Time
 }
 
-// Back returns the lives under a name for a worker that is listed.
-func (f *Former) Back(name string) *Lives {
-	known, ok := f.gone[name]
+// Take returns the lives under a name for a worker that is listed.
+func (f *FormerWorkers) Take(name string) *Lives {
+	known, ok := f.workers[name]
 	if !ok {
 		return &Lives{}
 	}
-	delete(f.gone, name)
+	delete(f.workers, name)
 	return known.lives
 }
 
-// Gone remembers the lives of a worker.
-func (f *Former) Gone(now time.Time, name string, lives *Lives) {
-	if f.gone == nil {
-		f.gone = map[string]former{}
+// Add remembers the lives of a worker.
+func (f *FormerWorkers) Add(now time.Time, name string, lives *Lives) {
+	if f.workers == nil {
+		f.workers = map[string]formerWorker{}
 	}
-	f.gone[name] = former{lives: lives, since: now}
+	f.workers[name] = formerWorker{lives: lives, since: now}
 }
 
-// Sweep forgets those that are gone for long.
-func (f *Former) Sweep(now time.Time) {
-	for name, known := range f.gone {
-		if now.Sub(known.since) > formerFor {
-			delete(f.gone, name)
+// Expire forgets those that are gone for long.
+func (f *FormerWorkers) Expire(now time.Time) {
+	for name, known := range f.workers {
+		if now.Sub(known.since) > formerRetention {
+			delete(f.workers, name)
 		}
 	}
 }
--- a/services/presence/lives_test.go
+++ b/services/presence/lives_test.go
@@ -17,53 +17,53 @@
 
 func entry(born int64) order.Worker { return order.Worker{Life: life(born), Address: "a"} }
 
-func TestOnlyAnAnswerTellsWhichLifeIsThePresentOne(t *testing.T) {
+func TestOnlyAnswersDetermineCurrentLife(t *testing.T) {
 	var l presence.Lives
 	known := life(500)
-	assert.Check(t, l.Entry(known, entry(500), 1))
-	assert.Check(t, !l.Entry(known, entry(900), 7), "it may be of an earlier life")
-	assert.Check(t, l.Doubted())
-	assert.Check(t, !l.Answered(known, known, 7), "this call was made before the entry was read")
-	assert.Check(t, l.Doubted())
-	assert.Check(t, !l.Answered(known, known, 8))
-	assert.Check(t, !l.Doubted(), "the entry was old")
-	assert.Check(t, !l.Entry(known, entry(900), 9))
-	assert.Check(t, !l.Doubted(), "it is known to be old")
-	assert.Check(t, l.Answered(known, life(100), 10), "a smaller number may be the later life")
+	assert.Check(t, l.RecordEntry(known, entry(500), 1))
+	assert.Check(t, !l.RecordEntry(known, entry(900), 7), "it may be of an earlier life")
+	assert.Check(t, l.HasCandidate())
+	assert.Check(t, !l.RecordAnswer(known, known, 7), "this call was made before the entry was read")
+	assert.Check(t, l.HasCandidate())
+	assert.Check(t, !l.RecordAnswer(known, known, 8))
+	assert.Check(t, !l.HasCandidate(), "the entry was old")
+	assert.Check(t, !l.RecordEntry(known, entry(900), 9))
+	assert.Check(t, !l.HasCandidate(), "it is known to be old")
+	assert.Check(t, l.RecordAnswer(known, life(100), 10), "a smaller number may be the later life")
 	assert.Equal(t, l.Fence(3), int64(3_000_001))
-	assert.Check(t, !l.Entry(life(100), entry(500), 11) && !l.Doubted(), "the list is late")
+	assert.Check(t, !l.RecordEntry(life(100), entry(500), 11) && !l.HasCandidate(), "the list is late")
 }
 
-func TestALaterLifeIsKnownByItsEntryIfThatWasRead(t *testing.T) {
+func TestSuccessorUsesEntryIfRead(t *testing.T) {
 	var l presence.Lives
 	o, listed := l.Successor(entry(1), life(2))
 	assert.Check(t, !listed && o.Life == life(2) && o.Address == "a")
 	next := entry(3)
 	next.Address = "b"
-	l.Entry(life(2), next, 0)
+	l.RecordEntry(life(2), next, 0)
 	o, listed = l.Successor(entry(2), life(3))
 	assert.Check(t, listed && o.Address == "b")
-	assert.Check(t, !l.Doubted())
-	l.Entry(life(3), entry(4), 0)
-	l.EntryGone()
-	assert.Check(t, !l.Doubted())
+	assert.Check(t, !l.HasCandidate())
+	l.RecordEntry(life(3), entry(4), 0)
+	l.RecordEntryRemoved()
+	assert.Check(t, !l.HasCandidate())
 }
 
-func TestWhereThePlatformTellsNoBirthANameIsOneLife(t *testing.T) {
+func TestNameIsOneLifeWithoutBirthTimes(t *testing.T) {
 	var l presence.Lives
-	assert.Check(t, l.Entry(life(0), entry(5), 0) && l.Entry(life(5), entry(0), 0))
-	assert.Check(t, !l.Answered(life(0), life(5), 1) && !l.Answered(life(5), life(0), 2))
+	assert.Check(t, l.RecordEntry(life(0), entry(5), 0) && l.RecordEntry(life(5), entry(0), 0))
+	assert.Check(t, !l.RecordAnswer(life(0), life(5), 1) && !l.RecordAnswer(life(5), life(0), 2))
 	assert.Equal(t, l.Fence(3), int64(3_000_000))
 }
 
-func TestFewLivesAreRemembered(t *testing.T) {
+func TestPastLivesAreBounded(t *testing.T) {
 	var l presence.Lives
 	for i := int64(1); i < 1000; i++ {
-		assert.Check(t, l.Answered(life(i), life(i+1), i))
+		assert.Check(t, l.RecordAnswer(life(i), life(i+1), i))
 	}
 	assert.Equal(t, l.Fence(1), int64(1_000_999))
-	l.Entry(life(1000), entry(999), 0)
-	assert.Check(t, !l.Doubted(), "the last ones are")
-	l.Entry(life(1000), entry(1), 0)
-	assert.Check(t, l.Doubted(), "the worker is asked again")
+	l.RecordEntry(life(1000), entry(999), 0)
+	assert.Check(t, !l.HasCandidate(), "the last ones are")
+	l.RecordEntry(life(1000), entry(1), 0)
+	assert.Check(t, l.HasCandidate(), "the worker is asked again")
 }
--- a/services/presence/presence.go
+++ b/services/presence/presence.go
@@ -19,22 +19,22 @@
 	missingSince time.Time
 	leaving      bool
 	// silentSince is when the first call was not answered of those that were not since the
-	// last answer, and soundBefore says that it was listed then and not leaving.
+	// last answer, and wasHealthy says that it was listed then and not leaving.
 	silentSince time.Time
-	soundBefore bool
+	wasHealthy  bool
 }
 
-// Listed says whether the platform lists the worker, or may again.
-func (p *Presence) Listed() bool { return p.listed }
+// IsListed says whether the platform lists the worker, or may again.
+func (p *Presence) IsListed() bool { return p.listed }
 
-// Entry takes that an entry names the worker.
-func (p *Presence) Entry(leaving bool) {
+// RecordEntry takes that an entry names the worker.
+func (p *Presence) RecordEntry(leaving bool) {
 	p.listed, p.missingSince, p.leaving = true, time.Time{}, leaving
 }
 
-// Missing takes that no entry names the worker any more. It stays listed while its entry
+// RecordMissing takes that no entry names the worker any more. It stays listed while its entry
 // may be back.
-func (p *Presence) Missing(now time.Time, mayBeBack bool) {
+func (p *Presence) RecordMissing(now time.Time, mayBeBack bool) {
 	if !p.listed {
 		return
 	}
@@ -44,24 +44,24 @@
 	p.listed = mayBeBack
 }
 
-// GiveUp takes that an entry which is missing will not be back. It returns whether the
+// UnlistMissing takes that an entry which is missing will not be back. It returns whether the
 // worker was listed until now.
-func (p *Presence) GiveUp() bool {
+func (p *Presence) UnlistMissing() bool {
 	given := p.listed && !p.missingSince.IsZero()
 	p.listed = p.listed && !given
 	return given
 }
 
-// Silent takes that the worker does not answer from now on. A crash is found by the next
+// RecordSilence takes that the worker does not answer from now on. A crash is found by the next
 // call, within some time: its entry goes after it. The entry of a worker that leaves goes
 // long before it stops to answer.
-func (p *Presence) Silent(now time.Time, found time.Duration) {
+func (p *Presence) RecordSilence(now time.Time, found time.Duration) {
 	gone := !p.missingSince.IsZero() && now.Sub(p.missingSince) > found
-	p.silentSince, p.soundBefore = now, !gone && !p.leaving
+	p.silentSince, p.wasHealthy = now, !gone && !p.leaving
 }
 
-// Answers takes an answer. It returns whether the worker had been silent.
-func (p *Presence) Answers() bool {
+// RecordAnswer takes an answer. It returns whether the worker had been silent.
+func (p *Presence) RecordAnswer() bool {
 	silent := !p.silentSince.IsZero()
 	p.silentSince = time.Time{}
 	return silent
@@ -70,11 +70,11 @@
 // SilentSince returns since when the worker does not answer, or zero.
 func (p *Presence) SilentSince() time.Time { return p.silentSince }
 
-// Ended tells how the life has ended of a worker that is silent. It is sure that the life
+// Ending tells how the life has ended of a worker that is silent. It is sure that the life
 // is over, or that its lease has run out.
-func (p *Presence) Ended(over bool) exchange.Ending {
+func (p *Presence) Ending(over bool) exchange.Ending {
 	switch {
-	case !p.soundBefore:
+	case !p.wasHealthy:
 		return exchange.Left
 	case over || !p.listed:
 		return exchange.Crashed
--- a/services/presence/presence_test.go
+++ b/services/presence/presence_test.go
@@ -13,10 +13,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// found is within which time a crash is found.
-const found = time.Second
+// detectionTime is within which time a crash is found.
+const detectionTime = time.Second
 
-func TestHowALifeEnded(t *testing.T) {
+func TestEndingOfLife(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for _, c := range []struct {
 		name string
@@ -24,53 +24,53 @@
 		over bool
 		want exchange.Ending
 	}{
-		{"another life answers at its address", func(p *presence.Presence) { p.Silent(now, found) }, true, exchange.Crashed},
+		{"another life answers at its address", func(p *presence.Presence) { p.RecordSilence(now, detectionTime) }, true, exchange.Crashed},
 		{"it is silent, and its entry goes", func(p *presence.Presence) {
-			p.Silent(now, found)
-			p.Missing(now.Add(time.Second), false)
+			p.RecordSilence(now, detectionTime)
+			p.RecordMissing(now.Add(time.Second), false)
 		}, false, exchange.Crashed},
 		{"its entry goes just before its silence is found", func(p *presence.Presence) {
-			p.Missing(now, false)
-			p.Silent(now.Add(found/2), found)
+			p.RecordMissing(now, false)
+			p.RecordSilence(now.Add(detectionTime/2), detectionTime)
 		}, false, exchange.Crashed},
-		{"it is silent, and listed", func(p *presence.Presence) { p.Silent(now, found) }, false, exchange.CutOff},
+		{"it is silent, and listed", func(p *presence.Presence) { p.RecordSilence(now, detectionTime) }, false, exchange.CutOff},
 		{"it was leaving", func(p *presence.Presence) {
-			p.Entry(true)
-			p.Silent(now, found)
+			p.RecordEntry(true)
+			p.RecordSilence(now, detectionTime)
 		}, true, exchange.Left},
 		{"its entry went while it answered", func(p *presence.Presence) {
-			p.Missing(now, false)
-			p.Silent(now.Add(3*time.Second), found)
+			p.RecordMissing(now, false)
+			p.RecordSilence(now.Add(3*time.Second), detectionTime)
 		}, true, exchange.Left},
 		{"its entry was back before", func(p *presence.Presence) {
-			p.Missing(now, true)
-			p.Entry(false)
-			p.Silent(now.Add(3*time.Second), found)
+			p.RecordMissing(now, true)
+			p.RecordEntry(false)
+			p.RecordSilence(now.Add(3*time.Second), detectionTime)
 		}, true, exchange.Crashed},
 	} {
 		var p presence.Presence
-		p.Entry(false)
+		p.RecordEntry(false)
 		c.seen(&p)
-		assert.Equal(t, p.Ended(c.over), c.want, c.name)
+		assert.Equal(t, p.Ending(c.over), c.want, c.name)
 	}
 }
 
-func TestAnEntryThatMayBeBackIsGivenUpOnce(t *testing.T) {
+func TestMissingEntryIsUnlistedOnce(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	var p presence.Presence
-	assert.Check(t, !p.Listed())
-	p.Entry(false)
-	assert.Check(t, !p.GiveUp(), "it is not missing")
-	p.Missing(now, true)
-	assert.Check(t, p.Listed())
-	assert.Check(t, p.GiveUp() && !p.Listed() && !p.GiveUp())
+	assert.Check(t, !p.IsListed())
+	p.RecordEntry(false)
+	assert.Check(t, !p.UnlistMissing(), "it is not missing")
+	p.RecordMissing(now, true)
+	assert.Check(t, p.IsListed())
+	assert.Check(t, p.UnlistMissing() && !p.IsListed() && !p.UnlistMissing())
 }
 
-func TestAnAnswerEndsASilence(t *testing.T) {
+func TestAnswerEndsSilence(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	var p presence.Presence
-	p.Silent(now, found)
+	p.RecordSilence(now, detectionTime)
 	assert.Equal(t, p.SilentSince(), now)
-	assert.Check(t, p.Answers() && !p.Answers())
+	assert.Check(t, p.RecordAnswer() && !p.RecordAnswer())
 	assert.Check(t, p.SilentSince().IsZero())
 }
--- a/services/ranking/ranking.go
+++ b/services/ranking/ranking.go
@@ -31,9 +31,9 @@
 )
 
 const (
-	// LateMost is how many times its objective a job may take and still be of use to its
+	// MaxLateFactor is how many times its objective a job may take and still be of use to its
 	// caller (the users' rules).
-	LateMost = 3
+	MaxLateFactor = 3
 	// overdueAfter is how long a job that is of no use any more gives way to all others
 	// before it counts as late again: every job that was accepted is to be done.
 	overdueAfter = 12 * time.Second
@@ -47,23 +47,23 @@
 	Finish    time.Time
 }
 
-// WantedAt returns when the job is to be done.
-func (t Times) WantedAt() time.Time { return t.DueAt.Add(t.Objective) }
+// Deadline returns when the job is to be done.
+func (t Times) Deadline() time.Time { return t.DueAt.Add(t.Objective) }
 
-// Overdue says whether the job has been of no use for so long that it goes before all others
+// IsOverdue says whether the job has been of no use for so long that it goes before all others
 // that are late: the bound to which the order may hold any step back.
-func (t Times) Overdue(now time.Time) bool {
-	return now.Sub(t.DueAt) > LateMost*t.Objective+overdueAfter
+func (t Times) IsOverdue(now time.Time) bool {
+	return now.Sub(t.DueAt) > MaxLateFactor*t.Objective+overdueAfter
 }
 
 // Tier returns the tier of a step.
 func (t Times) Tier(now time.Time) Tier {
 	switch {
-	case !t.Finish.After(t.WantedAt()):
+	case !t.Finish.After(t.Deadline()):
 		return OnTime
-	case !t.Finish.After(t.DueAt.Add(LateMost * t.Objective)):
+	case !t.Finish.After(t.DueAt.Add(MaxLateFactor * t.Objective)):
 		return Late
-	case t.Overdue(now):
+	case t.IsOverdue(now):
 		// It has to be done some time.
 		return Late
 	default:
@@ -74,13 +74,13 @@
 // Rank is what orders a step.
 type Rank struct {
 	// First is set if an answer that was asked for the step holds for a moment only.
-	First bool
-	Tier  Tier
+	AdviceExpiring bool
+	Tier           Tier
 	// Beyond says that its job is more than its workspace's share.
-	Beyond bool
+	OverShare bool
 	// Priority is that of its queue; 0 goes first.
 	Priority int
-	WantedAt time.Time
+	Deadline time.Time
 	// Work is what its waiting tasks take of all workers, as a share, times the time for
 	// which they do, in seconds. That of an overdue step is 0.
 	Work float64
@@ -96,12 +96,12 @@
 		byWork = cmp.Compare(r.Work, o.Work)
 	}
 	return cmp.Or(
-		ordered.TrueFirst(r.First, o.First),
+		ordered.TrueFirst(r.AdviceExpiring, o.AdviceExpiring),
 		cmp.Compare(r.Tier, o.Tier),
-		ordered.TrueFirst(o.Beyond, r.Beyond),
+		ordered.TrueFirst(o.OverShare, r.OverShare),
 		cmp.Compare(r.Priority, o.Priority),
 		byWork,
-		r.WantedAt.Compare(o.WantedAt),
+		r.Deadline.Compare(o.Deadline),
 		cmp.Compare(r.Step.Job, o.Step.Job),
 		cmp.Compare(r.Step.Instance, o.Step.Instance),
 		cmp.Compare(r.Step.Step, o.Step.Step),
@@ -114,15 +114,15 @@
 // load, and 0.886, 0.885 and 0.885 in place of 0.888 at the usual one (8 loads each).
 const backlogShare = 0.3
 
-// Backlog says whether more waits than can begin soon, by what the waiting tasks need and
+// IsBacklog says whether more waits than can begin soon, by what the waiting tasks need and
 // what all workers have.
-func Backlog(waiting, all resource.Vector) bool {
+func IsBacklog(waiting, all resource.Vector) bool {
 	return waiting.DominantShare(all) > backlogShare
 }
 
-// WorkAfter returns the longest chain of work after each of some steps, if each takes some time
+// CriticalPathAfter returns the longest chain of work after each of some steps, if each takes some time
 // and comes after earlier ones.
-func WorkAfter[S any](steps []S, takes func(S) time.Duration, comesAfter func(S) []int) []time.Duration {
+func CriticalPathAfter[S any](steps []S, takes func(S) time.Duration, comesAfter func(S) []int) []time.Duration {
 	after := make([]time.Duration, len(steps))
 	for i := len(steps) - 1; i >= 0; i-- {
 		work := after[i] + takes(steps[i])
--- a/services/ranking/ranking_test.go
+++ b/services/ranking/ranking_test.go
@@ -15,7 +15,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTheTierOfAStep(t *testing.T) {
+func TestTierOfStep(t *testing.T) {
 	due := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for _, c := range []struct {
 		name      string
@@ -37,14 +37,14 @@
 // Of the jobs of one kind, large and small by turns, that have gathered while there was no
 // room, the one wanted first was always placed next, and all were just late: jobs of a drawn
 // load earned 0.721, and 0.745 with the least work first.
-func TestInABacklogTheLeastWorkGoesFirst(t *testing.T) {
+func TestBacklogOrdersByLeastWork(t *testing.T) {
 	wanted := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	rank := func(id job.ID, after time.Duration, work float64) ranking.Rank {
-		return ranking.Rank{WantedAt: wanted.Add(after), Work: work, Step: job.StepID{Job: id}}
+		return ranking.Rank{Deadline: wanted.Add(after), Work: work, Step: job.StepID{Job: id}}
 	}
 	large, small, overdue := rank("large", 0, 0.4), rank("small", time.Second, 0.1), rank("overdue", 2*time.Second, 0)
 	late, urgent, beyond := rank("late", 0, 0.01), rank("urgent", 5*time.Second, 0.9), rank("beyond", 0, 0.01)
-	late.Tier, urgent.Priority, beyond.Beyond = ranking.Late, -1, true
+	late.Tier, urgent.Priority, beyond.OverShare = ranking.Late, -1, true
 	order := func(backlog bool) (names []job.ID) {
 		all := []ranking.Rank{late, beyond, overdue, small, large, urgent}
 		slices.SortFunc(all, func(a, b ranking.Rank) int { return a.Compare(b, backlog) })
@@ -57,11 +57,11 @@
 	assert.DeepEqual(t, order(true), []job.ID{"urgent", "overdue", "small", "large", "beyond", "late"})
 }
 
-func TestABacklogIsMoreThanCanBeginSoon(t *testing.T) {
+func TestIsBacklog(t *testing.T) {
 	all := resource.Vector{Processors: 100, Memory: 100}
-	assert.Check(t, !ranking.Backlog(resource.Vector{Processors: 30, Memory: 10}, all))
-	assert.Check(t, ranking.Backlog(resource.Vector{Processors: 10, Memory: 31}, all))
-	assert.Check(t, !ranking.Backlog(resource.Vector{Processors: 1000}, resource.Vector{}))
+	assert.Check(t, !ranking.IsBacklog(resource.Vector{Processors: 30, Memory: 10}, all))
+	assert.Check(t, ranking.IsBacklog(resource.Vector{Processors: 10, Memory: 31}, all))
+	assert.Check(t, !ranking.IsBacklog(resource.Vector{Processors: 1000}, resource.Vector{}))
 }
 
 // A backlog of 60 steps had built up while connections were silent, and the cell of 6 workers
@@ -71,10 +71,10 @@
 //
 //	03:34:09 state of the cell free=1 processors=80 steps_late=28 steps_hopeless=11
 //	03:34:14 job ended job=job212 age=12.51s delays=map[room:10.3s takeover:1.45s]
-func TestWhatIsHopelessKeepsItsOrderInABacklog(t *testing.T) {
+func TestHopelessStepsKeepDeadlineOrderInBacklog(t *testing.T) {
 	wanted := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	older := ranking.Rank{Tier: ranking.Hopeless, WantedAt: wanted, Work: 0.4}
-	younger := ranking.Rank{Tier: ranking.Hopeless, WantedAt: wanted.Add(time.Second), Work: 0.1}
+	older := ranking.Rank{Tier: ranking.Hopeless, Deadline: wanted, Work: 0.4}
+	younger := ranking.Rank{Tier: ranking.Hopeless, Deadline: wanted.Add(time.Second), Work: 0.1}
 	assert.Check(t, older.Compare(younger, true) < 0)
 	older.Tier, younger.Tier = ranking.Late, ranking.Late
 	assert.Check(t, older.Compare(younger, true) > 0)
--- a/services/recent/recent.go
+++ b/services/recent/recent.go
@@ -24,16 +24,16 @@
 )
 
 const (
-	// Every is the least time between two records of starts.
-	Every = 25 * time.Millisecond
-	// Alone is after how long starts get an append of their own: in a cell in which nothing
+	// MinInterval is the least time between two records of starts.
+	MinInterval = 25 * time.Millisecond
+	// FlushAfter is after how long starts get an append of their own: in a cell in which nothing
 	// else happens a task that crashes its worker after half a second is known by then.
-	Alone = 100 * time.Millisecond
+	FlushAfter = 100 * time.Millisecond
 	// Slots is how many records the log keeps: those of the last 3 s or more.
 	Slots = 128
-	// most bounds the starts of a record: at 4,000 starts/s all are told, beyond that a
+	// maxStarts bounds the starts of a record: at 4,000 starts/s all are told, beyond that a
 	// part, so that a record of about 60 bytes a start stays under 6 kB.
-	most = 100
+	maxStarts = 100
 )
 
 // Start is the start of a task on a worker.
@@ -47,63 +47,65 @@
 	UnixMilli int64 `json:"m"`
 }
 
-// on returns the life on which it was started.
-func (s Start) on() order.Life { return order.Life{Name: s.Worker, BornUnixMilli: s.Born} }
+// life returns the life on which it was started.
+func (s Start) life() order.Life { return order.Life{Name: s.Worker, BornUnixMilli: s.Born} }
 
-// check says what makes no sense in a start that was kept.
-func (s Start) check() error {
+// validate says what makes no sense in a start that was kept.
+func (s Start) validate() error {
 	if s.Worker == "" || s.Task.Job == "" || s.Run <= 0 || s.UnixMilli <= 0 || s.Born < 0 {
 		return fmt.Errorf("recent: start %+v makes no sense", s)
 	}
 	return nil
 }
 
-// Starts gathers what the log is to be told next.
-type Starts struct {
-	waiting []Start
-	// since is when the first of them was added, toldAt when the log was last told, slot the
+// Buffer gathers what the log is to be told next.
+type Buffer struct {
+	pending []Start
+	// since is when the first of them was added, writtenAt when the log was last told, slot the
 	// next key.
-	since, toldAt time.Time
-	slot          int
+	pendingSince, writtenAt time.Time
+	slot                    int
 }
 
 // Add takes a start.
-func (s *Starts) Add(now time.Time, start Start) {
-	if len(s.waiting) == 0 {
-		s.since = now
+func (s *Buffer) Add(now time.Time, start Start) {
+	if len(s.pending) == 0 {
+		s.pendingSince = now
 	}
-	if len(s.waiting) < most {
-		s.waiting = append(s.waiting, start)
+	if len(s.pending) < maxStarts {
+		s.pending = append(s.pending, start)
 	}
 }
 
 // Due says whether the starts that wait get an append of their own.
-func (s *Starts) Due(now time.Time) bool { return len(s.waiting) > 0 && now.Sub(s.since) >= Alone }
+func (s *Buffer) Due(now time.Time) bool {
+	return len(s.pending) > 0 && now.Sub(s.pendingSince) >= FlushAfter
+}
 
 // Take returns the starts for an append that is made now, and the slot to keep them in, or
 // none: those that have ended well since need not be told.
-func (s *Starts) Take(now time.Time, matters func(Start) bool) (slot int, starts []Start) {
-	if len(s.waiting) == 0 || now.Sub(s.toldAt) < Every {
+func (s *Buffer) Take(now time.Time, matters func(Start) bool) (slot int, starts []Start) {
+	if len(s.pending) == 0 || now.Sub(s.writtenAt) < MinInterval {
 		return 0, nil
 	}
-	for _, start := range s.waiting {
+	for _, start := range s.pending {
 		if matters(start) {
 			starts = append(starts, start)
 		}
 	}
-	s.waiting = nil
+	s.pending = nil
 	if len(starts) == 0 {
 		return 0, nil
 	}
-	slot, s.slot, s.toldAt = s.slot, (s.slot+1)%Slots, now
+	slot, s.slot, s.writtenAt = s.slot, (s.slot+1)%Slots, now
 	return slot, starts
 }
 
-// Told are the starts of which the log told, by the worker's life.
-type Told struct{ on map[order.Life][]Start }
+// LoggedStarts are the starts of which the log told, by the worker's life.
+type LoggedStarts struct{ byLife map[order.Life][]Start }
 
 // Read returns the last start of each task. Records that could not be read are returned too.
-func Read(records [][]byte) (Told, []error) {
+func Read(records [][]byte) (LoggedStarts, []error) {
 	last := map[job.TaskID]Start{}
 	var unread []error
 	for _, r := range records {
@@ -118,9 +120,9 @@
 			}
 		}
 	}
-	told := Told{on: map[order.Life][]Start{}}
+	told := LoggedStarts{byLife: map[order.Life][]Start{}}
 	for _, s := range slices.SortedFunc(maps.Values(last), Start.compare) {
-		told.on[s.on()] = append(told.on[s.on()], s)
+		told.byLife[s.life()] = append(told.byLife[s.life()], s)
 	}
 	return told, unread
 }
@@ -131,7 +133,7 @@
 		return nil, fmt.Errorf("recent: %w", err)
 	}
 	for _, s := range starts {
-		if err := s.check(); err != nil {
+		if err := s.validate(); err != nil {
 			return nil, err
 		}
 	}
@@ -143,22 +145,22 @@
 		cmp.Compare(s.Task.Step, o.Task.Step), cmp.Compare(s.Task.Index, o.Task.Index))
 }
 
-// On returns the tasks that were started last on a life of a worker.
-func (t Told) On(life order.Life) []Start {
+// StartedOn returns the tasks that were started last on a life of a worker.
+func (t LoggedStarts) StartedOn(life order.Life) []Start {
 	if life.BornUnixMilli == 0 {
-		return t.on[life]
+		return t.byLife[life]
 	}
 	// An earlier release told names only.
-	return slices.Concat(t.on[life], t.on[order.Life{Name: life.Name}])
+	return slices.Concat(t.byLife[life], t.byLife[order.Life{Name: life.Name}])
 }
 
-// Workers counts the workers on which a task of a step was started, or its gang.
-func (t Told) Workers(step job.StepID, gang bool) int {
+// WorkerCount counts the workers on which a task of a step was started, or its gang.
+func (t LoggedStarts) WorkerCount(step job.StepID, gang bool) int {
 	if !gang {
 		return 1
 	}
 	n := 0
-	for _, starts := range t.on {
+	for _, starts := range t.byLife {
 		if slices.ContainsFunc(starts, func(s Start) bool { return s.Task.StepID == step }) {
 			n++
 		}
@@ -167,7 +169,7 @@
 }
 
 // Forget drops what was started on a life of a worker: it has told itself what it runs.
-func (t Told) Forget(life order.Life) {
-	delete(t.on, life)
-	delete(t.on, order.Life{Name: life.Name})
+func (t LoggedStarts) Forget(life order.Life) {
+	delete(t.byLife, life)
+	delete(t.byLife, order.Life{Name: life.Name})
 }
--- a/services/recent/recent_test.go
+++ b/services/recent/recent_test.go
@@ -21,28 +21,28 @@
 
 func all(recent.Start) bool { return true }
 
-func TestStartsAreToldInTurnAndNotTooOften(t *testing.T) {
+func TestStartsAreWrittenInSlotOrderAndRateLimited(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	var s recent.Starts
+	var s recent.Buffer
 	_, none := s.Take(now, all)
 	assert.Equal(t, len(none), 0)
 	s.Add(now, start("a", 1, "w"))
 	assert.Check(t, !s.Due(now))
-	assert.Check(t, s.Due(now.Add(recent.Alone)))
+	assert.Check(t, s.Due(now.Add(recent.FlushAfter)))
 	slot, starts := s.Take(now, all)
 	assert.Equal(t, slot, 0)
 	assert.DeepEqual(t, starts, []recent.Start{start("a", 1, "w")})
 	s.Add(now, start("b", 1, "w"))
-	_, none = s.Take(now.Add(recent.Every/2), all)
+	_, none = s.Take(now.Add(recent.MinInterval/2), all)
 	assert.Equal(t, len(none), 0, "that would be too often")
 	s.Add(now, start("ended", 1, "w"))
-	slot, starts = s.Take(now.Add(recent.Every), func(s recent.Start) bool { return s.Task.Job != "ended" })
+	slot, starts = s.Take(now.Add(recent.MinInterval), func(s recent.Start) bool { return s.Task.Job != "ended" })
 	assert.Equal(t, slot, 1)
 	assert.DeepEqual(t, starts, []recent.Start{start("b", 1, "w")})
 	assert.Check(t, !s.Due(now.Add(time.Hour)))
 }
 
-func TestTheLastStartOfEachTaskCounts(t *testing.T) {
+func TestReadKeepsLastStartOfEachTask(t *testing.T) {
 	record := func(starts ...recent.Start) []byte {
 		data, err := json.Marshal(starts)
 		assert.NilError(t, err)
@@ -52,14 +52,14 @@
 		record(start("a", 7, "w2"), start("b", 3, "w1")), record(start("a", 5, "w1")), []byte(`{`), []byte(`[{"t":"a.0.0.1","n":9,"w":"","m":1}]`),
 	})
 	assert.Equal(t, len(unread), 2)
-	assert.DeepEqual(t, told.On(order.Life{Name: "w1"}), []recent.Start{start("b", 3, "w1")})
-	assert.DeepEqual(t, told.On(order.Life{Name: "w2"}), []recent.Start{start("a", 7, "w2")})
-	assert.Equal(t, told.Workers(job.StepID{Job: "a"}, true), 1)
+	assert.DeepEqual(t, told.StartedOn(order.Life{Name: "w1"}), []recent.Start{start("b", 3, "w1")})
+	assert.DeepEqual(t, told.StartedOn(order.Life{Name: "w2"}), []recent.Start{start("a", 7, "w2")})
+	assert.Equal(t, told.WorkerCount(job.StepID{Job: "a"}, true), 1)
 	told.Forget(order.Life{Name: "w2"})
-	assert.Equal(t, len(told.On(order.Life{Name: "w2"})), 0)
+	assert.Equal(t, len(told.StartedOn(order.Life{Name: "w2"})), 0)
 }
 
-func TestStartsAreToldByTheLifeOfTheirWorker(t *testing.T) {
+func TestStartsAreGroupedByWorkerLife(t *testing.T) {
 	first, later, before := start("a", 1, "w"), start("b", 2, "w"), start("c", 3, "w")
 	first.Born, later.Born = 500, 400
 	data, err := json.Marshal([]recent.Start{first, later, before})
@@ -67,7 +67,7 @@
 	told, unread := recent.Read([][]byte{data})
 	assert.Equal(t, len(unread), 0)
 	life := order.Life{Name: "w", BornUnixMilli: 400}
-	assert.DeepEqual(t, told.On(life), []recent.Start{later, before})
+	assert.DeepEqual(t, told.StartedOn(life), []recent.Start{later, before})
 	told.Forget(life)
-	assert.DeepEqual(t, told.On(order.Life{Name: "w", BornUnixMilli: 500}), []recent.Start{first})
+	assert.DeepEqual(t, told.StartedOn(order.Life{Name: "w", BornUnixMilli: 500}), []recent.Start{first})
 }
--- a/services/workspaces/keys.go
+++ b/services/workspaces/keys.go
@@ -32,93 +32,93 @@
 	UnknownKey Verdict = "unknown key"
 	// NoQueue means that there is no such queue.
 	NoQueue Verdict = "no such queue"
-	// NotKnown means that this box cannot know: its configuration may not be the newest.
-	NotKnown Verdict = "not known"
+	// Undetermined means that this box cannot know: its configuration may not be the newest.
+	Undetermined Verdict = "not known"
 )
 
-// longestKey is how long a key may be, in bytes. The digest of a longer one is not made, so
+// maxKeyLength is how long a key may be, in bytes. The digest of a longer one is not made, so
 // that nobody can have a box work on keys of any length; the users' have 20.
-const longestKey = 256
+const maxKeyLength = 256
 
-// Take judges a call at the box that takes it. Keys are all that the call carries, of which
-// it may carry one. A call whose verdict is NotKnown may be passed on to the holder if there
+// AuthorizeAtBox judges a call at the box that takes it. Keys are all that the call carries, of which
+// it may carry one. A call whose verdict is Undetermined may be passed on to the holder if there
 // is a caller.
-func Take(c *job.Config, current bool, queue string, keys []string) (*workspace.Caller, Verdict) {
+func AuthorizeAtBox(c *job.Config, current bool, queue string, keys []string) (*workspace.Caller, Verdict) {
 	q, found := c.Queues[queue]
 	if !found {
-		return nil, denied(NoQueue, current)
+		return nil, denialIfCurrent(NoQueue, current)
 	}
 	caller := &workspace.Caller{Queue: queue, Version: c.Version, Current: current}
 	if q.Open {
 		caller.Open = true
 		return caller, Allowed
 	}
-	if len(keys) != 1 || keys[0] == "" || len(keys[0]) > longestKey {
-		return nil, denied(UnknownKey, current)
+	if len(keys) != 1 || keys[0] == "" || len(keys[0]) > maxKeyLength {
+		return nil, denialIfCurrent(UnknownKey, current)
 	}
 	digest := workspace.DigestOf(keys[0])
 	caller.Digest = &digest
-	owner, known := Owner(c, digest)
+	owner, known := KeyOwner(c, digest)
 	if !known && current {
 		return nil, UnknownKey
 	}
 	caller.Workspace = owner
 	if !current {
-		return caller, NotKnown
+		return caller, Undetermined
 	}
 	return caller, Allowed
 }
 
-// Judge judges a call at the holder, and sets the caller's workspace to the one by which it
+// AuthorizeAtHolder judges a call at the holder, and sets the caller's workspace to the one by which it
 // acts.
-func Judge(c *job.Config, current bool, caller *workspace.Caller) Verdict {
+func AuthorizeAtHolder(c *job.Config, current bool, caller *workspace.Caller) Verdict {
 	switch {
 	case caller == nil:
 		return Allowed
 	case c.Version > caller.Version, current && c.Version == caller.Version:
-		return judgeBy(c, current || caller.Current, caller)
+		return authorizeBy(c, current || caller.Current, caller)
 	case caller.Open, caller.Current:
 		return Allowed
 	default:
-		return NotKnown
+		return Undetermined
 	}
 }
 
-// judgeBy judges a call by the holder's configuration.
-func judgeBy(c *job.Config, current bool, caller *workspace.Caller) Verdict {
+// authorizeBy judges a call by the holder's configuration.
+func authorizeBy(c *job.Config, current bool, caller *workspace.Caller) Verdict {
 	q, found := c.Queues[caller.Queue]
 	if !found {
-		return denied(NoQueue, current)
+		return denialIfCurrent(NoQueue, current)
 	}
 	if caller.Open = q.Open; q.Open {
 		caller.Workspace = ""
 		return Allowed
 	}
 	if caller.Digest == nil {
-		return denied(UnknownKey, current)
+		return denialIfCurrent(UnknownKey, current)
 	}
-	owner, known := Owner(c, *caller.Digest)
+	owner, known := KeyOwner(c, *caller.Digest)
 	if !known {
-		return denied(UnknownKey, current)
+		return denialIfCurrent(UnknownKey, current)
 	}
 	caller.Workspace = owner
 	if !current {
-		return NotKnown
+		return Undetermined
 	}
 	return Allowed
 }
 
-// denied returns a refusal, if it is known to be true.
-func denied(v Verdict, current bool) Verdict {
+// denialIfCurrent returns a refusal, if it is known to be true.
+func denialIfCurrent(v Verdict, current bool) Verdict {
 	if !current {
-		return NotKnown
+		return Undetermined
 	}
 	return v
 }
 
-// Owner returns the workspace that a key is of. The digest tells nothing of the key, and it
+// KeyOwner returns the workspace that a key is of. The digest tells nothing of the key, and it
 // is compared in constant time besides.
-func Owner(c *job.Config, d workspace.Digest) (string, bool) {
+func KeyOwner(c *job.Config, d workspace.Digest) (string, bool) {
 	k, found := c.Keys[d]
 	if !found || subtle.ConstantTimeCompare(k.Digest[:], d[:]) != 1 {
 		return "", false
@@ -126,12 +126,12 @@
 	return k.Workspace, true
 }
 
-// comeBack is when to call again if it cannot be known whether a call is allowed: a box that
+// retryDelay is when to call again if it cannot be known whether a call is allowed: a box that
 // has lost the log finds it again within a second, or another box is asked.
-const comeBack = 600 * time.Millisecond
+const retryDelay = 600 * time.Millisecond
 
-// Refused is the answer to a call that is not allowed, or not known to be.
-func Refused(v Verdict) exchange.Answer {
+// RefusalAnswer is the answer to a call that is not allowed, or not known to be.
+func RefusalAnswer(v Verdict) exchange.Answer {
 	switch v {
 	case UnknownKey:
 		return exchange.Answer{Outcome: exchange.Denied, Reason: "the key is of no workspace"}
@@ -140,7 +140,7 @@
 	default:
 		return exchange.Answer{
 			Outcome: exchange.Unavailable, Reason: "it cannot be known at present what the configuration in force allows",
-			RetryAfter: job.Milliseconds(comeBack.Milliseconds()),
+			RetryAfter: job.Milliseconds(retryDelay.Milliseconds()),
 		}
 	}
 }
--- a/services/workspaces/keys_test.go
+++ b/services/workspaces/keys_test.go
@@ -30,7 +30,7 @@
 }
 
 // Every call was served, whatever key it carried: no code looked at it.
-func TestTheBoxThatTakesACallJudgesItsKey(t *testing.T) {
+func TestAuthorizeAtBox(t *testing.T) {
 	c := configOf(t, 5, map[string]string{"k1": "a"})
 	for _, x := range []struct {
 		name    string
@@ -51,13 +51,13 @@
 		{"no key where none is needed", true, "open", nil, workspaces.Allowed},
 		{"any key where none is needed", true, "open", []string{"k2"}, workspaces.Allowed},
 		{"no queue, whatever the key", true, "none", []string{"k2"}, workspaces.NoQueue},
-		{"a key that may have been taken away", false, "q", []string{"k1"}, workspaces.NotKnown},
-		{"a key that may have been given", false, "q", []string{"k2"}, workspaces.NotKnown},
-		{"no key, and the queue may need none", false, "q", nil, workspaces.NotKnown},
-		{"a queue that may be there", false, "none", nil, workspaces.NotKnown},
+		{"a key that may have been taken away", false, "q", []string{"k1"}, workspaces.Undetermined},
+		{"a key that may have been given", false, "q", []string{"k2"}, workspaces.Undetermined},
+		{"no key, and the queue may need none", false, "q", nil, workspaces.Undetermined},
+		{"a queue that may be there", false, "none", nil, workspaces.Undetermined},
 		{"no key is needed, and the box is cut off", false, "open", nil, workspaces.Allowed},
 	} {
-		caller, got := workspaces.Take(c, x.current, x.queue, x.keys)
+		caller, got := workspaces.AuthorizeAtBox(c, x.current, x.queue, x.keys)
 		assert.Equal(t, got, x.want, x.name)
 		assert.Check(t, got != workspaces.Allowed || caller != nil, x.name)
 		assert.Check(t, got != workspaces.UnknownKey && got != workspaces.NoQueue || caller == nil, x.name)
@@ -66,9 +66,9 @@
 
 // A key is nowhere readable: not in what passes between boxes, not in what is printed of a
 // caller, a digest or a configuration.
-func TestKeysAreNotReadable(t *testing.T) {
+func TestKeysAreNotExposed(t *testing.T) {
 	c := configOf(t, 5, map[string]string{"secret-key": "a"})
-	caller, _ := workspaces.Take(c, true, "q", []string{"secret-key"})
+	caller, _ := workspaces.AuthorizeAtBox(c, true, "q", []string{"secret-key"})
 	wire, err := json.Marshal(caller)
 	assert.NilError(t, err)
 	config, err := json.Marshal(c)
@@ -82,7 +82,7 @@
 	assert.DeepEqual(t, &back, caller)
 }
 
-func TestAWorkspaceThatCannotBeIsRefusedWithItsConfiguration(t *testing.T) {
+func TestInvalidWorkspaceIsRejectedWithConfiguration(t *testing.T) {
 	d := workspace.DigestOf("k")
 	for name, all := range map[string][]workspace.Workspace{
 		"no name":        {{}},
@@ -102,13 +102,13 @@
 
 // Judging a key costs 0.32 µs beside a call that takes a millisecond (20 workspaces); before
 // there was none.
-func BenchmarkTake(b *testing.B) {
+func BenchmarkAuthorizeAtBox(b *testing.B) {
 	keys := map[string]string{}
 	for i := range 20 {
 		keys[fmt.Sprintf("key%017d", i)] = fmt.Sprint("workspace", i)
 	}
 	c := configOf(b, 1, keys)
 	for b.Loop() {
-		workspaces.Take(c, true, "q", []string{"key00000000000000007"})
+		workspaces.AuthorizeAtBox(c, true, "q", []string{"key00000000000000007"})
 	}
 }
--- a/services/workspaces/shares.go
+++ b/services/workspaces/shares.go
@@ -10,9 +10,9 @@
 	"saddlevane/models/workspace"
 )
 
-// Shares tells which jobs are beyond the share of their workspace: a token bucket each, that
+// ShareLimiter tells which jobs are beyond the share of their workspace: a token bucket each, that
 // is filled by its weight and holds what it is owed in the window.
-type Shares struct {
+type ShareLimiter struct {
 	window  time.Duration
 	buckets map[string]*bucket
 }
@@ -22,18 +22,18 @@
 	at     time.Time
 }
 
-// leastBurst is how many jobs any workspace may send at once.
-const leastBurst = 2.0
+// minBurst is how many jobs any workspace may send at once.
+const minBurst = 2.0
 
-// NewShares returns shares by which no job has come yet. A workspace may send what it is owed
+// NewShareLimiter returns shares by which no job has come yet. A workspace may send what it is owed
 // in the window at once.
-func NewShares(window time.Duration) *Shares {
-	return &Shares{window: window, buckets: map[string]*bucket{}}
+func NewShareLimiter(window time.Duration) *ShareLimiter {
+	return &ShareLimiter{window: window, buckets: map[string]*bucket{}}
 }
 
-// Within takes a new job of a workspace, and says whether it is within its share.
-func (s *Shares) Within(now time.Time, w workspace.Workspace) bool {
-	b := s.fill(now, w)
+// TakeToken takes a new job of a workspace, and says whether it is within its share.
+func (s *ShareLimiter) TakeToken(now time.Time, w workspace.Workspace) bool {
+	b := s.refill(now, w)
 	if b.tokens < 1 {
 		return false
 	}
@@ -41,19 +41,19 @@
 	return true
 }
 
-// Next returns after what time a job of a workspace is within its share.
-func (s *Shares) Next(now time.Time, w workspace.Workspace) time.Duration {
-	b := s.fill(now, w)
+// TimeToToken returns after what time a job of a workspace is within its share.
+func (s *ShareLimiter) TimeToToken(now time.Time, w workspace.Workspace) time.Duration {
+	b := s.refill(now, w)
 	if b.tokens >= 1 || w.Weight <= 0 {
 		return 0
 	}
 	return time.Duration((1 - b.tokens) / w.Weight * float64(time.Second))
 }
 
-// fill returns the bucket of a workspace as it is at now. A clock that goes back fills
+// refill returns the bucket of a workspace as it is at now. A clock that goes back fills
 // nothing.
-func (s *Shares) fill(now time.Time, w workspace.Workspace) *bucket {
-	most := math.Max(leastBurst, w.Weight*s.window.Seconds())
+func (s *ShareLimiter) refill(now time.Time, w workspace.Workspace) *bucket {
+	most := math.Max(minBurst, w.Weight*s.window.Seconds())
 	b := s.buckets[w.Name]
 	if b == nil {
 		b = &bucket{tokens: most, at: now}
--- a/services/workspaces/shares_test.go
+++ b/services/workspaces/shares_test.go
@@ -23,18 +23,18 @@
 
 // A workspace may send what it is owed in the window at once, and its weight a second from
 // then on.
-func TestAShareGathersForTheWindow(t *testing.T) {
+func TestShareAccumulatesOverWindow(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	w := workspace.Workspace{Name: "a", Weight: 4}
-	s := workspaces.NewShares(5 * time.Second)
+	s := workspaces.NewShareLimiter(5 * time.Second)
 	take := func() (n int) {
-		for s.Within(now, w) {
+		for s.TakeToken(now, w) {
 			n++
 		}
 		return n
 	}
 	assert.Equal(t, take(), 20)
-	assert.Equal(t, s.Next(now, w), 250*time.Millisecond)
+	assert.Equal(t, s.TimeToToken(now, w), 250*time.Millisecond)
 	now = now.Add(time.Second)
 	assert.Equal(t, take(), 4)
 	now = now.Add(time.Hour)
@@ -44,27 +44,27 @@
 	// One without a weight is owed nothing after its first jobs, and is not told to come back.
 	none := workspace.Workspace{Name: "none"}
 	for _, want := range []bool{true, true, false} {
-		assert.Equal(t, s.Within(now, none), want)
+		assert.Equal(t, s.TakeToken(now, none), want)
 	}
-	assert.Equal(t, s.Next(now, none), time.Duration(0))
+	assert.Equal(t, s.TimeToToken(now, none), time.Duration(0))
 }
 
-func TestWhatIsLeftOfACap(t *testing.T) {
+func TestRemainingCap(t *testing.T) {
 	u := workspaces.NewUsage()
 	w := workspace.Workspace{Name: "a", Most: resource.Vector{Processors: 10, Memory: 0, Accelerators: 2}}
 	need := resource.Vector{Processors: 4, Memory: 1 << 40}
-	assert.Equal(t, u.Left(w).Holds(need, 100), 2)
-	u.Take("a", need)
-	u.Take("", need)
-	assert.Equal(t, u.Left(w).Holds(need, 100), 1)
+	assert.Equal(t, u.Remaining(w).Holds(need, 100), 2)
+	u.Add("a", need)
+	u.Add("", need)
+	assert.Equal(t, u.Remaining(w).Holds(need, 100), 1)
 	// One resource that is used up keeps no task from starting that needs none of it.
-	u.Take("a", resource.Vector{Accelerators: 3})
-	assert.Equal(t, u.Left(w).Holds(need, 100), 1)
-	u.Unheard(map[string]resource.Vector{"a": {Processors: 3}})
-	assert.Equal(t, u.Left(w).Holds(need, 100), 0)
-	u.Unheard(nil)
-	u.Return("a", resource.Vector{Accelerators: 3})
-	u.Return("a", need)
+	u.Add("a", resource.Vector{Accelerators: 3})
+	assert.Equal(t, u.Remaining(w).Holds(need, 100), 1)
+	u.SetUnreported(map[string]resource.Vector{"a": {Processors: 3}})
+	assert.Equal(t, u.Remaining(w).Holds(need, 100), 0)
+	u.SetUnreported(nil)
+	u.Subtract("a", resource.Vector{Accelerators: 3})
+	u.Subtract("a", need)
 	assert.Check(t, u.Of("a").IsZero() && u.Of("").IsZero())
-	assert.Check(t, workspaces.MayEver(w, need) && !workspaces.MayEver(w, need.Times(3)))
+	assert.Check(t, workspaces.FitsCap(w, need) && !workspaces.FitsCap(w, need.Times(3)))
 }
