--- a/services/dispatch/lives_test.go
+++ b/services/dispatch/lives_test.go
@@ -209,7 +209,7 @@
 	later.Number = 5
 	records := []stream.Record{
 		kept.Submission{Queue: config().Queues["quick"], Submission: s, Accepted: 1}.Record(),
-		kept.SilentWorkerRecord(workerEntry("w", 1000), kept.SilentState{LeaseLeft: 5000, Runs: []order.Run{run}}), kept.WorkerRecord(workerEntry("v", 1000)),
+		kept.UnresponsiveWorkerRecord(workerEntry("w", 1000), kept.UnresponsiveState{LeaseLeft: 5000, Runs: []order.Run{run}}), kept.WorkerRecord(workerEntry("v", 1000)),
 	}
 	for i := range records {
 		records[i].Offset = int64(i)
--- a/services/dispatch/load.go
+++ b/services/dispatch/load.go
@@ -67,8 +67,8 @@
 func (h *holderState) foldWorker(now time.Time, k kept.KnownWorker) {
 	o := k.Worker
 	w := h.restoreWorker(now, o)
-	if k.Silent != nil && !w.reported {
-		h.restoreUnresponsive(now, w, k.Silent)
+	if k.Unresponsive != nil && !w.reported {
+		h.restoreUnresponsive(now, w, k.Unresponsive)
 		return
 	}
 	w.recorded = true
--- a/services/dispatch/silence.go
+++ b/services/dispatch/silence.go
@@ -55,15 +55,15 @@
 	w.unresponsive = unresponsiveRecord{written: true, writtenAt: now, detectionDelay: w.unresponsive.detectionDelay}
 	w.recorded, w.recording = false, false
 	w.records++
-	s := kept.SilentState{DetectionDelay: job.Milliseconds(late.Milliseconds()), LeaseLeft: job.Milliseconds(max(0, w.leaseExpiresBy.Sub(now)).Milliseconds())}
+	s := kept.UnresponsiveState{DetectionDelay: job.Milliseconds(late.Milliseconds()), LeaseLeft: job.Milliseconds(max(0, w.leaseExpiresBy.Sub(now)).Milliseconds())}
 	for _, a := range w.sortedAttempts() {
 		s.Runs = append(s.Runs, a.runID())
-		s.RunTimes = append(s.RunTimes, a.recordedWorkTime(w.presence.SilentSince()))
+		s.WorkTimes = append(s.WorkTimes, a.recordedWorkTime(w.presence.SilentSince()))
 	}
 	for run := range ordered.By(w.orphans, order.Run.Compare) {
 		s.Runs = append(s.Runs, run)
 	}
-	h.journal.add(kept.SilentWorkerRecord(w.Worker, s))
+	h.journal.add(kept.UnresponsiveWorkerRecord(w.Worker, s))
 }
 
 // recordedWorkTime returns for how long an attempt had been at work at a time, as the log keeps
@@ -87,12 +87,12 @@
 
 // restoreUnresponsive takes over a worker that was silent under an earlier holder: what may run on it
 // is known, and counts as being at work until it answers or its lease is over.
-func (h *holderState) restoreUnresponsive(now time.Time, w *worker, s *kept.SilentState) {
+func (h *holderState) restoreUnresponsive(now time.Time, w *worker, s *kept.UnresponsiveState) {
 	w.unresponsive = unresponsiveRecord{written: true, writtenAt: now, detectionDelay: s.DetectionDelay.Duration()}
 	w.leaseExpiresBy = ordered.Later(w.leaseExpiresBy, now.Add(min(h.maxLeaseDuration(), s.LeaseLeft.Duration())))
 	for i, run := range s.Runs {
 		a := h.restoreRun(now, w, run)
-		if worked, known := s.RunTime(i); a != nil && known {
+		if worked, known := s.WorkTime(i); a != nil && known {
 			a.workedUntilSilence, a.workedUntilSilenceKnown = worked, true
 		}
 	}
--- a/services/kept/kept.go
+++ b/services/kept/kept.go
@@ -58,28 +58,28 @@
 type KnownWorker struct {
 	order.Worker
 	// Silent is set if it did not answer, and nothing has been started on it since.
-	Silent *SilentState `json:"silent,omitempty"`
+	Unresponsive *UnresponsiveState `json:"silent,omitempty"`
 }
 
-// SilentState is what is kept of a worker that does not answer.
-type SilentState struct {
+// UnresponsiveState is what is kept of a worker that does not answer.
+type UnresponsiveState struct {
 	// Left is how long its lease lasted at most when that was written.
 	LeaseLeft job.Milliseconds `json:"left_ms"`
 	// Runs are all that may be at work on it.
 	Runs []order.Run `json:"runs,omitempty"`
 	// Worked is for how long each of them had been at work when it fell silent, or -1 where
 	// that is not known: if the worker has crashed, the next holder judges by it.
-	RunTimes []job.Milliseconds `json:"worked_ms,omitempty"`
+	WorkTimes []job.Milliseconds `json:"worked_ms,omitempty"`
 	// Late is by how much that may have been seen too late.
 	DetectionDelay job.Milliseconds `json:"late_ms,omitempty"`
 }
 
-// RunTime returns for how long a run had been at work, if that is known.
-func (s *SilentState) RunTime(run int) (time.Duration, bool) {
-	if run >= len(s.RunTimes) || s.RunTimes[run] < 0 {
+// WorkTime returns for how long a run had been at work, if that is known.
+func (s *UnresponsiveState) WorkTime(run int) (time.Duration, bool) {
+	if run >= len(s.WorkTimes) || s.WorkTimes[run] < 0 {
 		return 0, false
 	}
-	return s.RunTimes[run].Duration(), true
+	return s.WorkTimes[run].Duration(), true
 }
 
 // WorkerRecord is the record of a worker on which tasks may be started.
@@ -87,10 +87,10 @@
 	return newRecord(keyWorker+w.Name, KnownWorker{Worker: w})
 }
 
-// SilentWorkerRecord is the record of a worker that does not answer, and on which nothing is
+// UnresponsiveWorkerRecord is the record of a worker that does not answer, and on which nothing is
 // started until Worker is kept of it again.
-func SilentWorkerRecord(w order.Worker, s SilentState) stream.Record {
-	return newRecord(keyWorker+w.Name, KnownWorker{Worker: w, Silent: &s})
+func UnresponsiveWorkerRecord(w order.Worker, s UnresponsiveState) stream.Record {
+	return newRecord(keyWorker+w.Name, KnownWorker{Worker: w, Unresponsive: &s})
 }
 
 // RunTimesRecord is the record of what is known of run times.
--- a/services/kept/kept_test.go
+++ b/services/kept/kept_test.go
@@ -71,15 +71,15 @@
 	assert.DeepEqual(t, unread, []string{"s/b", "s/c", "s/d", "p/e", "w/x", "p/ended"})
 }
 
-func TestSilentWorkerRecordHoldsRunTimes(t *testing.T) {
+func TestUnresponsiveWorkerRecordHoldsWorkTimes(t *testing.T) {
 	run := order.Run{Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Number: 7}
-	s := kept.Decode(withOffsets(kept.SilentWorkerRecord(order.Worker{Life: order.Life{Name: "w"}}, kept.SilentState{LeaseLeft: 5, Runs: []order.Run{run, run, run}, RunTimes: []job.Milliseconds{600, -1}})))
+	s := kept.Decode(withOffsets(kept.UnresponsiveWorkerRecord(order.Worker{Life: order.Life{Name: "w"}}, kept.UnresponsiveState{LeaseLeft: 5, Runs: []order.Run{run, run, run}, WorkTimes: []job.Milliseconds{600, -1}})))
 	assert.Equal(t, len(s.Workers), 1)
-	silent := s.Workers[0].Silent
-	worked, known := silent.RunTime(0)
+	silent := s.Workers[0].Unresponsive
+	worked, known := silent.WorkTime(0)
 	assert.Check(t, known && worked == 600*time.Millisecond)
 	for _, unknown := range []int{1, 2} {
-		_, known = silent.RunTime(unknown)
+		_, known = silent.WorkTime(unknown)
 		assert.Check(t, !known, "run %d", unknown)
 	}
 }
--- a/services/slots/slots_test.go
+++ b/services/slots/slots_test.go
@@ -31,7 +31,7 @@
 	assert.Check(t, !found)
 }
 
-func TestCheapestReturnsFewestSufficientPreemptions(t *testing.T) {
+func TestCheapestPreemptionsAreTakenUntilTasksFit(t *testing.T) {
 	gain := func(worker string, tasks int, cost float64, ticketed bool) slots.Preemption[string, int] {
 		return slots.Preemption[string, int]{Allocation: slots.Allocation[string]{Worker: worker, Tasks: tasks}, Cost: cost, HasTicket: ticketed}
 	}
