--- a/services/dispatch/advice.go
+++ b/services/dispatch/advice.go
@@ -192,5 +192,5 @@
 			a.SetTicket(w, t.Ticket, now.Add(valid))
 		}
 	}
-	h.learned.ObserveAdvice(s.job.queue, len(fresh), good)
+	h.history.ObserveAdvice(s.job.queue, len(fresh), good)
 }
--- a/services/dispatch/ask.go
+++ b/services/dispatch/ask.go
@@ -185,7 +185,7 @@
 		h.advisers.FairShare.RecordDeferral(now, h.turnClass(now, s))
 		return false
 	}
-	missing := askFactor * float64(s.waiting) / h.learned.SuitableShare(r.queue.Name)
+	missing := askFactor * float64(s.unplacedTasks) / h.history.SuitableShare(r.queue.Name)
 	least := advisers.MinWorkersPerCall(r.queue.Advice)
 	var named []*worker
 	for w, room := range s.unaskedRotated(candidates) {
--- a/services/dispatch/attempts.go
+++ b/services/dispatch/attempts.go
@@ -28,7 +28,7 @@
 	// checkpoint and ticket are what it was ordered with, tries how often the order was
 	// sent: the same order again changes nothing more.
 	checkpoint, ticket string
-	tries              int
+	orderCount         int
 	// figure is the worker's rough figure of the run.
 	figure int64
 	// pace is the percentage of its speed at which it works, or paceUnknown; pacing says
@@ -44,7 +44,7 @@
 	// marked says that it is to be stopped for a gang that has its place reserved.
 	markedForStop bool
 	// stopAt is when its end was first ordered.
-	stopOrderedAt time.Time
+	stopRequestedAt time.Time
 	// risk is the probability that it crashes its worker, if it is of a suspect, and trial
 	// says that the worker gets nothing else meanwhile.
 	crashRisk float64
@@ -54,9 +54,9 @@
 	adopted, resumed bool
 	// unheard says that only the log told of it: its worker was silent.
 	onlyLogged bool
-	// fromEarlierLife says that it was ordered from an earlier life of its worker: unless the
+	// fromEarlierIncarnation says that it was ordered from an earlier life of its worker: unless the
 	// worker tells of it, it never begins.
-	fromEarlierLife bool
+	fromEarlierIncarnation bool
 	// silentAfter is for how long it had been at work when its worker fell silent under an
 	// earlier holder, if workedUntilSilenceKnown.
 	workedUntilSilence      time.Duration
@@ -99,9 +99,9 @@
 	t := a.task()
 	t.attempt = a
 	t.lastRun = a.run
-	a.step.attempts++
+	a.step.placedTasks++
 	if !t.done {
-		a.step.waiting--
+		a.step.unplacedTasks--
 	}
 	h.enterTrial(now, a)
 }
@@ -116,10 +116,10 @@
 	if t.attempt == a {
 		t.attempt = nil
 		if !t.done {
-			a.step.waiting++
+			a.step.unplacedTasks++
 		}
 	}
-	a.step.attempts--
+	a.step.placedTasks--
 	h.planDue = true
 }
 
--- a/services/dispatch/caps.go
+++ b/services/dispatch/caps.go
@@ -31,13 +31,13 @@
 			}
 		}
 	}
-	if h.shares.TakeToken(now, ws) {
+	if h.workspaceShares.TakeToken(now, ws) {
 		return true, nil
 	}
 	if !h.hasAmpleRoom && h.isEnabled(mechanism.RefusedShares) {
 		return false, &exchange.Answer{
 			Outcome: exchange.Busy, Reason: "the workspace has sent more than its share, and there is little room",
-			RetryAfter: job.Milliseconds(h.shares.TimeToToken(now, ws).Milliseconds()),
+			RetryAfter: job.Milliseconds(h.workspaceShares.TimeToToken(now, ws).Milliseconds()),
 		}
 	}
 	return false, nil
@@ -63,11 +63,11 @@
 // placed returns what the tasks of a job take that have a place, unplaced what those would
 // that are neither done nor known to have one.
 func (j *trackedJob) placed() resource.Vector {
-	return j.sum(func(s *step) int { return s.attempts })
+	return j.sum(func(s *step) int { return s.placedTasks })
 }
 
 func (j *trackedJob) unplaced() resource.Vector {
-	return j.sum(func(s *step) int { return s.waiting })
+	return j.sum(func(s *step) int { return s.unplacedTasks })
 }
 
 // sum returns what some tasks of each step of a job need together.
@@ -99,7 +99,7 @@
 	var room resource.Vector
 	for _, w := range h.workersByName() {
 		switch {
-		case h.unsettledWorkers[w.Name]:
+		case h.unreportedWorkers[w.Name]:
 			room = room.Plus(w.Capacity)
 		case len(w.orphans) > 0:
 			room = room.Plus(w.free)
@@ -125,9 +125,9 @@
 func (h *holderState) workspaceStatus() []job.WorkspaceStatus {
 	waiting, capped := map[string]int{}, map[string]int{}
 	for _, s := range h.openSteps {
-		if s.open && s.waiting > 0 {
+		if s.open && s.unplacedTasks > 0 {
 			waiting[s.job.workspace]++
-			if s.heldByCap {
+			if s.capReached {
 				capped[s.job.workspace]++
 			}
 		}
--- a/services/dispatch/choice.go
+++ b/services/dispatch/choice.go
@@ -84,7 +84,7 @@
 		return
 	}
 	s.nextWidenAt = now.Add(widenEvery)
-	good := h.learned.SuitableShare(r.queue.Name)
+	good := h.history.SuitableShare(r.queue.Name)
 	missing := s.missing(s.choice(now, roomy), candidates, good)
 	if missing <= 0 {
 		return
--- a/services/dispatch/confirm.go
+++ b/services/dispatch/confirm.go
@@ -48,8 +48,8 @@
 		h.replyToCalls(s.acceptCalls, exchange.Answer{Outcome: exchange.Unsure, Reason: "the log has not confirmed the job"})
 		s.acceptCalls = nil
 	}
-	for i := range b.progress {
-		p := &b.progress[i]
+	for i := range b.progressEntries {
+		p := &b.progressEntries[i]
 		h.replyToCalls(p.cancelCalls, unsureCancel)
 		p.cancelCalls = nil
 	}
@@ -107,7 +107,7 @@
 			logField("took", now.Sub(s.acceptedAt).String()), logField("open_steps", len(h.openSteps)))
 		h.openInstances(now, s)
 	}
-	for _, p := range b.progress {
+	for _, p := range b.progressEntries {
 		h.progressAppended(now, p)
 	}
 	h.startLoading()
--- a/services/dispatch/delay.go
+++ b/services/dispatch/delay.go
@@ -16,7 +16,7 @@
 
 // waited notes what a step waits for at now.
 func (s *step) waited(now time.Time, why delays.Cause) {
-	if since := ordered.Later(s.waitSumUntil, s.openedAt); s.done+s.attempts == 0 && !since.IsZero() {
+	if since := ordered.Later(s.waitSumUntil, s.openedAt); s.doneTasks+s.placedTasks == 0 && !since.IsZero() {
 		if s.waitSum == nil {
 			s.waitSum = delays.Totals{}
 		}
@@ -30,7 +30,7 @@
 	if s.advice.asking() {
 		return delays.Advice
 	}
-	if s.heldByCap {
+	if s.capReached {
 		return delays.Cap
 	}
 	return delays.NoRoom
--- a/services/dispatch/ends.go
+++ b/services/dispatch/ends.go
@@ -28,8 +28,8 @@
 	if a != nil {
 		s = a.step
 		h.unassign(a)
-		if end.How == order.Stopped && !a.stopOrderedAt.IsZero() {
-			h.learned.ObserveStop(now.Sub(a.stopOrderedAt))
+		if end.How == order.Stopped && !a.stopRequestedAt.IsZero() {
+			h.history.ObserveStop(now.Sub(a.stopRequestedAt))
 		}
 	}
 	if s == nil || end.Task.Index >= len(s.tasks) {
@@ -89,7 +89,7 @@
 
 // completeTask notes a task's good end. One of a gang counts for all its members.
 func (h *holderState) completeTask(now time.Time, s *step, end order.End) {
-	if s.done == len(s.tasks) {
+	if s.doneTasks == len(s.tasks) {
 		// The other members of a gang end well too.
 		return
 	}
@@ -103,7 +103,7 @@
 			h.stopAttempt(now, a)
 		}
 	}
-	if s.done == len(s.tasks) {
+	if s.doneTasks == len(s.tasks) {
 		h.completeStep(now, s, end.Task.Index)
 	}
 }
@@ -137,9 +137,9 @@
 		return
 	}
 	t.done = true
-	s.done++
+	s.doneTasks++
 	if t.attempt == nil {
-		s.waiting--
+		s.unplacedTasks--
 	}
 }
 
@@ -163,7 +163,7 @@
 
 // restartGang ends what is left of a gang's run, so that it can begin anew.
 func (h *holderState) restartGang(now time.Time, s *step) {
-	if !s.spec.Gang || s.done > 0 {
+	if !s.spec.Gang || s.doneTasks > 0 {
 		return
 	}
 	for i := range s.tasks {
@@ -176,7 +176,7 @@
 // replanAfterEnd has the step's remaining tasks placed again.
 func (h *holderState) replanAfterEnd(s *step) {
 	h.planDue = true
-	if s.attempts == 0 && s.job.endLogged && s.job.state.Final() {
+	if s.placedTasks == 0 && s.job.endLogged && s.job.state.Final() {
 		s.job.releaseIfIdle()
 	}
 }
--- a/services/dispatch/fit.go
+++ b/services/dispatch/fit.go
@@ -46,8 +46,8 @@
 		shares[i] = c.share
 	}
 	if s.spec.OneRack && s.spec.Gang {
-		if together, ok := slots.FillInOneGroup(shares, s.waiting, func(w *worker) string { return w.Rack }); ok {
-			return together, s.waiting
+		if together, ok := slots.FillInOneGroup(shares, s.unplacedTasks, func(w *worker) string { return w.Rack }); ok {
+			return together, s.unplacedTasks
 		}
 	}
 	return slots.FillInOrder(shares, h.mayPlace(s))
--- a/services/dispatch/holding.go
+++ b/services/dispatch/holding.go
@@ -74,17 +74,17 @@
 	renewalsSent int64
 	// unsettled names workers of earlier holders that have not told what they
 	// run. Until it is empty, no task of an earlier holder's job starts.
-	unsettledWorkers map[string]bool
+	unreportedWorkers map[string]bool
 
 	// advisers are the boxes through which calls for advice are made.
 	advisers *advisers.Balancer[*adviceCall]
-	learned  *learned.Estimates
+	history  *learned.Estimates
 	// usage counts what the tasks of each workspace take, shares says which jobs are beyond
 	// a workspace's share, and left what may still run of jobs that had ended under earlier
 	// holders.
-	usage         *workspaces.Usage
-	shares        *workspaces.ShareLimiter
-	leftoverUsage map[string]resource.Vector
+	usage           *workspaces.Usage
+	workspaceShares *workspaces.ShareLimiter
+	leftoverUsage   map[string]resource.Vector
 	// docket has what is held against tasks under which workers crashed.
 	blame *blame.Tracker
 	// inheritedStarts are the tasks that earlier holders had started last on workers that have
@@ -120,9 +120,9 @@
 	h := &holderState{
 		core: c, epoch: epoch, phase: phaseFencing, startedAt: now,
 		journal: journal{epoch: epoch}, jobs: map[job.ID]*trackedJob{},
-		workers: map[string]*worker{}, unsettledWorkers: map[string]bool{}, blame: blame.NewTracker(),
-		advisers: advisers.New[*adviceCall](c.self.Box), learned: learned.NewEstimates(), planBudget: planning.New(), reservations: reservations.New(),
-		usage: workspaces.NewUsage(), shares: workspaces.NewShareLimiter(c.settings.ShareWindow), leftoverUsage: map[string]resource.Vector{},
+		workers: map[string]*worker{}, unreportedWorkers: map[string]bool{}, blame: blame.NewTracker(),
+		advisers: advisers.New[*adviceCall](c.self.Box), history: learned.NewEstimates(), planBudget: planning.New(), reservations: reservations.New(),
+		usage: workspaces.NewUsage(), workspaceShares: workspaces.NewShareLimiter(c.settings.ShareWindow), leftoverUsage: map[string]resource.Vector{},
 		knownPools: map[string]bool{},
 	}
 	if c.config != nil {
@@ -135,7 +135,7 @@
 func (h *holderState) begin(now time.Time) {
 	h.core.logEvent("took the cell over", logField("claim", h.epoch))
 	h.core.emit(exchange.FollowWorkers{On: true})
-	h.journal.add(kept.FenceRecord())
+	h.journal.addRecord(kept.FenceRecord())
 	h.flush(now)
 }
 
--- a/services/dispatch/instances.go
+++ b/services/dispatch/instances.go
@@ -19,18 +19,18 @@
 		}
 		return
 	}
-	for j.nextInstance < j.submission.Repeat.Times {
-		due := j.submission.Repeat.Due(j.nextInstance)
+	for j.nextDueInstance < j.submission.Repeat.Times {
+		due := j.submission.Repeat.Due(j.nextDueInstance)
 		if h.core.unixMilli(now) < due.UnixMilli() {
 			return
 		}
-		if j.instances[j.nextInstance] != nil {
+		if j.instances[j.nextDueInstance] != nil {
 			// An earlier holder's clock was ahead.
-			j.nextInstance++
+			j.nextDueInstance++
 			continue
 		}
-		in := h.addInstance(j, j.nextInstance, now.Add(-time.Duration(h.core.unixMilli(now)-due.UnixMilli())*time.Millisecond))
-		j.nextInstance++
+		in := h.addInstance(j, j.nextDueInstance, now.Add(-time.Duration(h.core.unixMilli(now)-due.UnixMilli())*time.Millisecond))
+		j.nextDueInstance++
 		if j.accepted {
 			h.openReadySteps(now, in)
 		}
@@ -44,7 +44,7 @@
 		spec := &j.submission.Steps[i]
 		in.steps = append(in.steps, &step{
 			id: job.StepID{Job: j.id, Instance: number, Step: i}, job: j, instance: in, spec: spec,
-			tasks: make([]task, spec.Tasks), waiting: spec.Tasks,
+			tasks: make([]task, spec.Tasks), unplacedTasks: spec.Tasks,
 		})
 	}
 	h.updateCriticalPaths(in.steps)
@@ -95,7 +95,7 @@
 // isReady says whether all steps before a step are done.
 func (in *instance) isReady(s *step) bool {
 	for _, before := range s.spec.After {
-		if b := in.steps[before]; b.done < len(b.tasks) {
+		if b := in.steps[before]; b.doneTasks < len(b.tasks) {
 			return false
 		}
 	}
--- a/services/dispatch/jobs.go
+++ b/services/dispatch/jobs.go
@@ -31,9 +31,9 @@
 	acceptedUnixMilli int64
 	acceptedAt        time.Time
 	instances         map[int]*instance
-	// nextInstance is the first one that has not fallen due.
-	nextInstance  int
-	doneInstances int
+	// nextDueInstance is the first one that has not fallen due.
+	nextDueInstance int
+	doneInstances   int
 	// state is what is believed; shown is what the log has and callers are told.
 	state, loggedState job.State
 	// accepted says that the log has the job.
@@ -47,7 +47,7 @@
 	// ended is when it reached its final state, in milliseconds since 1970.
 	endedUnixMilli int64
 	// dirty says that its progress waits for the journal.
-	dirty bool
+	progressPending bool
 	// closed says that the log has the final state.
 	endLogged bool
 	// ends are those that wait for the next append of the job's progress.
@@ -74,16 +74,16 @@
 	spec     *job.Step
 	tasks    []task
 	// waiting counts tasks with neither a place nor an end.
-	waiting int
+	unplacedTasks int
 	// done counts tasks with a good end, attempts those with a place.
-	done     int
-	attempts int
+	doneTasks   int
+	placedTasks int
 	// open says that all earlier steps are done and tasks may be left.
 	open bool
 	// lastRun is the highest run number used for the step.
 	lastRun int64
 	// capped says that in the last plan its workspace could take no more, or not all.
-	heldByCap bool
+	capReached bool
 	// explainedAt is when a line last said why it waits.
 	explainedAt time.Time
 	// openedAt is when it was opened.
@@ -159,8 +159,8 @@
 
 // markDirty has the log take a job's progress.
 func (h *holderState) markDirty(j *trackedJob) {
-	if !j.dirty {
-		j.dirty = true
+	if !j.progressPending {
+		j.progressPending = true
 		h.journal.dirtyJobs = append(h.journal.dirtyJobs, j)
 	}
 }
@@ -208,7 +208,7 @@
 		j := h.endedJobs[0]
 		h.endedJobs = h.endedJobs[1:]
 		delete(h.jobs, j.id)
-		h.journal.add(kept.DropProgress(j.id))
+		h.journal.addRecord(kept.DropProgress(j.id))
 	}
 }
 
@@ -216,7 +216,7 @@
 func (j *trackedJob) releaseIfIdle() {
 	for _, in := range ordered.Map(j.instances) {
 		for _, s := range in.steps {
-			if s.attempts > 0 {
+			if s.placedTasks > 0 {
 				// The last attempts' ends are still to come.
 				return
 			}
--- a/services/dispatch/journal.go
+++ b/services/dispatch/journal.go
@@ -41,11 +41,11 @@
 
 // batch is one append and what is true once it is in the log.
 type batch struct {
-	append        stream.Append
-	workerRecords []workerRecord
-	newJobs       []*trackedJob
-	progress      []progressEntry
-	sent          bool
+	append          stream.Append
+	workerRecords   []workerRecord
+	newJobs         []*trackedJob
+	progressEntries []progressEntry
+	sent            bool
 	// sentAt is when it was first sent.
 	sentAt time.Time
 }
@@ -68,8 +68,8 @@
 // maxBatchBytes bounds one append, in bytes, well below what the log takes.
 const maxBatchBytes = 512 << 10
 
-// add has a record in the next append.
-func (j *journal) add(r stream.Record) { j.extraRecords = append(j.extraRecords, r) }
+// addRecord has a record in the next append.
+func (j *journal) addRecord(r stream.Record) { j.extraRecords = append(j.extraRecords, r) }
 
 // isIdle says whether nothing waits for the log.
 func (j *journal) isIdle() bool {
@@ -82,7 +82,7 @@
 		return true
 	}
 	return j.batch != nil && (len(j.batch.newJobs) > 0 ||
-		slices.ContainsFunc(j.batch.progress, func(p progressEntry) bool { return len(p.cancelCalls) > 0 }))
+		slices.ContainsFunc(j.batch.progressEntries, func(p progressEntry) bool { return len(p.cancelCalls) > 0 }))
 }
 
 // isFailing says whether the log has not taken an append for a while.
@@ -134,7 +134,7 @@
 func (h *holderState) composeBatch(now time.Time) *batch {
 	j := &h.journal
 	if slot, starts := j.recentStarts.Take(now, h.needsStartRecord); len(starts) > 0 {
-		j.add(kept.RecentStartsRecord(slot, starts))
+		j.addRecord(kept.RecentStartsRecord(slot, starts))
 	}
 	b := &batch{append: stream.Append{Stream: stream.Jobs, Records: j.extraRecords}, workerRecords: j.workerRecords}
 	j.extraRecords, j.workerRecords = nil, nil
@@ -150,7 +150,7 @@
 		s := j.unloggedJobs[0]
 		j.unloggedJobs = j.unloggedJobs[1:]
 		b.newJobs = append(b.newJobs, s)
-		size += b.put(kept.Submission{Queue: s.acceptedQueue, Submission: *s.submission, Accepted: s.acceptedUnixMilli}.Record())
+		size += b.addRecord(kept.Submission{Queue: s.acceptedQueue, Submission: *s.submission, Accepted: s.acceptedUnixMilli}.Record())
 	}
 	return size
 }
@@ -164,25 +164,25 @@
 	for _, s := range dirty {
 		if h.jobs[s.id] != s {
 			// It was refused before it was in any append.
-			s.dirty = false
+			s.progressPending = false
 			continue
 		}
 		if size >= maxBatchBytes || !s.accepted && !slices.Contains(b.newJobs, s) {
 			j.dirtyJobs = append(j.dirtyJobs, s)
 			continue
 		}
-		s.dirty = false
-		b.progress = append(b.progress, progressEntry{job: s, state: s.state, ends: s.unloggedEnds, cancelCalls: s.cancelCalls})
+		s.progressPending = false
+		b.progressEntries = append(b.progressEntries, progressEntry{job: s, state: s.state, ends: s.unloggedEnds, cancelCalls: s.cancelCalls})
 		s.unloggedEnds, s.cancelCalls = nil, nil
-		size += b.put(kept.ProgressRecord(s.id, s.progress(h.blame)))
+		size += b.addRecord(kept.ProgressRecord(s.id, s.progress(h.blame)))
 		if s.state.Final() {
 			b.append.Records = append(b.append.Records, kept.DropSubmission(s.id))
 		}
 	}
 }
 
-// put adds a record and returns its size in bytes.
-func (b *batch) put(r stream.Record) int {
+// addRecord adds a record and returns its size in bytes.
+func (b *batch) addRecord(r stream.Record) int {
 	b.append.Records = append(b.append.Records, r)
 	return len(r.Key) + len(r.Value)
 }
--- a/services/dispatch/keep.go
+++ b/services/dispatch/keep.go
@@ -74,7 +74,7 @@
 	slices.SortStableFunc(open, func(a, b *worker) int {
 		return cmp.Or(ordered.TrueFirst(a.prevDrainedFor == s, b.prevDrainedFor == s), cmp.Compare(emptyIn[a], emptyIn[b]))
 	})
-	for _, w := range open[:min(s.waiting, len(open))] {
+	for _, w := range open[:min(s.unplacedTasks, len(open))] {
 		if p.drained >= max(1, len(h.workers)/drainedShare) {
 			return
 		}
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -55,7 +55,7 @@
 	if w.pendingRenewal != 0 || now.Before(w.renewAt) || w.renewAddress() == "" || !h.mayRenew(now) {
 		return
 	}
-	if !h.knownPools[w.Pool] && len(w.attempts) == 0 && !h.unsettledWorkers[w.Name] {
+	if !h.knownPools[w.Pool] && len(w.attempts) == 0 && !h.unreportedWorkers[w.Name] {
 		// No job could run there.
 		return
 	}
@@ -274,10 +274,10 @@
 		w.reported = true
 		h.inheritedStarts.Forget(w.Life)
 		h.blame.RecordReport(w.Life, w.runs)
-		inherited := h.unsettledWorkers[w.Name]
-		delete(h.unsettledWorkers, w.Name)
+		inherited := h.unreportedWorkers[w.Name]
+		delete(h.unreportedWorkers, w.Name)
 		h.recordWorker(w)
-		if inherited && len(h.unsettledWorkers) == 0 {
+		if inherited && len(h.unreportedWorkers) == 0 {
 			h.core.logEvent("all workers of earlier holders have told what they run", logField("claim", h.epoch), logField("took", now.Sub(h.startedAt).String()))
 		}
 	}
@@ -314,7 +314,7 @@
 
 // leaseExpired frees the tasks of a worker that has surely ended them.
 func (h *holderState) leaseExpired(now time.Time, w *worker) {
-	if len(w.attempts) > 0 || w.reported || h.unsettledWorkers[w.Name] {
+	if len(w.attempts) > 0 || w.reported || h.unreportedWorkers[w.Name] {
 		h.core.logEvent("worker's lease has run out", logField("worker", w.Life.String()), logField("tasks", len(w.attempts)),
 			logField("lapsed_for", now.Sub(w.leaseExpiresBy).String()), logField("how", string(h.endingOf(now, w, w.lives.HasCandidate()))))
 	}
@@ -323,7 +323,7 @@
 		w.lives.RaiseFence(h.renewalsSent)
 	}
 	w.reported = false
-	delete(h.unsettledWorkers, w.Name)
+	delete(h.unreportedWorkers, w.Name)
 	if w.unresponsive.written {
 		// Nothing runs on it any more.
 		h.recordUnresponsive(now, w)
--- a/services/dispatch/lives.go
+++ b/services/dispatch/lives.go
@@ -73,7 +73,7 @@
 
 // mayStartOnSuccessor says whether a later life of its worker may carry an order to start the attempt
 // out: unless all such orders were carried out by the life that has told this holder of the run.
-func (a *attempt) mayStartOnSuccessor() bool { return a.reportedAt.IsZero() || a.tries > 1 }
+func (a *attempt) mayStartOnSuccessor() bool { return a.reportedAt.IsZero() || a.orderCount > 1 }
 
 // moveToSuccessor takes it that a later life of its worker may have begun an attempt, or may yet, until
 // that life has told.
@@ -81,7 +81,7 @@
 	h.unassign(a)
 	n := &attempt{
 		step: a.step, index: a.index, run: a.run, worker: to, state: attemptUnconfirmed, pace: fullPace, firstOrderedAt: a.firstOrderedAt, lastOrderedAt: a.lastOrderedAt,
-		checkpoint: a.checkpoint, ticket: a.ticket, tries: a.tries, resumed: a.resumed, onlyLogged: a.onlyLogged, fromEarlierLife: true,
+		checkpoint: a.checkpoint, ticket: a.ticket, orderCount: a.orderCount, resumed: a.resumed, onlyLogged: a.onlyLogged, fromEarlierIncarnation: true,
 	}
 	h.assign(now, n)
 	h.markStateChange(now, n)
--- a/services/dispatch/load.go
+++ b/services/dispatch/load.go
@@ -27,7 +27,7 @@
 	h.blame.ObserveWorkers(now, h.byRack())
 	h.planDue = true
 	h.core.logEvent("serves the cell's jobs", logField("claim", h.epoch), logField("jobs", len(h.jobs)),
-		logField("workers_to_ask", len(h.unsettledWorkers)), logField("took", now.Sub(h.startedAt).String()))
+		logField("workers_to_ask", len(h.unreportedWorkers)), logField("took", now.Sub(h.startedAt).String()))
 	h.renewAll(now)
 }
 
@@ -37,7 +37,7 @@
 	for _, u := range state.Unread {
 		h.core.logEvent("a kept record could not be read", logField("key", u.Key), logField("error", u.Reason))
 	}
-	if err := h.learned.Restore(state.RunTimes); err != nil {
+	if err := h.history.Restore(state.RunTimes); err != nil {
 		h.core.logEvent("kept run times could not be read", logField("error", err.Error()))
 	}
 	if err := h.blame.RestoreRate(state.CrashRate); err != nil {
@@ -75,6 +75,6 @@
 	// An earlier holder may have renewed its lease until just now.
 	w.leaseExpiresBy = ordered.Later(w.leaseExpiresBy, now.Add(h.maxLeaseDuration()))
 	if !w.reported {
-		h.unsettledWorkers[o.Name] = true
+		h.unreportedWorkers[o.Name] = true
 	}
 }
--- a/services/dispatch/overview.go
+++ b/services/dispatch/overview.go
@@ -51,7 +51,7 @@
 	}
 	tiers := map[ranking.Tier]int{}
 	for _, s := range h.openSteps {
-		if s.open && s.waiting > 0 {
+		if s.open && s.unplacedTasks > 0 {
 			tiers[h.rank(now, s).Tier]++
 		}
 	}
@@ -67,8 +67,8 @@
 		logField("accelerators", capacity.Accelerators), logField("free_accelerators", free.Accelerators), logField("promised_accelerators", promised.Accelerators),
 		logField("promised", promised.Processors.String()), logField("stopping", stopping.Processors.String()),
 		logField("workers_kept", kept), logField("steps_on_time", tiers[ranking.OnTime]), logField("steps_late", tiers[ranking.Late]),
-		logField("steps_hopeless", tiers[ranking.Hopeless]), logField("unsettled", len(h.unsettledWorkers)), logField("plans", h.planCount),
-		logField("advice_time", fmt.Sprint(h.advisers.CallTimeByQueue)), logField("stop_time", h.learned.StopTime().String()),
+		logField("steps_hopeless", tiers[ranking.Hopeless]), logField("unsettled", len(h.unreportedWorkers)), logField("plans", h.planCount),
+		logField("advice_time", fmt.Sprint(h.advisers.CallTimeByQueue)), logField("stop_time", h.history.StopTime().String()),
 		logField("answers_take", h.answerDelays.UpperQuartile(now).String()), logField("gangs_reserving", h.reservations.Len()), logField("reserved", h.reservations.Processors().String()), logField("reservations_ended", fmt.Sprint(h.reservations.TakeTotals())))
 	clear(h.advisers.CallTimeByQueue)
 }
--- a/services/dispatch/placement.go
+++ b/services/dispatch/placement.go
@@ -22,7 +22,7 @@
 		return h.placeGang(p, r, set)
 	}
 	wanted := h.mayPlace(s)
-	if s.heldByCap = wanted < h.toPlace(s); s.heldByCap && wanted == 0 {
+	if s.capReached = wanted < h.toPlace(s); s.capReached && wanted == 0 {
 		return true
 	}
 	if h.blame.SuspectCount(s.id) > 0 {
@@ -64,7 +64,7 @@
 		h.advance(p, r)
 		return true
 	}
-	if s.heldByCap = h.capRoom(s) < len(s.tasks); s.heldByCap {
+	if s.capReached = h.capRoom(s) < len(s.tasks); s.capReached {
 		return true
 	}
 	if r.queue.Advice != nil {
@@ -115,7 +115,7 @@
 		}
 	}
 	h.core.logEvent("tasks started", logField("job", string(s.job.id)), logField("step", s.id.String()), logField("run", run),
-		logField("workers", slots.Format(shares, func(w *worker) string { return w.Name })), logField("still_waiting", s.waiting), logField("advised", s.advice.told()),
+		logField("workers", slots.Format(shares, func(w *worker) string { return w.Name })), logField("still_waiting", s.unplacedTasks), logField("advised", s.advice.told()),
 		logField("claim", h.epoch), logField("config", h.core.config.Version), logField("age", now.Sub(s.instance.dueAt).String()),
 		logField("slack", h.slack(now, s).String()))
 }
--- a/services/dispatch/plan.go
+++ b/services/dispatch/plan.go
@@ -70,7 +70,7 @@
 			p.misses++
 			h.missed(p, r)
 		}
-		if r.step.waiting > 0 {
+		if r.step.unplacedTasks > 0 {
 			r.step.waited(now, r.step.waitsFor())
 		}
 	}
--- a/services/dispatch/preempt.go
+++ b/services/dispatch/preempt.go
@@ -47,11 +47,11 @@
 // whether that gives room for all of them.
 func (h *holderState) makeWay(p *pass, r ranked) bool {
 	s := r.step
-	if r.Tier != ranking.OnTime || h.slack(p.now, s) < h.learned.StopTime() {
+	if r.Tier != ranking.OnTime || h.slack(p.now, s) < h.history.StopTime() {
 		return false
 	}
 	open := h.openWorkers(p, r)
-	wanted := min(s.waiting, h.capRoom(s))
+	wanted := min(s.unplacedTasks, h.capRoom(s))
 	gains := h.gainsFor(p, r, open, wanted, true)
 	h.take(p, r, slots.Cheapest(gains, wanted, byName), wanted)
 	return slots.TotalTasks(gains) >= wanted
@@ -183,5 +183,5 @@
 	if r.step.spec.Gang || !h.isEnabled(mechanism.SparedTasks) {
 		return false
 	}
-	return a.resumed && now.Sub(a.stateSince) < resumedWorks || h.remainingRunTime(now, a) < h.learned.StopTime()+endsSoon
+	return a.resumed && now.Sub(a.stateSince) < resumedWorks || h.remainingRunTime(now, a) < h.history.StopTime()+endsSoon
 }
--- a/services/dispatch/progress.go
+++ b/services/dispatch/progress.go
@@ -45,8 +45,8 @@
 		t := &s.tasks[i]
 		if p.HasEndedWell(i) {
 			t.done = true
-			s.done++
-			s.waiting--
+			s.doneTasks++
+			s.unplacedTasks--
 		}
 		t.failedRuns = p.Failed[i]
 		t.checkpoint = p.Saved[i]
@@ -59,7 +59,7 @@
 // countDone counts the steps that are done, and the instance if all are.
 func (in *instance) countDone(j *trackedJob) {
 	for _, s := range in.steps {
-		if s.done == len(s.tasks) {
+		if s.doneTasks == len(s.tasks) {
 			in.doneSteps++
 		}
 	}
--- a/services/dispatch/rank.go
+++ b/services/dispatch/rank.go
@@ -54,7 +54,7 @@
 		r.Tier = ranking.OnTime
 	}
 	if !t.IsOverdue(now) {
-		r.Work = s.spec.Need.Times(s.waiting).DominantShare(h.capacity) * left.Seconds()
+		r.Work = s.spec.Need.Times(s.unplacedTasks).DominantShare(h.capacity) * left.Seconds()
 	}
 	return r
 }
@@ -69,15 +69,15 @@
 			continue
 		}
 		kept = append(kept, s)
-		if s.waiting == 0 || now.Before(s.notBefore) || s.spec.Gang && s.attempts > 0 {
+		if s.unplacedTasks == 0 || now.Before(s.notBefore) || s.spec.Gang && s.placedTasks > 0 {
 			continue
 		}
-		if s.job.inherited && len(h.unsettledWorkers) > 0 {
+		if s.job.inherited && len(h.unreportedWorkers) > 0 {
 			s.waited(now, delays.Takeover)
 			continue
 		}
 		all = append(all, h.rank(now, s))
-		waiting = waiting.Plus(s.spec.Need.Times(s.waiting))
+		waiting = waiting.Plus(s.spec.Need.Times(s.unplacedTasks))
 	}
 	clear(h.openSteps[len(kept):])
 	h.openSteps = kept
--- a/services/dispatch/remaining.go
+++ b/services/dispatch/remaining.go
@@ -17,7 +17,7 @@
 // all at work only what remains of it. Counted whole, a step would be taken for late,
 // and give way to others, while it is about to end on time.
 func (h *holderState) remainingCriticalPath(now time.Time, s *step) time.Duration {
-	if !h.isEnabled(mechanism.RemainingWork) || s.waiting > 0 || s.attempts == 0 || s.spec.Service {
+	if !h.isEnabled(mechanism.RemainingWork) || s.unplacedTasks > 0 || s.placedTasks == 0 || s.spec.Service {
 		return s.criticalPath
 	}
 	longest := time.Duration(0)
--- a/services/dispatch/reports.go
+++ b/services/dispatch/reports.go
@@ -50,7 +50,7 @@
 			return
 		}
 	}
-	a.workedUntilSilenceKnown, a.fromEarlierLife = false, false
+	a.workedUntilSilenceKnown, a.fromEarlierIncarnation = false, false
 	a.seen(now, r)
 	h.worksOn(now, a)
 	if a.step.spec.Checkpoints && r.Checkpoint != "" {
@@ -115,7 +115,7 @@
 	if a.state == attemptStarting || look <= a.renewalsSent {
 		return
 	}
-	if a.fromEarlierLife {
+	if a.fromEarlierIncarnation {
 		h.loseAttempt(now, a, "the worker's present life has not begun it")
 		return
 	}
--- a/services/dispatch/reserve.go
+++ b/services/dispatch/reserve.go
@@ -135,12 +135,12 @@
 		return
 	}
 	ready, due := h.ticketsFor(p.now, r)
-	if ready || due.Sub(p.now) <= h.learned.StopTime()+stopLead {
+	if ready || due.Sub(p.now) <= h.history.StopTime()+stopLead {
 		h.stopVictims(p, s)
 	}
 	if ready && len(res.victims) == 0 && h.isFree(s) {
 		h.unreserve(p.now, s, reservations.Started)
-		if s.heldByCap = h.capRoom(s) < len(s.tasks); s.heldByCap {
+		if s.capReached = h.capRoom(s) < len(s.tasks); s.capReached {
 			// The cap has fallen since.
 			return
 		}
--- a/services/dispatch/runtimes.go
+++ b/services/dispatch/runtimes.go
@@ -15,17 +15,17 @@
 
 // keepTimes has the log keep what is known of run times, if there is more of it.
 func (h *holderState) keepTimes(now time.Time) {
-	if now.Before(h.nextRunTimesAt) || h.phase != phaseActive || !h.learned.HasChanged() || h.journal.isFailing(now) {
+	if now.Before(h.nextRunTimesAt) || h.phase != phaseActive || !h.history.HasChanged() || h.journal.isFailing(now) {
 		return
 	}
 	h.nextRunTimesAt = now.Add(keepTimesEvery)
-	h.journal.add(kept.RunTimesRecord(h.learned.TakeRunTimes()))
+	h.journal.addRecord(kept.RunTimesRecord(h.history.TakeRunTimes()))
 }
 
 // expect returns how long a step takes: what it took if it is done, else what
 // steps of its queue with its estimate should take.
 func (h *holderState) expect(s *step) time.Duration {
-	if s.longestRun > 0 && s.done == len(s.tasks) {
+	if s.longestRun > 0 && s.doneTasks == len(s.tasks) {
 		return s.longestRun
 	}
 	return h.usual(s)
@@ -36,7 +36,7 @@
 	if !h.isEnabled(mechanism.LearnedTimes) {
 		return s.spec.Estimate.Duration()
 	}
-	return h.learned.ExpectedRunTime(s.job.queue, s.spec.Estimate.Duration())
+	return h.history.ExpectedRunTime(s.job.queue, s.spec.Estimate.Duration())
 }
 
 // tookUntil notes that a task of a step ends well at now. Only whole runs show
@@ -55,7 +55,7 @@
 	if s.interrupted || s.longestRun == 0 {
 		s.longestRun = 0
 	} else {
-		h.learned.ObserveRunTime(s.job.queue, s.spec.Estimate.Duration(), s.longestRun)
+		h.history.ObserveRunTime(s.job.queue, s.spec.Estimate.Duration(), s.longestRun)
 	}
 	h.updateCriticalPaths(s.instance.steps)
 }
--- a/services/dispatch/silence.go
+++ b/services/dispatch/silence.go
@@ -63,7 +63,7 @@
 	for run := range ordered.By(w.orphans, order.Run.Compare) {
 		s.Runs = append(s.Runs, run)
 	}
-	h.journal.add(kept.UnresponsiveWorkerRecord(w.Worker, s))
+	h.journal.addRecord(kept.UnresponsiveWorkerRecord(w.Worker, s))
 }
 
 // recordedWorkTime returns for how long an attempt had been at work at a time, as the log keeps
--- a/services/dispatch/speed.go
+++ b/services/dispatch/speed.go
@@ -15,7 +15,7 @@
 	if !h.isEnabled(mechanism.SlowWorkers) {
 		return learned.Normal
 	}
-	return w.speed.Slowness(now, h.learned.FleetSpeed())
+	return w.speed.Slowness(now, h.history.FleetSpeed())
 }
 
 // learnSpeed takes how long a task took on its worker. Members of a gang end
@@ -27,5 +27,5 @@
 	}
 	ratio := max(now.Sub(a.stateSince), learned.MinTime).Seconds() / max(h.expect(s), learned.MinTime).Seconds()
 	a.worker.speed.Observe(now, ratio)
-	h.learned.ObserveSpeed(ratio)
+	h.history.ObserveSpeed(ratio)
 }
--- a/services/dispatch/starts.go
+++ b/services/dispatch/starts.go
@@ -45,7 +45,7 @@
 
 // sendStart sends the order to start an attempt, for the first time or again.
 func (h *holderState) sendStart(now time.Time, a *attempt) {
-	a.tries++
+	a.orderCount++
 	a.lastOrderedAt = now
 	w := a.worker
 	h.core.emit(exchange.StartRun{Worker: w.Life, Address: w.Address, Epoch: h.epoch, Order: order.Start{
@@ -86,11 +86,11 @@
 	if a == nil {
 		return
 	}
-	if a.tries == 1 && e.Answer.Fate != order.Unknown {
+	if a.orderCount == 1 && e.Answer.Fate != order.Unknown {
 		h.answerDelays.Record(now, now.Sub(a.lastOrderedAt))
 	}
 	a.stopConfirmed = a.stopConfirmed && a.state == attemptStopping
-	if a.tries > 1 && e.Answer.Fate != order.Carried && !w.lives.IsFencedByLaterHolder(e.Answer, 0) {
+	if a.orderCount > 1 && e.Answer.Fate != order.Carried && !w.lives.IsFencedByLaterHolder(e.Answer, 0) {
 		// An earlier order may have been carried out, or may be yet.
 		h.handleStartUnconfirmed(now, a, e.Answer)
 		return
@@ -122,7 +122,7 @@
 // canRetryStart says whether the order to start an attempt may be sent again. It sets
 // the worker's lease, which takes authority.
 func (h *holderState) canRetryStart(now time.Time, a *attempt) bool {
-	return h.isEnabled(mechanism.RepeatedStarts) && a.state == attemptStarting && a.tries < maxStartTries && !a.step.job.state.Final() && h.mayRenew(now)
+	return h.isEnabled(mechanism.RepeatedStarts) && a.state == attemptStarting && a.orderCount < maxStartTries && !a.step.job.state.Final() && h.mayRenew(now)
 }
 
 // handleStartUnconfirmed keeps the place of a start of which it is not known whether it was
--- a/services/dispatch/status.go
+++ b/services/dispatch/status.go
@@ -37,7 +37,7 @@
 	for _, j := range h.jobs {
 		s.Jobs[j.loggedState]++
 	}
-	s.Open, s.Unsure, s.Failing = len(h.openSteps), len(h.unsettledWorkers), h.journal.isFailing(now)
+	s.Open, s.Unsure, s.Failing = len(h.openSteps), len(h.unreportedWorkers), h.journal.isFailing(now)
 	var capacity, used resource.Vector
 	for id, w := range ordered.Map(h.workers) {
 		s.Workers = append(s.Workers, job.WorkerStatus{
@@ -70,10 +70,10 @@
 
 // explainStep says what became of the tasks of a step, and why some wait.
 func (h *holderState) explainStep(now time.Time, s *step) job.StepExplanation {
-	x := job.StepExplanation{Step: s.id.String(), Tasks: len(s.tasks), Done: s.done, Placed: s.attempts, Waiting: s.waiting}
+	x := job.StepExplanation{Step: s.id.String(), Tasks: len(s.tasks), Done: s.doneTasks, Placed: s.placedTasks, Waiting: s.unplacedTasks}
 	switch {
 	case s.job.state.Final():
-	case s.waiting > 0:
+	case s.unplacedTasks > 0:
 		x.Reason = h.whyWaits(now, s)
 	default:
 		x.Reason = h.whySuspected(s)
@@ -94,13 +94,13 @@
 		return fmt.Sprintf("it comes after steps %v, which are not done", s.spec.After)
 	case q.Pool == "":
 		return "the configuration no longer names a pool of workers for the queue"
-	case s.job.inherited && len(h.unsettledWorkers) > 0:
-		return fmt.Sprintf("%d workers of an earlier holder have not told yet what they run", len(h.unsettledWorkers))
-	case s.spec.Gang && s.attempts > 0:
-		return fmt.Sprintf("%d members of the gang's last run have not ended yet", s.attempts)
+	case s.job.inherited && len(h.unreportedWorkers) > 0:
+		return fmt.Sprintf("%d workers of an earlier holder have not told yet what they run", len(h.unreportedWorkers))
+	case s.spec.Gang && s.placedTasks > 0:
+		return fmt.Sprintf("%d members of the gang's last run have not ended yet", s.placedTasks)
 	case h.mayPlace(s) == 0 || s.spec.Gang && h.capRoom(s) < len(s.tasks):
 		return fmt.Sprintf("%d tasks need %v each; tasks of workspace %q take or may take %v, and it may have %v",
-			s.waiting, s.spec.Need, s.job.workspace, h.usage.Of(s.job.workspace), h.workspaceOf(s.job).Most)
+			s.unplacedTasks, s.spec.Need, s.job.workspace, h.usage.Of(s.job.workspace), h.workspaceOf(s.job).Most)
 	case len(set.workers) == 0:
 		return "no worker of the pool takes new tasks at present"
 	case !slices.ContainsFunc(set.workers, func(w *worker) bool { return s.spec.Reserved().Fits(w.Capacity) }):
@@ -113,6 +113,6 @@
 		return fmt.Sprintf("none of the %d workers asked about may run it", s.advice.told())
 	default:
 		_, placed := h.fit(now, s, ranked{step: s, queue: q}.suited(set))
-		return fmt.Sprintf("%d tasks need %v each, and there is room for %d", s.waiting, s.spec.Need, placed)
+		return fmt.Sprintf("%d tasks need %v each, and there is room for %d", s.unplacedTasks, s.spec.Need, placed)
 	}
 }
--- a/services/dispatch/stops.go
+++ b/services/dispatch/stops.go
@@ -18,7 +18,7 @@
 	a.state = attemptStopping
 	h.markStateChange(now, a)
 	a.stopConfirmed = false
-	a.stopOrderedAt = now
+	a.stopRequestedAt = now
 	h.sendStop(now, a.worker, a.runID())
 }
 
--- a/services/dispatch/suspects.go
+++ b/services/dispatch/suspects.go
@@ -52,7 +52,7 @@
 
 // toPlace counts the waiting tasks that need not be tried apart.
 func (h *holderState) toPlace(s *step) int {
-	n := s.waiting
+	n := s.unplacedTasks
 	if h.blame.SuspectCount(s.id) == 0 {
 		return n
 	}
@@ -135,7 +135,7 @@
 			logField("crashes_otherwise_every", fmt.Sprintf("%.3gs", 1/f.BackgroundHazard)))
 		h.markDirty(h.jobs[f.Task.Job])
 	}
-	h.journal.add(kept.CrashRateRecord(h.blame.LearnedRate()))
+	h.journal.addRecord(kept.CrashRateRecord(h.blame.LearnedRate()))
 }
 
 // verdicts gives up the jobs of tasks that are found guilty.
@@ -404,7 +404,7 @@
 
 // awaits says whether the log does not have the last progress of a job yet.
 func (j *journal) awaits(s *trackedJob) bool {
-	return s.dirty || j.batch != nil && slices.ContainsFunc(j.batch.progress, func(b progressEntry) bool { return b.job == s })
+	return s.progressPending || j.batch != nil && slices.ContainsFunc(j.batch.progressEntries, func(b progressEntry) bool { return b.job == s })
 }
 
 // whySuspected says why the suspects of a step wait, or "".
--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -174,7 +174,7 @@
 	w.recording = true
 	w.records++
 	h.journal.workerRecords = append(h.journal.workerRecords, workerRecord{worker: w, number: w.records})
-	h.journal.add(kept.WorkerRecord(w.Worker))
+	h.journal.addRecord(kept.WorkerRecord(w.Worker))
 }
 
 // workerTerminated frees the tasks of a worker whose life is over for sure.
@@ -182,7 +182,7 @@
 	how := h.endingOf(now, w, true)
 	h.core.logEvent("worker is gone", logField("worker", w.Life.String()), logField("reason", why), logField("tasks", len(w.attempts)), logField("how", string(how)))
 	h.loseAttempts(now, w, nil, how, why)
-	delete(h.unsettledWorkers, w.Name)
+	delete(h.unreportedWorkers, w.Name)
 	h.removeWorker(now, w)
 }
 
@@ -193,6 +193,6 @@
 	w.lives.End(w.Life)
 	h.formerWorkers.Add(now, w.Name, w.lives)
 	if w.recorded || w.recording || w.unresponsive.written {
-		h.journal.add(kept.DropWorker(w.Name))
+		h.journal.addRecord(kept.DropWorker(w.Name))
 	}
 }
