--- a/services/dispatch/advice.go
+++ b/services/dispatch/advice.go
@@ -87,7 +87,7 @@
 // release gives back the room that was kept until a call's answer.
 func (c *adviceCall) release() {
 	for _, p := range c.promises {
-		p.worker.promised = p.worker.promised.Minus(p.room)
+		p.worker.committed = p.worker.committed.Minus(p.room)
 	}
 	c.promises = nil
 }
@@ -111,7 +111,7 @@
 // promise keeps room for tasks of a step on a worker until a call's answer comes.
 func (c *adviceCall) promise(w *worker, tasks int) {
 	room := c.step.spec.Reserved().Times(tasks)
-	w.promised = w.promised.Plus(room)
+	w.committed = w.committed.Plus(room)
 	c.promises = append(c.promises, promise{worker: w, room: room})
 }
 
--- a/services/dispatch/ask.go
+++ b/services/dispatch/ask.go
@@ -37,7 +37,7 @@
 // calls under way as they should. What is late anyway waits until a box has none.
 func (h *holderState) requestAdvice(now time.Time, s *step, q *job.Advice, workers []*worker) *adviceCall {
 	takes := q.Base + time.Duration(len(workers))*q.Each
-	class := h.turnClass(now, s)
+	class := h.callClass(now, s)
 	if h.isEnabled(mechanism.DividedAdvice) && takes > advisers.BriefCall && !h.advisers.FairShare.Admit(now, class) {
 		return nil
 	}
@@ -70,8 +70,8 @@
 	return c
 }
 
-// turnClass returns what a step competes as for calls.
-func (h *holderState) turnClass(now time.Time, s *step) turns.CallClass {
+// callClass returns what a step competes as for calls.
+func (h *holderState) callClass(now time.Time, s *step) turns.CallClass {
 	return turns.CallClass{Queue: s.job.queue, Late: h.rank(now, s).Tier != ranking.OnTime}
 }
 
@@ -182,7 +182,7 @@
 func (h *holderState) requestAdviceForRoom(now time.Time, r ranked, candidates []*worker) bool {
 	s := r.step
 	if !h.advisers.HasFreeBox(now, maps.Keys(h.core.members), r.queue.Advice.Base, advisers.MaxQueueTime) {
-		h.advisers.FairShare.RecordDeferral(now, h.turnClass(now, s))
+		h.advisers.FairShare.RecordDeferral(now, h.callClass(now, s))
 		return false
 	}
 	missing := askFactor * float64(s.unplacedTasks) / h.history.SuitableShare(r.queue.Name)
--- a/services/dispatch/calls.go
+++ b/services/dispatch/calls.go
@@ -77,7 +77,7 @@
 		h.core.reply(e.Call, exchange.Answer{Outcome: exchange.OK, State: j.loggedState})
 		return
 	case h.journal.isFailing(now) && j.state.Final():
-		h.core.reply(e.Call, unsureCancel)
+		h.core.reply(e.Call, cancelUnsureAnswer)
 		return
 	}
 	h.finishJob(now, j, job.Cancelled, "a caller asked for it")
--- a/services/dispatch/confirm.go
+++ b/services/dispatch/confirm.go
@@ -12,16 +12,16 @@
 	"saddlevane/models/stream"
 )
 
-// journalAppendEnded takes the end of the append under way. One that the log has seen
+// handleJournalAppendEnded takes the end of the append under way. One that the log has seen
 // before is in the log.
-func (h *holderState) journalAppendEnded(now time.Time, e exchange.AppendEnded) {
+func (h *holderState) handleJournalAppendEnded(now time.Time, e exchange.AppendEnded) {
 	j := &h.journal
 	if j.batch == nil || !j.batch.sent || e.Number != j.batch.append.Writer.Number() {
 		return
 	}
 	switch {
 	case e.Err == nil || errors.Is(e.Err, stream.ErrDone):
-		h.journalAppended(now)
+		h.handleJournalAppended(now)
 	case errors.Is(e.Err, stream.ErrFenced):
 		h.core.stepDown("a later holder has appended")
 	default:
@@ -38,19 +38,19 @@
 		j.failingSince = now
 		h.core.logEvent("the log does not keep records", logField("error", err.Error()))
 	}
-	h.answerUnsure(j.batch)
+	h.replyUnsure(j.batch)
 	h.refuseWhileFailing(now)
 }
 
-// answerUnsure tells the callers of a batch that its fate is not known.
-func (h *holderState) answerUnsure(b *batch) {
+// replyUnsure tells the callers of a batch that its fate is not known.
+func (h *holderState) replyUnsure(b *batch) {
 	for _, s := range b.newJobs {
 		h.replyToCalls(s.acceptCalls, exchange.Answer{Outcome: exchange.Unsure, Reason: "the log has not confirmed the job"})
 		s.acceptCalls = nil
 	}
 	for i := range b.progressEntries {
 		p := &b.progressEntries[i]
-		h.replyToCalls(p.cancelCalls, unsureCancel)
+		h.replyToCalls(p.cancelCalls, cancelUnsureAnswer)
 		p.cancelCalls = nil
 	}
 }
@@ -61,13 +61,13 @@
 		return
 	}
 	if h.journal.batch != nil {
-		h.answerUnsure(h.journal.batch)
+		h.replyUnsure(h.journal.batch)
 	}
 	h.refuseQueued()
 }
 
-// unsureCancel is what a caller is told whose cancellation waits for the log.
-var unsureCancel = exchange.Answer{Outcome: exchange.Unsure, Reason: "the log has not confirmed the cancellation"}
+// cancelUnsureAnswer is what a caller is told whose cancellation waits for the log.
+var cancelUnsureAnswer = exchange.Answer{Outcome: exchange.Unsure, Reason: "the log has not confirmed the cancellation"}
 
 // refuseQueued answers the callers who wait for a later append. Jobs that were
 // in none are forgotten, so they never run.
@@ -82,13 +82,13 @@
 	}
 	h.journal.unloggedJobs = nil
 	for _, s := range h.journal.dirtyJobs {
-		h.replyToCalls(s.cancelCalls, unsureCancel)
+		h.replyToCalls(s.cancelCalls, cancelUnsureAnswer)
 		s.cancelCalls = nil
 	}
 }
 
-// journalAppended acts on what is now in the log.
-func (h *holderState) journalAppended(now time.Time) {
+// handleJournalAppended acts on what is now in the log.
+func (h *holderState) handleJournalAppended(now time.Time) {
 	j := &h.journal
 	b := j.batch
 	j.batch = nil
@@ -108,15 +108,15 @@
 		h.openInstances(now, s)
 	}
 	for _, p := range b.progressEntries {
-		h.progressAppended(now, p)
+		h.handleProgressAppended(now, p)
 	}
 	h.startLoading()
 	h.planDue = true
 }
 
-// progressAppended acts on one job's progress that is now in the log: callers are told
+// handleProgressAppended acts on one job's progress that is now in the log: callers are told
 // and workers may forget the ends.
-func (h *holderState) progressAppended(now time.Time, p progressEntry) {
+func (h *holderState) handleProgressAppended(now time.Time, p progressEntry) {
 	p.job.loggedState = p.state
 	h.replyToCalls(p.cancelCalls, exchange.Answer{Outcome: exchange.OK, State: p.state})
 	for _, n := range p.ends {
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -138,9 +138,9 @@
 	case exchange.AppendEnded:
 		c.handleAppendEnded(now, e)
 	case exchange.PledgeAsked:
-		c.pledgeAsked(now, e)
+		c.handlePledgeAsked(now, e)
 	case exchange.Pledged:
-		c.pledged(e)
+		c.handlePledged(e)
 	case exchange.InviteAsked:
 		c.inviteAsked(now, e)
 	case exchange.Invited:
@@ -300,7 +300,7 @@
 		c.syncWithAuthority(now)
 	case exchange.ForJournal:
 		if c.holding != nil {
-			c.holding.journalAppendEnded(now, e)
+			c.holding.handleJournalAppendEnded(now, e)
 		}
 	}
 }
--- a/services/dispatch/fit.go
+++ b/services/dispatch/fit.go
@@ -82,7 +82,7 @@
 // openTo says whether a step may use a worker: one that is drained for a gang takes
 // short steps only besides, and one with a suspect no suspected gang.
 func (h *holderState) openTo(w *worker, s *step, short bool) bool {
-	return (w.drainedFor == nil || w.drainedFor == s || short) && !(w.suspects > 0 && h.gangSuspected(s))
+	return (w.drainedFor == nil || w.drainedFor == s || short) && !(w.suspectAttempts > 0 && h.gangSuspected(s))
 }
 
 // candidate returns what speaks against a worker that has room for n tasks.
--- a/services/dispatch/holding.go
+++ b/services/dispatch/holding.go
@@ -145,9 +145,9 @@
 	case exchange.JobsLoaded:
 		h.loaded(now, e)
 	case exchange.WorkersRead:
-		h.workersRead(now, e.Listing)
+		h.handleWorkersRead(now, e.Listing)
 	case exchange.RenewEnded:
-		h.renewEnded(now, e)
+		h.handleRenewEnded(now, e)
 	case exchange.StartEnded:
 		h.handleStartEnded(now, e)
 	case exchange.StopEnded:
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -98,18 +98,18 @@
 	return h.core.authority.Holds(now) && !h.invitePending
 }
 
-// renewEnded takes the end of a renewal's call.
-func (h *holderState) renewEnded(now time.Time, e exchange.RenewEnded) {
+// handleRenewEnded takes the end of a renewal's call.
+func (h *holderState) handleRenewEnded(now time.Time, e exchange.RenewEnded) {
 	if e.Epoch != h.epoch {
 		return
 	}
 	w := h.currentWorker(e.Worker)
 	if w == nil {
-		h.otherIncarnationAnswered(now, e)
+		h.handleOtherLifeAnswer(now, e)
 		return
 	}
 	if e.Look != w.pendingRenewal {
-		h.lateRenewEnded(now, w, e)
+		h.handleLateRenewEnded(now, w, e)
 		return
 	}
 	w.pendingRenewal = 0
@@ -117,14 +117,14 @@
 	switch {
 	case e.Answer.Fate == order.NoLife && w.renewAddress() != w.Address:
 		// There is no life where another life's entry says, which may be old.
-		h.renewFailed(now, w, e)
+		h.handleRenewFailed(now, w, e)
 	case h.handleSuperseded(now, w, e.Answer, e.Look):
 	case carried && w.lives.RecordAnswer(w.Life, e.Report.Life, e.Look):
-		h.workerRestarted(now, w, e)
+		h.handleWorkerRestart(now, w, e)
 	case carried:
-		h.renewed(now, w, e)
+		h.handleRenewed(now, w, e)
 	default:
-		h.renewFailed(now, w, e)
+		h.handleRenewFailed(now, w, e)
 	}
 }
 
@@ -143,9 +143,9 @@
 	return h.maxLeaseDuration()
 }
 
-// lateRenewEnded takes the answer to a look that has run out of its time. Ends have numbers
+// handleLateRenewEnded takes the answer to a look that has run out of its time. Ends have numbers
 // and stay true; what ran by then may have ended since, so the rest tells nothing.
-func (h *holderState) lateRenewEnded(now time.Time, w *worker, e exchange.RenewEnded) {
+func (h *holderState) handleLateRenewEnded(now time.Time, w *worker, e exchange.RenewEnded) {
 	due, waited := w.overdue[e.Look]
 	delete(w.overdue, e.Look)
 	if e.Answer.Fate != order.Carried {
@@ -157,9 +157,9 @@
 	switch {
 	case w.IsOther(e.Report.Life) && e.Worker.BornUnixMilli == 0:
 		// It may be an earlier life or a later one.
-		h.otherIncarnationAnswered(now, e)
+		h.handleOtherLifeAnswer(now, e)
 	case w.lives.RecordAnswer(w.Life, e.Report.Life, 0):
-		h.workerRestarted(now, w, e)
+		h.handleWorkerRestart(now, w, e)
 	default:
 		h.applyEnds(now, w, e.Report.Ended)
 	}
@@ -202,9 +202,9 @@
 }
 
 const (
-	reasonOtherIncarnation = "another worker answers at its address"
-	reasonRestarted        = "it has started again"
-	reasonLaterHolder      = "a worker has seen a later holder"
+	reasonOtherLife   = "another worker answers at its address"
+	reasonRestarted   = "it has started again"
+	reasonLaterHolder = "a worker has seen a later holder"
 )
 
 // handleSuperseded acts on an answer which says that the worker meant, or the authority of
@@ -213,7 +213,7 @@
 func (h *holderState) handleSuperseded(now time.Time, w *worker, a order.Answer, look int64) bool {
 	switch {
 	case a.Fate == order.NoLife:
-		h.incarnationGone(now, w)
+		h.handleNoLife(now, w)
 		return true
 	case w.lives.IsFencedByLaterHolder(a, look):
 		h.core.stepDown(reasonLaterHolder)
@@ -223,8 +223,8 @@
 	}
 }
 
-// renewFailed tries again soon, and ever less often at a worker that runs nothing.
-func (h *holderState) renewFailed(now time.Time, w *worker, e exchange.RenewEnded) {
+// handleRenewFailed tries again soon, and ever less often at a worker that runs nothing.
+func (h *holderState) handleRenewFailed(now time.Time, w *worker, e exchange.RenewEnded) {
 	w.failures++
 	if len(w.overdue) < maxOverdueRenewals {
 		w.overdue[e.Look] = w.answerDue
@@ -234,7 +234,7 @@
 			// Also where the wait was just over: then the crash took the answer with it.
 			w.aliveAt = now
 		}
-		h.workerUnresponsive(now, w)
+		h.handleWorkerSilent(now, w)
 		h.core.logEvent("worker does not answer", logField("worker", w.Life.String()), logField("problem", e.Answer.Problem), logField("tasks", len(w.attempts)))
 	}
 	w.renewAt = now.Add(renewRetryDelay)
@@ -251,15 +251,15 @@
 	}
 }
 
-// renewed takes a worker's report and asks again.
-func (h *holderState) renewed(now time.Time, w *worker, e exchange.RenewEnded) {
+// handleRenewed takes a worker's report and asks again.
+func (h *holderState) handleRenewed(now time.Time, w *worker, e exchange.RenewEnded) {
 	if w.failures > 0 {
 		h.core.logEvent("worker answers again", logField("worker", w.Life.String()), logField("failures", w.failures))
 	}
 	w.failures = 0
 	w.reportedEnds.ConfirmAck()
 	h.setBirthTime(w, e.Report.Life)
-	h.recordResponsive(w)
+	h.recordSilenceEnd(w)
 	if w.presence.RecordAnswer() {
 		h.blame.RecordAnswer(w.Life)
 	}
@@ -300,11 +300,11 @@
 	h.formerWorkers.Expire(now)
 	for _, w := range h.workersByName() {
 		if w.failures > 0 && now.After(w.leaseExpiresBy) {
-			h.leaseExpired(now, w)
+			h.handleLeaseExpired(now, w)
 		} else {
 			h.resendStops(now, w)
 		}
-		h.refreshUnresponsive(now, w)
+		h.refreshSilenceRecord(now, w)
 		h.endPreparation(now, w)
 		if h.phase == phaseActive {
 			h.renew(now, w)
@@ -312,8 +312,8 @@
 	}
 }
 
-// leaseExpired frees the tasks of a worker that has surely ended them.
-func (h *holderState) leaseExpired(now time.Time, w *worker) {
+// handleLeaseExpired frees the tasks of a worker that has surely ended them.
+func (h *holderState) handleLeaseExpired(now time.Time, w *worker) {
 	if len(w.attempts) > 0 || w.reported || h.unreportedWorkers[w.Name] {
 		h.core.logEvent("worker's lease has run out", logField("worker", w.Life.String()), logField("tasks", len(w.attempts)),
 			logField("lapsed_for", now.Sub(w.leaseExpiresBy).String()), logField("how", string(h.endingOf(now, w, w.lives.HasCandidate()))))
@@ -324,9 +324,9 @@
 	}
 	w.reported = false
 	delete(h.unreportedWorkers, w.Name)
-	if w.unresponsive.written {
+	if w.silence.written {
 		// Nothing runs on it any more.
-		h.recordUnresponsive(now, w)
+		h.recordSilence(now, w)
 	}
 	if !w.presence.IsListed() {
 		h.removeWorker(now, w)
--- a/services/dispatch/listing.go
+++ b/services/dispatch/listing.go
@@ -15,19 +15,19 @@
 // still be missing although their workers live (the users' protocol: about 2 s).
 const entryReturnTime = 2200 * time.Millisecond
 
-// workersRead takes a change of the platform's list. A worker that is no longer
+// handleWorkersRead takes a change of the platform's list. A worker that is no longer
 // listed keeps its tasks until its lease has run out.
-func (h *holderState) workersRead(now time.Time, l order.Listing) {
+func (h *holderState) handleWorkersRead(now time.Time, l order.Listing) {
 	if l.Whole {
 		h.markMissing(now, l)
 	}
 	for _, o := range l.Present {
-		h.workerListed(now, o)
+		h.handleWorkerListed(now, o)
 	}
 	h.reportForeign(l)
 	for _, id := range l.Gone {
 		if w := h.workers[id]; w != nil {
-			h.entryMissing(now, w)
+			h.handleEntryMissing(now, w)
 		}
 	}
 	h.planDue = true
@@ -59,14 +59,14 @@
 	}
 	for id, w := range h.workers {
 		if !present[id] {
-			h.entryMissing(now, w)
+			h.handleEntryMissing(now, w)
 		}
 	}
 }
 
-// entryMissing acts on a worker that is no longer listed. Shortly after the log was
+// handleEntryMissing acts on a worker that is no longer listed. Shortly after the log was
 // away its entry may only have lapsed, and it is used on as long as it answers.
-func (h *holderState) entryMissing(now time.Time, w *worker) {
+func (h *holderState) handleEntryMissing(now time.Time, w *worker) {
 	w.lives.RecordEntryRemoved()
 	w.presence.RecordMissing(now, h.entriesMayReturn(now))
 }
@@ -88,9 +88,9 @@
 	}
 }
 
-// otherIncarnationListed takes that the platform lists another life of a worker, which may be an earlier
+// handleOtherLifeListed takes that the platform lists another life of a worker, which may be an earlier
 // one or a later one: the worker tells.
-func (h *holderState) otherIncarnationListed(now time.Time, w *worker, o order.Worker) {
+func (h *holderState) handleOtherLifeListed(now time.Time, w *worker, o order.Worker) {
 	if !w.lives.HasCandidate() {
 		return
 	}
@@ -107,15 +107,15 @@
 	h.renew(now, w)
 }
 
-// workerListed takes what the platform says of one worker.
-func (h *holderState) workerListed(now time.Time, o order.Worker) {
+// handleWorkerListed takes what the platform says of one worker.
+func (h *holderState) handleWorkerListed(now time.Time, o order.Worker) {
 	w := h.workers[o.Name]
 	if w == nil {
 		w = h.addWorker(now, o)
 		h.core.logEvent("worker listed", logField("worker", o.Life.String()), logField("address", o.Address), logField("pool", o.Pool), logField("domain", o.Domain))
 	}
 	if !w.lives.RecordEntry(w.Life, o, h.renewalsSent) {
-		h.otherIncarnationListed(now, w, o)
+		h.handleOtherLifeListed(now, w, o)
 		return
 	}
 	h.setBirthTime(w, o.Life)
--- a/services/dispatch/lives.go
+++ b/services/dispatch/lives.go
@@ -36,8 +36,8 @@
 // fence returns the fence number of orders to a worker.
 func (h *holderState) fence(w *worker) int64 { return w.lives.Fence(h.epoch) }
 
-// workerRestarted takes the answer of a life that is later than the one known: that one is over.
-func (h *holderState) workerRestarted(now time.Time, w *worker, e exchange.RenewEnded) {
+// handleWorkerRestart takes the answer of a life that is later than the one known: that one is over.
+func (h *holderState) handleWorkerRestart(now time.Time, w *worker, e exchange.RenewEnded) {
 	o, listed := w.lives.Successor(w.Worker, e.Report.Life)
 	n := newWorker(now, o)
 	n.lives = w.lives
@@ -87,9 +87,9 @@
 	h.markStateChange(now, n)
 }
 
-// otherIncarnationAnswered takes the answer of a life that is not the present one. A good end stays
+// handleOtherLifeAnswer takes the answer of a life that is not the present one. A good end stays
 // true; the rest holds for that life only.
-func (h *holderState) otherIncarnationAnswered(now time.Time, e exchange.RenewEnded) {
+func (h *holderState) handleOtherLifeAnswer(now time.Time, e exchange.RenewEnded) {
 	for _, end := range e.Report.Ended {
 		if end.How == order.Done {
 			h.applyFormerSuccess(now, end)
@@ -122,12 +122,12 @@
 	}
 }
 
-// incarnationGone acts on the answer that no life of the worker is at its address.
-func (h *holderState) incarnationGone(now time.Time, w *worker) {
+// handleNoLife acts on the answer that no life of the worker is at its address.
+func (h *holderState) handleNoLife(now time.Time, w *worker) {
 	next, listed := w.lives.Candidate()
-	h.workerTerminated(now, w, reasonOtherIncarnation)
+	h.handleWorkerTerminated(now, w, reasonOtherLife)
 	if listed {
-		h.workerListed(now, next)
+		h.handleWorkerListed(now, next)
 	}
 }
 
@@ -139,9 +139,9 @@
 	return w.Address
 }
 
-// restoreWorker returns the worker of which the log tells. If the list names another life, the
+// restoreLife returns the worker of which the log tells. If the list names another life, the
 // first answer tells which of them is over.
-func (h *holderState) restoreWorker(now time.Time, o order.Worker) *worker {
+func (h *holderState) restoreLife(now time.Time, o order.Worker) *worker {
 	w := h.workers[o.Name]
 	if w == nil {
 		return h.addWorker(now, o)
--- a/services/dispatch/load.go
+++ b/services/dispatch/load.go
@@ -66,9 +66,9 @@
 // tasks.
 func (h *holderState) foldWorker(now time.Time, k kept.KnownWorker) {
 	o := k.Worker
-	w := h.restoreWorker(now, o)
+	w := h.restoreLife(now, o)
 	if k.Unresponsive != nil && !w.reported {
-		h.restoreUnresponsive(now, w, k.Unresponsive)
+		h.restoreSilentWorker(now, w, k.Unresponsive)
 		return
 	}
 	w.recorded = true
--- a/services/dispatch/outage.go
+++ b/services/dispatch/outage.go
@@ -30,8 +30,8 @@
 	c.emit(exchange.AskPledges{Epoch: h.epoch, Addresses: c.members.Others(c.self)})
 }
 
-// pledgeAsked answers a holder that wants this box not to claim for a while.
-func (c *Core) pledgeAsked(now time.Time, e exchange.PledgeAsked) {
+// handlePledgeAsked answers a holder that wants this box not to claim for a while.
+func (c *Core) handlePledgeAsked(now time.Time, e exchange.PledgeAsked) {
 	a := exchange.Answer{Outcome: exchange.Unavailable, Steady: c.authority.Steady() && !c.authority.Stopping() && c.config != nil}
 	if c.authority.Pledge(now, e.Epoch) {
 		a.Outcome = exchange.OK
@@ -39,8 +39,8 @@
 	c.reply(e.Call, a)
 }
 
-// pledged takes what the other boxes have answered.
-func (c *Core) pledged(e exchange.Pledged) {
+// handlePledged takes what the other boxes have answered.
+func (c *Core) handlePledged(e exchange.Pledged) {
 	c.awaitingPledges = false
 	c.pledgeRetryAt = e.SentAt.Add(c.settings.Authority.Renew / 2)
 	if e.All {
--- a/services/dispatch/overview.go
+++ b/services/dispatch/overview.go
@@ -43,7 +43,7 @@
 		taking++
 		capacity = capacity.Plus(w.Capacity)
 		free = free.Plus(w.free)
-		promised = promised.Plus(w.promised)
+		promised = promised.Plus(w.committed)
 		stopping = stopping.Plus(w.soon().Minus(w.room()))
 		if w.prevHeldFor != nil {
 			kept++
--- a/services/dispatch/plan.go
+++ b/services/dispatch/plan.go
@@ -55,7 +55,7 @@
 		return
 	}
 	for _, w := range h.workersByName() {
-		w.prevHeldFor, w.heldFor, w.held = w.heldFor, nil, resource.Vector{}
+		w.prevHeldFor, w.heldFor, w.heldInPass = w.heldFor, nil, resource.Vector{}
 		w.prevDrainedFor, w.drainedFor = w.drainedFor, nil
 	}
 	h.hearUsage()
--- a/services/dispatch/reserve.go
+++ b/services/dispatch/reserve.go
@@ -88,8 +88,8 @@
 	}
 	for _, sh := range res.shares {
 		room := s.spec.Reserved().Times(sh.Tasks)
-		sh.Worker.promised = sh.Worker.promised.Plus(room)
-		sh.Worker.reserved = append(sh.Worker.reserved, keptRoom{step: s, room: room})
+		sh.Worker.committed = sh.Worker.committed.Plus(room)
+		sh.Worker.gangReservations = append(sh.Worker.gangReservations, keptRoom{step: s, room: room})
 	}
 	return res
 }
@@ -110,8 +110,8 @@
 		return
 	}
 	for _, sh := range res.shares {
-		sh.Worker.promised = sh.Worker.promised.Minus(s.spec.Reserved().Times(sh.Tasks))
-		sh.Worker.reserved = slices.DeleteFunc(sh.Worker.reserved, func(k keptRoom) bool { return k.step == s })
+		sh.Worker.committed = sh.Worker.committed.Minus(s.spec.Reserved().Times(sh.Tasks))
+		sh.Worker.gangReservations = slices.DeleteFunc(sh.Worker.gangReservations, func(k keptRoom) bool { return k.step == s })
 	}
 	for _, a := range res.victims {
 		a.markedForStop = false
@@ -193,7 +193,7 @@
 // has stopped, and each could wait for the other.
 func (h *holderState) isFree(s *step) bool {
 	return !slices.ContainsFunc(s.reservation.shares, func(sh share) bool {
-		room := sh.Worker.free.Minus(sh.Worker.promised)
+		room := sh.Worker.free.Minus(sh.Worker.committed)
 		for _, later := range sh.Worker.reservedAfter(s) {
 			room = room.Plus(later)
 		}
@@ -204,8 +204,8 @@
 // reservedAfter returns what is reserved on a worker for gangs later than for a step.
 func (w *worker) reservedAfter(s *step) []resource.Vector {
 	var all []resource.Vector
-	first := slices.IndexFunc(w.reserved, func(k keptRoom) bool { return k.step == s })
-	for _, k := range w.reserved[first+1:] {
+	first := slices.IndexFunc(w.gangReservations, func(k keptRoom) bool { return k.step == s })
+	for _, k := range w.gangReservations[first+1:] {
 		all = append(all, k.room)
 	}
 	return all
--- a/services/dispatch/room.go
+++ b/services/dispatch/room.go
@@ -49,7 +49,7 @@
 }
 
 // room returns what is free on a worker and neither promised nor held.
-func (w *worker) room() resource.Vector { return w.free.Minus(w.promised).Minus(w.held) }
+func (w *worker) room() resource.Vector { return w.free.Minus(w.committed).Minus(w.heldInPass) }
 
 // soon returns what is free on a worker once all that is being stopped has ended.
 func (w *worker) soon() resource.Vector {
@@ -64,7 +64,7 @@
 
 // hold keeps room for tasks of a step until the pass ends.
 func (w *worker) hold(s *step, tasks int) {
-	w.held = w.held.Plus(s.spec.Reserved().Times(tasks))
+	w.heldInPass = w.heldInPass.Plus(s.spec.Reserved().Times(tasks))
 	w.heldFor = s
 }
 
--- a/services/dispatch/starts.go
+++ b/services/dispatch/starts.go
@@ -76,7 +76,7 @@
 		return
 	}
 	if e.Answer.Fate == order.NoLife {
-		h.incarnationGone(now, w)
+		h.handleNoLife(now, w)
 		return
 	}
 	if e.Answer.Fate != order.Unknown {
--- a/services/dispatch/suspects.go
+++ b/services/dispatch/suspects.go
@@ -127,7 +127,7 @@
 // judge tells what the crash of a worker says of the tasks that were on it.
 func (h *holderState) judge(now time.Time, w *worker, on []blame.RunningTask) {
 	at := w.presence.SilentSince()
-	c := blame.Crash{Life: w.Life, Rack: w.Rack, At: at, UnixMilli: h.core.unixMilli(at), TasksKnown: w.reported || w.unresponsive.written, Tasks: on}
+	c := blame.Crash{Life: w.Life, Rack: w.Rack, At: at, UnixMilli: h.core.unixMilli(at), TasksKnown: w.reported || w.silence.written, Tasks: on}
 	for _, f := range h.blame.RecordCrash(now, c) {
 		h.core.logEvent("a worker crashed under a task", logField("job", string(f.Task.Job)), logField("task", f.Task.String()), logField("worker", w.Life.String()),
 			logField("crashes", f.Blame.Crashes), logField("guilty", fmt.Sprintf("%.3g", blame.Probability(f.Blame))), logField("worked_most", f.Worked.String()),
@@ -218,10 +218,10 @@
 	if a.step.spec.Gang {
 		a.crashRisk /= float64(len(a.step.tasks))
 	}
-	a.worker.suspects++
+	a.worker.suspectAttempts++
 	if blame.MustBeAlone(b) || a.worker.prepared.isFor(a) {
 		a.isolated = true
-		a.worker.trials++
+		a.worker.isolatedAttempts++
 	}
 	a.worker.prepared = nil
 }
@@ -232,7 +232,7 @@
 		return
 	}
 	a.crashRisk = 0
-	a.worker.suspects--
+	a.worker.suspectAttempts--
 	a.endTrial()
 }
 
@@ -240,7 +240,7 @@
 func (a *attempt) endTrial() {
 	if a.isolated {
 		a.isolated = false
-		a.worker.trials--
+		a.worker.isolatedAttempts--
 	}
 }
 
@@ -286,7 +286,7 @@
 func (h *holderState) mayPrepare(s *step, index int) bool {
 	kept := 0
 	for _, w := range h.workersByName() {
-		if w.prepared != nil || w.trials > 0 {
+		if w.prepared != nil || w.isolatedAttempts > 0 {
 			kept++
 		}
 	}
@@ -306,7 +306,7 @@
 	}
 	var best *candidate
 	for _, c := range h.candidates(p.now, s, r.suited(set)) {
-		if c.Worker.suspects == 0 && c.Worker.prepared == nil && (best == nil || c.betterTrial(*best, alone)) {
+		if c.Worker.suspectAttempts == 0 && c.Worker.prepared == nil && (best == nil || c.betterTrial(*best, alone)) {
 			best = &c
 		}
 	}
@@ -371,7 +371,7 @@
 // and those of a job.
 func (h *holderState) atRisk(j *trackedJob) (all, ofJob float64) {
 	for _, w := range h.workersByName() {
-		if w.suspects == 0 {
+		if w.suspectAttempts == 0 {
 			continue
 		}
 		for _, a := range w.sortedAttempts() {
--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -35,7 +35,7 @@
 	recording bool
 	records   int
 	// silence is what the log is told while it does not answer.
-	unresponsive unresponsiveRecord
+	silence silenceRecord
 
 	// place is where it is among all workers by name.
 	nameIndex int
@@ -47,9 +47,9 @@
 	// nothing is started beside them.
 	orphans map[order.Run]bool
 	// promised is room kept for steps that wait for tickets.
-	promised resource.Vector
+	committed resource.Vector
 	// reserved is the part of it that is reserved for gangs, in the order in which it was.
-	reserved []keptRoom
+	gangReservations []keptRoom
 
 	// clock was the worker's clock when an answer came at clockAt.
 	clock   order.WorkerClock
@@ -80,7 +80,7 @@
 	// held is room that this pass of the plan keeps for steps which rank higher than
 	// those it comes to next, keeper the last of them, prevHeldFor that of the pass
 	// before: other steps take the worker's room last.
-	held                 resource.Vector
+	heldInPass           resource.Vector
 	heldFor, prevHeldFor *step
 	// fillPace is the pace of its fillers, in percent, throttledAt when it was changed.
 	fillPace    int
@@ -97,7 +97,7 @@
 	lastFailed job.ID
 	// suspects counts the attempts of suspects on it, trials those beside which nothing
 	// is started.
-	suspects, trials int
+	suspectAttempts, isolatedAttempts int
 	// prepared says for which likely suspect it is kept, or is nil.
 	prepared *preparation
 	// excludedUntil is until when the worker gets no starts.
@@ -145,7 +145,7 @@
 
 // isSchedulable says whether new tasks may be started on the worker.
 func (h *holderState) isSchedulable(now time.Time, w *worker) bool {
-	return w.trials == 0 && w.prepared == nil && h.isHealthy(now, w)
+	return w.isolatedAttempts == 0 && w.prepared == nil && h.isHealthy(now, w)
 }
 
 // isHealthy says whether a worker could take new tasks if it were not kept for a suspect.
@@ -177,8 +177,8 @@
 	h.journal.addRecord(kept.WorkerRecord(w.Worker))
 }
 
-// workerTerminated frees the tasks of a worker whose life is over for sure.
-func (h *holderState) workerTerminated(now time.Time, w *worker, why string) {
+// handleWorkerTerminated frees the tasks of a worker whose life is over for sure.
+func (h *holderState) handleWorkerTerminated(now time.Time, w *worker, why string) {
 	how := h.endingOf(now, w, true)
 	h.core.logEvent("worker is gone", logField("worker", w.Life.String()), logField("reason", why), logField("tasks", len(w.attempts)), logField("how", string(how)))
 	h.loseAttempts(now, w, nil, how, why)
@@ -192,7 +192,7 @@
 	h.sortedWorkers = nil
 	w.lives.End(w.Life)
 	h.formerWorkers.Add(now, w.Name, w.lives)
-	if w.recorded || w.recording || w.unresponsive.written {
+	if w.recorded || w.recording || w.silence.written {
 		h.journal.addRecord(kept.DropWorker(w.Name))
 	}
 }
