--- a/services/dispatch/advice.go
+++ b/services/dispatch/advice.go
@@ -19,11 +19,11 @@
 	tickets.Eligibility[*worker]
 	// calls are those whose answers the step waits for.
 	calls []*adviceCall
-	// goesFirst says that room was kept for the step until now, so that it goes
+	// prioritized says that room was kept for the step until now, so that it goes
 	// before all others in the next plan.
-	goesFirst bool
-	// askAgain delays the next call after one that failed.
-	askAgain time.Time
+	prioritized bool
+	// retryAt delays the next call after one that failed.
+	retryAt time.Time
 }
 
 // adviceCall is one call to the advice service.
@@ -35,88 +35,88 @@
 	// due is when the answer should come.
 	due time.Time
 	// promises is room kept on workers until it does.
-	promises []promise
+	holds []capacityHold
 }
 
-// promise is room kept on one worker for a step.
-type promise struct {
-	worker *worker
-	room   resource.Vector
+// capacityHold is room kept on one worker for a step.
+type capacityHold struct {
+	worker   *worker
+	capacity resource.Vector
 }
 
 const (
-	// adviceMargin is added to the time that a call for advice should take before
+	// adviceTimeoutMargin is added to the time that a call for advice should take before
 	// it is given up. The service goes on with calls that were given up, so that
 	// a short margin only makes its queue longer.
-	adviceMargin = 1500 * time.Millisecond
-	// adviceAgain delays a call after one that failed.
-	adviceAgain = 100 * time.Millisecond
+	adviceTimeoutMargin = 1500 * time.Millisecond
+	// adviceRetryDelay delays a call after one that failed.
+	adviceRetryDelay = 100 * time.Millisecond
 )
 
-// asking says whether the step waits for an answer.
-func (a *advice) asking() bool { return len(a.calls) > 0 }
+// hasCalls says whether the step waits for an answer.
+func (a *advice) hasCalls() bool { return len(a.calls) > 0 }
 
-// told counts the workers of which the service has told.
-func (a *advice) told() int {
+// knownCount counts the workers of which the service has told.
+func (a *advice) knownCount() int {
 	n, _ := a.KnownWorkers()
 	return n
 }
 
-// keepsRoom says whether room is kept for the step until an answer comes.
-func (a *advice) keepsRoom() bool {
-	return slices.ContainsFunc(a.calls, func(c *adviceCall) bool { return len(c.promises) > 0 })
+// holdsCapacity says whether room is kept for the step until an answer comes.
+func (a *advice) holdsCapacity() bool {
+	return slices.ContainsFunc(a.calls, func(c *adviceCall) bool { return len(c.holds) > 0 })
 }
 
-// began notes a call that names some workers.
-func (a *advice) began(c *adviceCall) {
+// addCall notes a call that names some workers.
+func (a *advice) addCall(c *adviceCall) {
 	a.calls = append(a.calls, c)
 	a.BeginCall(c.workers)
 }
 
-// ended notes that the answer to a call is not waited for any more.
-func (a *advice) ended(c *adviceCall) {
+// removeCall notes that the answer to a call is not waited for any more.
+func (a *advice) removeCall(c *adviceCall) {
 	if i := slices.Index(a.calls, c); i >= 0 {
 		a.calls = slices.Delete(a.calls, i, i+1)
 		a.EndCall(c.workers)
 	}
 }
 
-// byName orders workers by their names: lives of one worker are equal.
-func byName(a, b *worker) int { return cmp.Compare(a.Name, b.Name) }
+// compareNames orders workers by their names: lives of one worker are equal.
+func compareNames(a, b *worker) int { return cmp.Compare(a.Name, b.Name) }
 
-// release gives back the room that was kept until a call's answer.
-func (c *adviceCall) release() {
-	for _, p := range c.promises {
-		p.worker.committed = p.worker.committed.Minus(p.room)
+// releaseHolds gives back the room that was kept until a call's answer.
+func (c *adviceCall) releaseHolds() {
+	for _, p := range c.holds {
+		p.worker.committed = p.worker.committed.Minus(p.capacity)
 	}
-	c.promises = nil
+	c.holds = nil
 }
 
 // endCall ends the step's wait for one call.
 func (s *step) endCall(c *adviceCall) {
-	c.release()
-	s.advice.ended(c)
+	c.releaseHolds()
+	s.advice.removeCall(c)
 }
 
-// releasePromises gives back all room that was kept for a step.
-func (h *holderState) releasePromises(now time.Time, s *step) {
-	h.unreserve(now, s, reservations.StepEnded)
+// releaseCapacity gives back all room that was kept for a step.
+func (h *holderState) releaseCapacity(now time.Time, s *step) {
+	h.releaseReservation(now, s, reservations.StepEnded)
 	for _, c := range s.advice.calls {
-		c.release()
+		c.releaseHolds()
 	}
 	s.advice.calls = nil
 	s.advice.EndAllCalls()
 }
 
-// promise keeps room for tasks of a step on a worker until a call's answer comes.
-func (c *adviceCall) promise(w *worker, tasks int) {
+// holdCapacity keeps room for tasks of a step on a worker until a call's answer comes.
+func (c *adviceCall) holdCapacity(w *worker, tasks int) {
 	room := c.step.spec.Reserved().Times(tasks)
 	w.committed = w.committed.Plus(room)
-	c.promises = append(c.promises, promise{worker: w, room: room})
+	c.holds = append(c.holds, capacityHold{worker: w, capacity: room})
 }
 
-// sweepAdvice has steps asked about anew whose answers are overdue.
-func (h *holderState) sweepAdvice(now time.Time) {
+// expireAdvice has steps asked about anew whose answers are overdue.
+func (h *holderState) expireAdvice(now time.Time) {
 	for c := range h.advisers.Overdue(now) {
 		if slices.Contains(c.step.advice.calls, c) {
 			c.step.endCall(c)
@@ -125,8 +125,8 @@
 	}
 }
 
-// advised takes the end of a call. An answer that was given up still counts.
-func (h *holderState) advised(now time.Time, e exchange.Advised) {
+// handleAdvised takes the end of a call. An answer that was given up still counts.
+func (h *holderState) handleAdvised(now time.Time, e exchange.Advised) {
 	if e.Epoch != h.epoch {
 		return
 	}
@@ -135,22 +135,22 @@
 		return
 	}
 	s := c.step
-	s.advice.goesFirst = s.advice.goesFirst || len(c.promises) > 0
+	s.advice.prioritized = s.advice.prioritized || len(c.holds) > 0
 	s.endCall(c)
 	h.planDue = true
 	if s.job.state.Final() {
 		return
 	}
 	if e.Busy || e.Failed != "" {
-		h.notAdvised(now, s, e)
+		h.handleAdviceFailure(now, s, e)
 		return
 	}
-	h.noteAdvice(now, c, e)
+	h.recordAdvice(now, c, e)
 }
 
-// notAdvised delays the next call for a step and spares the box that failed.
-func (h *holderState) notAdvised(now time.Time, s *step, e exchange.Advised) {
-	s.advice.askAgain = now.Add(adviceAgain)
+// handleAdviceFailure delays the next call for a step and spares the box that failed.
+func (h *holderState) handleAdviceFailure(now time.Time, s *step, e exchange.Advised) {
+	s.advice.retryAt = now.Add(adviceRetryDelay)
 	if e.Busy {
 		h.advisers.RecordRefusal(now, e.Box)
 		return
@@ -159,9 +159,9 @@
 	h.core.logEvent("advice failed", logField("step", s.id.String()), logField("asked_from", e.Box), logField("problem", e.Failed))
 }
 
-// noteAdvice keeps which of the workers asked about suit a step, and their
+// recordAdvice keeps which of the workers asked about suit a step, and their
 // tickets. How many suit is learned from those asked about for the first time.
-func (h *holderState) noteAdvice(now time.Time, c *adviceCall, e exchange.Advised) {
+func (h *holderState) recordAdvice(now time.Time, c *adviceCall, e exchange.Advised) {
 	s := c.step
 	a := &s.advice
 	a.RecordAnswer()
@@ -174,7 +174,7 @@
 		}
 		if h.currentWorker(w.Life) == w {
 			// A worker that gets no ticket any more is not asked about again.
-			a.SetEligible(w, false, byName)
+			a.SetEligible(w, false, compareNames)
 			asked[w.Name] = w
 		}
 	}
@@ -185,7 +185,7 @@
 	}
 	for _, t := range e.Good {
 		if w := asked[t.Worker]; w != nil {
-			a.SetEligible(w, true, byName)
+			a.SetEligible(w, true, compareNames)
 			if fresh[w] {
 				good++
 			}
--- a/services/dispatch/ask.go
+++ b/services/dispatch/ask.go
@@ -61,11 +61,11 @@
 	if box != h.core.self.Box {
 		address = h.core.members[box].Address
 	}
-	s.advice.began(c)
+	s.advice.addCall(c)
 	h.advisers.CallTimeByQueue[s.job.queue] += takes
 	h.core.emit(exchange.Advise{
 		Box: box, Address: address, Epoch: h.epoch, Number: c.number, Step: s.id, Workers: names,
-		Expected: c.due.Sub(now), Timeout: c.due.Sub(now) + adviceMargin,
+		Expected: c.due.Sub(now), Timeout: c.due.Sub(now) + adviceTimeoutMargin,
 	})
 	return c
 }
@@ -85,7 +85,7 @@
 	for _, in := range ordered.Map(j.instances) {
 		for _, s := range in.steps {
 			if len(s.spec.After) == 0 {
-				h.requestEarlyStepAdvice(p, now, ranked{step: s, queue: q})
+				h.requestEarlyStepAdvice(p, now, rankedStep{step: s, queue: q})
 			}
 		}
 	}
@@ -93,10 +93,10 @@
 
 // requestEarlyStepAdvice asks for a step that is not open yet. The pass is the look at the
 // workers, which may be older than now.
-func (h *holderState) requestEarlyStepAdvice(p *pass, now time.Time, r ranked) {
+func (h *holderState) requestEarlyStepAdvice(p *pass, now time.Time, r rankedStep) {
 	candidates := h.workersFor(p, r.step, r.queue.Pool).workers
 	if r.step.spec.Gang {
-		h.widenChoice(now, r, candidates, false)
+		h.widenCandidates(now, r, candidates, false)
 		return
 	}
 	h.requestAdviceForRoom(now, r, candidates)
@@ -123,7 +123,7 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b *worker) int {
-		return cmp.Or(cmp.Compare(b.room().Processors, a.room().Processors), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(b.available().Processors, a.available().Processors), cmp.Compare(a.Name, b.Name))
 	})
 	return all
 }
@@ -144,7 +144,7 @@
 			if s.advice.IsKnownOrPending(w) {
 				continue
 			}
-			room := w.slots(s, w.room())
+			room := w.slots(s, w.available())
 			if room == 0 {
 				full = append(full, w)
 			} else if !yield(w, room) {
@@ -161,9 +161,9 @@
 
 // requestAdviceOn calls for advice on some workers, in as many calls as that takes. It
 // returns false if none was made.
-func (h *holderState) requestAdviceOn(now time.Time, r ranked, workers []*worker) bool {
+func (h *holderState) requestAdviceOn(now time.Time, r rankedStep, workers []*worker) bool {
 	s := r.step
-	if now.Before(s.advice.askAgain) {
+	if now.Before(s.advice.retryAt) {
 		return false
 	}
 	asked := false
@@ -179,7 +179,7 @@
 // requestAdviceForRoom asks about as many unknown workers as should have room for the waiting
 // tasks of a step, those that have some first. Where few have room it names some
 // more, which may have it next. It returns false if no call was made.
-func (h *holderState) requestAdviceForRoom(now time.Time, r ranked, candidates []*worker) bool {
+func (h *holderState) requestAdviceForRoom(now time.Time, r rankedStep, candidates []*worker) bool {
 	s := r.step
 	if !h.advisers.HasFreeBox(now, maps.Keys(h.core.members), r.queue.Advice.Base, advisers.MaxQueueTime) {
 		h.advisers.FairShare.RecordDeferral(now, h.callClass(now, s))
@@ -200,10 +200,10 @@
 
 // requestMoreAdvice asks about those of some workers that have room now. It returns false if
 // no call was made.
-func (h *holderState) requestMoreAdvice(now time.Time, r ranked, workers []*worker) bool {
+func (h *holderState) requestMoreAdvice(now time.Time, r rankedStep, workers []*worker) bool {
 	var open []*worker
 	for _, w := range workers {
-		if w.slots(r.step, w.room()) > 0 {
+		if w.slots(r.step, w.available()) > 0 {
 			open = append(open, w)
 		}
 	}
@@ -212,9 +212,9 @@
 
 // refreshTickets asks for tickets for shares, and keeps their room until they come.
 // Tickets that outlast the call are not asked for again.
-func (h *holderState) refreshTickets(now time.Time, r ranked, shares []share) {
+func (h *holderState) refreshTickets(now time.Time, r rankedStep, shares []allocation) {
 	s := r.step
-	if len(shares) == 0 || now.Before(s.advice.askAgain) {
+	if len(shares) == 0 || now.Before(s.advice.retryAt) {
 		return
 	}
 	takes := r.queue.Advice.Base + time.Duration(len(shares))*r.queue.Advice.Each
@@ -225,14 +225,14 @@
 	}
 	if c := h.requestAdvice(now, s, r.queue.Advice, workers); c != nil {
 		for _, sh := range shares {
-			c.promise(sh.Worker, sh.Tasks)
+			c.holdCapacity(sh.Worker, sh.Tasks)
 		}
 	}
 }
 
 // splitByTicket splits shares into those whose tickets a start could use now and the
 // others.
-func (s *step) splitByTicket(now time.Time, shares []share) (valid, stale []share) {
+func (s *step) splitByTicket(now time.Time, shares []allocation) (valid, stale []allocation) {
 	for _, sh := range shares {
 		if _, ok := s.advice.TicketFor(now, sh.Worker); ok {
 			valid = append(valid, sh)
--- a/services/dispatch/attempts.go
+++ b/services/dispatch/attempts.go
@@ -103,12 +103,12 @@
 	if !t.done {
 		a.step.unplacedTasks--
 	}
-	h.enterTrial(now, a)
+	h.trackSuspect(now, a)
 }
 
 // unassign gives the room back.
 func (h *holderState) unassign(a *attempt) {
-	a.leaveTrial()
+	a.untrackSuspect()
 	delete(a.worker.attempts, a.runID())
 	a.worker.free = a.worker.free.Plus(a.step.spec.Reserved())
 	h.usage.Subtract(a.step.job.workspace, a.step.spec.Need)
--- a/services/dispatch/calls.go
+++ b/services/dispatch/calls.go
@@ -44,7 +44,7 @@
 		h.replyUnavailable(e.Call, "the log keeps no records at present")
 		return
 	}
-	within, refusal := h.admits(now, &e.Submission)
+	within, refusal := h.checkAdmission(now, &e.Submission)
 	if !within && refusal == nil || refusal != nil && refusal.RetryAfter > 0 {
 		h.core.emit(exchange.JobBeyondShare{Refused: refusal != nil})
 	}
--- a/services/dispatch/caps.go
+++ b/services/dispatch/caps.go
@@ -16,10 +16,10 @@
 	"saddlevane/services/workspaces"
 )
 
-// admits says whether a new job is within its workspace's share, or returns the answer by
+// checkAdmission says whether a new job is within its workspace's share, or returns the answer by
 // which it is refused: its cap could never hold it, or it is beyond its share while the
 // workers have little room.
-func (h *holderState) admits(now time.Time, sub *job.Submission) (within bool, refusal *exchange.Answer) {
+func (h *holderState) checkAdmission(now time.Time, sub *job.Submission) (within bool, refusal *exchange.Answer) {
 	if sub.Workspace == "" {
 		return true, nil
 	}
@@ -43,12 +43,12 @@
 	return false, nil
 }
 
-// mayPlace returns how many of the waiting tasks of a step may be placed that need not be
+// placeable returns how many of the waiting tasks of a step may be placed that need not be
 // tried apart: no more than its workspace may take.
-func (h *holderState) mayPlace(s *step) int { return min(h.toPlace(s), h.capRoom(s)) }
+func (h *holderState) placeable(s *step) int { return min(h.unsuspectedWaiting(s), h.slotsUnderCap(s)) }
 
-// capRoom returns how many more tasks of a step its workspace may take.
-func (h *holderState) capRoom(s *step) int {
+// slotsUnderCap returns how many more tasks of a step its workspace may take.
+func (h *holderState) slotsUnderCap(s *step) int {
 	if s.job.workspace == "" {
 		return job.MaxTasks
 	}
@@ -60,18 +60,18 @@
 	return h.core.config.Workspace(j.workspace)
 }
 
-// placed returns what the tasks of a job take that have a place, unplaced what those would
+// placedNeed returns what the tasks of a job take that have a place, unplaced what those would
 // that are neither done nor known to have one.
-func (j *trackedJob) placed() resource.Vector {
-	return j.sum(func(s *step) int { return s.placedTasks })
+func (j *trackedJob) placedNeed() resource.Vector {
+	return j.sumNeeds(func(s *step) int { return s.placedTasks })
 }
 
-func (j *trackedJob) unplaced() resource.Vector {
-	return j.sum(func(s *step) int { return s.unplacedTasks })
+func (j *trackedJob) waitingNeed() resource.Vector {
+	return j.sumNeeds(func(s *step) int { return s.unplacedTasks })
 }
 
-// sum returns what some tasks of each step of a job need together.
-func (j *trackedJob) sum(tasks func(*step) int) resource.Vector {
+// sumNeeds returns what some tasks of each step of a job need together.
+func (j *trackedJob) sumNeeds(tasks func(*step) int) resource.Vector {
 	var all resource.Vector
 	for _, in := range j.instances {
 		for _, s := range in.steps {
@@ -81,21 +81,21 @@
 	return all
 }
 
-// leave notes what tasks may still run of a job that ended under an earlier holder.
-func (h *holderState) leave(now time.Time, p job.Progress) {
-	if p.Workspace != "" && h.core.unixMilli(now)-p.Ended < leftFor.Milliseconds() {
+// recordLeftover notes what tasks may still run of a job that ended under an earlier holder.
+func (h *holderState) recordLeftover(now time.Time, p job.Progress) {
+	if p.Workspace != "" && h.core.unixMilli(now)-p.Ended < leftoverLifetime.Milliseconds() {
 		h.leftoverUsage[p.Workspace] = h.leftoverUsage[p.Workspace].Plus(p.Left)
 	}
 }
 
-// leftFor is how long after the end of its job a task may run of which nothing was heard: as
+// leftoverLifetime is how long after the end of its job a task may run of which nothing was heard: as
 // long as the longest lease that platforms grant, and a takeover.
-const leftFor = 30 * time.Second
+const leftoverLifetime = 30 * time.Second
 
-// hearUsage tells the usage what tasks of each workspace may run on workers that have not
+// setUnreportedUsage tells the usage what tasks of each workspace may run on workers that have not
 // told what they run: no more than there is room for, and no more than the tasks of which it
 // is not known where they are.
-func (h *holderState) hearUsage() {
+func (h *holderState) setUnreportedUsage() {
 	var room resource.Vector
 	for _, w := range h.workersByName() {
 		switch {
@@ -115,7 +115,7 @@
 	}
 	for _, j := range h.jobs {
 		if j.inherited && j.workspace != "" {
-			unheard[j.workspace] = unheard[j.workspace].Plus(j.unplaced())
+			unheard[j.workspace] = unheard[j.workspace].Plus(j.waitingNeed())
 		}
 	}
 	h.usage.SetUnreportedWithin(unheard, room)
--- a/services/dispatch/caps_test.go
+++ b/services/dispatch/caps_test.go
@@ -27,12 +27,12 @@
 // in which it is the memory that is over, not the processors. The same worlds as for all
 // other promises are played, with jobs of workspaces whose caps change; workers check at
 // each start what runs of the workspace on all of them.
-func TestWorkspacesStayBelowTheirCaps(t *testing.T) {
+func TestWorkspacesStayWithinCaps(t *testing.T) {
 	for seed := range seeds() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(t, 81000+seed, 3, 8)
-			w.hasWorkspaces()
+			w.useWorkspaces()
 			w.lateShare = []float64{0, 0, 0.05}[w.rng.Intn(3)]
 			w.waitUntilServing()
 			for range 4 {
@@ -45,8 +45,8 @@
 	}
 }
 
-// capsOf returns the caps of a drawn configuration: of processors, of memory, or none.
-func capsOf(least int64) []workspace.Workspace {
+// testCaps returns the caps of a drawn configuration: of processors, of memory, or none.
+func testCaps(least int64) []workspace.Workspace {
 	cores := func(n int64) resource.Millis { return resource.Millis(n) * resource.Processor }
 	return []workspace.Workspace{
 		{Name: "small", Weight: 100, Most: resource.Vector{Processors: cores(least)}},
@@ -55,23 +55,23 @@
 	}
 }
 
-// leastCap is enough for the largest gang of random jobs, in processors.
-const leastCap = 6 * 21
+// minCap is enough for the largest gang of random jobs, in processors.
+const minCap = 6 * 21
 
-// hasWorkspaces gives the jobs of a world workspaces, and their caps.
-func (w *world) hasWorkspaces() {
+// useWorkspaces gives the jobs of a world workspaces, and their caps.
+func (w *world) useWorkspaces() {
 	w.workspaces = []string{"small", "narrow", "free", ""}
-	w.publishCaps(leastCap)
+	w.publishCaps(minCap)
 }
 
 // changeCaps moves the caps up or down.
-func (w *world) changeCaps() { w.publishCaps(int64(leastCap + w.rng.Intn(2*leastCap))) }
+func (w *world) changeCaps() { w.publishCaps(int64(minCap + w.rng.Intn(2*minCap))) }
 
 // publishCaps has all boxes read a configuration with other caps; 0 is no bound.
 func (w *world) publishCaps(least int64) {
 	next := w.config
 	next.Version++
-	all := capsOf(least)
+	all := testCaps(least)
 	if least == 0 {
 		for i := range all {
 			all[i].Most = resource.Vector{}
@@ -95,16 +95,16 @@
 	caps  map[string]workspace.Workspace
 }
 
-// lateOrders is how long after its sending an order may be carried out in these worlds.
-const lateOrders = 13 * time.Second
+// maxOrderDelay is how long after its sending an order may be carried out in these worlds.
+const maxOrderDelay = 13 * time.Second
 
-// capAt returns the highest cap under which a start may have been ordered that is carried
+// maxCap returns the highest cap under which a start may have been ordered that is carried
 // out now: part by part, where 0 is none.
-func (w *world) capAt(name string) resource.Vector {
+func (w *world) maxCap(name string) resource.Vector {
 	most := w.config.Workspaces[name].Most
 	within := time.Second
 	if w.lateShare > 0 {
-		within = lateOrders
+		within = maxOrderDelay
 	}
 	for _, f := range w.formerCaps {
 		if w.now.Sub(f.until) > within {
@@ -136,7 +136,7 @@
 			}
 		}
 	}
-	most := w.capAt(name)
+	most := w.maxCap(name)
 	if most.Processors > 0 && running.Processors > most.Processors || most.Memory > 0 && running.Memory > most.Memory {
 		w.breaks("%v starts: workspace %s has %v running, and may have %v", s.Task, name, running, most)
 	}
@@ -144,37 +144,37 @@
 
 // A gang that its workspace's cap can never hold waited until its caller gave up; it is
 // known when it is handed in.
-func TestAGangThatItsCapCanNeverHoldIsRefusedAtOnce(t *testing.T) {
+func TestGangLargerThanWorkspaceCapIsRefused(t *testing.T) {
 	w := newWorld(t, 1, 1, 8)
-	w.hasWorkspaces()
+	w.useWorkspaces()
 	w.waitUntilServing()
 	s := oneStep("wide", "quick", 40, true)
 	s.Workspace = "small"
-	got := w.answerTo(exchange.Submitted{Submission: s})
+	got := w.callHolder(exchange.Submitted{Submission: s})
 	assert.Equal(t, got.Outcome, exchange.Busy)
 	assert.Equal(t, got.RetryAfter, job.Milliseconds(0))
 	assert.Check(t, strings.Contains(got.Reason, "the workspace may have {126 0B 0}"), got.Reason)
 	// Its tasks one by one are not too much.
 	s.Steps[0].Gang = false
-	assert.Equal(t, w.answerTo(exchange.Submitted{Submission: s}).Outcome, exchange.OK)
+	assert.Equal(t, w.callHolder(exchange.Submitted{Submission: s}).Outcome, exchange.OK)
 }
 
 // A workspace that waits for its cap is told so.
-func TestWhyAStepWaitsNamesTheCap(t *testing.T) {
+func TestExplanationNamesWorkspaceCap(t *testing.T) {
 	w := newWorld(t, 1, 1, 8)
-	w.hasWorkspaces()
+	w.useWorkspaces()
 	w.waitUntilServing()
 	s := oneStep("j", "quick", 40, false)
 	s.Workspace, s.Steps[0].Estimate = "small", 5000
-	assert.Equal(t, w.answerTo(exchange.Submitted{Submission: s}).Outcome, exchange.OK)
+	assert.Equal(t, w.callHolder(exchange.Submitted{Submission: s}).Outcome, exchange.OK)
 	w.run(300 * time.Millisecond)
-	got := w.answerTo(exchange.ExplanationAsked{Job: "j"})
+	got := w.callHolder(exchange.ExplanationAsked{Job: "j"})
 	assert.Equal(t, got.Explanation.Workspace, "small")
 	assert.Check(t, strings.Contains(got.Explanation.Steps[0].Reason, `tasks of workspace "small" take or may take`), got.Explanation.Steps[0].Reason)
 }
 
-// answerTo makes a call at the holder and waits for its answer.
-func (w *world) answerTo(e exchange.Event) (got exchange.Answer) {
+// callHolder makes a call at the holder and waits for its answer.
+func (w *world) callHolder(e exchange.Event) (got exchange.Answer) {
 	w.t.Helper()
 	answered := false
 	w.holder().ask(func(id exchange.CallID) exchange.Event {
@@ -206,37 +206,37 @@
 // Each key was served, whatever the configuration said of it: on each day 20 to 75 jobs ran
 // under keys that were never in force, and up to 593 calls under keys that had been taken
 // away. What another workspace's key gets for a job must not tell that there is one.
-func TestAKeyActsOnItsWorkspacesJobsOnly(t *testing.T) {
+func TestKeyAccessesOnlyJobsOfItsWorkspace(t *testing.T) {
 	w := newWorld(t, 1, 1, 8)
-	w.hasWorkspaces()
+	w.useWorkspaces()
 	w.waitUntilServing()
 	as := func(name string) *workspace.Caller {
 		return &workspace.Caller{Queue: "quick", Version: w.config.Version, Current: true, Workspace: name}
 	}
 	s := oneStep("j", "quick", 1, false)
 	s.Steps[0].Estimate = 5000
-	assert.Equal(t, w.answerTo(exchange.Submitted{Caller: as("small"), Submission: s}).Outcome, exchange.OK)
-	assert.Equal(t, w.answerTo(exchange.StateAsked{Caller: as("small"), Job: "j"}).Outcome, exchange.OK)
-	assert.DeepEqual(t, w.answerTo(exchange.StateAsked{Caller: as("free"), Job: "j"}), w.answerTo(exchange.StateAsked{Caller: as("free"), Job: "none"}))
-	assert.DeepEqual(t, w.answerTo(exchange.CancelAsked{Caller: as("free"), Job: "j"}), w.answerTo(exchange.CancelAsked{Caller: as("free"), Job: "none"}))
-	assert.Check(t, w.answerTo(exchange.Submitted{Caller: as("free"), Submission: s}).Outcome.NothingDone())
+	assert.Equal(t, w.callHolder(exchange.Submitted{Caller: as("small"), Submission: s}).Outcome, exchange.OK)
+	assert.Equal(t, w.callHolder(exchange.StateAsked{Caller: as("small"), Job: "j"}).Outcome, exchange.OK)
+	assert.DeepEqual(t, w.callHolder(exchange.StateAsked{Caller: as("free"), Job: "j"}), w.callHolder(exchange.StateAsked{Caller: as("free"), Job: "none"}))
+	assert.DeepEqual(t, w.callHolder(exchange.CancelAsked{Caller: as("free"), Job: "j"}), w.callHolder(exchange.CancelAsked{Caller: as("free"), Job: "none"}))
+	assert.Check(t, w.callHolder(exchange.Submitted{Caller: as("free"), Submission: s}).Outcome.NothingDone())
 	// The next holder knows whose job it is, also once it has ended.
 	for range 2 {
 		w.killBox(w.holder(), 500*time.Millisecond)
 		w.until(10*time.Second, "a holder serves", func() bool { return w.holder() != nil })
-		assert.Equal(t, w.answerTo(exchange.StateAsked{Caller: as("free"), Job: "j"}).Outcome, exchange.NoJob)
-		assert.Equal(t, w.answerTo(exchange.StateAsked{Caller: as("small"), Job: "j"}).Outcome, exchange.OK)
+		assert.Equal(t, w.callHolder(exchange.StateAsked{Caller: as("free"), Job: "j"}).Outcome, exchange.NoJob)
+		assert.Equal(t, w.callHolder(exchange.StateAsked{Caller: as("small"), Job: "j"}).Outcome, exchange.OK)
 		w.run(10 * time.Second)
 	}
-	assert.Equal(t, w.answerTo(exchange.StateAsked{Caller: as("small"), Job: "j"}).State, job.Succeeded)
+	assert.Equal(t, w.callHolder(exchange.StateAsked{Caller: as("small"), Job: "j"}).State, job.Succeeded)
 }
 
 // A box that had been turned away by the log let keys in that were taken away meanwhile, for
 // as long as it was. The holder, which has read the newer configuration, is right; where
 // neither knew its own to be the newest, nobody can say.
-func TestTheNewerConfigurationJudgesAKey(t *testing.T) {
+func TestNewerConfigurationDecidesKeyValidity(t *testing.T) {
 	w := newWorld(t, 1, 1, 8)
-	w.hasWorkspaces()
+	w.useWorkspaces()
 	w.waitUntilServing()
 	key := workspace.DigestOf("k")
 	withKey, without := maps.Clone(w.config.Keys), maps.Clone(w.config.Keys)
@@ -268,7 +268,7 @@
 		if c.holderIsCurrent {
 			w.holder().post(exchange.ConfigSeen{AskedAt: w.now})
 		}
-		got := w.answerTo(exchange.StateAsked{Job: "none", Caller: &workspace.Caller{
+		got := w.callHolder(exchange.StateAsked{Job: "none", Caller: &workspace.Caller{
 			Queue: "quick", Digest: &key, Workspace: "small", Version: c.box, Current: c.boxIsCurrent,
 		}})
 		assert.Equal(t, got.Outcome, c.want, c.name)
@@ -278,17 +278,17 @@
 // After a takeover the next holder does not know what runs on a worker that it cannot reach:
 // a task whose job has ended is named nowhere in the log, and one whose job goes on may be
 // there or wait. Both may run there until its lease is over, and count as if they did.
-func TestTasksOutOfReachCountAfterATakeover(t *testing.T) {
+func TestTasksOnUnreachableWorkersCountTowardsCapAfterTakeover(t *testing.T) {
 	for name, ends := range map[string]bool{"whose job goes on": false, "whose job has ended": true} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 1, 2, 8)
-			w.hasWorkspaces()
+			w.useWorkspaces()
 			w.waitUntilServing()
 			first := oneStep("first", "quick", 2, false)
 			first.Workspace, first.Steps[0].Service = "small", true
-			first.Steps[0].Need.Processors = leastCap * resource.Processor / 4
+			first.Steps[0].Need.Processors = minCap * resource.Processor / 4
 			a := w.submit(first)
-			running := func() int { return w.runningOf("first") }
+			running := func() int { return w.runningCount("first") }
 			w.until(2*time.Second, "the first job runs", func() bool { return running() == 2 })
 			for _, f := range w.workers {
 				f.cut = len(f.runs) > 0
@@ -302,18 +302,18 @@
 			assert.Equal(t, running(), 2)
 			next := oneStep("next", "quick", 4, false)
 			next.Workspace = "small"
-			next.Steps[0].Need.Processors = leastCap * resource.Processor / 4
+			next.Steps[0].Need.Processors = minCap * resource.Processor / 4
 			w.submit(next)
 			w.until(10*time.Second, "all of it has begun", func() bool {
 				w.check()
-				return w.jobs["next"].accepted && w.runningOf("next")+len(w.jobs["next"].done) == 4
+				return w.jobs["next"].accepted && w.runningCount("next")+len(w.jobs["next"].done) == 4
 			})
 		})
 	}
 }
 
-// runningOf counts the runs of a job on workers that live.
-func (w *world) runningOf(id job.ID) int {
+// runningCount counts the runs of a job on workers that live.
+func (w *world) runningCount(id job.ID) int {
 	n := 0
 	for _, f := range w.workers {
 		for run := range f.runs {
--- a/services/dispatch/choice.go
+++ b/services/dispatch/choice.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// gangChoice is for how many times its tasks a gang is to know workers, so that
-	// it need not wait for particular ones, and gangChoiceGrows how much that is
+	// gangCandidateFactor is for how many times its tasks a gang is to know workers, so that
+	// it need not wait for particular ones, and gangCandidateGrowth how much that is
 	// more for each second for which it has waited.
-	gangChoice      = 2
-	gangChoiceGrows = 0.5
-	// gangChoiceMost bounds gangChoice as it grows, gangChoiceRoomy while much of the
+	gangCandidateFactor = 2
+	gangCandidateGrowth = 0.5
+	// maxGangCandidateFactor bounds gangCandidateFactor as it grows, maxAmpleRoomCandidateFactor while much of the
 	// workers' room is free: nobody else needs the advice then.
-	gangChoiceMost  = 3.5
-	gangChoiceRoomy = 12
-	// widenEvery is the time between two looks whether a gang knows enough workers.
-	widenEvery = 200 * time.Millisecond
+	maxGangCandidateFactor      = 3.5
+	maxAmpleRoomCandidateFactor = 12
+	// widenInterval is the time between two looks whether a gang knows enough workers.
+	widenInterval = 200 * time.Millisecond
 )
 
-// slotsOfEmpty returns how many tasks of a step an empty worker takes.
-func (s *step) slotsOfEmpty(capacity resource.Vector) int {
+// slotsWhenEmpty returns how many tasks of a step an empty worker takes.
+func (s *step) slotsWhenEmpty(capacity resource.Vector) int {
 	n := capacity.Holds(s.spec.Reserved(), job.MaxTasks)
 	if s.spec.PerWorker > 0 {
 		n = min(n, s.spec.PerWorker)
@@ -46,25 +46,25 @@
 	return most
 }
 
-// choice returns for how many tasks a gang is to know room on workers.
-func (s *step) choice(now time.Time, roomy bool) float64 {
-	times := float64(gangChoice)
+// wantedSlots returns for how many tasks a gang is to know room on workers.
+func (s *step) wantedSlots(now time.Time, roomy bool) float64 {
+	times := float64(gangCandidateFactor)
 	if !s.openedAt.IsZero() {
-		times += gangChoiceGrows * max(0, now.Sub(s.openedAt).Seconds())
+		times += gangCandidateGrowth * max(0, now.Sub(s.openedAt).Seconds())
 	}
-	most := gangChoiceMost
+	most := maxGangCandidateFactor
 	if roomy {
-		most = gangChoiceRoomy
+		most = maxAmpleRoomCandidateFactor
 	}
 	return min(times, most) * float64(len(s.tasks))
 }
 
-// missing returns for how many of some tasks there is no room yet on candidates that
+// missingSlots returns for how many of some tasks there is no room yet on candidates that
 // are known to suit, if they were empty, or are asked about now, of which a share
 // should be good.
-func (s *step) missing(tasks float64, candidates []*worker, good float64) float64 {
+func (s *step) missingSlots(tasks float64, candidates []*worker, good float64) float64 {
 	for _, w := range candidates {
-		slots := float64(s.slotsOfEmpty(w.Capacity))
+		slots := float64(s.slotsWhenEmpty(w.Capacity))
 		switch suits, known := s.advice.IsEligible(w); {
 		case known && suits:
 			tasks -= slots
@@ -75,17 +75,17 @@
 	return tasks
 }
 
-// widenChoice asks about more workers for a gang until those known to suit, and
+// widenCandidates asks about more workers for a gang until those known to suit, and
 // those that will be by the answers under way, could hold its tasks a few times
 // over. A gang that has waited asks for a wider choice.
-func (h *holderState) widenChoice(now time.Time, r ranked, candidates []*worker, roomy bool) {
+func (h *holderState) widenCandidates(now time.Time, r rankedStep, candidates []*worker, roomy bool) {
 	s := r.step
 	if now.Before(s.nextWidenAt) {
 		return
 	}
-	s.nextWidenAt = now.Add(widenEvery)
+	s.nextWidenAt = now.Add(widenInterval)
 	good := h.history.SuitableShare(r.queue.Name)
-	missing := s.missing(s.choice(now, roomy), candidates, good)
+	missing := s.missingSlots(s.wantedSlots(now, roomy), candidates, good)
 	if missing <= 0 {
 		return
 	}
@@ -93,7 +93,7 @@
 		h.requestAdviceForRoom(now, r, candidates)
 		return
 	}
-	each := float64(max(1, s.slotsOfEmpty(h.largestCapacity()))) * good
+	each := float64(max(1, s.slotsWhenEmpty(h.largestCapacity()))) * good
 	unknown := s.unaskedByRoom(candidates)
 	wanted := max(advisers.MinWorkersPerCall(r.queue.Advice), int(math.Ceil(missing/each)))
 	h.requestAdviceOn(now, r, unknown[:min(len(unknown), wanted)])
--- a/services/dispatch/delay.go
+++ b/services/dispatch/delay.go
@@ -14,8 +14,8 @@
 	"saddlevane/services/ranking"
 )
 
-// waited notes what a step waits for at now.
-func (s *step) waited(now time.Time, why delays.Cause) {
+// recordWait notes what a step waits for at now.
+func (s *step) recordWait(now time.Time, why delays.Cause) {
 	if since := ordered.Later(s.waitSumUntil, s.openedAt); s.doneTasks+s.placedTasks == 0 && !since.IsZero() {
 		if s.waitSum == nil {
 			s.waitSum = delays.Totals{}
@@ -25,9 +25,9 @@
 	s.waitSumUntil = now
 }
 
-// waitsFor returns what a step waits for that has found no place in a plan.
-func (s *step) waitsFor() delays.Cause {
-	if s.advice.asking() {
+// waitCause returns what a step waits for that has found no place in a plan.
+func (s *step) waitCause() delays.Cause {
+	if s.advice.hasCalls() {
 		return delays.Advice
 	}
 	if s.capReached {
@@ -45,7 +45,7 @@
 	} else {
 		d.Add(delays.Log, opened.Sub(in.dueAt))
 	}
-	for s := in.lastOf(nil); s != nil; s = in.lastOf(s.spec.After) {
+	for s := in.lastDone(nil); s != nil; s = in.lastDone(s.spec.After) {
 		for why, took := range s.delaySum {
 			d[why] += took
 		}
@@ -56,8 +56,8 @@
 	return d
 }
 
-// lastOf returns the step that was done last among some, or among all.
-func (in *instance) lastOf(among []int) *step {
+// lastDone returns the step that was done last among some, or among all.
+func (in *instance) lastDone(among []int) *step {
 	var last *step
 	for i, s := range in.steps {
 		if among != nil && !slices.Contains(among, i) {
@@ -74,14 +74,14 @@
 // had taken what they usually take.
 func (h *holderState) usualObjective(in *instance, q job.Queue) time.Duration {
 	longest := time.Duration(0)
-	for i, after := range ranking.CriticalPathAfter(in.steps, h.usual, (*step).dependencies) {
-		longest = max(longest, after+h.usual(in.steps[i]))
+	for i, after := range ranking.CriticalPathAfter(in.steps, h.usualTime, (*step).dependencies) {
+		longest = max(longest, after+h.usualTime(in.steps[i]))
 	}
 	return time.Duration(q.Stretch*float64(longest)) + q.Latency
 }
 
-// noteEnded says how a job ended, against when it was wanted, and what delayed it.
-func (h *holderState) noteEnded(now time.Time, j *trackedJob, state job.State, why string) {
+// logJobEnd says how a job ended, against when it was wanted, and what delayed it.
+func (h *holderState) logJobEnd(now time.Time, j *trackedJob, state job.State, why string) {
 	fields := []exchange.Field{
 		logField("job", string(j.id)), logField("queue", j.queue), logField("workspace", j.workspace), logField("outcome", string(state)), logField("reason", why),
 		logField("age", now.Sub(j.acceptedAt).String()), logField("claim", h.epoch),
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -134,7 +134,7 @@
 	case exchange.ClaimsRead:
 		c.handleClaimsRead(now, e)
 	case exchange.MembersRead:
-		c.membersRead(now, e.Members)
+		c.handleMembersRead(now, e.Members)
 	case exchange.AppendEnded:
 		c.handleAppendEnded(now, e)
 	case exchange.PledgeAsked:
@@ -142,9 +142,9 @@
 	case exchange.Pledged:
 		c.handlePledged(e)
 	case exchange.InviteAsked:
-		c.inviteAsked(now, e)
+		c.handleInviteAsked(now, e)
 	case exchange.Invited:
-		c.invited(e)
+		c.handleInvited(e)
 	case exchange.Submitted:
 		c.serveCall(now, e.Call, e.Caller, func(h *holderState) { h.submit(now, e) })
 	case exchange.CancelAsked:
@@ -152,7 +152,7 @@
 	case exchange.StateAsked:
 		c.serveCall(now, e.Call, e.Caller, func(h *holderState) { h.replyState(e) })
 	case exchange.ExplanationAsked:
-		c.serveCall(now, e.Call, nil, func(h *holderState) { h.askExplanation(now, e) })
+		c.serveCall(now, e.Call, nil, func(h *holderState) { h.explainJob(now, e) })
 	case exchange.CountAsked:
 		c.serveCall(now, e.Call, e.Caller, func(h *holderState) { h.replyCount(e) })
 	default:
--- a/services/dispatch/ends.go
+++ b/services/dispatch/ends.go
@@ -42,8 +42,8 @@
 		t.checkpoint = end.Checkpoint
 	}
 	if end.How == order.Done {
-		h.acquit(s, end.Task.Index)
-		s.tookUntil(now, a)
+		h.clearBlame(s, end.Task.Index)
+		s.recordRunTime(now, a)
 		if a != nil {
 			h.learnSpeed(now, a)
 		}
@@ -112,11 +112,11 @@
 // ends its job.
 func (h *holderState) completeStep(now time.Time, s *step, last int) {
 	s.open = false
-	s.doneAt, s.delaySum = now, s.tasks[last].runs.Delays(now, s.openedAt, h.usual(s), s.waitSum)
-	h.releasePromises(now, s)
-	h.learnTimes(s)
+	s.doneAt, s.delaySum = now, s.tasks[last].runs.Delays(now, s.openedAt, h.usualTime(s), s.waitSum)
+	h.releaseCapacity(now, s)
+	h.learnRunTime(s)
 	h.core.logEvent("step done", logField("job", string(s.job.id)), logField("step", s.id.String()), logField("tasks", len(s.tasks)),
-		logField("age", now.Sub(s.instance.dueAt).String()), logField("slack", (h.slack(now, s)+h.expect(s)).String()),
+		logField("age", now.Sub(s.instance.dueAt).String()), logField("slack", (h.slack(now, s)+h.expectedTime(s)).String()),
 		logField("took", s.longestRun.String()), logField("estimate", s.spec.Estimate.Duration().String()))
 	in := s.instance
 	in.doneSteps++
--- a/services/dispatch/gangs_test.go
+++ b/services/dispatch/gangs_test.go
@@ -34,8 +34,8 @@
 	return c
 }
 
-// sweepOf returns a job of tasks that may give way to gangs.
-func sweepOf(id string, tasks int) job.Submission {
+// sweepJob returns a job of tasks that may give way to gangs.
+func sweepJob(id string, tasks int) job.Submission {
 	s := oneStep(id, "sweeps", tasks, false)
 	s.Steps[0].Need = resource.Vector{Processors: 11 * resource.Processor, Memory: resource.GiB}
 	s.Steps[0].Estimate = 2200
@@ -43,16 +43,16 @@
 	return s
 }
 
-// gangOfTasks returns a job of tasks of which three fit a worker.
-func gangOfTasks(id string, tasks int) job.Submission {
+// threePerWorkerGang returns a job of tasks of which three fit a worker.
+func threePerWorkerGang(id string, tasks int) job.Submission {
 	s := oneStep(id, "gangs", tasks, true)
 	s.Steps[0].Need = resource.Vector{Processors: 18 * resource.Processor, Memory: resource.GiB}
 	s.Steps[0].Estimate = 3000
 	return s
 }
 
-// endedLike says whether all jobs have ended whose names begin so.
-func (w *world) endedLike(prefix string) bool {
+// endedWithPrefix says whether all jobs have ended whose names begin so.
+func (w *world) endedWithPrefix(prefix string) bool {
 	w.states()
 	for id, a := range w.jobs {
 		if strings.HasPrefix(string(id), prefix) && !a.state.Final() {
@@ -62,8 +62,8 @@
 	return true
 }
 
-// told returns how many lines of the reducers have a message.
-func (w *world) told(message string) int {
+// countLines returns how many lines of the reducers have a message.
+func (w *world) countLines(message string) int {
 	count := 0
 	for _, line := range w.trace {
 		if strings.Contains(line, message) {
@@ -73,8 +73,8 @@
 	return count
 }
 
-// gangWorld has 24 boxes, 90 workers and the queues of gangConfig.
-func gangWorld(t *testing.T, seed int64) *world {
+// newGangWorld has 24 boxes, 90 workers and the queues of gangConfig.
+func newGangWorld(t *testing.T, seed int64) *world {
 	w := newWorld(t, seed, 24, 90)
 	w.config = gangConfig()
 	w.stopTakes = 900 * time.Millisecond
@@ -86,16 +86,16 @@
 	return w
 }
 
-// ofGang returns a gang of tasks that take nearly half a worker each, one on each worker.
-func ofGang(id string, tasks int) job.Submission {
-	s := gangOfTasks(id, tasks)
+// onePerWorkerGang returns a gang of tasks that take nearly half a worker each, one on each worker.
+func onePerWorkerGang(id string, tasks int) job.Submission {
+	s := threePerWorkerGang(id, tasks)
 	s.Steps[0].Need.Processors = 30 * resource.Processor
 	s.Steps[0].PerWorker = 1
 	return s
 }
 
-// passes lets time pass while the claim is kept and workers go on answering.
-func (d *harness) passes(span time.Duration, looks map[string]exchange.Renew, running map[string][]order.Run) []exchange.Effect {
+// runFor lets time pass while the claim is kept and workers go on answering.
+func (d *harness) runFor(span time.Duration, looks map[string]exchange.Renew, running map[string][]order.Run) []exchange.Effect {
 	d.t.Helper()
 	var all []exchange.Effect
 	for end := d.now.Add(span); d.now.Before(end); {
@@ -112,8 +112,8 @@
 	return all
 }
 
-// advises answers a call for advice: all workers that it names suit.
-func (d *harness) advises(a exchange.Advise) []exchange.Effect {
+// answerAdvice answers a call for advice: all workers that it names suit.
+func (d *harness) answerAdvice(a exchange.Advise) []exchange.Effect {
 	e := exchange.Advised{Step: a.Step, Box: a.Box, Epoch: a.Epoch, Number: a.Number}
 	for _, w := range a.Workers {
 		e.Good = append(e.Good, order.Ticket{Worker: w, Ticket: "ticket"})
@@ -121,9 +121,9 @@
 	return d.handle(e)
 }
 
-// full has some workers, of which one runs a task of a sweep that takes some time, and
+// drivenWithBusyWorker has some workers, of which one runs a task of a sweep that takes some time, and
 // the queues of gangConfig.
-func full(t *testing.T, takes job.Milliseconds, workers ...string) (*harness, map[string]exchange.Renew, map[string][]order.Run) {
+func drivenWithBusyWorker(t *testing.T, takes job.Milliseconds, workers ...string) (*harness, map[string]exchange.Renew, map[string][]order.Run) {
 	t.Helper()
 	var all []order.Worker
 	for _, id := range workers {
@@ -138,7 +138,7 @@
 		boxes = append(boxes, claim.Member{Box: fmt.Sprint("box", i), Incarnation: "1", Address: fmt.Sprint("box", i)})
 	}
 	d.handle(exchange.MembersRead{Members: boxes})
-	sweep := sweepOf("sweep", 1)
+	sweep := sweepJob("sweep", 1)
 	sweep.Steps[0].Need.Processors = 30 * resource.Processor
 	sweep.Steps[0].Estimate = takes
 	// A short one that cannot resume is not stopped.
@@ -150,38 +150,38 @@
 	return d, looks, map[string][]order.Run{start.Worker.Name: {start.Order.Run}}
 }
 
-// The story is that of TestGangsDoNotLockEachOther; this is its part on room.
-func TestAGangStartsInTheRoomItReservedFirst(t *testing.T) {
-	d, looks, running := full(t, 20_000, "w0", "w1")
-	d.core.Handle(d.now, exchange.Submitted{Call: 10, Submission: ofGang("first", 2)})
-	kept := d.handle(exchange.Submitted{Call: 11, Submission: ofGang("second", 2)})
+// The story is that of TestGangsDoNotDeadlock; this is its part on room.
+func TestGangStartsInItsEarlierReservation(t *testing.T) {
+	d, looks, running := drivenWithBusyWorker(t, 20_000, "w0", "w1")
+	d.core.Handle(d.now, exchange.Submitted{Call: 10, Submission: onePerWorkerGang("first", 2)})
+	kept := d.handle(exchange.Submitted{Call: 11, Submission: onePerWorkerGang("second", 2)})
 	for _, a := range effectsOf[exchange.Advise](kept) {
-		d.advises(a)
+		d.answerAdvice(a)
 	}
 	// The tickets have run out by the time that the log has the jobs.
-	kept = append(kept, d.passes(1500*time.Millisecond, looks, running)...)
+	kept = append(kept, d.runFor(1500*time.Millisecond, looks, running)...)
 	calls := map[job.ID][]exchange.Advise{}
-	opened := append(d.confirmAnyAppend(kept), d.passes(60*time.Millisecond, looks, running)...)
+	opened := append(d.confirmAnyAppend(kept), d.runFor(60*time.Millisecond, looks, running)...)
 	for _, a := range effectsOf[exchange.Advise](opened) {
 		calls[a.Step.Job] = append(calls[a.Step.Job], a)
 	}
 	assert.Equal(t, len(calls["first"]), 1)
 	assert.Equal(t, len(calls["second"]), 1, "it reserves the room of the sweep's task, which works on")
 	assert.Equal(t, len(effectsOf[exchange.StopRun](opened)), 0)
-	starts := effectsOf[exchange.StartRun](append(d.advises(calls["first"][0]), d.passes(20*time.Millisecond, looks, running)...))
+	starts := effectsOf[exchange.StartRun](append(d.answerAdvice(calls["first"][0]), d.runFor(20*time.Millisecond, looks, running)...))
 	assert.Equal(t, len(starts), 2, "its room is free, whatever the second waits for")
 }
 
-// The story is that of TestGangsDoNotLockEachOther; this is its part on tickets.
-func TestAGangAsksForAllTicketsThatWouldRunOutMeanwhile(t *testing.T) {
-	d, looks, running := full(t, 1500, "w0", "w1")
+// The story is that of TestGangsDoNotDeadlock; this is its part on tickets.
+func TestGangRenewsAllTicketsThatWouldExpire(t *testing.T) {
+	d, looks, running := drivenWithBusyWorker(t, 1500, "w0", "w1")
 	// 40 of 64 processors do not fit beside the sweep's task.
-	gang := ofGang("gang", 4)
+	gang := onePerWorkerGang("gang", 4)
 	gang.Steps[0].Need.Processors = 40 * resource.Processor
 	effects := d.handle(exchange.Submitted{Call: 10, Submission: gang})
 	effects = append(effects, d.confirmAnyAppend(effects)...)
 	for _, a := range effectsOf[exchange.Advise](effects) {
-		d.advises(a)
+		d.answerAdvice(a)
 	}
 	listed := d.handle(exchange.WorkersRead{Listing: order.Listing{Present: []order.Worker{
 		{Life: order.Life{Name: "w2"}, Address: "w2", Pool: pool, Capacity: workerCapacity}, {Life: order.Life{Name: "w3"}, Address: "w3", Pool: pool, Capacity: workerCapacity},
@@ -190,23 +190,23 @@
 		looks[r.Worker.Name] = r
 	}
 	// Two more workers are asked about 0.9 s later.
-	effects = d.passes(800*time.Millisecond, looks, running)
+	effects = d.runFor(800*time.Millisecond, looks, running)
 	for range 3 {
-		effects = append(d.confirmAnyAppend(effects), d.passes(100*time.Millisecond, looks, running)...)
+		effects = append(d.confirmAnyAppend(effects), d.runFor(100*time.Millisecond, looks, running)...)
 		for _, a := range effectsOf[exchange.Advise](effects) {
-			d.advises(a)
+			d.answerAdvice(a)
 		}
 	}
 	// When the sweep's task has ended the first tickets have run out, and the others will
 	// have when a call is answered that is made now.
-	d.passes(900*time.Millisecond, looks, running)
+	d.runFor(900*time.Millisecond, looks, running)
 	busy := ""
 	for id := range running {
 		busy = id
 	}
 	effects = d.handle(doneOn(looks[busy], running[busy][0]))
 	clear(running)
-	effects = append(effects, d.passes(40*time.Millisecond, looks, running)...)
+	effects = append(effects, d.runFor(40*time.Millisecond, looks, running)...)
 	var named []string
 	for _, a := range effectsOf[exchange.Advise](effects) {
 		named = append(named, a.Workers...)
@@ -229,29 +229,29 @@
 // What settled it: the line `a gang gives room back` on a play of 1,100 workers: nearly
 // all for want of tickets, for 1 to 53 of their 7 to 68 workers, nothing left to stop;
 // in 2 s such reservations kept 61,800 processor-seconds idle, started ones 7,600.
-func TestGangsDoNotLockEachOther(t *testing.T) {
+func TestGangsDoNotDeadlock(t *testing.T) {
 	for seed := int64(500); seed < 503; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := gangWorld(t, seed)
+			w := newGangWorld(t, seed)
 			for i := range 40 {
-				w.after(time.Duration(i)*150*time.Millisecond, func() { w.submit(gangOfTasks(fmt.Sprint("gang", i), 10+w.rng.Intn(60))) })
+				w.after(time.Duration(i)*150*time.Millisecond, func() { w.submit(threePerWorkerGang(fmt.Sprint("gang", i), 10+w.rng.Intn(60))) })
 			}
 			for i := range 40 {
-				w.after(time.Duration(i)*250*time.Millisecond, func() { w.submit(sweepOf(fmt.Sprint("sweep", i), 20+w.rng.Intn(40))) })
+				w.after(time.Duration(i)*250*time.Millisecond, func() { w.submit(sweepJob(fmt.Sprint("sweep", i), 20+w.rng.Intn(40))) })
 			}
 			for i := range 300 {
 				w.after(time.Duration(i)*40*time.Millisecond, func() { w.submit(oneStep(fmt.Sprint("small", i), "quick", 3, false)) })
 			}
 			w.run(time.Second)
 			began := w.now
-			w.until(30*time.Second, "all gangs have ended", func() bool { return w.endedLike("gang") })
+			w.until(30*time.Second, "all gangs have ended", func() bool { return w.endedWithPrefix("gang") })
 			t.Logf("all gangs had ended after %v", w.now.Sub(began))
 			w.until(60*time.Second, "all jobs have ended", w.ended)
 			t.Logf("all had ended after %v", w.now.Sub(began))
 			w.check()
 			assert.Equal(t, w.alone, 0)
-			t.Logf("%d times a gang gave room back", w.told("a gang gives room back"))
+			t.Logf("%d times a gang gave room back", w.countLines("a gang gives room back"))
 		})
 	}
 }
--- a/services/dispatch/gone.go
+++ b/services/dispatch/gone.go
@@ -14,7 +14,7 @@
 func (h *holderState) handleWorkerSilent(now time.Time, w *worker) {
 	w.presence.RecordSilence(now, h.core.settings.RenewWait+renewMargin)
 	if w.isolatedAttempts == 0 {
-		h.blame.RecordSilence(now, w.Life, w.Rack, w.risk())
+		h.blame.RecordSilence(now, w.Life, w.Rack, w.crashRisk())
 	}
 }
 
@@ -34,7 +34,7 @@
 	at := w.presence.SilentSince()
 	var suspects []blame.RunningTask
 	if how == exchange.Crashed {
-		suspects = h.tasksOn(w, at)
+		suspects = h.tasksAtCrash(w, at)
 	}
 	for _, a := range w.sortedAttempts() {
 		lost.Worked += a.maxWorkTime(at)
@@ -47,7 +47,7 @@
 	}
 	h.core.emit(lost)
 	if how == exchange.Crashed {
-		h.judge(now, w, suspects)
+		h.recordCrash(now, w, suspects)
 	}
 }
 
--- a/services/dispatch/hidden.go
+++ b/services/dispatch/hidden.go
@@ -34,7 +34,7 @@
 	var all []blame.RunningTask
 	for _, s := range h.inheritedStarts.StartedOn(w.Life) {
 		if st := h.possiblyLostStep(s); st != nil {
-			on := blame.StartedByEarlierHolder(st.unit(s.Task.Index), s.UnixMilli, h.core.unixMilli(at), h.inheritedStarts.WorkerCount(st.id, st.spec.Gang))
+			on := blame.StartedByEarlierHolder(st.blameUnit(s.Task.Index), s.UnixMilli, h.core.unixMilli(at), h.inheritedStarts.WorkerCount(st.id, st.spec.Gang))
 			on.Run, on.Gang = s.Run, st.spec.Gang
 			all = append(all, on)
 		}
--- a/services/dispatch/holding.go
+++ b/services/dispatch/holding.go
@@ -143,7 +143,7 @@
 func (h *holderState) handle(now time.Time, e exchange.Event) {
 	switch e := e.(type) {
 	case exchange.JobsLoaded:
-		h.loaded(now, e)
+		h.handleJobsLoaded(now, e)
 	case exchange.WorkersRead:
 		h.handleWorkersRead(now, e.Listing)
 	case exchange.RenewEnded:
@@ -153,9 +153,9 @@
 	case exchange.StopEnded:
 		h.handleStopEnded(now, e)
 	case exchange.ThrottleEnded:
-		h.throttleEnded(e)
+		h.handleThrottleEnded(e)
 	case exchange.Advised:
-		h.advised(now, e)
+		h.handleAdvised(now, e)
 	}
 }
 
@@ -184,13 +184,13 @@
 	h.nextSweepAt = now.Add(sweepInterval)
 	h.planDue = true
 	h.createAllDueInstances(now)
-	h.hasAmpleRoom = h.roomy(now)
+	h.hasAmpleRoom = h.updateCapacity(now)
 	h.sweepWorkers(now)
-	h.verdicts(now)
-	h.sweepAdvice(now)
+	h.giveUpGuiltyJobs(now)
+	h.expireAdvice(now)
 	h.dropExpiredJobs(now)
-	h.overview(now)
-	h.keepTimes(now)
+	h.logOverview(now)
+	h.saveRunTimes(now)
 	h.flush(now)
 }
 
--- a/services/dispatch/instances.go
+++ b/services/dispatch/instances.go
@@ -54,9 +54,9 @@
 
 // updateCriticalPaths sets how much work follows each step.
 func (h *holderState) updateCriticalPaths(steps []*step) {
-	for i, after := range ranking.CriticalPathAfter(steps, h.expect, (*step).dependencies) {
+	for i, after := range ranking.CriticalPathAfter(steps, h.expectedTime, (*step).dependencies) {
 		steps[i].criticalPathAfter = after
-		steps[i].criticalPath = after + h.expect(steps[i])
+		steps[i].criticalPath = after + h.expectedTime(steps[i])
 	}
 }
 
--- a/services/dispatch/jobs.go
+++ b/services/dispatch/jobs.go
@@ -180,7 +180,7 @@
 	for _, in := range ordered.Map(j.instances) {
 		for _, s := range in.steps {
 			s.open = false
-			h.releasePromises(now, s)
+			h.releaseCapacity(now, s)
 			for i := range s.tasks {
 				if a := s.tasks[i].attempt; a != nil && state != job.Succeeded {
 					h.stopAttempt(now, a)
@@ -188,7 +188,7 @@
 			}
 		}
 	}
-	h.noteEnded(now, j, state, why)
+	h.logJobEnd(now, j, state, why)
 }
 
 // closeJob drops all but the final state of a job.
--- a/services/dispatch/keep.go
+++ b/services/dispatch/keep.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	// drainedShare is one over the share of workers that may be kept until they are
+	// workersPerDrained is one over the share of workers that may be kept until they are
 	// empty, unless they are for one gang: their room is idle meanwhile.
-	drainedShare = 8
-	// shortStep is how long a step takes at most that may use them.
-	shortStep = time.Second
+	workersPerDrained = 8
+	// maxShortStep is how long a step takes at most that may use them.
+	maxShortStep = time.Second
 )
 
-// openWorkers returns the workers that a step may use and that are not drained for
+// usableWorkers returns the workers that a step may use and that are not drained for
 // another.
-func (h *holderState) openWorkers(p *pass, r ranked) []*worker {
-	short := h.expect(r.step) <= shortStep
+func (h *holderState) usableWorkers(p *pass, r rankedStep) []*worker {
+	short := h.expectedTime(r.step) <= maxShortStep
 	var open []*worker
-	for _, w := range r.suited(h.workersFor(p, r.step, r.queue.Pool)) {
-		if h.openTo(w, r.step, short) && (!r.step.spec.Gang || h.slownessOf(p.now, w) != learned.Avoided) {
+	for _, w := range r.eligible(h.workersFor(p, r.step, r.queue.Pool)) {
+		if h.canUse(w, r.step, short) && (!r.step.spec.Gang || h.slownessOf(p.now, w) != learned.Avoided) {
 			open = append(open, w)
 		}
 	}
 	return open
 }
 
-// drain keeps long tasks of lower rank off the workers that could hold a gang once
+// drainForGang keeps long tasks of lower rank off the workers that could hold a gang once
 // they are empty, if not too many are kept like that already.
-func (h *holderState) drain(p *pass, s *step, open []*worker) {
-	kept, ok := keepEmptied(s, open)
-	if !ok || !h.isEnabled(mechanism.Draining) || p.drained+len(kept) > max(len(kept), len(h.workers)/drainedShare) || p.drained > 0 && len(h.workers) < drainedShare {
+func (h *holderState) drainForGang(p *pass, s *step, open []*worker) {
+	kept, ok := chooseWorkersToDrain(s, open)
+	if !ok || !h.isEnabled(mechanism.Draining) || p.drained+len(kept) > max(len(kept), len(h.workers)/workersPerDrained) || p.drained > 0 && len(h.workers) < workersPerDrained {
 		return
 	}
 	p.drained += len(kept)
@@ -49,33 +49,33 @@
 	}
 }
 
-// largeShare is one over the share of the largest worker from which a task is large:
+// largeTaskSlots is one over the share of the largest worker from which a task is large:
 // two of them do not fit one worker.
-const largeShare = 2
+const largeTaskSlots = 2
 
-// large says whether a worker has room for only one of a step's tasks at a time, so
+// isLarge says whether a worker has room for only one of a step's tasks at a time, so
 // that they find none while smaller tasks come and go.
-func (set *workerSet) large(s *step) bool {
-	return set.largest.Holds(s.spec.Reserved(), job.MaxTasks) < largeShare
+func (set *workerSet) isLarge(s *step) bool {
+	return set.maxCapacity.Holds(s.spec.Reserved(), job.MaxTasks) < largeTaskSlots
 }
 
-// drainSoonest keeps other tasks off the workers that will be empty first, one for each
+// drainForLargeTasks keeps other tasks off the workers that will be empty first, one for each
 // waiting task of a step, if not too many are kept already.
-func (h *holderState) drainSoonest(p *pass, r ranked) {
+func (h *holderState) drainForLargeTasks(p *pass, r rankedStep) {
 	if !h.isEnabled(mechanism.Draining) {
 		return
 	}
 	s := r.step
-	open := h.openWorkers(p, r)
+	open := h.usableWorkers(p, r)
 	emptyIn := make(map[*worker]time.Duration, len(open))
 	for _, w := range open {
-		emptyIn[w] = h.emptyIn(p.now, w)
+		emptyIn[w] = h.timeUntilEmpty(p.now, w)
 	}
 	slices.SortStableFunc(open, func(a, b *worker) int {
 		return cmp.Or(ordered.TrueFirst(a.prevDrainedFor == s, b.prevDrainedFor == s), cmp.Compare(emptyIn[a], emptyIn[b]))
 	})
 	for _, w := range open[:min(s.unplacedTasks, len(open))] {
-		if p.drained >= max(1, len(h.workers)/drainedShare) {
+		if p.drained >= max(1, len(h.workers)/workersPerDrained) {
 			return
 		}
 		if w.drainedFor == nil && w.slots(s, w.Capacity) > 0 {
@@ -85,8 +85,8 @@
 	}
 }
 
-// emptyIn returns how long the tasks on a worker will be at work.
-func (h *holderState) emptyIn(now time.Time, w *worker) time.Duration {
+// timeUntilEmpty returns how long the tasks on a worker will be at work.
+func (h *holderState) timeUntilEmpty(now time.Time, w *worker) time.Duration {
 	longest := time.Duration(0)
 	for _, a := range w.attempts {
 		if a.step.spec.Service {
@@ -100,11 +100,11 @@
 // unbounded is how long a service takes.
 const unbounded = time.Duration(math.MaxInt64)
 
-// keepEmptied chooses the workers with most room among those that could hold a
+// chooseWorkersToDrain chooses the workers with most room among those that could hold a
 // gang if they were empty.
-func keepEmptied(s *step, open []*worker) ([]*worker, bool) {
+func chooseWorkersToDrain(s *step, open []*worker) ([]*worker, bool) {
 	slices.SortStableFunc(open, func(a, b *worker) int {
-		return cmp.Compare(b.slots(s, b.room()), a.slots(s, a.room()))
+		return cmp.Compare(b.slots(s, b.available()), a.slots(s, a.available()))
 	})
 	placed := 0
 	var kept []*worker
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -85,7 +85,7 @@
 		return false
 	}
 	for _, a := range w.attempts {
-		if a.reportedAt.IsZero() && ends.MayHaveEnded(now.Sub(a.firstOrderedAt), h.usual(a.step)) {
+		if a.reportedAt.IsZero() && ends.MayHaveEnded(now.Sub(a.firstOrderedAt), h.usualTime(a.step)) {
 			return false
 		}
 	}
@@ -187,15 +187,15 @@
 // renewWait returns how long a look waits at a worker for an end.
 func (h *holderState) renewWait(w *worker) time.Duration {
 	wait := h.core.settings.RenewWait
-	if _, shared := w.besideFillers(); shared {
-		wait = min(servingWait, wait)
+	if _, shared := w.tailBesideFillers(); shared {
+		wait = min(maxServingWait, wait)
 	}
 	if !h.isEnabled(mechanism.ShortLooks) {
 		return wait
 	}
 	for _, a := range w.attempts {
 		if !a.step.spec.Service {
-			wait = min(wait, max(minRenewWait, time.Duration(renewWaitShare*float64(h.usual(a.step)))))
+			wait = min(wait, max(minRenewWait, time.Duration(renewWaitShare*float64(h.usualTime(a.step)))))
 		}
 	}
 	return wait
@@ -273,7 +273,7 @@
 	if !w.reported {
 		w.reported = true
 		h.inheritedStarts.Forget(w.Life)
-		h.blame.RecordReport(w.Life, w.runs)
+		h.blame.RecordReport(w.Life, w.runsUnit)
 		inherited := h.unreportedWorkers[w.Name]
 		delete(h.unreportedWorkers, w.Name)
 		h.recordWorker(w)
@@ -305,7 +305,7 @@
 			h.resendStops(now, w)
 		}
 		h.refreshSilenceRecord(now, w)
-		h.endPreparation(now, w)
+		h.expireTrialPreparation(now, w)
 		if h.phase == phaseActive {
 			h.renew(now, w)
 		}
--- a/services/dispatch/lives.go
+++ b/services/dispatch/lives.go
@@ -103,7 +103,7 @@
 	if s == nil || end.Task.Index >= len(s.tasks) || s.spec.Service || s.job.state.Final() || s.tasks[end.Task.Index].done {
 		return
 	}
-	h.acquit(s, end.Task.Index)
+	h.clearBlame(s, end.Task.Index)
 	h.completeTask(now, s, end)
 	if !s.job.endLogged {
 		h.markDirty(s.job)
--- a/services/dispatch/lives_test.go
+++ b/services/dispatch/lives_test.go
@@ -50,7 +50,7 @@
 func (d *harness) startsWithin(span time.Duration, looks map[string]exchange.Renew) (starts []exchange.StartRun) {
 	d.t.Helper()
 	for end := d.now.Add(span); d.now.Before(end); {
-		effects := d.passes(20*time.Millisecond, looks, nil)
+		effects := d.runFor(20*time.Millisecond, looks, nil)
 		effects = append(effects, d.confirmAnyAppend(effects)...)
 		starts = append(starts, effectsOf[exchange.StartRun](effects)...)
 	}
@@ -106,7 +106,7 @@
 	d, looks := newHolder(t, workerEntry("v", 1000), workerEntry("w", 1000))
 	start := d.startOneTask()
 	d.startSucceeds(start)
-	d.passes(time.Second, looks, map[string][]order.Run{start.Worker.Name: {start.Order.Run}})
+	d.runFor(time.Second, looks, map[string][]order.Run{start.Worker.Name: {start.Order.Run}})
 	looks[start.Worker.Name] = effectsOf[exchange.Renew](d.handle(answeredBy(renewAnswer(looks[start.Worker.Name]), 2000)))[0]
 	again := d.startsWithin(2*time.Second, looks)
 	assert.Check(t, len(again) > 0)
@@ -159,7 +159,7 @@
 func (d *harness) lastAcknowledged(looks map[string]exchange.Renew, running ...order.Run) (last int64) {
 	d.t.Helper()
 	for range 20 {
-		effects := d.passes(20*time.Millisecond, looks, map[string][]order.Run{"w": running})
+		effects := d.runFor(20*time.Millisecond, looks, map[string][]order.Run{"w": running})
 		effects = append(effects, d.confirmAnyAppend(effects)...)
 		for _, r := range effectsOf[exchange.Renew](effects) {
 			last = max(last, r.Order.Seen)
--- a/services/dispatch/livesworld_test.go
+++ b/services/dispatch/livesworld_test.go
@@ -88,7 +88,7 @@
 		s.Steps[0].Estimate = 1200
 		return s
 	case 1:
-		s := sweepOf(fmt.Sprint("sweep", i), 3)
+		s := sweepJob(fmt.Sprint("sweep", i), 3)
 		second := s.Steps[0]
 		second.Tasks, second.After = wide, []int{0}
 		second.Need.Processors = 6700
--- a/services/dispatch/load.go
+++ b/services/dispatch/load.go
@@ -12,8 +12,8 @@
 	"saddlevane/services/kept"
 )
 
-// loaded takes the whole stream of jobs and begins to serve them.
-func (h *holderState) loaded(now time.Time, e exchange.JobsLoaded) {
+// handleJobsLoaded takes the whole stream of jobs and begins to serve them.
+func (h *holderState) handleJobsLoaded(now time.Time, e exchange.JobsLoaded) {
 	if e.Epoch != h.epoch || h.phase != phaseLoading {
 		return
 	}
@@ -22,17 +22,17 @@
 		h.core.emit(exchange.LoadJobs{Epoch: h.epoch})
 		return
 	}
-	h.fold(now, e.Records)
+	h.restoreState(now, e.Records)
 	h.phase = phaseActive
-	h.blame.ObserveWorkers(now, h.byRack())
+	h.blame.ObserveWorkers(now, h.answeringByRack())
 	h.planDue = true
 	h.core.logEvent("serves the cell's jobs", logField("claim", h.epoch), logField("jobs", len(h.jobs)),
 		logField("workers_to_ask", len(h.unreportedWorkers)), logField("took", now.Sub(h.startedAt).String()))
 	h.renewAll(now)
 }
 
-// fold builds the jobs from the newest record of each key.
-func (h *holderState) fold(now time.Time, records []stream.Record) {
+// restoreState builds the jobs from the newest record of each key.
+func (h *holderState) restoreState(now time.Time, records []stream.Record) {
 	state := kept.Decode(records)
 	for _, u := range state.Unread {
 		h.core.logEvent("a kept record could not be read", logField("key", u.Key), logField("error", u.Reason))
@@ -55,16 +55,16 @@
 		j := &trackedJob{id: e.ID, queue: p.Queue, workspace: p.Workspace, state: p.State, loggedState: p.State, accepted: true, endedUnixMilli: p.Ended, failReason: p.Why}
 		h.jobs[e.ID] = j
 		h.endedJobs = append(h.endedJobs, j)
-		h.leave(now, p)
+		h.recordLeftover(now, p)
 	}
 	for _, k := range state.Workers {
-		h.foldWorker(now, k)
+		h.restoreRecordedWorker(now, k)
 	}
 }
 
-// foldWorker takes over a worker on which an earlier holder may have started
+// restoreRecordedWorker takes over a worker on which an earlier holder may have started
 // tasks.
-func (h *holderState) foldWorker(now time.Time, k kept.KnownWorker) {
+func (h *holderState) restoreRecordedWorker(now time.Time, k kept.KnownWorker) {
 	o := k.Worker
 	w := h.restoreLife(now, o)
 	if k.Unresponsive != nil && !w.reported {
--- a/services/dispatch/move.go
+++ b/services/dispatch/move.go
@@ -11,8 +11,8 @@
 	"saddlevane/services/authority"
 )
 
-// moveEvery is the least time between two tries to move the cell to a larger box.
-const moveEvery = 2 * time.Second
+// moveInterval is the least time between two tries to move the cell to a larger box.
+const moveInterval = 2 * time.Second
 
 // moveToLarger asks the other boxes who could take the cell over, if there are much
 // larger ones: a small box cannot keep up with many workers.
@@ -21,7 +21,7 @@
 	if h == nil || h.phase != phaseActive || h.invitePending || h.shuttingDown || c.awaitingPledges || !c.authority.Small() || now.Before(c.moveRetryAt) {
 		return
 	}
-	c.moveRetryAt = now.Add(moveEvery)
+	c.moveRetryAt = now.Add(moveInterval)
 	if c.members.Largest(c.self).Box == c.self.Box {
 		return
 	}
@@ -29,9 +29,9 @@
 	c.emit(exchange.AskPledges{Epoch: h.epoch, Addresses: c.members.Others(c.self)})
 }
 
-// inviteOne invites the largest of the boxes that the log answers to take the cell
+// inviteLargest invites the largest of the boxes that the log answers to take the cell
 // over, if the log does not answer this one or if that one is much larger.
-func (c *Core) inviteOne(steady []string) {
+func (c *Core) inviteLargest(steady []string) {
 	h := c.holding
 	best := c.members.LargestAt(steady)
 	reason := "it is larger"
@@ -49,8 +49,8 @@
 	c.emit(exchange.Invite{Epoch: h.epoch, Address: best.Address})
 }
 
-// inviteAsked answers a holder that wants this box to claim the cell.
-func (c *Core) inviteAsked(now time.Time, e exchange.InviteAsked) {
+// handleInviteAsked answers a holder that wants this box to claim the cell.
+func (c *Core) handleInviteAsked(now time.Time, e exchange.InviteAsked) {
 	a := exchange.Answer{Outcome: exchange.Unavailable}
 	if c.config != nil && c.announced && c.authority.Invite(e.Epoch) {
 		a.Outcome = exchange.OK
@@ -59,8 +59,8 @@
 	c.updateClaim(now)
 }
 
-// invited ends the holding unless the other box has surely refused.
-func (c *Core) invited(e exchange.Invited) {
+// handleInvited ends the holding unless the other box has surely refused.
+func (c *Core) handleInvited(e exchange.Invited) {
 	h := c.holding
 	if h == nil || h.epoch != e.Epoch {
 		return
@@ -72,9 +72,9 @@
 	c.stepDown("another box was invited to take over")
 }
 
-// membersRead notes the other boxes. One that has a new life can no longer act
+// handleMembersRead notes the other boxes. One that has a new life can no longer act
 // under a claim of its earlier one.
-func (c *Core) membersRead(now time.Time, members []claim.Member) {
+func (c *Core) handleMembersRead(now time.Time, members []claim.Member) {
 	defer func() { c.authority.SetLargest(c.members.Largest(c.self).Size) }()
 	for _, m := range members {
 		if m.Box == c.self.Box && m.Incarnation != c.self.Incarnation && c.announced {
--- a/services/dispatch/outage.go
+++ b/services/dispatch/outage.go
@@ -47,6 +47,6 @@
 		c.authority.Pledged(e.SentAt, e.Epoch)
 	}
 	if h := c.holding; h != nil && h.epoch == e.Epoch {
-		c.inviteOne(e.Steady)
+		c.inviteLargest(e.Steady)
 	}
 }
--- a/services/dispatch/overview.go
+++ b/services/dispatch/overview.go
@@ -12,11 +12,11 @@
 	"saddlevane/services/ranking"
 )
 
-// overviewEvery is the time between two lines that sum the cell up.
-const overviewEvery = 2 * time.Second
+// overviewInterval is the time between two lines that sum the cell up.
+const overviewInterval = 2 * time.Second
 
-// byRack counts the workers of each rack that answer: what is down cannot crash.
-func (h *holderState) byRack() map[string]int {
+// answeringByRack counts the workers of each rack that answer: what is down cannot crash.
+func (h *holderState) answeringByRack() map[string]int {
 	n := map[string]int{}
 	for _, w := range h.workersByName() {
 		if w.failures == 0 {
@@ -26,14 +26,14 @@
 	return n
 }
 
-// overview says how full the workers are and what waits, so that a late job can
+// logOverview says how full the workers are and what waits, so that a late job can
 // be seen in its surroundings.
-func (h *holderState) overview(now time.Time) {
+func (h *holderState) logOverview(now time.Time) {
 	if now.Before(h.nextOverviewAt) {
 		return
 	}
-	h.nextOverviewAt = now.Add(overviewEvery)
-	h.blame.ObserveWorkers(now, h.byRack())
+	h.nextOverviewAt = now.Add(overviewInterval)
+	h.blame.ObserveWorkers(now, h.answeringByRack())
 	var capacity, free, promised, stopping resource.Vector
 	taking, kept := 0, 0
 	for _, w := range h.workersByName() {
@@ -44,7 +44,7 @@
 		capacity = capacity.Plus(w.Capacity)
 		free = free.Plus(w.free)
 		promised = promised.Plus(w.committed)
-		stopping = stopping.Plus(w.soon().Minus(w.room()))
+		stopping = stopping.Plus(w.availableAfterStops().Minus(w.available()))
 		if w.prevHeldFor != nil {
 			kept++
 		}
--- a/services/dispatch/placement.go
+++ b/services/dispatch/placement.go
@@ -11,69 +11,69 @@
 
 // placeStep starts what it can of a step, or asks for the advice that this
 // needs. It returns false if tasks are left for want of room.
-func (h *holderState) placeStep(p *pass, r ranked) bool {
+func (h *holderState) placeStep(p *pass, r rankedStep) bool {
 	s := r.step
-	defer func() { s.advice.goesFirst = false }()
-	if r.queue.Pool == "" || s.advice.keepsRoom() {
+	defer func() { s.advice.prioritized = false }()
+	if r.queue.Pool == "" || s.advice.holdsCapacity() {
 		return true
 	}
 	set := h.workersFor(p, s, r.queue.Pool)
 	if s.spec.Gang {
 		return h.placeGang(p, r, set)
 	}
-	wanted := h.mayPlace(s)
-	if s.capReached = wanted < h.toPlace(s); s.capReached && wanted == 0 {
+	wanted := h.placeable(s)
+	if s.capReached = wanted < h.unsuspectedWaiting(s); s.capReached && wanted == 0 {
 		return true
 	}
 	if h.blame.SuspectCount(s.id) > 0 {
-		h.tryOut(p, r, set)
-		if h.toPlace(s) == 0 {
+		h.startSuspects(p, r, set)
+		if h.unsuspectedWaiting(s) == 0 {
 			return true
 		}
 	}
-	if s.advice.asking() || r.queue.Advice != nil && set.large(s) && h.requestAdviceForRoom(p.now, r, set.workers) {
+	if s.advice.hasCalls() || r.queue.Advice != nil && set.isLarge(s) && h.requestAdviceForRoom(p.now, r, set.workers) {
 		// Which workers suit large tasks must be known before one of them is empty, so
 		// that it is kept for them.
 		return true
 	}
-	if !s.spec.Reserved().Fits(set.most) {
+	if !s.spec.Reserved().Fits(set.maxAvailable) {
 		return false
 	}
-	shares, placed := h.fit(p.now, s, r.suited(set))
+	shares, placed := h.fit(p.now, s, r.eligible(set))
 	if r.queue.Advice != nil {
 		if placed == 0 && h.requestMoreAdvice(p.now, r, set.workers) {
 			return true
 		}
-		var stale []share
+		var stale []allocation
 		shares, stale = s.splitByTicket(p.now, shares)
 		h.refreshTickets(p.now, r, stale)
 	}
 	if len(shares) > 0 {
-		h.startShares(p.now, s, shares)
+		h.startTasks(p.now, s, shares)
 	}
-	return placed > 0 && placed == wanted || s.advice.asking()
+	return placed > 0 && placed == wanted || s.advice.hasCalls()
 }
 
 // placeGang starts a gang whole, or not at all.
-func (h *holderState) placeGang(p *pass, r ranked, set *workerSet) bool {
+func (h *holderState) placeGang(p *pass, r rankedStep, set *workerSet) bool {
 	s := r.step
-	if h.gangSuspected(s) && !h.mayTry(p.now, s, 0) {
+	if h.isSuspectedGang(s) && !h.canTry(p.now, s, 0) {
 		return true
 	}
 	if s.reservation != nil {
-		h.advance(p, r)
+		h.advanceReservation(p, r)
 		return true
 	}
-	if s.capReached = h.capRoom(s) < len(s.tasks); s.capReached {
+	if s.capReached = h.slotsUnderCap(s) < len(s.tasks); s.capReached {
 		return true
 	}
 	if r.queue.Advice != nil {
-		h.widenChoice(p.now, r, set.workers, p.roomy)
+		h.widenCandidates(p.now, r, set.workers, p.ampleRoom)
 	}
-	if !s.spec.Reserved().Fits(set.most) {
+	if !s.spec.Reserved().Fits(set.maxAvailable) {
 		return false
 	}
-	shares, placed := h.fit(p.now, s, r.suited(set))
+	shares, placed := h.fit(p.now, s, r.eligible(set))
 	if placed < len(s.tasks) {
 		return false
 	}
@@ -82,40 +82,40 @@
 			return false
 		}
 	}
-	h.startShares(p.now, s, shares)
+	h.startTasks(p.now, s, shares)
 	return true
 }
 
-// suited returns the workers of a set that may run the step: all, if its queue needs no
+// eligible returns the workers of a set that may run the step: all, if its queue needs no
 // advice, else those that the advice service named.
-func (r ranked) suited(set *workerSet) []*worker {
+func (r rankedStep) eligible(set *workerSet) []*worker {
 	if r.queue.Advice == nil {
 		return set.workers
 	}
 	var all []*worker
 	for _, w := range r.step.advice.EligibleWorkers() {
-		if set.has(w) {
+		if set.contains(w) {
 			all = append(all, w)
 		}
 	}
 	return all
 }
 
-// startShares starts a step's waiting tasks on the workers chosen.
-func (h *holderState) startShares(now time.Time, s *step, shares []share) {
+// startTasks starts a step's waiting tasks on the workers chosen.
+func (h *holderState) startTasks(now time.Time, s *step, shares []allocation) {
 	next := 0
 	run := h.nextRunNumber(s)
 	for _, sh := range shares {
 		ticket, _ := s.advice.TicketFor(now, sh.Worker)
 		for range sh.Tasks {
-			for s.tasks[next].done || s.tasks[next].attempt != nil || h.waitsSuspected(s, next) {
+			for s.tasks[next].done || s.tasks[next].attempt != nil || h.isWaitingSuspect(s, next) {
 				next++
 			}
 			h.startTask(now, s, next, run, sh.Worker, ticket)
 		}
 	}
 	h.core.logEvent("tasks started", logField("job", string(s.job.id)), logField("step", s.id.String()), logField("run", run),
-		logField("workers", slots.Format(shares, func(w *worker) string { return w.Name })), logField("still_waiting", s.unplacedTasks), logField("advised", s.advice.told()),
+		logField("workers", slots.Format(shares, func(w *worker) string { return w.Name })), logField("still_waiting", s.unplacedTasks), logField("advised", s.advice.knownCount()),
 		logField("claim", h.epoch), logField("config", h.core.config.Version), logField("age", now.Sub(s.instance.dueAt).String()),
 		logField("slack", h.slack(now, s).String()))
 }
--- a/services/dispatch/progress.go
+++ b/services/dispatch/progress.go
@@ -51,7 +51,7 @@
 		t.failedRuns = p.Failed[i]
 		t.checkpoint = p.Saved[i]
 		if b, held := p.Blame[i]; held {
-			h.blame.Restore(s.unit(i), b)
+			h.blame.Restore(s.blameUnit(i), b)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 func (j *trackedJob) progress(d *blame.Tracker) job.Progress {
 	p := job.Progress{State: j.state, Started: j.started, Queue: j.queue, Workspace: j.workspace, Ended: j.endedUnixMilli, Why: j.failReason}
 	if j.state.Final() {
-		p.Left = j.placed()
+		p.Left = j.placedNeed()
 		return p
 	}
 	for _, in := range ordered.Map(j.instances) {
--- a/services/dispatch/rank.go
+++ b/services/dispatch/rank.go
@@ -34,20 +34,20 @@
 	return wanted.Sub(now) - h.remainingCriticalPath(now, s)
 }
 
-// ranked is a step with what orders it.
-type ranked struct {
+// rankedStep is a step with what orders it.
+type rankedStep struct {
 	ranking.Rank
 	step  *step
 	queue job.Queue
 }
 
 // rank says what orders a step. A service has no end, so it is never late.
-func (h *holderState) rank(now time.Time, s *step) ranked {
+func (h *holderState) rank(now time.Time, s *step) rankedStep {
 	q := h.queueOf(s.job)
 	left := h.remainingCriticalPath(now, s)
 	t := ranking.Times{DueAt: s.instance.dueAt, Objective: objective(s.instance, q), Finish: now.Add(left)}
-	r := ranked{step: s, queue: q, Rank: ranking.Rank{
-		AdviceExpiring: s.advice.goesFirst, Tier: t.Tier(now), OverShare: s.job.beyondShare && h.isEnabled(mechanism.SharedOrder),
+	r := rankedStep{step: s, queue: q, Rank: ranking.Rank{
+		AdviceExpiring: s.advice.prioritized, Tier: t.Tier(now), OverShare: s.job.beyondShare && h.isEnabled(mechanism.SharedOrder),
 		Priority: q.Priority, Deadline: t.Deadline(), Step: s.id,
 	}}
 	if s.spec.Service {
@@ -59,10 +59,10 @@
 	return r
 }
 
-// rankOpen returns the steps that have tasks to place, in order.
-func (h *holderState) rankOpen(now time.Time) []ranked {
+// rankOpenSteps returns the steps that have tasks to place, in order.
+func (h *holderState) rankOpenSteps(now time.Time) []rankedStep {
 	kept := h.openSteps[:0]
-	var all []ranked
+	var all []rankedStep
 	var waiting resource.Vector
 	for _, s := range h.openSteps {
 		if !s.open || s.job.state.Final() {
@@ -73,7 +73,7 @@
 			continue
 		}
 		if s.job.inherited && len(h.unreportedWorkers) > 0 {
-			s.waited(now, delays.Takeover)
+			s.recordWait(now, delays.Takeover)
 			continue
 		}
 		all = append(all, h.rank(now, s))
@@ -82,6 +82,6 @@
 	clear(h.openSteps[len(kept):])
 	h.openSteps = kept
 	backlog := h.isEnabled(mechanism.LeastWork) && ranking.IsBacklog(waiting, h.capacity)
-	slices.SortFunc(all, func(a, b ranked) int { return a.Compare(b.Rank, backlog) })
+	slices.SortFunc(all, func(a, b rankedStep) int { return a.Compare(b.Rank, backlog) })
 	return all
 }
--- a/services/dispatch/remaining.go
+++ b/services/dispatch/remaining.go
@@ -32,7 +32,7 @@
 // remainingRunTime returns how much longer a run should take: by its own progress if that
 // tells enough, else by what its like usually take.
 func (h *holderState) remainingRunTime(now time.Time, a *attempt) time.Duration {
-	total, done := h.usual(a.step), float64(a.progress)/workDone
+	total, done := h.usualTime(a.step), float64(a.progress)/fullProgress
 	if a.state != attemptRunning {
 		return total
 	}
--- a/services/dispatch/reports.go
+++ b/services/dispatch/reports.go
@@ -21,7 +21,7 @@
 		present[r.Run] = true
 		h.applyRunning(now, w, r)
 	}
-	h.throttle(now, w)
+	h.throttleFillers(now, w)
 	for _, a := range w.sortedAttempts() {
 		if !present[a.runID()] {
 			h.applyAbsence(now, a, e.Look)
@@ -51,8 +51,8 @@
 		}
 	}
 	a.workedUntilSilenceKnown, a.fromEarlierIncarnation = false, false
-	a.seen(now, r)
-	h.worksOn(now, a)
+	a.observe(now, r)
+	h.confirmRunning(now, a)
 	if a.step.spec.Checkpoints && r.Checkpoint != "" {
 		a.task().checkpoint = r.Checkpoint
 	}
@@ -79,7 +79,7 @@
 	}
 	a := &attempt{
 		step: s, index: r.Task.Index, run: r.Number, worker: w, state: attemptRunning, stateSince: now, renewalsSent: h.renewalsSent, stopConfirmed: true, adopted: true,
-		pace: paceUnknown,
+		pace: unknownPace,
 	}
 	h.assign(now, a)
 	s.lastRun = max(s.lastRun, r.Number)
--- a/services/dispatch/room.go
+++ b/services/dispatch/room.go
@@ -10,50 +10,50 @@
 	"saddlevane/models/resource"
 )
 
-// setKey is what decides which workers a step may use, advice aside.
-type setKey struct{ pool, label string }
+// workerSetKey is what decides which workers a step may use, advice aside.
+type workerSetKey struct{ pool, label string }
 
 // workerSet is the workers for one key, as they were when the pass began.
 type workerSet struct {
 	workers []*worker
 	// at has each of them at its place in the order of all workers.
-	at []*worker
+	byIndex []*worker
 	// most bounds the room of each of them in each resource, largest their capacity.
-	most, largest resource.Vector
+	maxAvailable, maxCapacity resource.Vector
 }
 
 // workersFor returns the workers that may run a step, advice aside.
 func (h *holderState) workersFor(p *pass, s *step, pool string) *workerSet {
-	key := setKey{pool, s.spec.Label}
+	key := workerSetKey{pool, s.spec.Label}
 	if set := p.sets[key]; set != nil {
 		return set
 	}
 	all := h.workersByName()
-	set := &workerSet{at: make([]*worker, len(all))}
+	set := &workerSet{byIndex: make([]*worker, len(all))}
 	for i, w := range all {
 		if w.Pool != pool || !h.isSchedulable(p.now, w) || s.spec.Label != "" && !slices.Contains(w.Labels, s.spec.Label) {
 			continue
 		}
 		set.workers = append(set.workers, w)
-		set.at[i] = w
-		set.most = set.most.Max(w.room())
-		set.largest = set.largest.Max(w.Capacity)
+		set.byIndex[i] = w
+		set.maxAvailable = set.maxAvailable.Max(w.available())
+		set.maxCapacity = set.maxCapacity.Max(w.Capacity)
 	}
 	p.sets[key] = set
 	return set
 }
 
-// has says whether a worker is one of the set.
-func (set *workerSet) has(w *worker) bool {
-	return w.nameIndex < len(set.at) && set.at[w.nameIndex] == w
+// contains says whether a worker is one of the set.
+func (set *workerSet) contains(w *worker) bool {
+	return w.nameIndex < len(set.byIndex) && set.byIndex[w.nameIndex] == w
 }
 
-// room returns what is free on a worker and neither promised nor held.
-func (w *worker) room() resource.Vector { return w.free.Minus(w.committed).Minus(w.heldInPass) }
+// available returns what is free on a worker and neither promised nor held.
+func (w *worker) available() resource.Vector { return w.free.Minus(w.committed).Minus(w.heldInPass) }
 
-// soon returns what is free on a worker once all that is being stopped has ended.
-func (w *worker) soon() resource.Vector {
-	room := w.room()
+// availableAfterStops returns what is free on a worker once all that is being stopped has ended.
+func (w *worker) availableAfterStops() resource.Vector {
+	room := w.available()
 	for _, a := range w.attempts {
 		if a.state == attemptStopping {
 			room = room.Plus(a.step.spec.Reserved())
--- a/services/dispatch/runtimes_test.go
+++ b/services/dispatch/runtimes_test.go
@@ -26,7 +26,7 @@
 	return slack
 }
 
-func TestRunTimesAreLearnedAndOutliveTheHolder(t *testing.T) {
+func TestLearnedRunTimesSurviveTakeover(t *testing.T) {
 	w := newServingWorld(t, 31, 3, 6)
 	for _, f := range w.workers {
 		f.slowBy = 4
--- a/services/dispatch/silence.go
+++ b/services/dispatch/silence.go
@@ -115,7 +115,7 @@
 	}
 	a := &attempt{
 		step: s, index: run.Task.Index, run: run.Number, worker: w, state: attemptRunning, stateSince: now, stopConfirmed: true, adopted: true,
-		pace: paceUnknown, onlyLogged: true,
+		pace: unknownPace, onlyLogged: true,
 	}
 	h.assign(now, a)
 	s.lastRun = max(s.lastRun, run.Number)
--- a/services/dispatch/silence_test.go
+++ b/services/dispatch/silence_test.go
@@ -29,7 +29,7 @@
 	w := newWorld(t, 1, 2, 9)
 	w.waitUntilServing()
 	lost := w.submit(longStep("lost", 1))
-	w.until(time.Second, "the first job runs", func() bool { return w.runningOf("lost") == 1 })
+	w.until(time.Second, "the first job runs", func() bool { return w.runningCount("lost") == 1 })
 	gone := w.workers[0]
 	for _, f := range w.workers {
 		if len(f.runs) > 0 {
@@ -39,19 +39,19 @@
 	gone.cut = true
 	w.run(3 * time.Second)
 	w.submit(longStep("long", 9))
-	w.until(time.Second, "the second runs", func() bool { return w.runningOf("long") > 5 })
+	w.until(time.Second, "the second runs", func() bool { return w.runningCount("long") > 5 })
 	// The next takes its place, and waits: there is no room for all of it.
 	w.submit(longStep("next", 7))
 	w.run(500 * time.Millisecond)
-	assert.Check(t, w.runningOf("next") < 7)
+	assert.Check(t, w.runningCount("next") < 7)
 	w.killBox(w.holder(), 500*time.Millisecond)
 	w.until(10*time.Second, "another box holds the cell", func() bool { return w.holder() != nil })
 	held := w.now
 	w.cancel(w.jobs["long"])
-	w.until(10*time.Second, "the waiting tasks run", func() bool { return w.runningOf("next") == 7 })
+	w.until(10*time.Second, "the waiting tasks run", func() bool { return w.runningCount("next") == 7 })
 	assert.Check(t, w.now.Sub(held) < 1500*time.Millisecond, "after %v", w.now.Sub(held))
 	// What was on the silent worker begins again only when its lease is over.
-	assert.Equal(t, w.runningOf("lost"), 1)
+	assert.Equal(t, w.runningCount("lost"), 1)
 	w.until(10*time.Second, "its task has begun again", func() bool { return w.starts[job.TaskID{StepID: job.StepID{Job: "lost"}}] == 2 })
 	w.check()
 	w.cancel(lost)
@@ -72,7 +72,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(t, 91000+seed, 3, 10)
-			w.hasWorkspaces()
+			w.useWorkspaces()
 			w.publishCaps(0)
 			w.lateShare = []float64{0, 0, 0.05}[w.rng.Intn(3)]
 			w.waitUntilServing()
--- a/services/dispatch/speed.go
+++ b/services/dispatch/speed.go
@@ -25,7 +25,7 @@
 	if s.spec.Gang || s.spec.Service || a.adopted || a.resumed || a.state != attemptRunning {
 		return
 	}
-	ratio := max(now.Sub(a.stateSince), learned.MinTime).Seconds() / max(h.expect(s), learned.MinTime).Seconds()
+	ratio := max(now.Sub(a.stateSince), learned.MinTime).Seconds() / max(h.expectedTime(s), learned.MinTime).Seconds()
 	a.worker.speed.Observe(now, ratio)
 	h.history.ObserveSpeed(ratio)
 }
--- a/services/dispatch/speed_test.go
+++ b/services/dispatch/speed_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestAWorkerThatTurnsSlowGetsFewTasksAndIsTriedAgain(t *testing.T) {
+func TestSlowWorkerGetsFewTasksAndIsRetried(t *testing.T) {
 	w := newServingWorld(t, 21, 1, 4)
 	few := func(name string, jobs int) (slow, all int) {
 		before := w.workers[0].begun
--- a/services/dispatch/stall.go
+++ b/services/dispatch/stall.go
@@ -16,30 +16,30 @@
 // A worker may answer and list its runs as running although they stand still. What a
 // look tells of their progress shows it.
 
-// workDone is the progress of a run that is about to end, in percent.
-const workDone = 100
+// fullProgress is the progress of a run that is about to end, in percent.
+const fullProgress = 100
 
-// seen takes what a look tells of a run at work.
-func (a *attempt) seen(now time.Time, r order.Running) {
+// observe takes what a look tells of a run at work.
+func (a *attempt) observe(now time.Time, r order.Running) {
 	a.figure, a.reportedAt = r.Figure, now
 	if r.Progress > a.progress {
 		a.progress, a.progressAt = r.Progress, now
 	}
 }
 
-// standsStill says whether a run has come no further for longer than it should take.
+// isStalled says whether a run has come no further for longer than it should take.
 // Services make no progress once they have started.
-func (h *holderState) standsStill(a *attempt) bool {
-	if a.state != attemptRunning || a.step.spec.Service || a.step.spec.Filler || a.progress >= workDone {
+func (h *holderState) isStalled(a *attempt) bool {
+	if a.state != attemptRunning || a.step.spec.Service || a.step.spec.Filler || a.progress >= fullProgress {
 		return false
 	}
-	return a.reportedAt.Sub(ordered.Later(a.stateSince, a.progressAt)) > h.stallPatience(a)
+	return a.reportedAt.Sub(ordered.Later(a.stateSince, a.progressAt)) > h.stallTimeout(a)
 }
 
-// stallPatience returns how long a run may show no further progress.
-func (h *holderState) stallPatience(a *attempt) time.Duration {
+// stallTimeout returns how long a run may show no further progress.
+func (h *holderState) stallTimeout(a *attempt) time.Duration {
 	return lateness.StallTimeout(lateness.RunProgress{
-		UsualTime: max(h.usual(a.step), a.step.spec.Estimate.Duration()), Progress: a.progress, ProgressTime: a.progressAt.Sub(a.stateSince),
+		UsualTime: max(h.usualTime(a.step), a.step.spec.Estimate.Duration()), Progress: a.progress, ProgressTime: a.progressAt.Sub(a.stateSince),
 		Resumed: a.resumed || a.adopted,
 	})
 }
@@ -52,12 +52,12 @@
 		return
 	}
 	for _, a := range w.sortedAttempts() {
-		if !h.standsStill(a) || a.step.spec.Gang && !h.gangStandsStill(a.step) {
+		if !h.isStalled(a) || a.step.spec.Gang && !h.isGangStalled(a.step) {
 			continue
 		}
 		h.core.logEvent("a run stands still and is moved", logField("job", string(a.step.job.id)), logField("task", a.runID().Task.String()),
 			logField("run", a.run), logField("worker", w.Life.String()), logField("progress", a.progress), logField("ran", now.Sub(a.stateSince).String()),
-			logField("usual", h.usual(a.step).String()))
+			logField("usual", h.usualTime(a.step).String()))
 		w.excludedUntil = ordered.Later(w.excludedUntil, now.Add(excludeFor))
 		a.task().runs.RecordInterruption(delays.RunStalled)
 		if a.step.spec.Gang {
@@ -68,10 +68,10 @@
 	}
 }
 
-// gangStandsStill says whether all members of a gang stand still.
-func (h *holderState) gangStandsStill(s *step) bool {
+// isGangStalled says whether all members of a gang stand still.
+func (h *holderState) isGangStalled(s *step) bool {
 	for i := range s.tasks {
-		if a := s.tasks[i].attempt; a == nil || !h.standsStill(a) {
+		if a := s.tasks[i].attempt; a == nil || !h.isStalled(a) {
 			return false
 		}
 	}
--- a/services/dispatch/status.go
+++ b/services/dispatch/status.go
@@ -26,13 +26,13 @@
 		s.Members = append(s.Members, name)
 	}
 	if c.holding != nil {
-		c.holding.status(now, &s)
+		c.holding.addHolderStatus(now, &s)
 	}
 	return s
 }
 
-// status adds what only the holder knows.
-func (h *holderState) status(now time.Time, s *job.CellStatus) {
+// addHolderStatus adds what only the holder knows.
+func (h *holderState) addHolderStatus(now time.Time, s *job.CellStatus) {
 	s.Jobs = map[job.State]int{}
 	for _, j := range h.jobs {
 		s.Jobs[j.loggedState]++
@@ -51,8 +51,8 @@
 	s.Capacity, s.Used = capacity.Processors.String(), used.Processors.String()
 }
 
-// askExplanation answers why a job is as it is.
-func (h *holderState) askExplanation(now time.Time, e exchange.ExplanationAsked) {
+// explainJob answers why a job is as it is.
+func (h *holderState) explainJob(now time.Time, e exchange.ExplanationAsked) {
 	j := h.jobs[e.Job]
 	if j == nil {
 		h.core.reply(e.Call, exchange.Answer{Outcome: exchange.NoJob})
@@ -74,20 +74,20 @@
 	switch {
 	case s.job.state.Final():
 	case s.unplacedTasks > 0:
-		x.Reason = h.whyWaits(now, s)
+		x.Reason = h.waitReason(now, s)
 	default:
-		x.Reason = h.whySuspected(s)
+		x.Reason = h.suspectReason(s)
 	}
 	return x
 }
 
-// whyWaits says in one sentence what a step's waiting tasks wait for.
-func (h *holderState) whyWaits(now time.Time, s *step) string {
+// waitReason says in one sentence what a step's waiting tasks wait for.
+func (h *holderState) waitReason(now time.Time, s *step) string {
 	q := h.queueOf(s.job)
 	set := h.workersFor(newPass(now), s, q.Pool)
 	switch {
-	case h.blame.SuspectCount(s.id) > 0 && h.toPlace(s) <= 0:
-		return h.whySuspected(s)
+	case h.blame.SuspectCount(s.id) > 0 && h.unsuspectedWaiting(s) <= 0:
+		return h.suspectReason(s)
 	case !s.job.accepted:
 		return "the log has not confirmed the job yet"
 	case !s.instance.isReady(s):
@@ -98,21 +98,21 @@
 		return fmt.Sprintf("%d workers of an earlier holder have not told yet what they run", len(h.unreportedWorkers))
 	case s.spec.Gang && s.placedTasks > 0:
 		return fmt.Sprintf("%d members of the gang's last run have not ended yet", s.placedTasks)
-	case h.mayPlace(s) == 0 || s.spec.Gang && h.capRoom(s) < len(s.tasks):
+	case h.placeable(s) == 0 || s.spec.Gang && h.slotsUnderCap(s) < len(s.tasks):
 		return fmt.Sprintf("%d tasks need %v each; tasks of workspace %q take or may take %v, and it may have %v",
 			s.unplacedTasks, s.spec.Need, s.job.workspace, h.usage.Of(s.job.workspace), h.workspaceOf(s.job).Most)
 	case len(set.workers) == 0:
 		return "no worker of the pool takes new tasks at present"
 	case !slices.ContainsFunc(set.workers, func(w *worker) bool { return s.spec.Reserved().Fits(w.Capacity) }):
 		return fmt.Sprintf("no worker is large enough for %v", s.spec.Need)
-	case s.advice.asking():
+	case s.advice.hasCalls():
 		return "the advice service has not answered yet"
-	case q.Advice != nil && s.advice.told() == 0:
+	case q.Advice != nil && s.advice.knownCount() == 0:
 		return "no worker has been asked about yet"
-	case len(ranked{step: s, queue: q}.suited(set)) == 0:
-		return fmt.Sprintf("none of the %d workers asked about may run it", s.advice.told())
+	case len(rankedStep{step: s, queue: q}.eligible(set)) == 0:
+		return fmt.Sprintf("none of the %d workers asked about may run it", s.advice.knownCount())
 	default:
-		_, placed := h.fit(now, s, ranked{step: s, queue: q}.suited(set))
+		_, placed := h.fit(now, s, rankedStep{step: s, queue: q}.eligible(set))
 		return fmt.Sprintf("%d tasks need %v each, and there is room for %d", s.unplacedTasks, s.spec.Need, placed)
 	}
 }
--- a/services/dispatch/throttle.go
+++ b/services/dispatch/throttle.go
@@ -19,19 +19,19 @@
 const (
 	// fullPace is the percentage of its speed at which a run begins.
 	fullPace = pace.Full
-	// paceUnknown is the pace of a run that an earlier holder started.
-	paceUnknown = -1
-	// throttleEvery is the time after which a change shows in the figures: half a
+	// unknownPace is the pace of a run that an earlier holder started.
+	unknownPace = -1
+	// throttleSettleTime is the time after which a change shows in the figures: half a
 	// second that they cover, and 100 ms until it takes effect (the users' protocol).
-	throttleEvery = 650 * time.Millisecond
-	// servingWait is how long a look waits at a worker on which tasks serve beside
+	throttleSettleTime = 650 * time.Millisecond
+	// maxServingWait is how long a look waits at a worker on which tasks serve beside
 	// fillers, so that a tail over its target is seen in time.
-	servingWait = 400 * time.Millisecond
+	maxServingWait = 400 * time.Millisecond
 )
 
-// besideFillers says whether tasks serve beside fillers on a worker, and which share
+// tailBesideFillers says whether tasks serve beside fillers on a worker, and which share
 // of its target the worst tail has reached.
-func (w *worker) besideFillers() (worst float64, shared bool) {
+func (w *worker) tailBesideFillers() (worst float64, shared bool) {
 	fillers := false
 	for _, a := range w.attempts {
 		spec := a.step.spec
@@ -44,21 +44,21 @@
 	return worst, shared && fillers
 }
 
-// throttle sets the pace of a worker's fillers by the tails of what serves beside
+// throttleFillers sets the pace of a worker's fillers by the tails of what serves beside
 // them.
-func (h *holderState) throttle(now time.Time, w *worker) {
-	worst, shared := w.besideFillers()
+func (h *holderState) throttleFillers(now time.Time, w *worker) {
+	worst, shared := w.tailBesideFillers()
 	if !shared {
 		w.fillPace = fullPace
-	} else if now.Sub(w.throttledAt) >= throttleEvery {
-		h.changePace(now, w, worst)
+	} else if now.Sub(w.throttledAt) >= throttleSettleTime {
+		h.updatePace(now, w, worst)
 	}
-	h.orderPace(now, w)
+	h.sendPace(now, w)
 }
 
-// changePace sets the pace of a worker's fillers by the worst tail beside them, as a
+// updatePace sets the pace of a worker's fillers by the worst tail beside them, as a
 // share of its target.
-func (h *holderState) changePace(now time.Time, w *worker, worst float64) {
+func (h *holderState) updatePace(now time.Time, w *worker, worst float64) {
 	next := pace.Next(w.fillPace, worst)
 	if next == w.fillPace {
 		return
@@ -68,8 +68,8 @@
 	w.fillPace, w.throttledAt = next, now
 }
 
-// orderPace orders the pace of a worker's fillers where they work at another.
-func (h *holderState) orderPace(now time.Time, w *worker) {
+// sendPace orders the pace of a worker's fillers where they work at another.
+func (h *holderState) sendPace(now time.Time, w *worker) {
 	for _, a := range w.sortedAttempts() {
 		if a.step.spec.Filler && a.state == attemptRunning && a.pace != w.fillPace && !a.paceOrdered {
 			a.paceOrdered = true
@@ -80,9 +80,9 @@
 	}
 }
 
-// throttleEnded takes the end of an order of a pace. One that may not have been
+// handleThrottleEnded takes the end of an order of a pace. One that may not have been
 // carried out is given again at the next look.
-func (h *holderState) throttleEnded(e exchange.ThrottleEnded) {
+func (h *holderState) handleThrottleEnded(e exchange.ThrottleEnded) {
 	w := h.currentWorker(e.Worker)
 	if w == nil || e.Epoch != h.epoch {
 		return
--- a/services/dispatch/throttle_test.go
+++ b/services/dispatch/throttle_test.go
@@ -17,9 +17,9 @@
 // sharedWorker is a worker on which a task serves and another fills.
 type sharedWorker struct {
 	*harness
-	look           exchange.Renew
-	serves, filler order.Run
-	losesOrders    bool
+	look            exchange.Renew
+	serving, filler order.Run
+	dropOrders      bool
 }
 
 // newSharedWorker starts both tasks.
@@ -34,21 +34,21 @@
 	for _, start := range starts {
 		d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
 	}
-	w := &sharedWorker{harness: d, look: looks["w"], serves: starts[0].Order.Run, filler: starts[1].Order.Run}
-	if w.serves.Task.Step != 0 {
-		w.serves, w.filler = w.filler, w.serves
+	w := &sharedWorker{harness: d, look: looks["w"], serving: starts[0].Order.Run, filler: starts[1].Order.Run}
+	if w.serving.Task.Step != 0 {
+		w.serving, w.filler = w.filler, w.serving
 	}
 	return w
 }
 
-// tail has the worker answer a look with a tail of the serving task, and returns
+// reportTail has the worker answer a look with a tail of the serving task, and returns
 // the paces that are then ordered.
-func (w *sharedWorker) tail(tail int64) []int {
+func (w *sharedWorker) reportTail(tail int64) []int {
 	w.t.Helper()
 	w.now = w.now.Add(700 * time.Millisecond)
 	w.confirmClaimRenewal(w.advance(time.Millisecond))
 	answer := renewAnswer(w.look)
-	answer.Report.Running = []order.Running{{Run: w.serves, Progress: 100, Figure: tail}, {Run: w.filler, Progress: 3, Figure: 4000}}
+	answer.Report.Running = []order.Running{{Run: w.serving, Progress: 100, Figure: tail}, {Run: w.filler, Progress: 3, Figure: 4000}}
 	effects := w.handle(answer)
 	effects = append(effects, w.advance(20*time.Millisecond)...)
 	w.look = effectsOf[exchange.Renew](effects)[0]
@@ -57,7 +57,7 @@
 		assert.Equal(w.t, e.Order.Run, w.filler)
 		paces = append(paces, e.Order.Percent)
 		fate := order.Carried
-		if w.losesOrders {
+		if w.dropOrders {
 			fate = order.Unknown
 		}
 		w.handle(exchange.ThrottleEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: w.filler, Percent: e.Order.Percent, Answer: order.Answer{Fate: fate}})
@@ -65,25 +65,25 @@
 	return paces
 }
 
-func TestFillersGiveWayToWhatServesBesideThem(t *testing.T) {
+func TestFillersAreThrottledByServingTail(t *testing.T) {
 	w := newSharedWorker(t)
-	assert.Equal(t, len(w.tail(50)), 0, "the tail is well below its target")
-	assert.DeepEqual(t, w.tail(90), []int{60})
-	assert.DeepEqual(t, w.tail(130), []int{12})
-	assert.DeepEqual(t, w.tail(130), []int{0})
-	assert.Equal(t, len(w.tail(70)), 0, "near its target nothing changes")
-	assert.DeepEqual(t, w.tail(40), []int{10})
-	assert.DeepEqual(t, w.tail(40), []int{20})
+	assert.Equal(t, len(w.reportTail(50)), 0, "the tail is well below its target")
+	assert.DeepEqual(t, w.reportTail(90), []int{60})
+	assert.DeepEqual(t, w.reportTail(130), []int{12})
+	assert.DeepEqual(t, w.reportTail(130), []int{0})
+	assert.Equal(t, len(w.reportTail(70)), 0, "near its target nothing changes")
+	assert.DeepEqual(t, w.reportTail(40), []int{10})
+	assert.DeepEqual(t, w.reportTail(40), []int{20})
 	// An order without an answer is given again.
-	w.losesOrders = true
-	assert.DeepEqual(t, w.tail(40), []int{30})
-	w.losesOrders = false
-	assert.DeepEqual(t, w.tail(70), []int{30})
-	assert.Equal(t, len(w.tail(70)), 0, "an order that was carried out is not")
+	w.dropOrders = true
+	assert.DeepEqual(t, w.reportTail(40), []int{30})
+	w.dropOrders = false
+	assert.DeepEqual(t, w.reportTail(70), []int{30})
+	assert.Equal(t, len(w.reportTail(70)), 0, "an order that was carried out is not")
 }
 
-func TestWorkersWithServingTasksBesideFillersAreLookedAtOften(t *testing.T) {
+func TestWorkersWithServingTasksBesideFillersArePolledOften(t *testing.T) {
 	w := newSharedWorker(t)
-	w.tail(50)
+	w.reportTail(50)
 	assert.Check(t, w.look.Order.Wait <= 400, "a look waits %d ms", w.look.Order.Wait)
 }
--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -49,7 +49,7 @@
 	// promised is room kept for steps that wait for tickets.
 	committed resource.Vector
 	// reserved is the part of it that is reserved for gangs, in the order in which it was.
-	gangReservations []keptRoom
+	gangReservations []gangReservation
 
 	// clock was the worker's clock when an answer came at clockAt.
 	clock   order.WorkerClock
@@ -99,7 +99,7 @@
 	// is started.
 	suspectAttempts, isolatedAttempts int
 	// prepared says for which likely suspect it is kept, or is nil.
-	prepared *preparation
+	prepared *trialPreparation
 	// excludedUntil is until when the worker gets no starts.
 	excludedUntil time.Time
 }
@@ -118,7 +118,7 @@
 func (h *holderState) workersByName() []*worker {
 	if h.sortedWorkers == nil {
 		h.sortedWorkers = slices.Collect(maps.Values(h.workers))
-		slices.SortFunc(h.sortedWorkers, byName)
+		slices.SortFunc(h.sortedWorkers, compareNames)
 		for i, w := range h.sortedWorkers {
 			w.nameIndex = i
 		}
