--- a/services/dispatch/gone.go
+++ b/services/dispatch/gone.go
@@ -10,8 +10,8 @@
 	"saddlevane/services/blame"
 )
 
-// handleWorkerSilent notes that a worker does not answer from now on.
-func (h *holderState) handleWorkerSilent(now time.Time, w *worker) {
+// handleWorkerUnresponsive notes that a worker does not answer from now on.
+func (h *holderState) handleWorkerUnresponsive(now time.Time, w *worker) {
 	w.presence.RecordSilence(now, h.core.settings.RenewWait+renewMargin)
 	if w.isolatedAttempts == 0 {
 		h.blame.RecordSilence(now, w.Life, w.Rack, w.crashRisk())
@@ -22,7 +22,7 @@
 // of which it is sure that it is over.
 func (h *holderState) endingOf(now time.Time, w *worker, over bool) exchange.Ending {
 	if w.presence.SilentSince().IsZero() {
-		h.handleWorkerSilent(now, w)
+		h.handleWorkerUnresponsive(now, w)
 	}
 	return w.presence.Ending(over)
 }
@@ -63,8 +63,8 @@
 // detectionDelay returns by how much the silence of a worker may have been seen too late: while no
 // look waits there a crash is seen by the next, and not at its time.
 func (w *worker) detectionDelay() time.Duration {
-	if w.silence.detectionDelay > 0 || w.aliveAt.IsZero() {
-		return w.silence.detectionDelay
+	if w.unresponsive.detectionDelay > 0 || w.aliveAt.IsZero() {
+		return w.unresponsive.detectionDelay
 	}
 	return max(0, w.presence.SilentSince().Sub(w.aliveAt))
 }
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -66,7 +66,7 @@
 		// While a worker does not answer its lease must run out some time.
 		r.Until = h.extendLease(now, w)
 	}
-	mayWait := w.reported && !w.lives.HasCandidate()
+	mayWait := w.reported && !w.incarnations.HasCandidate()
 	if mayWait && (w.failures == 0 && !w.reportedEnds.HasPending() || len(w.attempts) == 0) {
 		r.Wait = job.Milliseconds(h.renewWait(w).Milliseconds())
 	}
@@ -81,7 +81,7 @@
 // not ended any task since: it answered the last look, and told of all tasks started on it
 // that may have ended.
 func (h *holderState) canAcknowledgeEnds(now time.Time, w *worker) bool {
-	if w.failures > 0 || w.lives.HasCandidate() {
+	if w.failures > 0 || w.incarnations.HasCandidate() {
 		return false
 	}
 	for _, a := range w.attempts {
@@ -105,7 +105,7 @@
 	}
 	w := h.currentWorker(e.Worker)
 	if w == nil {
-		h.handleOtherLifeAnswer(now, e)
+		h.handleOtherIncarnationAnswer(now, e)
 		return
 	}
 	if e.Look != w.pendingRenewal {
@@ -119,7 +119,7 @@
 		// There is no life where another life's entry says, which may be old.
 		h.handleRenewFailed(now, w, e)
 	case h.handleSuperseded(now, w, e.Answer, e.Look):
-	case carried && w.lives.RecordAnswer(w.Life, e.Report.Life, e.Look):
+	case carried && w.incarnations.RecordAnswer(w.Life, e.Report.Life, e.Look):
 		h.handleWorkerRestart(now, w, e)
 	case carried:
 		h.handleRenewed(now, w, e)
@@ -157,8 +157,8 @@
 	switch {
 	case w.IsOther(e.Report.Life) && e.Worker.BornUnixMilli == 0:
 		// It may be an earlier life or a later one.
-		h.handleOtherLifeAnswer(now, e)
-	case w.lives.RecordAnswer(w.Life, e.Report.Life, 0):
+		h.handleOtherIncarnationAnswer(now, e)
+	case w.incarnations.RecordAnswer(w.Life, e.Report.Life, 0):
 		h.handleWorkerRestart(now, w, e)
 	default:
 		h.applyEnds(now, w, e.Report.Ended)
@@ -202,9 +202,9 @@
 }
 
 const (
-	reasonOtherLife   = "another worker answers at its address"
-	reasonRestarted   = "it has started again"
-	reasonLaterHolder = "a worker has seen a later holder"
+	reasonOtherIncarnation = "another worker answers at its address"
+	reasonRestarted        = "it has started again"
+	reasonLaterHolder      = "a worker has seen a later holder"
 )
 
 // handleSuperseded acts on an answer which says that the worker meant, or the authority of
@@ -213,9 +213,9 @@
 func (h *holderState) handleSuperseded(now time.Time, w *worker, a order.Answer, look int64) bool {
 	switch {
 	case a.Fate == order.NoLife:
-		h.handleNoLife(now, w)
+		h.handleIncarnationGone(now, w)
 		return true
-	case w.lives.IsFencedByLaterHolder(a, look):
+	case w.incarnations.IsFencedByLaterHolder(a, look):
 		h.core.stepDown(reasonLaterHolder)
 		return true
 	default:
@@ -234,7 +234,7 @@
 			// Also where the wait was just over: then the crash took the answer with it.
 			w.aliveAt = now
 		}
-		h.handleWorkerSilent(now, w)
+		h.handleWorkerUnresponsive(now, w)
 		h.core.logEvent("worker does not answer", logField("worker", w.Life.String()), logField("problem", e.Answer.Problem), logField("tasks", len(w.attempts)))
 	}
 	w.renewAt = now.Add(renewRetryDelay)
@@ -242,7 +242,7 @@
 		// Mostly one answer was lost.
 		w.renewAt = now
 		if e.Answer.Reason == order.Closed || e.Answer.Fate == order.NotDone {
-			w.lives.RaiseFence(h.renewalsSent)
+			w.incarnations.RaiseFence(h.renewalsSent)
 		}
 		h.renew(now, w)
 	}
@@ -259,7 +259,7 @@
 	w.failures = 0
 	w.reportedEnds.ConfirmAck()
 	h.setBirthTime(w, e.Report.Life)
-	h.recordSilenceEnd(w)
+	h.recordResponsive(w)
 	if w.presence.RecordAnswer() {
 		h.blame.RecordAnswer(w.Life)
 	}
@@ -304,7 +304,7 @@
 		} else {
 			h.resendStops(now, w)
 		}
-		h.refreshSilenceRecord(now, w)
+		h.refreshUnresponsiveRecord(now, w)
 		h.expireTrialPreparation(now, w)
 		if h.phase == phaseActive {
 			h.renew(now, w)
@@ -316,17 +316,17 @@
 func (h *holderState) handleLeaseExpired(now time.Time, w *worker) {
 	if len(w.attempts) > 0 || w.reported || h.unreportedWorkers[w.Name] {
 		h.core.logEvent("worker's lease has run out", logField("worker", w.Life.String()), logField("tasks", len(w.attempts)),
-			logField("lapsed_for", now.Sub(w.leaseExpiresBy).String()), logField("how", string(h.endingOf(now, w, w.lives.HasCandidate()))))
+			logField("lapsed_for", now.Sub(w.leaseExpiresBy).String()), logField("how", string(h.endingOf(now, w, w.incarnations.HasCandidate()))))
 	}
-	h.loseAttempts(now, w, nil, h.endingOf(now, w, w.lives.HasCandidate()), "the worker's lease has run out")
+	h.loseAttempts(now, w, nil, h.endingOf(now, w, w.incarnations.HasCandidate()), "the worker's lease has run out")
 	if w.reported {
-		w.lives.RaiseFence(h.renewalsSent)
+		w.incarnations.RaiseFence(h.renewalsSent)
 	}
 	w.reported = false
 	delete(h.unreportedWorkers, w.Name)
-	if w.silence.written {
+	if w.unresponsive.written {
 		// Nothing runs on it any more.
-		h.recordSilence(now, w)
+		h.recordUnresponsive(now, w)
 	}
 	if !w.presence.IsListed() {
 		h.removeWorker(now, w)
--- a/services/dispatch/listing.go
+++ b/services/dispatch/listing.go
@@ -67,7 +67,7 @@
 // handleEntryMissing acts on a worker that is no longer listed. Shortly after the log was
 // away its entry may only have lapsed, and it is used on as long as it answers.
 func (h *holderState) handleEntryMissing(now time.Time, w *worker) {
-	w.lives.RecordEntryRemoved()
+	w.incarnations.RecordEntryRemoved()
 	w.presence.RecordMissing(now, h.entriesMayReturn(now))
 }
 
@@ -88,17 +88,17 @@
 	}
 }
 
-// handleOtherLifeListed takes that the platform lists another life of a worker, which may be an earlier
+// handleOtherIncarnationListed takes that the platform lists another life of a worker, which may be an earlier
 // one or a later one: the worker tells.
-func (h *holderState) handleOtherLifeListed(now time.Time, w *worker, o order.Worker) {
-	if !w.lives.HasCandidate() {
+func (h *holderState) handleOtherIncarnationListed(now time.Time, w *worker, o order.Worker) {
+	if !w.incarnations.HasCandidate() {
 		return
 	}
 	h.core.logEvent("another life of a worker is listed", logField("worker", w.Life.String()), logField("life", o.Life.String()))
-	if h.phase != phaseActive || w.pendingRenewal != 0 && !w.lives.PrecedesCandidate(w.pendingRenewal) {
+	if h.phase != phaseActive || w.pendingRenewal != 0 && !w.incarnations.PrecedesCandidate(w.pendingRenewal) {
 		return
 	}
-	w.lives.RaiseFence(h.renewalsSent)
+	w.incarnations.RaiseFence(h.renewalsSent)
 	if w.pendingRenewal != 0 {
 		w.overdue[w.pendingRenewal] = w.answerDue
 		w.pendingRenewal = 0
@@ -114,8 +114,8 @@
 		w = h.addWorker(now, o)
 		h.core.logEvent("worker listed", logField("worker", o.Life.String()), logField("address", o.Address), logField("pool", o.Pool), logField("domain", o.Domain))
 	}
-	if !w.lives.RecordEntry(w.Life, o, h.renewalsSent) {
-		h.handleOtherLifeListed(now, w, o)
+	if !w.incarnations.RecordEntry(w.Life, o, h.renewalsSent) {
+		h.handleOtherIncarnationListed(now, w, o)
 		return
 	}
 	h.setBirthTime(w, o.Life)
--- a/services/dispatch/lives.go
+++ b/services/dispatch/lives.go
@@ -34,13 +34,13 @@
 }
 
 // fence returns the fence number of orders to a worker.
-func (h *holderState) fence(w *worker) int64 { return w.lives.Fence(h.epoch) }
+func (h *holderState) fence(w *worker) int64 { return w.incarnations.Fence(h.epoch) }
 
 // handleWorkerRestart takes the answer of a life that is later than the one known: that one is over.
 func (h *holderState) handleWorkerRestart(now time.Time, w *worker, e exchange.RenewEnded) {
-	o, listed := w.lives.Successor(w.Worker, e.Report.Life)
+	o, listed := w.incarnations.Successor(w.Worker, e.Report.Life)
 	n := newWorker(now, o)
-	n.lives = w.lives
+	n.incarnations = w.incarnations
 	if listed {
 		n.presence.RecordEntry(o.Leaving)
 	}
@@ -87,9 +87,9 @@
 	h.markStateChange(now, n)
 }
 
-// handleOtherLifeAnswer takes the answer of a life that is not the present one. A good end stays
+// handleOtherIncarnationAnswer takes the answer of a life that is not the present one. A good end stays
 // true; the rest holds for that life only.
-func (h *holderState) handleOtherLifeAnswer(now time.Time, e exchange.RenewEnded) {
+func (h *holderState) handleOtherIncarnationAnswer(now time.Time, e exchange.RenewEnded) {
 	for _, end := range e.Report.Ended {
 		if end.How == order.Done {
 			h.applyFormerSuccess(now, end)
@@ -122,10 +122,10 @@
 	}
 }
 
-// handleNoLife acts on the answer that no life of the worker is at its address.
-func (h *holderState) handleNoLife(now time.Time, w *worker) {
-	next, listed := w.lives.Candidate()
-	h.handleWorkerTerminated(now, w, reasonOtherLife)
+// handleIncarnationGone acts on the answer that no life of the worker is at its address.
+func (h *holderState) handleIncarnationGone(now time.Time, w *worker) {
+	next, listed := w.incarnations.Candidate()
+	h.handleWorkerTerminated(now, w, reasonOtherIncarnation)
 	if listed {
 		h.handleWorkerListed(now, next)
 	}
@@ -133,15 +133,15 @@
 
 // renewAddress is where a worker is looked at: where its newest entry says.
 func (w *worker) renewAddress() string {
-	if next, doubted := w.lives.Candidate(); doubted {
+	if next, doubted := w.incarnations.Candidate(); doubted {
 		return next.Address
 	}
 	return w.Address
 }
 
-// restoreLife returns the worker of which the log tells. If the list names another life, the
+// restoreIncarnation returns the worker of which the log tells. If the list names another life, the
 // first answer tells which of them is over.
-func (h *holderState) restoreLife(now time.Time, o order.Worker) *worker {
+func (h *holderState) restoreIncarnation(now time.Time, o order.Worker) *worker {
 	w := h.workers[o.Name]
 	if w == nil {
 		return h.addWorker(now, o)
@@ -152,6 +152,6 @@
 	entry := w.Worker
 	w = h.addWorker(now, o)
 	w.presence.RecordEntry(entry.Leaving)
-	w.lives.RecordEntry(w.Life, entry, h.renewalsSent)
+	w.incarnations.RecordEntry(w.Life, entry, h.renewalsSent)
 	return w
 }
--- a/services/dispatch/lives_test.go
+++ b/services/dispatch/lives_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestTasksReportedByEarlierLifeAreRestarted(t *testing.T) {
+func TestTasksReportedByEarlierIncarnationAreRestarted(t *testing.T) {
 	d, looks := newHolder(t, workerEntry("v", 1000), workerEntry("w", 1000))
 	start := d.startOneTask()
 	d.startSucceeds(start)
@@ -113,7 +113,7 @@
 	assert.Equal(t, again[0].Worker.Name, otherWorker(start), "the later life is not listed yet")
 }
 
-func TestSuccessReportedByEarlierLifeCounts(t *testing.T) {
+func TestSuccessReportedByEarlierIncarnationCounts(t *testing.T) {
 	d, looks := newHolder(t, workerEntry("v", 1000), workerEntry("w", 1000))
 	start := d.startOneTask()
 	d.startSucceeds(start)
@@ -125,7 +125,7 @@
 	assert.Equal(t, effectsOf[exchange.Reply](effects)[0].Reply.State, job.Succeeded)
 }
 
-func TestAnswerToOrderForEarlierLifeIsIgnored(t *testing.T) {
+func TestAnswerToOrderForEarlierIncarnationIsIgnored(t *testing.T) {
 	d, looks := newHolder(t, workerEntry("v", 1000), workerEntry("w", 1000))
 	start := d.startOneTask()
 	d.persist(d.handle(answeredBy(renewAnswer(looks[start.Worker.Name]), 2000)))
@@ -136,7 +136,7 @@
 	assert.Check(t, d.core.IsServing(d.now), "a later life that refuses such an order has seen no later holder")
 }
 
-func TestEntryOfOtherLifeTriggersRenewalAndBlocksStarts(t *testing.T) {
+func TestEntryOfOtherIncarnationTriggersRenewalAndBlocksStarts(t *testing.T) {
 	d, looks := newHolder(t, workerEntry("w", 1000))
 	listed := func(born int64) []exchange.Effect {
 		return d.handle(exchange.WorkersRead{Listing: order.Listing{Present: []order.Worker{workerEntry("w", born)}}})
@@ -224,7 +224,7 @@
 	assert.Equal(t, len(d.startsWithin(time.Second, looks)), 0, "and is the only one")
 }
 
-func TestLateAnswerOfOtherLifeReplacesCurrentOne(t *testing.T) {
+func TestLateAnswerOfOtherIncarnationReplacesCurrentOne(t *testing.T) {
 	d, looks := newHolder(t, workerEntry("w", 1000))
 	late := looks["w"]
 	d.renewalTimesOut(late)
--- a/services/dispatch/livesworld_test.go
+++ b/services/dispatch/livesworld_test.go
@@ -191,7 +191,7 @@
 }
 
 // Where the platform gives each life a name of its own and tells no birth, all is as before.
-func TestRandomWorldsWithUniqueNamePerLife(t *testing.T) {
+func TestRandomWorldsWithUniqueNamePerIncarnation(t *testing.T) {
 	for seed := range seeds() / 2 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
--- a/services/dispatch/load.go
+++ b/services/dispatch/load.go
@@ -66,9 +66,9 @@
 // tasks.
 func (h *holderState) restoreRecordedWorker(now time.Time, k kept.KnownWorker) {
 	o := k.Worker
-	w := h.restoreLife(now, o)
+	w := h.restoreIncarnation(now, o)
 	if k.Unresponsive != nil && !w.reported {
-		h.restoreSilentWorker(now, w, k.Unresponsive)
+		h.restoreUnresponsive(now, w, k.Unresponsive)
 		return
 	}
 	w.recorded = true
--- a/services/dispatch/silence.go
+++ b/services/dispatch/silence.go
@@ -18,8 +18,8 @@
 // worker once it does not answer, and nothing is started there until the log has it that it
 // answers again: the next holder takes those runs as being at work, and all others are free.
 
-// silenceRecord is what the log is told of a worker that does not answer.
-type silenceRecord struct {
+// unresponsiveRecord is what the log is told of a worker that does not answer.
+type unresponsiveRecord struct {
 	// kept says that the log has it, or is about to, at is when it was last told.
 	written   bool
 	writtenAt time.Time
@@ -31,28 +31,28 @@
 	// failuresBeforeRecord is after how many looks without an answer in a row the log is told: one
 	// may have been lost.
 	failuresBeforeRecord = 2
-	// silenceRecordInterval is when the log is told again how long the lease of a silent worker lasts
+	// unresponsiveRecordInterval is when the log is told again how long the lease of a silent worker lasts
 	// at most.
-	silenceRecordInterval = 2 * time.Second
+	unresponsiveRecordInterval = 2 * time.Second
 )
 
-// refreshSilenceRecord has the log tell what may run on a worker that does not answer.
-func (h *holderState) refreshSilenceRecord(now time.Time, w *worker) {
-	again := w.silence.written
+// refreshUnresponsiveRecord has the log tell what may run on a worker that does not answer.
+func (h *holderState) refreshUnresponsiveRecord(now time.Time, w *worker) {
+	again := w.unresponsive.written
 	switch {
 	case w.failures < failuresBeforeRecord, !again && !w.reported:
 		return
-	case again && (now.Sub(w.silence.writtenAt) < silenceRecordInterval || h.journal.isFailing(now)):
+	case again && (now.Sub(w.unresponsive.writtenAt) < unresponsiveRecordInterval || h.journal.isFailing(now)):
 		return
 	}
-	h.recordSilence(now, w)
+	h.recordUnresponsive(now, w)
 }
 
-// recordSilence adds the record of a silent worker to the next append. No start may be ordered
+// recordUnresponsive adds the record of a silent worker to the next append. No start may be ordered
 // to it until a later record says that it answers.
-func (h *holderState) recordSilence(now time.Time, w *worker) {
+func (h *holderState) recordUnresponsive(now time.Time, w *worker) {
 	late := w.detectionDelay()
-	w.silence = silenceRecord{written: true, writtenAt: now, detectionDelay: w.silence.detectionDelay}
+	w.unresponsive = unresponsiveRecord{written: true, writtenAt: now, detectionDelay: w.unresponsive.detectionDelay}
 	w.recorded, w.recording = false, false
 	w.records++
 	s := kept.UnresponsiveState{DetectionDelay: job.Milliseconds(late.Milliseconds()), LeaseLeft: job.Milliseconds(max(0, w.leaseExpiresBy.Sub(now)).Milliseconds())}
@@ -76,19 +76,19 @@
 	return -1
 }
 
-// recordSilenceEnd has the log tell that a worker answers again.
-func (h *holderState) recordSilenceEnd(w *worker) {
-	if w.silence.written {
-		w.silence = silenceRecord{}
+// recordResponsive has the log tell that a worker answers again.
+func (h *holderState) recordResponsive(w *worker) {
+	if w.unresponsive.written {
+		w.unresponsive = unresponsiveRecord{}
 		w.recorded, w.recording = false, false
 		h.recordWorker(w)
 	}
 }
 
-// restoreSilentWorker takes over a worker that was silent under an earlier holder: what may run on it
+// restoreUnresponsive takes over a worker that was silent under an earlier holder: what may run on it
 // is known, and counts as being at work until it answers or its lease is over.
-func (h *holderState) restoreSilentWorker(now time.Time, w *worker, s *kept.UnresponsiveState) {
-	w.silence = silenceRecord{written: true, writtenAt: now, detectionDelay: s.DetectionDelay.Duration()}
+func (h *holderState) restoreUnresponsive(now time.Time, w *worker, s *kept.UnresponsiveState) {
+	w.unresponsive = unresponsiveRecord{written: true, writtenAt: now, detectionDelay: s.DetectionDelay.Duration()}
 	w.leaseExpiresBy = ordered.Later(w.leaseExpiresBy, now.Add(min(h.maxLeaseDuration(), s.LeaseLeft.Duration())))
 	for i, run := range s.Runs {
 		a := h.restoreRun(now, w, run)
--- a/services/dispatch/silence_test.go
+++ b/services/dispatch/silence_test.go
@@ -25,7 +25,7 @@
 //	34.3308 state of the cell free=2536 processors=3168 unsettled=19 steps_late=127
 //
 // The holder before knew which tasks were on them.
-func TestJobsDoNotWaitForWorkersSilentBeforeTakeover(t *testing.T) {
+func TestJobsDoNotWaitForWorkersUnresponsiveBeforeTakeover(t *testing.T) {
 	w := newWorld(t, 1, 2, 9)
 	w.waitUntilServing()
 	lost := w.submit(longStep("lost", 1))
@@ -67,7 +67,7 @@
 
 // Workers fall silent and answer again while the cell changes hands, again and again: no
 // task may start twice because of what the log told of a worker some time ago.
-func TestSilentWorkersAcrossTakeovers(t *testing.T) {
+func TestUnresponsiveWorkersAcrossTakeovers(t *testing.T) {
 	for seed := range seeds() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
--- a/services/dispatch/starts.go
+++ b/services/dispatch/starts.go
@@ -76,7 +76,7 @@
 		return
 	}
 	if e.Answer.Fate == order.NoLife {
-		h.handleNoLife(now, w)
+		h.handleIncarnationGone(now, w)
 		return
 	}
 	if e.Answer.Fate != order.Unknown {
@@ -90,7 +90,7 @@
 		h.answerDelays.Record(now, now.Sub(a.lastOrderedAt))
 	}
 	a.stopConfirmed = a.stopConfirmed && a.state == attemptStopping
-	if a.orderCount > 1 && e.Answer.Fate != order.Carried && !w.lives.IsFencedByLaterHolder(e.Answer, 0) {
+	if a.orderCount > 1 && e.Answer.Fate != order.Carried && !w.incarnations.IsFencedByLaterHolder(e.Answer, 0) {
 		// An earlier order may have been carried out, or may be yet.
 		h.handleStartUnconfirmed(now, a, e.Answer)
 		return
@@ -149,7 +149,7 @@
 		logField("run", a.run), logField("worker", a.worker.Life.String()), logField("reason", string(answer.Reason)))
 	switch answer.Reason {
 	case order.Fenced:
-		if a.worker.lives.IsFencedByLaterHolder(answer, 0) {
+		if a.worker.incarnations.IsFencedByLaterHolder(answer, 0) {
 			h.core.stepDown(reasonLaterHolder)
 			return
 		}
--- a/services/dispatch/suspects.go
+++ b/services/dispatch/suspects.go
@@ -127,7 +127,7 @@
 // recordCrash tells what the crash of a worker says of the tasks that were on it.
 func (h *holderState) recordCrash(now time.Time, w *worker, on []blame.RunningTask) {
 	at := w.presence.SilentSince()
-	c := blame.Crash{Life: w.Life, Rack: w.Rack, At: at, UnixMilli: h.core.unixMilli(at), TasksKnown: w.reported || w.silence.written, Tasks: on}
+	c := blame.Crash{Life: w.Life, Rack: w.Rack, At: at, UnixMilli: h.core.unixMilli(at), TasksKnown: w.reported || w.unresponsive.written, Tasks: on}
 	for _, f := range h.blame.RecordCrash(now, c) {
 		h.core.logEvent("a worker crashed under a task", logField("job", string(f.Task.Job)), logField("task", f.Task.String()), logField("worker", w.Life.String()),
 			logField("crashes", f.Blame.Crashes), logField("guilty", fmt.Sprintf("%.3g", blame.Probability(f.Blame))), logField("worked_most", f.Worked.String()),
--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -23,7 +23,7 @@
 	order.Worker
 	// lives are those that its name has had. fencePending says that it has taken the place of an
 	// earlier one, and has not answered a look of its own.
-	lives        *presence.Lives
+	incarnations *presence.Lives
 	fencePending bool
 	// presence is whether it is listed and answers.
 	presence presence.Presence
@@ -35,7 +35,7 @@
 	recording bool
 	records   int
 	// silence is what the log is told while it does not answer.
-	silence silenceRecord
+	unresponsive unresponsiveRecord
 
 	// place is where it is among all workers by name.
 	nameIndex int
@@ -129,7 +129,7 @@
 // addWorker adds the first life of a worker that is known.
 func (h *holderState) addWorker(now time.Time, o order.Worker) *worker {
 	w := newWorker(now, o)
-	w.lives = h.formerWorkers.Take(o.Name)
+	w.incarnations = h.formerWorkers.Take(o.Name)
 	h.workers[o.Name] = w
 	h.sortedWorkers = nil
 	return w
@@ -150,7 +150,7 @@
 
 // isHealthy says whether a worker could take new tasks if it were not kept for a suspect.
 func (h *holderState) isHealthy(now time.Time, w *worker) bool {
-	return w.reported && w.presence.IsListed() && w.recorded && !w.Leaving && !w.lives.HasCandidate() && w.failures == 0 && len(w.orphans) == 0 &&
+	return w.reported && w.presence.IsListed() && w.recorded && !w.Leaving && !w.incarnations.HasCandidate() && w.failures == 0 && len(w.orphans) == 0 &&
 		now.Sub(w.answeredAt) < h.core.settings.RenewWait+h.adaptiveTimeout(now, silentWorkerTimeout) && !now.Before(w.excludedUntil) && !(h.isEnabled(mechanism.OwedAnswers) && h.hasOverdueStart(now, w))
 }
 
@@ -190,9 +190,9 @@
 func (h *holderState) removeWorker(now time.Time, w *worker) {
 	delete(h.workers, w.Name)
 	h.sortedWorkers = nil
-	w.lives.End(w.Life)
-	h.formerWorkers.Add(now, w.Name, w.lives)
-	if w.recorded || w.recording || w.silence.written {
+	w.incarnations.End(w.Life)
+	h.formerWorkers.Add(now, w.Name, w.incarnations)
+	if w.recorded || w.recording || w.unresponsive.written {
 		h.journal.addRecord(kept.DropWorker(w.Name))
 	}
 }
