--- a/services/pace/pace.go
+++ b/services/pace/pace.go
@@ -12,10 +12,10 @@
 	// throttleAt and raiseAt are shares of the target. Tails are rough figures of the
 	// last half second, so there is some way between them.
 	throttleAt, raiseAt = 0.85, 0.6
-	// urgentAt is the share from which fillers are nearly stopped at once.
-	urgentAt = 1.2
-	// throttleBy and urgentBy are what a pace is multiplied by.
-	throttleBy, urgentBy = 0.6, 0.2
+	// urgentThrottleAt is the share from which fillers are nearly stopped at once.
+	urgentThrottleAt = 1.2
+	// throttleBy and urgentThrottleBy are what a pace is multiplied by.
+	throttleBy, urgentThrottleBy = 0.6, 0.2
 	// raiseBy is added to a pace, in percent of a run's speed.
 	raiseBy = 10
 	// minPace is the pace, in percent, below which fillers are halted: they keep
@@ -27,8 +27,8 @@
 // share of its target.
 func Next(pace int, worst float64) int {
 	switch {
-	case worst >= urgentAt:
-		pace = int(urgentBy * float64(pace))
+	case worst >= urgentThrottleAt:
+		pace = int(urgentThrottleBy * float64(pace))
 	case worst >= throttleAt:
 		pace = int(throttleBy * float64(pace))
 	case worst < raiseAt:
--- a/services/reservations/reservations.go
+++ b/services/reservations/reservations.go
@@ -33,8 +33,8 @@
 
 // reservation is one reservation.
 type reservation struct {
-	since time.Time
-	room  resource.Millis
+	since      time.Time
+	processors resource.Millis
 }
 
 // Tracker has the reservations of a holder. It is not safe for concurrent use.
@@ -58,7 +58,7 @@
 
 // Begin notes that room is kept for a step from now on.
 func (b *Tracker) Begin(now time.Time, id job.StepID, room resource.Millis) {
-	b.active[id] = reservation{since: now, room: room}
+	b.active[id] = reservation{since: now, processors: room}
 }
 
 // End notes what came of a step's reservation.
@@ -70,7 +70,7 @@
 	delete(b.active, id)
 	s := b.totals[o]
 	s.Count++
-	s.IdleProcessorSeconds += now.Sub(r.since).Seconds() * float64(r.room) / float64(resource.Processor)
+	s.IdleProcessorSeconds += now.Sub(r.since).Seconds() * float64(r.processors) / float64(resource.Processor)
 	b.totals[o] = s
 }
 
@@ -81,7 +81,7 @@
 func (b *Tracker) Processors() resource.Millis {
 	var room resource.Millis
 	for _, r := range b.active {
-		room += r.room
+		room += r.processors
 	}
 	return room
 }
--- a/services/tickets/tickets_test.go
+++ b/services/tickets/tickets_test.go
@@ -13,23 +13,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// life is a life of a worker with a name.
-type life struct {
+// incarnation is a life of a worker with a name.
+type incarnation struct {
 	name string
 	born int
 }
 
-func byName(a, b *life) int { return cmp.Compare(a.name, b.name) }
+func byName(a, b *incarnation) int { return cmp.Compare(a.name, b.name) }
 
-func TestTicketIsValidOnlyForQueriedLife(t *testing.T) {
+func TestTicketIsValidOnlyForQueriedIncarnation(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	var b tickets.Eligibility[*life]
-	first, later, other := &life{"w", 1}, &life{"w", 2}, &life{"v", 1}
+	var b tickets.Eligibility[*incarnation]
+	first, later, other := &incarnation{"w", 1}, &incarnation{"w", 2}, &incarnation{"v", 1}
 	_, told := b.KnownWorkers()
 	assert.Check(t, !told)
-	b.BeginCall([]*life{first, other})
+	b.BeginCall([]*incarnation{first, other})
 	assert.Check(t, b.IsPending(first) && b.IsKnownOrPending(first) && !b.IsKnownOrPending(later))
-	b.EndCall([]*life{first, other})
+	b.EndCall([]*incarnation{first, other})
 	assert.Check(t, !b.IsPending(first))
 	b.RecordAnswer()
 	b.SetEligible(first, true, byName)
