--- a/services/dispatch/calls.go
+++ b/services/dispatch/calls.go
@@ -21,7 +21,7 @@
 			return
 		}
 		if j.accepted {
-			h.core.reply(e.Call, exchange.Answer{Outcome: exchange.OK, State: j.loggedState})
+			h.core.reply(e.Call, exchange.Answer{Outcome: exchange.OK, State: j.reportedState})
 			return
 		}
 		if h.journal.isFailing(now) {
@@ -73,8 +73,8 @@
 	case j == nil, !e.Caller.MayActOn(j.workspace, j.queue):
 		h.core.reply(e.Call, exchange.Answer{Outcome: exchange.NoJob})
 		return
-	case j.loggedState.Final():
-		h.core.reply(e.Call, exchange.Answer{Outcome: exchange.OK, State: j.loggedState})
+	case j.reportedState.Final():
+		h.core.reply(e.Call, exchange.Answer{Outcome: exchange.OK, State: j.reportedState})
 		return
 	case h.journal.isFailing(now) && j.state.Final():
 		h.core.reply(e.Call, cancelUnsureAnswer)
@@ -93,7 +93,7 @@
 		h.core.reply(e.Call, exchange.Answer{Outcome: exchange.NoJob})
 		return
 	}
-	state := j.loggedState
+	state := j.reportedState
 	if state == job.Queued && j.started {
 		state = job.Running
 	}
--- a/services/dispatch/confirm.go
+++ b/services/dispatch/confirm.go
@@ -117,7 +117,7 @@
 // handleProgressAppended acts on one job's progress that is now in the log: callers are told
 // and workers may forget the ends.
 func (h *holderState) handleProgressAppended(now time.Time, p progressEntry) {
-	p.job.loggedState = p.state
+	p.job.reportedState = p.state
 	h.replyToCalls(p.cancelCalls, exchange.Answer{Outcome: exchange.OK, State: p.state})
 	for _, n := range p.ends {
 		n.MarkLogged()
--- a/services/dispatch/jobs.go
+++ b/services/dispatch/jobs.go
@@ -35,7 +35,7 @@
 	nextDueInstance int
 	doneInstances   int
 	// state is what is believed; shown is what the log has and callers are told.
-	state, loggedState job.State
+	state, reportedState job.State
 	// accepted says that the log has the job.
 	accepted bool
 	// inherited says that an earlier holder accepted it.
@@ -146,7 +146,7 @@
 	age := time.Duration(h.core.unixMilli(now)-acceptedUnix) * time.Millisecond
 	j := &trackedJob{
 		id: sub.ID, queue: sub.Queue, workspace: sub.Workspace, acceptedQueue: in, submission: &sub, acceptedUnixMilli: acceptedUnix,
-		acceptedAt: now.Add(-max(0, age)), instances: map[int]*instance{}, state: job.Queued, loggedState: job.Queued,
+		acceptedAt: now.Add(-max(0, age)), instances: map[int]*instance{}, state: job.Queued, reportedState: job.Queued,
 	}
 	h.jobs[j.id] = j
 	h.knownPools[in.Pool] = true
--- a/services/dispatch/progress.go
+++ b/services/dispatch/progress.go
@@ -15,7 +15,7 @@
 func (h *holderState) restoreJob(now time.Time, j *trackedJob, p job.Progress) {
 	j.started = p.Started
 	if p.State != "" {
-		j.state, j.loggedState, j.failReason = p.State, p.State, p.Why
+		j.state, j.reportedState, j.failReason = p.State, p.State, p.Why
 	}
 	for _, sp := range p.Steps {
 		in := j.instances[sp.Instance]
--- a/services/dispatch/starts.go
+++ b/services/dispatch/starts.go
@@ -175,7 +175,7 @@
 	if j.state == job.Queued {
 		j.state = job.Running
 	}
-	if j.loggedState == job.Queued {
-		j.loggedState = job.Running
+	if j.reportedState == job.Queued {
+		j.reportedState = job.Running
 	}
 }
--- a/services/dispatch/status.go
+++ b/services/dispatch/status.go
@@ -35,7 +35,7 @@
 func (h *holderState) addHolderStatus(now time.Time, s *job.CellStatus) {
 	s.Jobs = map[job.State]int{}
 	for _, j := range h.jobs {
-		s.Jobs[j.loggedState]++
+		s.Jobs[j.reportedState]++
 	}
 	s.Open, s.Unsure, s.Failing = len(h.openSteps), len(h.unreportedWorkers), h.journal.isFailing(now)
 	var capacity, used resource.Vector
@@ -58,14 +58,14 @@
 		h.core.reply(e.Call, exchange.Answer{Outcome: exchange.NoJob})
 		return
 	}
-	x := job.Explanation{ID: j.id, Queue: j.queue, Workspace: j.workspace, State: j.loggedState, Why: j.failReason}
+	x := job.Explanation{ID: j.id, Queue: j.queue, Workspace: j.workspace, State: j.reportedState, Why: j.failReason}
 	for _, in := range ordered.Map(j.instances) {
 		x.Slack = job.Milliseconds(in.dueAt.Add(objective(in, h.queueOf(j))).Sub(now).Milliseconds())
 		for _, s := range in.steps {
 			x.Steps = append(x.Steps, h.explainStep(now, s))
 		}
 	}
-	h.core.reply(e.Call, exchange.Answer{Outcome: exchange.OK, State: j.loggedState, Explanation: &x})
+	h.core.reply(e.Call, exchange.Answer{Outcome: exchange.OK, State: j.reportedState, Explanation: &x})
 }
 
 // explainStep says what became of the tasks of a step, and why some wait.
