--- a/services/dispatch/gangs_test.go
+++ b/services/dispatch/gangs_test.go
@@ -121,9 +121,9 @@
 	return d.handle(e)
 }
 
-// drivenWithBusyWorker has some workers, of which one runs a task of a sweep that takes some time, and
+// newHolderWithBusyWorker has some workers, of which one runs a task of a sweep that takes some time, and
 // the queues of gangConfig.
-func drivenWithBusyWorker(t *testing.T, takes job.Milliseconds, workers ...string) (*harness, map[string]exchange.Renew, map[string][]order.Run) {
+func newHolderWithBusyWorker(t *testing.T, takes job.Milliseconds, workers ...string) (*harness, map[string]exchange.Renew, map[string][]order.Run) {
 	t.Helper()
 	var all []order.Worker
 	for _, id := range workers {
@@ -152,7 +152,7 @@
 
 // The story is that of TestGangsDoNotDeadlock; this is its part on room.
 func TestGangStartsInItsEarlierReservation(t *testing.T) {
-	d, looks, running := drivenWithBusyWorker(t, 20_000, "w0", "w1")
+	d, looks, running := newHolderWithBusyWorker(t, 20_000, "w0", "w1")
 	d.core.Handle(d.now, exchange.Submitted{Call: 10, Submission: onePerWorkerGang("first", 2)})
 	kept := d.handle(exchange.Submitted{Call: 11, Submission: onePerWorkerGang("second", 2)})
 	for _, a := range effectsOf[exchange.Advise](kept) {
@@ -174,7 +174,7 @@
 
 // The story is that of TestGangsDoNotDeadlock; this is its part on tickets.
 func TestGangRenewsAllTicketsThatWouldExpire(t *testing.T) {
-	d, looks, running := drivenWithBusyWorker(t, 1500, "w0", "w1")
+	d, looks, running := newHolderWithBusyWorker(t, 1500, "w0", "w1")
 	// 40 of 64 processors do not fit beside the sweep's task.
 	gang := onePerWorkerGang("gang", 4)
 	gang.Steps[0].Need.Processors = 40 * resource.Processor
--- a/services/dispatch/throttle_test.go
+++ b/services/dispatch/throttle_test.go
@@ -17,7 +17,7 @@
 // sharedWorker is a worker on which a task serves and another fills.
 type sharedWorker struct {
 	*harness
-	look            exchange.Renew
+	renewal         exchange.Renew
 	serving, filler order.Run
 	dropOrders      bool
 }
@@ -34,7 +34,7 @@
 	for _, start := range starts {
 		d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
 	}
-	w := &sharedWorker{harness: d, look: looks["w"], serving: starts[0].Order.Run, filler: starts[1].Order.Run}
+	w := &sharedWorker{harness: d, renewal: looks["w"], serving: starts[0].Order.Run, filler: starts[1].Order.Run}
 	if w.serving.Task.Step != 0 {
 		w.serving, w.filler = w.filler, w.serving
 	}
@@ -47,11 +47,11 @@
 	w.t.Helper()
 	w.now = w.now.Add(700 * time.Millisecond)
 	w.confirmClaimRenewal(w.advance(time.Millisecond))
-	answer := renewAnswer(w.look)
+	answer := renewAnswer(w.renewal)
 	answer.Report.Running = []order.Running{{Run: w.serving, Progress: 100, Figure: tail}, {Run: w.filler, Progress: 3, Figure: 4000}}
 	effects := w.handle(answer)
 	effects = append(effects, w.advance(20*time.Millisecond)...)
-	w.look = effectsOf[exchange.Renew](effects)[0]
+	w.renewal = effectsOf[exchange.Renew](effects)[0]
 	var paces []int
 	for _, e := range effectsOf[exchange.ThrottleRun](effects) {
 		assert.Equal(w.t, e.Order.Run, w.filler)
@@ -85,5 +85,5 @@
 func TestWorkersWithServingTasksBesideFillersArePolledOften(t *testing.T) {
 	w := newSharedWorker(t)
 	w.reportTail(50)
-	assert.Check(t, w.look.Order.Wait <= 400, "a look waits %d ms", w.look.Order.Wait)
+	assert.Check(t, w.renewal.Order.Wait <= 400, "a look waits %d ms", w.renewal.Order.Wait)
 }
