--- a/services/dispatch/confirm.go
+++ b/services/dispatch/confirm.go
@@ -97,7 +97,7 @@
 		j.failingSince = time.Time{}
 	}
 	for _, r := range b.workerRecords {
-		r.worker.recorded = r.worker.recorded || r.number == r.worker.records
+		r.worker.recorded = r.worker.recorded || r.number == r.worker.recordCount
 	}
 	for _, s := range b.newJobs {
 		s.accepted = true
--- a/services/dispatch/gangs_test.go
+++ b/services/dispatch/gangs_test.go
@@ -204,7 +204,7 @@
 	for id := range running {
 		busy = id
 	}
-	effects = d.handle(doneOn(looks[busy], running[busy][0]))
+	effects = d.handle(doneAnswer(looks[busy], running[busy][0]))
 	clear(running)
 	effects = append(effects, d.runFor(40*time.Millisecond, looks, running)...)
 	var named []string
--- a/services/dispatch/late_test.go
+++ b/services/dispatch/late_test.go
@@ -14,8 +14,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// doneOn is the answer to a look at a worker on which a run has ended well.
-func doneOn(r exchange.Renew, run order.Run) exchange.RenewEnded {
+// doneAnswer is the answer to a look at a worker on which a run has ended well.
+func doneAnswer(r exchange.Renew, run order.Run) exchange.RenewEnded {
 	e := renewAnswer(r)
 	e.Report.Ended = []order.End{{Number: 1, Run: run, How: order.Done}}
 	return e
@@ -51,7 +51,7 @@
 	start := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))[0]
 	d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
 	d.renewalTimesOut(looks["w"])
-	effects := d.handle(doneOn(looks["w"], start.Order.Run))
+	effects := d.handle(doneAnswer(looks["w"], start.Order.Run))
 	d.confirmAnyAppend(append(effects, d.advance(20*time.Millisecond)...))
 	effects = d.handle(exchange.StateAsked{Call: 9, Job: "j"})
 	assert.Equal(t, effectsOf[exchange.Reply](effects)[0].Reply.State, job.Succeeded)
--- a/services/dispatch/lives.go
+++ b/services/dispatch/lives.go
@@ -116,8 +116,8 @@
 		return
 	}
 	w.Life = life
-	if w.recorded || w.recording {
-		w.recorded, w.recording = false, false
+	if w.recorded || w.recordPending {
+		w.recorded, w.recordPending = false, false
 		h.recordWorker(w)
 	}
 }
--- a/services/dispatch/lives_test.go
+++ b/services/dispatch/lives_test.go
@@ -120,7 +120,7 @@
 	late := looks[start.Worker.Name]
 	next := d.renewalTimesOut(late)
 	d.persist(d.handle(answeredBy(renewAnswer(next), 2000)))
-	d.persist(d.handle(doneOn(late, start.Order.Run)))
+	d.persist(d.handle(doneAnswer(late, start.Order.Run)))
 	effects := d.handle(exchange.StateAsked{Call: 9, Job: "j"})
 	assert.Equal(t, effectsOf[exchange.Reply](effects)[0].Reply.State, job.Succeeded)
 }
@@ -176,7 +176,7 @@
 	second := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("k", "quick", 1, false)))
 	assert.Equal(t, len(second), 1)
 	d.now = d.now.Add(100 * time.Millisecond)
-	effects := d.handle(doneOn(looks["w"], first.Order.Run))
+	effects := d.handle(doneAnswer(looks["w"], first.Order.Run))
 	looks["w"] = effectsOf[exchange.Renew](append(effects, d.persist(effects)...))[0]
 	assert.Equal(t, d.lastAcknowledged(looks), int64(0), "the second start was not told of yet")
 	d.startSucceeds(second[0])
--- a/services/dispatch/silence.go
+++ b/services/dispatch/silence.go
@@ -53,8 +53,8 @@
 func (h *holderState) recordUnresponsive(now time.Time, w *worker) {
 	late := w.detectionDelay()
 	w.unresponsive = unresponsiveRecord{written: true, writtenAt: now, detectionDelay: w.unresponsive.detectionDelay}
-	w.recorded, w.recording = false, false
-	w.records++
+	w.recorded, w.recordPending = false, false
+	w.recordCount++
 	s := kept.UnresponsiveState{DetectionDelay: job.Milliseconds(late.Milliseconds()), LeaseLeft: job.Milliseconds(max(0, w.leaseExpiresBy.Sub(now)).Milliseconds())}
 	for _, a := range w.sortedAttempts() {
 		s.Runs = append(s.Runs, a.runID())
@@ -80,7 +80,7 @@
 func (h *holderState) recordResponsive(w *worker) {
 	if w.unresponsive.written {
 		w.unresponsive = unresponsiveRecord{}
-		w.recorded, w.recording = false, false
+		w.recorded, w.recordPending = false, false
 		h.recordWorker(w)
 	}
 }
--- a/services/dispatch/silence_test.go
+++ b/services/dispatch/silence_test.go
@@ -28,7 +28,7 @@
 func TestJobsDoNotWaitForWorkersUnresponsiveBeforeTakeover(t *testing.T) {
 	w := newWorld(t, 1, 2, 9)
 	w.waitUntilServing()
-	lost := w.submit(longStep("lost", 1))
+	lost := w.submit(longJob("lost", 1))
 	w.until(time.Second, "the first job runs", func() bool { return w.runningCount("lost") == 1 })
 	gone := w.workers[0]
 	for _, f := range w.workers {
@@ -38,10 +38,10 @@
 	}
 	gone.cut = true
 	w.run(3 * time.Second)
-	w.submit(longStep("long", 9))
+	w.submit(longJob("long", 9))
 	w.until(time.Second, "the second runs", func() bool { return w.runningCount("long") > 5 })
 	// The next takes its place, and waits: there is no room for all of it.
-	w.submit(longStep("next", 7))
+	w.submit(longJob("next", 7))
 	w.run(500 * time.Millisecond)
 	assert.Check(t, w.runningCount("next") < 7)
 	w.killBox(w.holder(), 500*time.Millisecond)
@@ -57,8 +57,8 @@
 	w.cancel(lost)
 }
 
-// longStep returns a job of tasks of which a worker takes one.
-func longStep(id string, tasks int) job.Submission {
+// longJob returns a job of tasks of which a worker takes one.
+func longJob(id string, tasks int) job.Submission {
 	s := oneStep(id, "quick", tasks, false)
 	s.Steps[0].Need = resource.Vector{Processors: 40 * resource.Processor, Memory: resource.GiB}
 	s.Steps[0].Estimate = 60_000
--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -32,8 +32,8 @@
 	// recorded says that the log names it, so that the next holder asks it.
 	recorded bool
 	// recording says that the record waits for the log, records counts those of it.
-	recording bool
-	records   int
+	recordPending bool
+	recordCount   int
 	// silence is what the log is told while it does not answer.
 	unresponsive unresponsiveRecord
 
@@ -168,12 +168,12 @@
 
 // recordWorker has the log name a worker before anything is started on it.
 func (h *holderState) recordWorker(w *worker) {
-	if w.recorded || w.recording {
+	if w.recorded || w.recordPending {
 		return
 	}
-	w.recording = true
-	w.records++
-	h.journal.workerRecords = append(h.journal.workerRecords, workerRecord{worker: w, number: w.records})
+	w.recordPending = true
+	w.recordCount++
+	h.journal.workerRecords = append(h.journal.workerRecords, workerRecord{worker: w, number: w.recordCount})
 	h.journal.addRecord(kept.WorkerRecord(w.Worker))
 }
 
@@ -192,7 +192,7 @@
 	h.sortedWorkers = nil
 	w.incarnations.End(w.Life)
 	h.formerWorkers.Add(now, w.Name, w.incarnations)
-	if w.recorded || w.recording || w.unresponsive.written {
+	if w.recorded || w.recordPending || w.unresponsive.written {
 		h.journal.addRecord(kept.DropWorker(w.Name))
 	}
 }
