--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -163,7 +163,7 @@
 // rule: longer while most workers' answers are late. A call that is given up and made
 // again makes a link that is full, or a process that is late, later still.
 func (h *holderState) adaptiveTimeout(now time.Time, rule time.Duration) time.Duration {
-	return h.answerDelays.Timeout(now, rule, h.core.settings.Lease/leaseWaitDivisor)
+	return h.answerDelays.CallTimeout(now, rule, h.core.settings.Lease/leaseWaitDivisor)
 }
 
 // recordWorker has the log name a worker before anything is started on it.
--- a/services/lateness/lateness.go
+++ b/services/lateness/lateness.go
@@ -73,8 +73,8 @@
 	return all[len(all)*3/4]
 }
 
-// Timeout returns how long to wait for an answer that is waited for some time as a rule:
+// CallTimeout returns how long to wait for an answer that is waited for some time as a rule:
 // longer while most answers are late, but not longer than most.
-func (m *ResponseTimes) Timeout(now time.Time, rule, most time.Duration) time.Duration {
+func (m *ResponseTimes) CallTimeout(now time.Time, rule, most time.Duration) time.Duration {
 	return max(rule, min(most, timeoutFactor*m.UpperQuartile(now)))
 }
--- a/services/lateness/lateness_test.go
+++ b/services/lateness/lateness_test.go
@@ -14,7 +14,7 @@
 
 const ms = time.Millisecond
 
-func TestTimeoutFollowsMostResponseTimes(t *testing.T) {
+func TestCallTimeoutFollowsMostResponseTimes(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		// quick and slow are how many answers took 5 ms and 800 ms, after is how long
@@ -40,7 +40,7 @@
 			for range c.slow {
 				m.Record(now, 800*ms)
 			}
-			assert.Equal(t, m.Timeout(now.Add(c.after), 300*ms, 2*time.Second), c.want)
+			assert.Equal(t, m.CallTimeout(now.Add(c.after), 300*ms, 2*time.Second), c.want)
 		})
 	}
 }
@@ -59,13 +59,13 @@
 	assert.Equal(t, m.UpperQuartile(now), 4*ms)
 }
 
-func TestTimeoutStaysBetweenBaseAndLimit(t *testing.T) {
+func TestCallTimeoutStaysBetweenBaseAndLimit(t *testing.T) {
 	m := &lateness.ResponseTimes{}
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for range 128 {
 		m.Record(now, 100*ms)
 	}
-	assert.Equal(t, m.Timeout(now, 300*ms, 2*time.Second), 400*ms)
-	assert.Equal(t, m.Timeout(now, time.Second, 2*time.Second), time.Second)
-	assert.Equal(t, m.Timeout(now, 300*ms, 350*ms), 350*ms)
+	assert.Equal(t, m.CallTimeout(now, 300*ms, 2*time.Second), 400*ms)
+	assert.Equal(t, m.CallTimeout(now, time.Second, 2*time.Second), time.Second)
+	assert.Equal(t, m.CallTimeout(now, 300*ms, 350*ms), 350*ms)
 }
