--- a/services/dispatch/suspects.go
+++ b/services/dispatch/suspects.go
@@ -271,7 +271,7 @@
 			h.refreshTickets(p.now, r, []allocation{{Worker: w, Tasks: 1}})
 			return
 		}
-		if alone && (h.journal.hasPending(s.job) || !w.isQuiet(p.now)) {
+		if alone && (h.journal.hasPendingProgress(s.job) || !w.isQuiet(p.now)) {
 			// What is told with the start is lost with a holder that is lost just after it, and
 			// the crash with it.
 			continue
@@ -359,7 +359,7 @@
 // if it is likely to be guilty, and not too many workers are at risk.
 func (h *holderState) canTry(now time.Time, s *step, index int) bool {
 	b := h.blameOf(s, index)
-	if h.blame.MustWait(now, s.blameUnit(index)) || blame.IsLikely(b) && h.journal.hasPending(s.job) {
+	if h.blame.MustWait(now, s.blameUnit(index)) || blame.IsLikely(b) && h.journal.hasPendingProgress(s.job) {
 		return false
 	}
 	risk := blame.Probability(b)
@@ -402,8 +402,8 @@
 	return cmp.Or(cmp.Compare(c.unticketed, o.unticketed), beside, c.compare(o)) < 0
 }
 
-// hasPending says whether the log does not have the last progress of a job yet.
-func (j *journal) hasPending(s *trackedJob) bool {
+// hasPendingProgress says whether the log does not have the last progress of a job yet.
+func (j *journal) hasPendingProgress(s *trackedJob) bool {
 	return s.progressPending || j.batch != nil && slices.ContainsFunc(j.batch.progressEntries, func(b progressEntry) bool { return b.job == s })
 }
 
