--- a/cmd/saddlevane-bench/jobcell.go
+++ b/cmd/saddlevane-bench/jobcell.go
@@ -133,7 +133,7 @@
 		members = append(members, claim.Member{Box: name, Incarnation: "1", Address: name, Size: 500})
 	}
 	members[0].Size = 1000
-	c.give(exchange.ConfigRead{Config: config}, exchange.MembersRead{Members: members}, exchange.ClaimsRead{Start: true})
+	c.give(exchange.ConfigRead{Config: config}, exchange.MembersRead{Members: members}, exchange.ClaimsRead{First: true})
 	c.tick()
 }
 
@@ -230,7 +230,7 @@
 
 // list tells the reducer of all workers.
 func (c *jobCell) list() {
-	l := order.Listing{Whole: true}
+	l := order.Listing{Complete: true}
 	for i := range c.mix.workers {
 		l.Present = append(l.Present, c.workers[workerName(i)].Worker)
 	}
@@ -241,7 +241,7 @@
 func (c *jobCell) advise(e exchange.Advise) {
 	j := c.jobs[e.Step.Job]
 	q := j.kind.queue.Advice
-	takes := q.Base + time.Duration(len(e.Workers))*q.Each
+	takes := q.BaseTime + time.Duration(len(e.Workers))*q.TimePerWorker
 	c.adviceCalls++
 	c.adviceTime += takes
 	free := c.advising[e.Box]
@@ -253,7 +253,7 @@
 	a := exchange.Advised{Step: e.Step, Box: e.Box, Epoch: e.Epoch, Number: e.Number}
 	for _, id := range e.Workers {
 		if c.workers[id].suits(e.Step, j.kind.suits) {
-			a.Good = append(a.Good, order.Ticket{Worker: id, Ticket: "t"})
+			a.Tickets = append(a.Tickets, order.Ticket{Worker: id, Ticket: "t"})
 		}
 	}
 	c.back(free.Add(orderTime).Sub(c.now), a)
--- a/cmd/saddlevane-bench/jobmix.go
+++ b/cmd/saddlevane-bench/jobmix.go
@@ -139,7 +139,7 @@
 // advice returns the cost of calls to the advice service, in milliseconds.
 func advice(base, each, valid float64) *job.Advice {
 	ms := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
-	return &job.Advice{Base: ms(base), Each: ms(each), Valid: ms(valid)}
+	return &job.Advice{BaseTime: ms(base), TimePerWorker: ms(each), TicketLifetime: ms(valid)}
 }
 
 // submission draws a job of a kind, and how long each of its steps works.
--- a/cmd/saddlevane-bench/jobworker.go
+++ b/cmd/saddlevane-bench/jobworker.go
@@ -61,7 +61,7 @@
 	return &cellWorker{
 		cell: c, runs: map[order.Run]*cellRun{}, begin: c.now, slowBy: slowBy,
 		Worker: order.Worker{
-			Life: order.Life{Name: workerName(i)}, Address: workerName(i), Pool: "pool", Domain: fmt.Sprintf("d%d", i%c.mix.domains),
+			Incarnation: order.Incarnation{Name: workerName(i)}, Address: workerName(i), Pool: "pool", Domain: fmt.Sprintf("d%d", i%c.mix.domains),
 			Rack:     fmt.Sprintf("r%d", i/rackSize),
 			Capacity: resource.Vector{Processors: c.mix.cores * resource.Processor, Memory: c.mix.gigabytes * resource.GiB},
 		},
@@ -75,13 +75,13 @@
 
 // renew answers at once if there is an end to tell, else waits for one.
 func (w *cellWorker) renew(e exchange.Renew) {
-	w.ended = slices.DeleteFunc(w.ended, func(end order.End) bool { return end.Number <= e.Order.Seen })
-	if len(w.ended) > 0 || e.Order.Wait == 0 {
+	w.ended = slices.DeleteFunc(w.ended, func(end order.End) bool { return end.Number <= e.Order.Acknowledged })
+	if len(w.ended) > 0 || e.Order.MaxWait == 0 {
 		w.report(e)
 		return
 	}
 	w.waiting = &e
-	w.cell.after(e.Order.Wait.Duration(), func() {
+	w.cell.after(e.Order.MaxWait.Duration(), func() {
 		if w.waiting == &e {
 			w.waiting = nil
 			w.report(e)
@@ -91,12 +91,12 @@
 
 // report answers a renewal.
 func (w *cellWorker) report(e exchange.Renew) {
-	r := order.Report{Life: w.Life, Clock: order.WorkerClock(w.cell.now.Sub(w.begin).Milliseconds()), Ended: slices.Clone(w.ended)}
+	r := order.Report{Incarnation: w.Incarnation, Clock: order.WorkerClock(w.cell.now.Sub(w.begin).Milliseconds()), Ended: slices.Clone(w.ended)}
 	for _, run := range w.runs {
 		r.Running = append(r.Running, order.Running{Run: run.Run, Progress: run.progress(w.cell.now)})
 	}
 	w.cell.back(orderTime, exchange.RenewEnded{
-		Worker: w.Life, Epoch: e.Epoch, Look: e.Look, Answer: order.Answer{Fate: order.Carried}, Report: r,
+		Worker: w.Incarnation, Epoch: e.Epoch, Renewal: e.Renewal, Answer: order.Answer{Outcome: order.CarriedOut}, Report: r,
 	})
 }
 
@@ -110,7 +110,7 @@
 	}
 	w.runs[run.Run] = run
 	w.cell.back(orderTime, exchange.StartEnded{
-		Worker: w.Life, Epoch: e.Epoch, Run: run.Run, Answer: order.Answer{Fate: order.Carried},
+		Worker: w.Incarnation, Epoch: e.Epoch, Run: run.Run, Answer: order.Answer{Outcome: order.CarriedOut},
 	})
 	w.cell.after(run.lasts, func() { w.end(run, order.Done) })
 }
@@ -118,7 +118,7 @@
 // stop ends a task within the time that a stop may take.
 func (w *cellWorker) stop(e exchange.StopRun) {
 	w.cell.back(orderTime, exchange.StopEnded{
-		Worker: w.Life, Epoch: e.Epoch, Run: e.Order.Run, Answer: order.Answer{Fate: order.Carried},
+		Worker: w.Incarnation, Epoch: e.Epoch, Run: e.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut},
 	})
 	run := w.runs[e.Order.Run]
 	if run == nil {
@@ -129,7 +129,7 @@
 }
 
 // end ends a task and tells it to a renewal that waits.
-func (w *cellWorker) end(run *cellRun, how order.How) {
+func (w *cellWorker) end(run *cellRun, how order.EndStatus) {
 	if run.ends {
 		return
 	}
@@ -142,7 +142,7 @@
 		w.cell.wasted += worked
 	}
 	w.lastEnd++
-	w.ended = append(w.ended, order.End{Number: w.lastEnd, Run: run.Run, How: how})
+	w.ended = append(w.ended, order.End{Number: w.lastEnd, Run: run.Run, Status: how})
 	if e := w.waiting; e != nil {
 		w.waiting = nil
 		w.report(*e)
--- a/cmd/saddlevane-bench/rig.go
+++ b/cmd/saddlevane-bench/rig.go
@@ -129,7 +129,7 @@
 		case effect.SyncWorker:
 			r.syncs++
 			if r.tellAll {
-				e.Sync.Seen = 0
+				e.Sync.KnownVersion = 0
 			}
 			report := r.workers[e.Worker].Apply(r.now, e.Sync)
 			begun := time.Now()
--- a/cmd/saddlevane-demo/jobs.go
+++ b/cmd/saddlevane-demo/jobs.go
@@ -98,7 +98,7 @@
 	state := job.State("")
 	err := cell.Until(d.ctx, "the job has ended", func() bool {
 		state = d.rig.State(d.ctx, id)
-		return state.Final()
+		return state.IsFinal()
 	})
 	return state, err
 }
--- a/cmd/saddlevanectl/jobs.go
+++ b/cmd/saddlevanectl/jobs.go
@@ -39,8 +39,8 @@
 	if x == nil {
 		return
 	}
-	if x.State.Final() {
-		fmt.Fprintf(t.out, "%s in queue %s is %s%s\n", x.ID, x.Queue, x.State, because(x.Why))
+	if x.State.IsFinal() {
+		fmt.Fprintf(t.out, "%s in queue %s is %s%s\n", x.ID, x.Queue, x.State, because(x.FailureReason))
 		return
 	}
 	fmt.Fprintf(t.out, "%s in queue %s%s is %s, slack %v\n", x.ID, x.Queue, ofWorkspace(x.Workspace), x.State, x.Slack.Duration())
@@ -88,7 +88,7 @@
 		if !s.LogAnswers {
 			log = "silent"
 		}
-		table.row(s.Box, s.Holder, s.Claim, s.Holds, log, s.Config, s.Open, len(s.Workers), len(s.Relays), s.Used, s.Capacity)
+		table.row(s.Box, s.Holder, s.Claim, s.Holds, log, s.Config, s.OpenSteps, len(s.Workers), len(s.Relays), s.ProcessorsUsed, s.Processors)
 	}
 	table.flush()
 	for _, a := range all {
@@ -103,7 +103,7 @@
 	}
 	table := t.table("WORKSPACE", "WEIGHT", "USED", "CAP", "MEMORY", "CAP", "WAITING", "FOR ITS CAP")
 	for _, w := range s.Workspaces {
-		table.row(w.Name, w.Weight, w.Used.Processors, w.Most.Processors, w.Used.Memory, w.Most.Memory, w.Waiting, w.Capped)
+		table.row(w.Name, w.Weight, w.Used.Processors, w.Cap.Processors, w.Used.Memory, w.Cap.Memory, w.Waiting, w.Capped)
 	}
 	table.flush()
 }
--- a/models/effect/effect.go
+++ b/models/effect/effect.go
@@ -37,7 +37,7 @@
 	// Waited is how long the request waited before it was sent.
 	Waited time.Duration
 	// Keep says that the answer may be asked for again until it is forgotten.
-	Keep bool
+	Retain bool
 }
 
 // Refuse gives a caller a final answer that no target gave.
@@ -74,8 +74,8 @@
 	Sync    worker.Sync
 }
 
-// SayHello sends a heartbeat to a peer.
-type SayHello struct {
+// SendHello sends a heartbeat to a peer.
+type SendHello struct {
 	Address string
 	Hello   peer.Hello
 }
@@ -123,7 +123,7 @@
 func (ReadLog) effect()       {}
 func (Append) effect()        {}
 func (SyncWorker) effect()    {}
-func (SayHello) effect()      {}
+func (SendHello) effect()     {}
 func (FetchSnapshot) effect() {}
 func (AnswerPublish) effect() {}
 func (Stopped) effect()       {}
--- a/models/event/event.go
+++ b/models/event/event.go
@@ -51,7 +51,7 @@
 type ForwardEnded struct {
 	ID request.ID
 	// Failed says why there is no answer, or is empty if the peer's is at hand.
-	Failed string
+	Failure string
 	// Verdict is the peer's, or what the failure says of the run.
 	Verdict verdict.Verdict
 }
@@ -70,7 +70,7 @@
 	First   int64
 	Records []LogRecord
 	// Head says that there was nothing more to read when the log answered.
-	Head bool
+	AtEnd bool
 }
 
 // LogFailed says that a read of the log failed.
@@ -79,16 +79,16 @@
 // AppendEnded is the end of one try at an append. If Failed is not empty the
 // record may be in the log all the same.
 type AppendEnded struct {
-	ID     string
-	Offset int64
-	Failed string
+	ID      string
+	Offset  int64
+	Failure string
 }
 
 // BoxesRead is the platform's list of boxes.
 type BoxesRead struct{ List box.List }
 
-// HelloHeard is a peer's heartbeat.
-type HelloHeard struct{ Hello peer.Hello }
+// HelloReceived is a peer's heartbeat.
+type HelloReceived struct{ Hello peer.Hello }
 
 // SnapshotRead is what a peer knows of the log.
 type SnapshotRead struct {
@@ -99,11 +99,11 @@
 // WorkerAnswered is the end of one Sync with a worker. If Failed is not empty
 // the worker may have applied it all the same.
 type WorkerAnswered struct {
-	Worker string
-	Seq    int64
-	SentAt time.Time
-	Report worker.Report
-	Failed string
+	Worker  string
+	Seq     int64
+	SentAt  time.Time
+	Report  worker.Report
+	Failure string
 }
 
 // PublishAsked is an operator's publication.
@@ -111,7 +111,7 @@
 	Waiter  uint64
 	Publish record.Publish
 	// Patience is how long the operator waits for the log's decision.
-	Patience time.Duration
+	Timeout time.Duration
 }
 
 func (Tick) event()             {}
@@ -124,7 +124,7 @@
 func (LogFailed) event()        {}
 func (AppendEnded) event()      {}
 func (BoxesRead) event()        {}
-func (HelloHeard) event()       {}
+func (HelloReceived) event()    {}
 func (SnapshotRead) event()     {}
 func (WorkerAnswered) event()   {}
 func (PublishAsked) event()     {}
--- a/models/exchange/effects.go
+++ b/models/exchange/effects.go
@@ -42,21 +42,21 @@
 // Renew renews a worker's lease and asks what it runs. Its end comes back as
 // RenewEnded.
 type Renew struct {
-	Worker  order.Life
+	Worker  order.Incarnation
 	Address string
 	Epoch   int64
 	// Look numbers the renewals of a holder in the order in which it asked for
 	// them. What a worker tells holds for a time after that.
-	Look  int64
-	Order order.Renew
+	Renewal int64
+	Order   order.Renew
 	// Timeout is after which time the answer is overdue, Late how much longer it counts.
 	// RenewEnded comes then, and once more if the answer still comes.
-	Timeout, Late time.Duration
+	Timeout, GracePeriod time.Duration
 }
 
 // StartRun starts a task. Its end comes back as StartEnded.
 type StartRun struct {
-	Worker  order.Life
+	Worker  order.Incarnation
 	Address string
 	Epoch   int64
 	Order   order.Start
@@ -66,7 +66,7 @@
 
 // StopRun ends a run. Its end comes back as StopEnded.
 type StopRun struct {
-	Worker  order.Life
+	Worker  order.Incarnation
 	Address string
 	Epoch   int64
 	Order   order.Stop
@@ -75,7 +75,7 @@
 
 // ThrottleRun sets the pace of a run. Its end comes back as ThrottleEnded.
 type ThrottleRun struct {
-	Worker  order.Life
+	Worker  order.Incarnation
 	Address string
 	Epoch   int64
 	Order   order.Throttle
@@ -112,37 +112,37 @@
 
 // Reply answers a call.
 type Reply struct {
-	Call  CallID
-	Reply Answer
+	Call   CallID
+	Answer Answer
 }
 
 // Outcome of a call.
 type Outcome string
 
-// The outcomes. Unsure says that it may have been done; see NothingDone.
+// The outcomes. Unsure says that it may have been done; see HasNoEffect.
 const (
 	OK Outcome = "ok"
 	// NoJob means that there is no such job.
 	NoJob Outcome = "no such job"
-	// Elsewhere means that this box does not hold the cell.
-	Elsewhere Outcome = "held elsewhere"
+	// HeldElsewhere means that this box does not hold the cell.
+	HeldElsewhere Outcome = "held elsewhere"
 	// Unavailable means that nothing can be kept at present.
 	Unavailable Outcome = "unavailable"
 	// Denied means that the caller's key is of no workspace, or that there is none.
 	Denied Outcome = "denied"
 	// NoQueue means that there is no such queue.
 	NoQueue Outcome = "no such queue"
-	// Busy means that the workspace has sent more than its share, or more than its cap can
+	// OverLimit means that the workspace has sent more than its share, or more than its cap can
 	// hold: nothing was done.
-	Busy Outcome = "beyond share or cap"
-	// Unsure means that it may have been done; the same call may be made again.
-	Unsure Outcome = "unsure"
+	OverLimit Outcome = "beyond share or cap"
+	// MaybeDone means that it may have been done; the same call may be made again.
+	MaybeDone Outcome = "unsure"
 )
 
-// NothingDone says whether the outcome tells that nothing was done.
-func (o Outcome) NothingDone() bool {
+// HasNoEffect says whether the outcome tells that nothing was done.
+func (o Outcome) HasNoEffect() bool {
 	switch o {
-	case Elsewhere, Unavailable, Denied, NoQueue, Busy:
+	case HeldElsewhere, Unavailable, Denied, NoQueue, OverLimit:
 		return true
 	default:
 		return false
@@ -160,21 +160,21 @@
 	// cell itself.
 	Holder *claim.Claim `json:"holder,omitempty"`
 	// Steady says that the log answers the box.
-	Steady bool `json:"steady,omitempty"`
+	LogReachable bool `json:"steady,omitempty"`
 	// Reason says why it was not done.
 	Reason string `json:"reason,omitempty"`
 	// RetryAfter is when to come back, if nothing was done.
 	RetryAfter job.Milliseconds `json:"retry_after_ms,omitempty"`
 }
 
-// Note is a line for the log of the process.
-type Note struct {
+// LogEvent is a line for the log of the process.
+type LogEvent struct {
 	Message string
-	Fields  []Field
+	Fields  []LogField
 }
 
-// Field is one named value of a Note.
-type Field struct {
+// LogField is one named value of a Note.
+type LogField struct {
 	Name  string
 	Value any
 }
@@ -197,31 +197,31 @@
 
 // TasksLost says that tasks were lost with their worker. It is told for the metrics.
 type TasksLost struct {
-	How   Ending
-	Tasks int
+	Ending Ending
+	Tasks  int
 	// Worked is how long they had been at work together.
 	Worked time.Duration
 }
 
-// GivenUp says that a job was given up because workers crashed under a task of it. It is
+// JobGivenUp says that a job was given up because workers crashed under a task of it. It is
 // told for the metrics.
-type GivenUp struct{ Crashes int }
+type JobGivenUp struct{ Crashes int }
 
 // EntryRefused says that an entry of the list of workers names none. It is told for the
 // metrics.
 type EntryRefused struct{}
 
-// WorkspacesSeen says what the tasks of each workspace take. It is told for the metrics.
-type WorkspacesSeen struct{ All []job.WorkspaceStatus }
+// WorkspaceUsage says what the tasks of each workspace take. It is told for the metrics.
+type WorkspaceUsage struct{ All []job.WorkspaceStatus }
 
-// JobBeyondShare says that a new job was refused, or taken, that was more than its
+// JobOverShare says that a new job was refused, or taken, that was more than its
 // workspace's share. It is told for the metrics.
-type JobBeyondShare struct{ Refused bool }
+type JobOverShare struct{ Refused bool }
 
-func (WorkspacesSeen) effect() {}
-func (JobBeyondShare) effect() {}
+func (WorkspaceUsage) effect() {}
+func (JobOverShare) effect()   {}
 func (TasksLost) effect()      {}
-func (GivenUp) effect()        {}
+func (JobGivenUp) effect()     {}
 func (EntryRefused) effect()   {}
 func (Append) effect()         {}
 func (LoadJobs) effect()       {}
@@ -234,5 +234,5 @@
 func (AskPledges) effect()     {}
 func (Invite) effect()         {}
 func (Reply) effect()          {}
-func (Note) effect()           {}
+func (LogEvent) effect()       {}
 func (Stopped) effect()        {}
--- a/models/exchange/events.go
+++ b/models/exchange/events.go
@@ -31,17 +31,17 @@
 // ConfigRead is a configuration that the log has.
 type ConfigRead struct{ Config job.Config }
 
-// ConfigSeen says that a read of the configurations has ended that was asked for at a time:
+// ConfigReadEnded says that a read of the configurations has ended that was asked for at a time:
 // what was in force by then is known.
-type ConfigSeen struct{ AskedAt time.Time }
+type ConfigReadEnded struct{ AskedAt time.Time }
 
 // ClaimsRead is a part of the stream of claims, the first one if Start is set.
 type ClaimsRead struct {
-	Start   bool
+	First   bool
 	Records []stream.Record
 	Next    int64
 	// Failed says why there is nothing, or is empty.
-	Failed string
+	Failure string
 }
 
 // MembersRead lists entry boxes that have announced themselves.
@@ -73,8 +73,8 @@
 	Call       CallID
 	Submission job.Submission
 	Caller     *workspace.Caller
-	// ComeBack is set if no new job is to be taken now: it is when to come back.
-	ComeBack time.Duration
+	// RetryAfter is set if no new job is to be taken now: it is when to come back.
+	RetryAfter time.Duration
 }
 
 // CancelAsked is a caller's wish to end a job.
@@ -106,17 +106,17 @@
 
 // RenewEnded is the end of a Renew.
 type RenewEnded struct {
-	Worker order.Life
+	Worker order.Incarnation
 	Epoch  int64
 	// Look is that of the Renew.
-	Look   int64
-	Answer order.Answer
-	Report order.Report
+	Renewal int64
+	Answer  order.Answer
+	Report  order.Report
 }
 
 // StartEnded is the end of a Start.
 type StartEnded struct {
-	Worker order.Life
+	Worker order.Incarnation
 	Epoch  int64
 	Run    order.Run
 	Answer order.Answer
@@ -124,7 +124,7 @@
 
 // StopEnded is the end of a StopRun.
 type StopEnded struct {
-	Worker order.Life
+	Worker order.Incarnation
 	Epoch  int64
 	Run    order.Run
 	Answer order.Answer
@@ -132,7 +132,7 @@
 
 // ThrottleEnded is the end of a ThrottleRun.
 type ThrottleEnded struct {
-	Worker order.Life
+	Worker order.Incarnation
 	Epoch  int64
 	Run    order.Run
 	// Percent is the pace that was ordered.
@@ -142,14 +142,14 @@
 
 // Advised is the end of an Advise.
 type Advised struct {
-	Step   job.StepID
-	Box    string
-	Epoch  int64
-	Number int64
-	Good   []order.Ticket
+	Step    job.StepID
+	Box     string
+	Epoch   int64
+	Number  int64
+	Tickets []order.Ticket
 	// Busy says that the service has too many calls of the box waiting.
-	Busy   bool
-	Failed string
+	Busy    bool
+	Failure string
 }
 
 // PledgeAsked is a holder's question whether this box will not claim for a while.
@@ -165,7 +165,7 @@
 	// All says that all other boxes have promised not to claim.
 	All bool
 	// Steady has the addresses of boxes that the log answers.
-	Steady []string
+	LogReachable []string
 }
 
 // InviteAsked is a holder's wish that this box claim the cell at once.
@@ -186,7 +186,7 @@
 func (Decided) event()          {}
 func (Stop) event()             {}
 func (ConfigRead) event()       {}
-func (ConfigSeen) event()       {}
+func (ConfigReadEnded) event()  {}
 func (ClaimsRead) event()       {}
 func (MembersRead) event()      {}
 func (WorkersRead) event()      {}
--- a/models/job/blame.go
+++ b/models/job/blame.go
@@ -20,28 +20,28 @@
 	// does not.
 	Odds float64 `json:"o"`
 	// Seen are the crashes, the last last.
-	Seen []Crash `json:"c,omitempty"`
+	RecentCrashes []Crash `json:"c,omitempty"`
 	// Longest is the longest time for which it may have been at work when a worker
 	// crashed, Shortest the shortest.
-	Longest  Milliseconds `json:"l,omitempty"`
-	Shortest Milliseconds `json:"s,omitempty"`
-	// TriedOn has the workers on which it was started last since, one but for a gang, and
-	// TriedAt when, in milliseconds since 1970: if one is gone when another box takes the
+	MaxWorkTime Milliseconds `json:"l,omitempty"`
+	MinWorkTime Milliseconds `json:"s,omitempty"`
+	// LastStartWorkers has the workers on which it was started last since, one but for a gang, and
+	// LastStartUnixMilli when, in milliseconds since 1970: if one is gone when another box takes the
 	// cell over, it crashed under the task.
-	TriedOn []string `json:"w,omitempty"`
-	TriedAt int64    `json:"t,omitempty"`
+	LastStartWorkers   []string `json:"w,omitempty"`
+	LastStartUnixMilli int64    `json:"t,omitempty"`
 }
 
-// CrashTime is what is known of when a worker crashed under a task.
-type CrashTime string
+// TimeBound is what is known of when a worker crashed under a task.
+type TimeBound string
 
 const (
 	// Exact: the task had been at work for a known time.
-	Exact CrashTime = ""
-	// Within: it had been at work for some part of a known time.
-	Within CrashTime = "within"
+	Exact TimeBound = ""
+	// AtMost: it had been at work for some part of a known time.
+	AtMost TimeBound = "within"
 	// AtLeast: it had been at work for a known time, or longer.
-	AtLeast CrashTime = "least"
+	AtLeast TimeBound = "least"
 )
 
 // Crash is the crash of a worker under a task, as it was judged. It is kept so that it can
@@ -49,23 +49,23 @@
 type Crash struct {
 	// Worked is how long the task had been at work, and Time what is known of that.
 	Worked Milliseconds `json:"w"`
-	Time   CrashTime    `json:"t,omitempty"`
+	Bound  TimeBound    `json:"t,omitempty"`
 	// Late is by how much the crash may have been seen too late, where Time is Exact.
-	Late Milliseconds `json:"d,omitempty"`
+	DetectionDelay Milliseconds `json:"d,omitempty"`
 	// Workers is on how many workers it ran, a gang on several. 0 counts as 1.
 	Workers int `json:"n,omitempty"`
 	// Others is the hazard, a second, of a crash by the tasks beside it, Itself that of one
 	// by no task.
-	Others float64 `json:"o"`
-	Itself float64 `json:"i"`
+	OtherTasksHazard float64 `json:"o"`
+	BackgroundHazard float64 `json:"i"`
 	// Counted is the weight with which it counts among the crashes by themselves.
-	Counted float64 `json:"k,omitempty"`
+	BackgroundWeight float64 `json:"k,omitempty"`
 }
 
-// makesSense says whether a crash can have been kept.
-func (c Crash) makesSense() bool {
-	known := c.Time == Exact || c.Time == Within || c.Time == AtLeast
-	return known && c.Worked >= 0 && c.Late >= 0 && c.Workers >= 0 && c.Others >= 0 && c.Itself >= 0 && c.Others+c.Itself > 0 && c.Counted >= 0 && c.Counted <= 1
+// isValid says whether a crash can have been kept.
+func (c Crash) isValid() bool {
+	known := c.Bound == Exact || c.Bound == AtMost || c.Bound == AtLeast
+	return known && c.Worked >= 0 && c.DetectionDelay >= 0 && c.Workers >= 0 && c.OtherTasksHazard >= 0 && c.BackgroundHazard >= 0 && c.OtherTasksHazard+c.BackgroundHazard > 0 && c.BackgroundWeight >= 0 && c.BackgroundWeight <= 1
 }
 
 // UnmarshalJSON reads what was kept, and refuses what makes no sense.
@@ -75,11 +75,11 @@
 	if err := json.Unmarshal(data, &p); err != nil {
 		return err
 	}
-	if p.Crashes < 1 || p.Alone < 0 || p.Alone > p.Crashes || p.Odds < 0 || math.IsInf(p.Odds, 0) || p.Shortest < 0 || p.Longest < p.Shortest {
+	if p.Crashes < 1 || p.Alone < 0 || p.Alone > p.Crashes || p.Odds < 0 || math.IsInf(p.Odds, 0) || p.MinWorkTime < 0 || p.MaxWorkTime < p.MinWorkTime {
 		return fmt.Errorf("blame: %+v makes no sense", p)
 	}
-	for _, c := range p.Seen {
-		if !c.makesSense() {
+	for _, c := range p.RecentCrashes {
+		if !c.isValid() {
 			return fmt.Errorf("blame: crash %+v makes no sense", c)
 		}
 	}
--- a/models/job/explain.go
+++ b/models/job/explain.go
@@ -13,7 +13,7 @@
 	Workspace string `json:"workspace,omitempty"`
 	State     State  `json:"state"`
 	// Why says of a job that has failed why it has.
-	Why string `json:"why,omitempty"`
+	FailureReason string `json:"why,omitempty"`
 	// Slack is how much later the job could finish and be on time, in
 	// milliseconds; below zero it is late.
 	Slack Milliseconds      `json:"slack_ms"`
@@ -43,13 +43,13 @@
 	Config     int64    `json:"config"`
 	Members    []string `json:"members"`
 	// What follows is known to the holder only.
-	Jobs     map[State]int  `json:"jobs,omitempty"`
-	Open     int            `json:"open_steps,omitempty"`
-	Unsure   int            `json:"unsettled_workers,omitempty"`
-	Failing  bool           `json:"log_keeps_nothing,omitempty"`
-	Workers  []WorkerStatus `json:"workers,omitempty"`
-	Capacity string         `json:"processors,omitempty"`
-	Used     string         `json:"processors_used,omitempty"`
+	Jobs             map[State]int  `json:"jobs,omitempty"`
+	OpenSteps        int            `json:"open_steps,omitempty"`
+	UnsettledWorkers int            `json:"unsettled_workers,omitempty"`
+	AppendsFailing   bool           `json:"log_keeps_nothing,omitempty"`
+	Workers          []WorkerStatus `json:"workers,omitempty"`
+	Processors       string         `json:"processors,omitempty"`
+	ProcessorsUsed   string         `json:"processors_used,omitempty"`
 	// Relays has how many workers' orders each entry box carries.
 	Relays map[string]int `json:"relays,omitempty"`
 	// Workspaces says what the tasks of each workspace take, and what its cap is.
@@ -63,7 +63,7 @@
 	// Used is what its tasks take or may take, Most its cap; a part of it that is 0 has no
 	// bound.
 	Used resource.Vector `json:"used"`
-	Most resource.Vector `json:"most"`
+	Cap  resource.Vector `json:"most"`
 	// Waiting counts its steps of which some task waits, Capped those that wait for its cap.
 	Waiting int `json:"waiting"`
 	Capped  int `json:"capped"`
@@ -71,11 +71,11 @@
 
 // WorkerStatus is what the holder believes of a worker.
 type WorkerStatus struct {
-	ID       string `json:"id"`
-	Domain   string `json:"domain"`
-	Takes    bool   `json:"takes"`
-	Tasks    int    `json:"tasks"`
-	Free     string `json:"free_processors"`
-	Failures int    `json:"failures,omitempty"`
-	Leaving  bool   `json:"leaving,omitempty"`
+	ID             string `json:"id"`
+	Domain         string `json:"domain"`
+	AcceptsTasks   bool   `json:"takes"`
+	Tasks          int    `json:"tasks"`
+	FreeProcessors string `json:"free_processors"`
+	Failures       int    `json:"failures,omitempty"`
+	Leaving        bool   `json:"leaving,omitempty"`
 }
--- a/models/job/job.go
+++ b/models/job/job.go
@@ -16,13 +16,13 @@
 
 // Bounds of what is accepted. The platform's store takes records of 256 KiB.
 const (
-	// maxSpec bounds what the workers are told to run, in bytes.
-	maxSpec  = 4000
-	maxSteps = 64
+	// maxSpecBytes bounds what the workers are told to run, in bytes.
+	maxSpecBytes = 4000
+	maxSteps     = 64
 	// MaxTasks is how many tasks all steps of one instance of a job have at most.
 	MaxTasks = 10_000
-	// maxTimes is how many instances a job has at most.
-	maxTimes = 100_000
+	// maxInstances is how many instances a job has at most.
+	maxInstances = 100_000
 )
 
 // ID names a job. Callers choose it; the same ID is the same job everywhere.
@@ -76,12 +76,12 @@
 	TailTarget Milliseconds `json:"tail_target_ms,omitempty"`
 	// Filler says that the tasks live on processors that others leave idle.
 	Filler bool `json:"filler,omitempty"`
-	// AwayMost is how many serving tasks may be disrupted at once.
-	AwayMost int `json:"away_most,omitempty"`
+	// MaxUnavailable is how many serving tasks may be disrupted at once.
+	MaxUnavailable int `json:"away_most,omitempty"`
 }
 
-// Least returns what a step takes at least once any of it runs.
-func (s *Step) Least() resource.Vector {
+// MinNeed returns what a step takes at least once any of it runs.
+func (s *Step) MinNeed() resource.Vector {
 	if s.Gang {
 		return s.Need.Times(s.Tasks)
 	}
@@ -101,14 +101,14 @@
 	// Times is how many instances there are; 0 means one, at once.
 	Times int `json:"times,omitempty"`
 	// First is when the first instance falls due, in milliseconds since 1970.
-	First int64 `json:"first_unix_ms,omitempty"`
+	FirstUnixMilli int64 `json:"first_unix_ms,omitempty"`
 	// Interval is the time from one instance falling due to the next.
 	Interval Milliseconds `json:"interval_ms,omitempty"`
 }
 
 // Due returns when an instance falls due.
 func (r Repeat) Due(instance int) time.Time {
-	return time.UnixMilli(r.First + int64(instance)*int64(r.Interval))
+	return time.UnixMilli(r.FirstUnixMilli + int64(instance)*int64(r.Interval))
 }
 
 // Submission is a job as its caller hands it in.
@@ -129,14 +129,14 @@
 		return err
 	}
 	switch {
-	case len(s.Spec) > maxSpec:
-		return fmt.Errorf("spec of %d bytes, the limit is %d", len(s.Spec), maxSpec)
+	case len(s.Spec) > maxSpecBytes:
+		return fmt.Errorf("spec of %d bytes, the limit is %d", len(s.Spec), maxSpecBytes)
 	case len(s.Steps) == 0:
 		return errors.New("a job needs a step")
 	case len(s.Steps) > maxSteps:
 		return fmt.Errorf("%d steps, the limit is %d", len(s.Steps), maxSteps)
-	case s.Repeat.Times < 0 || s.Repeat.Times > maxTimes:
-		return fmt.Errorf("%d times, want 0 to %d", s.Repeat.Times, maxTimes)
+	case s.Repeat.Times < 0 || s.Repeat.Times > maxInstances:
+		return fmt.Errorf("%d times, want 0 to %d", s.Repeat.Times, maxInstances)
 	case s.Repeat.Interval < 0:
 		return errors.New("the interval is negative")
 	}
@@ -159,7 +159,7 @@
 		return fmt.Errorf("%d tasks, want 1 to %d", s.Tasks, MaxTasks)
 	case s.Need.IsNegative():
 		return errors.New("the need is negative")
-	case s.Estimate < 0 || s.TailTarget < 0 || s.PerWorker < 0 || s.AwayMost < 0:
+	case s.Estimate < 0 || s.TailTarget < 0 || s.PerWorker < 0 || s.MaxUnavailable < 0:
 		return errors.New("a number is negative")
 	}
 	if len(s.After) > index {
@@ -188,5 +188,5 @@
 	Cancelled State = "cancelled"
 )
 
-// Final says whether the state stands for good.
-func (s State) Final() bool { return s == Succeeded || s == Failed || s == Cancelled }
+// IsFinal says whether the state stands for good.
+func (s State) IsFinal() bool { return s == Succeeded || s == Failed || s == Cancelled }
--- a/models/job/queue.go
+++ b/models/job/queue.go
@@ -32,10 +32,10 @@
 // Advice is what a call to the advice service costs and gives.
 type Advice struct {
 	// Base is the time of a call, and Each that for each worker named in it.
-	Base time.Duration `json:"base"`
-	Each time.Duration `json:"each"`
+	BaseTime      time.Duration `json:"base"`
+	TimePerWorker time.Duration `json:"each"`
 	// Valid is how long a ticket holds.
-	Valid time.Duration `json:"valid"`
+	TicketLifetime time.Duration `json:"valid"`
 }
 
 // Route names the queue that a caller's address and path stand for.
@@ -51,7 +51,7 @@
 	Queues  map[string]Queue `json:"queues"`
 	Routes  []Route          `json:"routes"`
 	// Guarded names the pools whose workers refuse what does not fit.
-	Guarded map[string]bool `json:"guarded"`
+	AdmissionChecked map[string]bool `json:"guarded"`
 	// Workspaces has the groups of callers by name, Keys who is known by which key.
 	Workspaces map[string]workspace.Workspace `json:"workspaces,omitempty"`
 	Keys       map[workspace.Digest]Key       `json:"-"`
--- a/models/job/task.go
+++ b/models/job/task.go
@@ -35,7 +35,7 @@
 
 // UnmarshalText reads the name.
 func (t *TaskID) UnmarshalText(text []byte) error {
-	id, err := ParseTask(string(text))
+	id, err := ParseTaskID(string(text))
 	if err != nil {
 		return err
 	}
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// ParseTask reads what String wrote.
-func ParseTask(text string) (TaskID, error) {
+// ParseTaskID reads what String wrote.
+func ParseTaskID(text string) (TaskID, error) {
 	parts := strings.Split(text, ".")
 	if len(parts) != 4 {
 		return TaskID{}, fmt.Errorf("task %q: want four parts", text)
--- a/models/mechanism/mechanism.go
+++ b/models/mechanism/mechanism.go
@@ -33,10 +33,10 @@
 	DividedAdvice Mechanism = "divided-advice"
 	// RepeatedStarts sends a start again that has no answer.
 	RepeatedStarts Mechanism = "repeated-starts"
-	// OwedAnswers gives no starts to a worker that owes answers.
-	OwedAnswers Mechanism = "owed-answers"
-	// ShortLooks has looks wait no longer than the shortest task allows.
-	ShortLooks Mechanism = "short-looks"
+	// OverdueAnswers gives no starts to a worker that owes answers.
+	OverdueAnswers Mechanism = "owed-answers"
+	// ShortRenewals has looks wait no longer than the shortest task allows.
+	ShortRenewals Mechanism = "short-looks"
 	// MovedRuns moves runs that stand still.
 	MovedRuns Mechanism = "moved-runs"
 	// Exclusion leaves workers out on which different jobs fail.
@@ -54,7 +54,7 @@
 func All() []Mechanism {
 	return []Mechanism{
 		LearnedTimes, SlowWorkers, Draining, Preemption, SparedTasks, RemainingWork, EarlyAdvice,
-		DividedAdvice, RepeatedStarts, OwedAnswers, ShortLooks, MovedRuns, Exclusion,
+		DividedAdvice, RepeatedStarts, OverdueAnswers, ShortRenewals, MovedRuns, Exclusion,
 		RefusedShares, SharedOrder, LeastWork,
 	}
 }
--- a/models/order/life.go
+++ b/models/order/life.go
@@ -5,9 +5,9 @@
 
 import "strconv"
 
-// Life names one life of a worker. A worker that starts again may keep its name; it runs and
+// Incarnation names one life of a worker. A worker that starts again may keep its name; it runs and
 // knows nothing of before then, and its clock, its ends and its fence begin anew.
-type Life struct {
+type Incarnation struct {
 	// Name is the worker's name, by which it is called.
 	Name string `json:"ID"`
 	// BornUnixMilli is when the life began by the worker's own clock, in milliseconds since
@@ -16,13 +16,13 @@
 	BornUnixMilli int64 `json:"born_unix_ms,omitempty"`
 }
 
-// IsOther says whether two names of lives surely mean different ones.
-func (l Life) IsOther(o Life) bool {
+// DiffersFrom says whether two names of lives surely mean different ones.
+func (l Incarnation) DiffersFrom(o Incarnation) bool {
 	return l.Name != o.Name || l.BornUnixMilli != o.BornUnixMilli && l.BornUnixMilli != 0 && o.BornUnixMilli != 0
 }
 
 // String returns the name and, if it is known, when the life began.
-func (l Life) String() string {
+func (l Incarnation) String() string {
 	if l.BornUnixMilli == 0 {
 		return l.Name
 	}
--- a/models/order/order.go
+++ b/models/order/order.go
@@ -34,7 +34,7 @@
 	Spec string
 	// Until is when the worker's lease ends; a start that is carried out later
 	// is refused.
-	Until      WorkerClock
+	LeaseEnd   WorkerClock
 	Fence      int64
 	Checkpoint string
 	// Ticket is the advice service's leave, if the queue needs it.
@@ -57,21 +57,21 @@
 // Renew renews a worker's lease and asks what it runs.
 type Renew struct {
 	// Until is the new end of the lease, or 0 to leave it.
-	Until WorkerClock
-	Fence int64
+	LeaseEnd WorkerClock
+	Fence    int64
 	// Seen is the last end that may be forgotten.
-	Seen int64
+	Acknowledged int64
 	// Wait is how long the worker may wait for an end before it answers.
-	Wait job.Milliseconds
+	MaxWait job.Milliseconds
 }
 
 // Report is what a worker runs and what has ended on it.
 type Report struct {
 	// Life is the one that answers: an order reaches the life that is there.
-	Life    Life
-	Clock   WorkerClock
-	Running []Running
-	Ended   []End
+	Incarnation Incarnation
+	Clock       WorkerClock
+	Running     []Running
+	Ended       []End
 }
 
 // Running is one run at work.
@@ -84,43 +84,43 @@
 	// Figure is a rough figure of the last half second, or 0: for a serving task the
 	// tail of its answers' times, in milliseconds, else the processors in use, in
 	// thousandths of one.
-	Figure int64
+	Measurement int64
 }
 
 // End is one run that has ended. Numbers rise in each life of a worker.
 type End struct {
 	Number int64
 	Run
-	How        How
+	Status     EndStatus
 	Checkpoint string
 }
 
-// How a run ended.
-type How string
+// EndStatus a run ended.
+type EndStatus string
 
 // The ways in which a run ends.
 const (
-	Done    How = "done"
-	Failed  How = "failed"
-	Stopped How = "stopped"
-	Lapsed  How = "lapsed"
-	// Broken means that another member of the gang ended first.
-	Broken How = "broken"
-	// Alone means that the other members of the gang did not come in time.
-	Alone How = "alone"
+	Done         EndStatus = "done"
+	Failed       EndStatus = "failed"
+	Stopped      EndStatus = "stopped"
+	LeaseExpired EndStatus = "lapsed"
+	// GangBroken means that another member of the gang ended first.
+	GangBroken EndStatus = "broken"
+	// GangIncomplete means that the other members of the gang did not come in time.
+	GangIncomplete EndStatus = "alone"
 )
 
-// Fate is what is known of an order once its call has ended.
-type Fate string
+// Outcome is what is known of an order once its call has ended.
+type Outcome string
 
-// The fates. NoLife means that the worker at the address is another life than
+// The fates. WrongIncarnation means that the worker at the address is another life than
 // the one meant, so that all that ran on the earlier life is gone.
 const (
-	Carried Fate = "carried out"
-	Refused Fate = "refused"
-	NotDone Fate = "not done"
-	Unknown Fate = "unknown"
-	NoLife  Fate = "no such life"
+	CarriedOut       Outcome = "carried out"
+	Refused          Outcome = "refused"
+	NotDone          Outcome = "not done"
+	Unknown          Outcome = "unknown"
+	WrongIncarnation Outcome = "no such life"
 )
 
 // Reason is why a worker refused an order, or why its call had no answer.
@@ -130,21 +130,21 @@
 const (
 	// Fenced means that the worker has seen a higher fence number.
 	Fenced Reason = "fenced"
-	// OldRun means that this run, or a later one, has ended there.
-	OldRun    Reason = "old run"
-	TooLate   Reason = "too late"
-	NoRoom    Reason = "no room"
-	BadTicket Reason = "bad ticket"
-	Malformed Reason = "malformed"
-	// Closed means that the worker's side closed the connection while the call was under
+	// StaleRun means that this run, or a later one, has ended there.
+	StaleRun   Reason = "old run"
+	TooLate    Reason = "too late"
+	NoCapacity Reason = "no room"
+	BadTicket  Reason = "bad ticket"
+	Malformed  Reason = "malformed"
+	// ConnectionClosed means that the worker's side closed the connection while the call was under
 	// way: the worker, or its process, was there until then.
-	Closed Reason = "connection closed"
+	ConnectionClosed Reason = "connection closed"
 )
 
 // Answer is the end of a call that carried an order.
 type Answer struct {
-	Fate   Fate
-	Reason Reason
+	Outcome Outcome
+	Reason  Reason
 	// Clock is the worker's clock when it answered, or 0.
 	Clock WorkerClock
 	// Problem says what went wrong with the call, for logs.
--- a/models/order/worker.go
+++ b/models/order/worker.go
@@ -15,7 +15,7 @@
 
 // Worker is one life of a worker as the platform lists it.
 type Worker struct {
-	Life
+	Incarnation
 	Address  string
 	Pool     string
 	Domain   string
@@ -56,12 +56,12 @@
 // Listing is a change of the platform's list of workers.
 type Listing struct {
 	// Whole says that workers which are not named are no longer listed.
-	Whole   bool
-	Present []Worker
+	Complete bool
+	Present  []Worker
 	// Gone has the names of entries that name no worker any more.
-	Gone []string
+	Removed []string
 	// Foreign says why, of those that were there and could not be read.
-	Foreign map[string]string
+	Unreadable map[string]string
 }
 
 // Ticket is the advice service's leave to run a step on a worker.
--- a/models/record/snapshot.go
+++ b/models/record/snapshot.go
@@ -14,16 +14,16 @@
 // Snapshot is what the records before Next come to. It is the same whoever
 // takes it, so a process may go on from a peer's or from one in the log.
 type Snapshot struct {
-	Next     int64      `json:"next"`
-	Files    []File     `json:"files,omitempty"`
-	Claims   []Held     `json:"claims,omitempty"`
-	Progress []Progress `json:"progress,omitempty"`
-	Former   []Former   `json:"former,omitempty"`
+	Next     int64          `json:"next"`
+	Files    []File         `json:"files,omitempty"`
+	Claims   []HeldClaim    `json:"claims,omitempty"`
+	Progress []Progress     `json:"progress,omitempty"`
+	Former   []FormerWorker `json:"former,omitempty"`
 }
 
-// Former is a worker that no file names any more, but that may still run tasks of
+// FormerWorker is a worker that no file names any more, but that may still run tasks of
 // the shard.
-type Former struct {
+type FormerWorker struct {
 	Shard  spec.ShardID `json:"shard"`
 	Worker string       `json:"worker"`
 	Rack   string       `json:"rack"`
@@ -47,8 +47,8 @@
 	Homes   []Home `json:"homes"`
 }
 
-// Held is a claim in force.
-type Held struct {
+// HeldClaim is a claim in force.
+type HeldClaim struct {
 	Shard       spec.ShardID `json:"shard"`
 	Box         string       `json:"box"`
 	Incarnation string       `json:"incarnation"`
--- a/models/request/request.go
+++ b/models/request/request.go
@@ -29,7 +29,7 @@
 	// Digest is a hash of all that the caller sent.
 	Digest uint64
 	// Peer says that another entry box passed the request on.
-	Peer bool
+	Forwarded bool
 	// Delegated says that the sender answers for the request's running at most
 	// once, and only wants it sent to a target here.
 	Delegated bool
--- a/models/resource/resource_test.go
+++ b/models/resource/resource_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestAmountsAreReadAsTheyAreWritten(t *testing.T) {
+func TestAmountsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := resource.Millis(rapid.Int64Range(0, 1000<<24).Draw(t, "millis"))
 		var gotM resource.Millis
@@ -27,7 +27,7 @@
 	})
 }
 
-func TestBadAmountsAreRefused(t *testing.T) {
+func TestInvalidAmountsAreRejected(t *testing.T) {
 	for _, text := range []string{"", "-1", "NaN", "Inf", "1e30", "1x", "-5m", "99999999999m"} {
 		var m resource.Millis
 		assert.Check(t, m.UnmarshalText([]byte(text)) != nil, "processors %q", text)
@@ -38,12 +38,12 @@
 	}
 }
 
-func TestDominantShareIgnoresWhatTheTotalLacks(t *testing.T) {
+func TestDominantShareIgnoresResourcesMissingFromTotal(t *testing.T) {
 	total := resource.Vector{Processors: 10, Memory: 100}
 	assert.Equal(t, resource.Vector{Processors: 5, Memory: 20, Accelerators: 3}.DominantShare(total), 0.5)
 }
 
-func TestHowOftenANeedFits(t *testing.T) {
+func TestFitCount(t *testing.T) {
 	room := resource.Vector{Processors: 10 * resource.Processor, Memory: 4 * resource.GiB, Accelerators: 1}
 	for _, c := range []struct {
 		need resource.Vector
@@ -54,7 +54,7 @@
 		{resource.Vector{Accelerators: 2}, 0},
 		{resource.Vector{}, 5},
 	} {
-		assert.Equal(t, room.Holds(c.need, 5), c.want, "%v", c.need)
+		assert.Equal(t, room.FitCount(c.need, 5), c.want, "%v", c.need)
 	}
-	assert.Equal(t, room.Minus(resource.Vector{Memory: 5 * resource.GiB}).Holds(resource.Vector{Processors: 1}, 5), 0, "room that is overdrawn holds nothing")
+	assert.Equal(t, room.Minus(resource.Vector{Memory: 5 * resource.GiB}).FitCount(resource.Vector{Processors: 1}, 5), 0, "room that is overdrawn holds nothing")
 }
--- a/models/resource/vector.go
+++ b/models/resource/vector.go
@@ -54,8 +54,8 @@
 	return v.Processors < 0 || v.Memory < 0 || v.Accelerators < 0
 }
 
-// Holds returns how many times need fits v, at most as often as most.
-func (v Vector) Holds(need Vector, most int) int {
+// FitCount returns how many times need fits v, at most as often as most.
+func (v Vector) FitCount(need Vector, most int) int {
 	if v.IsNegative() {
 		return 0
 	}
--- a/models/spec/enum.go
+++ b/models/spec/enum.go
@@ -27,7 +27,7 @@
 
 // UnmarshalText refuses unknown priorities.
 func (p *Priority) UnmarshalText(text []byte) error {
-	return oneOf(p, text, Priorities)
+	return parseOneOf(p, text, Priorities)
 }
 
 // Spread is a group of workers that tasks of a service avoid sharing.
@@ -42,25 +42,25 @@
 
 // UnmarshalText refuses unknown spreads.
 func (s *Spread) UnmarshalText(text []byte) error {
-	return oneOf(s, text, []Spread{SpreadRack, SpreadWorker, SpreadNone})
+	return parseOneOf(s, text, []Spread{SpreadRack, SpreadWorker, SpreadNone})
 }
 
-// Fate is what became of a task, in an operator's word.
-type Fate string
+// Outcome is what became of a task, in an operator's word.
+type Outcome string
 
 // The fates that an operator can settle on.
 const (
-	FateDone   Fate = "done"
-	FateFailed Fate = "failed"
-	FateRerun  Fate = "rerun"
+	OutcomeDone   Outcome = "done"
+	OutcomeFailed Outcome = "failed"
+	OutcomeRerun  Outcome = "rerun"
 )
 
 // UnmarshalText refuses unknown fates.
-func (f *Fate) UnmarshalText(text []byte) error {
-	return oneOf(f, text, []Fate{FateDone, FateFailed, FateRerun})
+func (f *Outcome) UnmarshalText(text []byte) error {
+	return parseOneOf(f, text, []Outcome{OutcomeDone, OutcomeFailed, OutcomeRerun})
 }
 
-func oneOf[T ~string](dst *T, text []byte, known []T) error {
+func parseOneOf[T ~string](dst *T, text []byte, known []T) error {
 	got := T(text)
 	if !slices.Contains(known, got) {
 		return fmt.Errorf("want one of %q, got %q", known, text)
@@ -69,11 +69,11 @@
 	return nil
 }
 
-// Moment is a point in time, written as RFC 3339 has it.
-type Moment struct{ time.Time }
+// Timestamp is a point in time, written as RFC 3339 has it.
+type Timestamp struct{ time.Time }
 
 // UnmarshalText reads a moment such as 2026-12-02T06:00:00Z.
-func (m *Moment) UnmarshalText(text []byte) error {
+func (m *Timestamp) UnmarshalText(text []byte) error {
 	t, err := time.Parse(time.RFC3339, string(text))
 	if err != nil {
 		return fmt.Errorf("want a moment such as 2026-12-02T06:00:00Z, got %q", text)
--- a/models/spec/file.go
+++ b/models/spec/file.go
@@ -118,7 +118,7 @@
 	Retries int `yaml:"retries"`
 	// Deadline is the moment after which no task is started any more, or the zero
 	// Moment.
-	Deadline Moment `yaml:"deadline"`
+	Deadline Timestamp `yaml:"deadline"`
 	// Cancelled stops what runs and starts nothing more.
 	Cancelled bool `yaml:"cancelled"`
 }
@@ -126,8 +126,8 @@
 // Settlement is an operator's word on a task whose fate is unknown.
 type Settlement struct {
 	// Task is "name@born/index", as the status shows it.
-	Task string `yaml:"task"`
-	As   Fate   `yaml:"as"`
+	Task string  `yaml:"task"`
+	As   Outcome `yaml:"as"`
 }
 
 // Key returns the task that s settles.
--- a/models/spec/parse.go
+++ b/models/spec/parse.go
@@ -108,7 +108,7 @@
 	seen[name] = path
 }
 
-func (c *checker) between(path string, got, least, most int) {
+func (c *checker) checkRange(path string, got, least, most int) {
 	if got < least || got > most {
 		c.fail(path, "want %d to %d, got %d", least, most, got)
 	}
@@ -121,18 +121,18 @@
 	c.pools(f.Pools)
 	seen := map[string]string{}
 	for i := range f.Services {
-		c.work(at("services", i), &f.Services[i].Work, seen)
+		c.work(indexed("services", i), &f.Services[i].Work, seen)
 	}
 	for i := range f.Jobs {
-		c.work(at("jobs", i), &f.Jobs[i].Work, seen)
-		c.batch(at("jobs", i), &f.Jobs[i].Batch)
+		c.work(indexed("jobs", i), &f.Jobs[i].Work, seen)
+		c.batch(indexed("jobs", i), &f.Jobs[i].Batch)
 	}
 	for i := range f.Gangs {
-		c.work(at("gangs", i), &f.Gangs[i].Work, seen)
-		c.batch(at("gangs", i), &f.Gangs[i].Batch)
+		c.work(indexed("gangs", i), &f.Gangs[i].Work, seen)
+		c.batch(indexed("gangs", i), &f.Gangs[i].Batch)
 	}
 	for i, name := range f.Drain {
-		c.name(at("drain", i), name, nil)
+		c.name(indexed("drain", i), name, nil)
 	}
 	c.settled(f.Settled)
 }
@@ -140,15 +140,15 @@
 func (c *checker) racks(racks []Rack) {
 	names, workers := map[string]string{}, map[string]string{}
 	for i, r := range racks {
-		path := at("racks", i)
+		path := indexed("racks", i)
 		c.name(path+".name", r.Name, names)
 		c.name(path+".domain", r.Domain, nil)
-		c.between(path+".shard", r.Shard, 0, 1000)
+		c.checkRange(path+".shard", r.Shard, 0, 1000)
 		if r.Each.Processors <= 0 || r.Each.Memory <= 0 {
 			c.fail(path+".each", "want processors and memory above zero")
 		}
 		for j, w := range r.Workers {
-			c.name(at(path+".workers", j), w, workers)
+			c.name(indexed(path+".workers", j), w, workers)
 		}
 	}
 }
@@ -156,7 +156,7 @@
 func (c *checker) teams(teams []Team) {
 	names := map[string]string{}
 	for i, t := range teams {
-		path := at("teams", i)
+		path := indexed("teams", i)
 		c.name(path+".name", t.Name, names)
 		if !(t.Weight > 0 && t.Weight <= 1000) {
 			c.fail(path+".weight", "want a number above 0 and up to 1000, got %v", t.Weight)
@@ -167,16 +167,16 @@
 func (c *checker) pools(pools []Pool) {
 	names := map[string]string{}
 	for i, p := range pools {
-		path := at("pools", i)
+		path := indexed("pools", i)
 		c.name(path+".name", p.Name, names)
-		c.between(path+".slots", p.Slots, 1, maxSlots)
-		c.between(path+".connections", p.Connections, p.Slots, maxSlots)
+		c.checkRange(path+".slots", p.Slots, 1, maxSlots)
+		c.checkRange(path+".connections", p.Connections, p.Slots, maxSlots)
 		if len(p.Classes) == 0 {
 			c.fail(path+".classes", "want at least one class")
 		}
 		classes := map[string]string{}
 		for j, k := range p.Classes {
-			c.class(at(path+".classes", j), k, classes)
+			c.class(indexed(path+".classes", j), k, classes)
 		}
 	}
 }
@@ -189,13 +189,13 @@
 	if k.Deadline <= 0 || k.Deadline > maxDeadline {
 		c.fail(path+".deadline", "want more than 0s and at most %s, got %s", maxDeadline, k.Deadline)
 	}
-	c.between(path+".queue", k.Queue, 1, maxQueue)
+	c.checkRange(path+".queue", k.Queue, 1, maxQueue)
 }
 
 func (c *checker) work(path string, w *Work, seen map[string]string) {
 	c.name(path+".name", w.Name, seen)
 	c.name(path+".team", w.Team, nil)
-	c.between(path+".count", w.Count, 1, MaxCount)
+	c.checkRange(path+".count", w.Count, 1, MaxCount)
 	if w.Resources.IsZero() || w.Resources.IsNegative() {
 		c.fail(path+".resources", "want an amount above zero")
 	}
@@ -203,7 +203,7 @@
 		c.fail(path+".command", "want 1 to %d words, got %d", maxCommand, len(w.Command))
 	}
 	for i, d := range w.Domains {
-		c.name(at(path+".domains", i), d, nil)
+		c.name(indexed(path+".domains", i), d, nil)
 	}
 }
 
@@ -211,12 +211,12 @@
 	if b.Expected < 0 {
 		c.fail(path+".expected", "want 0s or more, got %s", b.Expected)
 	}
-	c.between(path+".retries", b.Retries, 0, maxRetries)
+	c.checkRange(path+".retries", b.Retries, 0, maxRetries)
 }
 
 func (c *checker) settled(settled []Settlement) {
 	for i, s := range settled {
-		path := at("settled", i)
+		path := indexed("settled", i)
 		if _, err := s.Key(); err != nil {
 			c.fail(path+".task", "%s", err)
 		}
@@ -226,4 +226,4 @@
 	}
 }
 
-func at(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
+func indexed(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
--- a/models/spec/parse_test.go
+++ b/models/spec/parse_test.go
@@ -30,7 +30,7 @@
 	return files
 }
 
-func TestTheExamplesAreRight(t *testing.T) {
+func TestExampleFilesAreValid(t *testing.T) {
 	for path, data := range examples(t) {
 		f, _, problems := spec.Parse(path, data)
 		assert.NilError(t, problems.Err())
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestParseReadsAJob(t *testing.T) {
+func TestParseReadsJob(t *testing.T) {
 	f, _, problems := spec.Parse("f", []byte(`name: work
 jobs:
   - name: j
@@ -63,7 +63,7 @@
 	assert.Check(t, j.Deadline.Equal(time.Date(2026, 12, 2, 6, 0, 0, 0, time.UTC)))
 }
 
-func TestABadFileIsRefusedWholeWithEveryMistakeAndItsPlace(t *testing.T) {
+func TestParseReportsEveryProblemWithItsPosition(t *testing.T) {
 	f, _, problems := spec.Parse("f", []byte(`name: Work
 teams:
   - {name: t, weight: -1}
@@ -94,7 +94,7 @@
 	})
 }
 
-func TestAFileThatIsTooLargeIsNotParsed(t *testing.T) {
+func TestParseRejectsOversizedFile(t *testing.T) {
 	_, _, problems := spec.Parse("f", make([]byte, spec.MaxFileBytes+1))
 	assert.ErrorContains(t, problems, "the limit is")
 }
--- a/models/status/status.go
+++ b/models/status/status.go
@@ -145,7 +145,7 @@
 	Requests int      `json:"requests"`
 	Keys     int      `json:"keys"`
 	// Cut says that lists were longer than a dump holds.
-	Cut bool `json:"cut"`
+	Truncated bool `json:"cut"`
 }
 
 // MaxListed bounds each list of a Dump.
--- a/models/stream/stream.go
+++ b/models/stream/stream.go
@@ -34,8 +34,8 @@
 	Offset int64
 }
 
-// Dropped says that the key no longer has a value.
-func (r Record) Dropped() bool { return len(r.Value) == 0 }
+// IsTombstone says that the key no longer has a value.
+func (r Record) IsTombstone() bool { return len(r.Value) == 0 }
 
 // Writer fences earlier writers of a stream: an append under a lower epoch than
 // one that was seen is refused, and a repeated sequence number changes nothing.
@@ -55,7 +55,7 @@
 	Stream  Name
 	Records []Record
 	// At, if set, is where the stream must end for the append to be done.
-	At *int64
+	ExpectedEnd *int64
 	// Writer, if set, fences.
 	Writer *Writer
 }
@@ -71,16 +71,16 @@
 var (
 	// ErrFenced means that a writer with a higher epoch has been there.
 	ErrFenced = errors.New("a later writer has been there")
-	// ErrDone means that the sequence number was used already.
-	ErrDone = errors.New("the sequence number was used already")
+	// ErrDuplicateSequence means that the sequence number was used already.
+	ErrDuplicateSequence = errors.New("the sequence number was used already")
 	// ErrNotDone means that the log did nothing and may be asked again.
 	ErrNotDone = errors.New("the log did nothing")
 	// ErrTrimmed means that the records asked for are gone.
 	ErrTrimmed = errors.New("the records are gone")
 )
 
-// MovedError means that the stream did not end where the append wanted.
-type MovedError struct{ End int64 }
+// EndMismatchError means that the stream did not end where the append wanted.
+type EndMismatchError struct{ End int64 }
 
 // Error says where the stream ends.
-func (e *MovedError) Error() string { return fmt.Sprintf("the stream ends at %d", e.End) }
+func (e *EndMismatchError) Error() string { return fmt.Sprintf("the stream ends at %d", e.End) }
--- a/models/wire_test.go
+++ b/models/wire_test.go
@@ -43,7 +43,7 @@
 	return err
 }
 
-func TestBadWireValuesAreRefused(t *testing.T) {
+func TestInvalidWireValuesAreRejected(t *testing.T) {
 	for _, test := range []struct{ decoder, text string }{
 		{"box list", `{"boxes":[{"name":"x","role":"entry","domain":"a","address":"host:1","state":"live"}]}`},
 		{"box list", `{"boxes":[{"name":"x","role":"king","domain":"a","address":"127.0.0.1:1","state":"live"}]}`},
--- a/models/worker/sync.go
+++ b/models/worker/sync.go
@@ -28,7 +28,7 @@
 	TTL Milliseconds `json:"ttl_ms"`
 	// Seen is the version of the inventory that the holder has, or 0. If it is
 	// still the version after the Sync, the report leaves the tasks out.
-	Seen int64 `json:"seen,omitempty"`
+	KnownVersion int64 `json:"seen,omitempty"`
 	// Release ends the lease after the rest is applied.
 	Release bool    `json:"release,omitempty"`
 	Starts  []Start `json:"starts,omitempty"`
--- a/models/workspace/workspace.go
+++ b/models/workspace/workspace.go
@@ -21,7 +21,7 @@
 	Weight float64 `json:"weight"`
 	// Most is what its tasks may take of all workers at a time. A part that is 0 has no
 	// bound.
-	Most resource.Vector `json:"most"`
+	Cap resource.Vector `json:"most"`
 	// Keys are the digests of the keys by which its callers are known.
 	Keys []Digest `json:"-"`
 }
@@ -33,8 +33,8 @@
 		return errors.New("a workspace has no name")
 	case !(w.Weight >= 0):
 		return fmt.Errorf("workspace %q: a weight of %v", w.Name, w.Weight)
-	case w.Most.IsNegative():
-		return fmt.Errorf("workspace %q: a cap of %v", w.Name, w.Most)
+	case w.Cap.IsNegative():
+		return fmt.Errorf("workspace %q: a cap of %v", w.Name, w.Cap)
 	default:
 		return nil
 	}
--- a/routers/jobs.go
+++ b/routers/jobs.go
@@ -113,9 +113,9 @@
 		httpjson.Write(w, http.StatusOK, a)
 	case exchange.NoJob:
 		httpjson.Write(w, http.StatusGone, a)
-	case exchange.Busy:
+	case exchange.OverLimit:
 		httpjson.Write(w, http.StatusTooManyRequests, a)
-	case exchange.Unsure:
+	case exchange.MaybeDone:
 		httpjson.Write(w, http.StatusGatewayTimeout, a)
 	default:
 		w.Header().Set(headerRetryAfter, strconv.Itoa(max(1, int(a.RetryAfter.Duration().Seconds()))))
--- a/services/advisers/names.go
+++ b/services/advisers/names.go
@@ -20,8 +20,8 @@
 // what they add to the time of the call is small beside its fixed part, and a second
 // call would take that again.
 func MinWorkersPerCall(q *job.Advice) int {
-	if q.Each <= 0 {
+	if q.TimePerWorker <= 0 {
 		return MaxWorkersPerCall
 	}
-	return min(MaxWorkersPerCall, max(minWorkersPerCall, int(extraTimeShare*float64(q.Base)/float64(q.Each))))
+	return min(MaxWorkersPerCall, max(minWorkersPerCall, int(extraTimeShare*float64(q.BaseTime)/float64(q.TimePerWorker))))
 }
--- a/services/authority/authority.go
+++ b/services/authority/authority.go
@@ -265,7 +265,7 @@
 	}
 	at := a.next
 	return &Append{Claim: c, Stream: stream.Append{
-		Stream: stream.Claims, Records: []stream.Record{{Key: claimKey, Value: value}}, At: &at,
+		Stream: stream.Claims, Records: []stream.Record{{Key: claimKey, Value: value}}, ExpectedEnd: &at,
 	}}
 }
 
--- a/services/authority/authority_test.go
+++ b/services/authority/authority_test.go
@@ -56,7 +56,7 @@
 // What settled it: reading the code when claims came to be made again.
 func TestABoxWhoseClaimMayBeInTheLogPromisesNothing(t *testing.T) {
 	a, claimed, now := claiming(t)
-	a.Appended(now, claimed.Claim.Renewal, 0, &stream.MovedError{End: 2})
+	a.Appended(now, claimed.Claim.Renewal, 0, &stream.EndMismatchError{End: 2})
 	assert.Check(t, !a.Pledge(now, former), "it promised not to claim after it has")
 
 	a.Read(now, record(t, claimed.Claim), 2)
@@ -65,7 +65,7 @@
 
 func TestABoxWhoseClaimIsNotInTheLogPromisesAgain(t *testing.T) {
 	a, claimed, now := claiming(t)
-	a.Appended(now, claimed.Claim.Renewal, 0, &stream.MovedError{End: 2})
+	a.Appended(now, claimed.Claim.Renewal, 0, &stream.EndMismatchError{End: 2})
 	renewed := claim.Claim{Epoch: former, Box: "a", Incarnation: "1", Address: "a", Renewal: 2}
 	a.Read(now, record(t, renewed), 2)
 	assert.Check(t, !a.Holds(now))
--- a/services/blame/background.go
+++ b/services/blame/background.go
@@ -96,7 +96,7 @@
 // silentWorker is a worker that stopped answering.
 type silentWorker struct {
 	at   time.Time
-	life order.Life
+	life order.Incarnation
 	rack string
 	// weight is the probability that none of its tasks made it crash.
 	weight float64
@@ -167,12 +167,12 @@
 
 // RecordSilence takes that a life of a worker has stopped answering, to which its suspects have brought
 // it with some probability.
-func (b *Background) RecordSilence(now time.Time, life order.Life, rack string, risk float64) {
+func (b *Background) RecordSilence(now time.Time, life order.Incarnation, rack string, risk float64) {
 	b.silentWorkers = append(b.silentWorkers, silentWorker{at: now, life: life, rack: rack, weight: 1 - risk})
 }
 
 // RecordAnswer takes that a worker has answered again: it had not crashed.
-func (b *Background) RecordAnswer(life order.Life) {
+func (b *Background) RecordAnswer(life order.Incarnation) {
 	b.silentWorkers = slices.DeleteFunc(b.silentWorkers, func(s silentWorker) bool { return s.life == life })
 }
 
@@ -188,7 +188,7 @@
 // Hazard returns how likely a worker was to crash at a time by no fault of its tasks, a
 // second: as often as workers of its rack crash, and more if others stopped answering at
 // the same time.
-func (b *Background) Hazard(at time.Time, life order.Life, rack string) float64 {
+func (b *Background) Hazard(at time.Time, life order.Incarnation, rack string) float64 {
 	alone, atOnce, about := b.hazards(at, life, rack)
 	return alone + atOnce + about
 }
@@ -196,14 +196,14 @@
 // IndependentProbability returns the probability that a crash which no task caused has no cause in common
 // with others that were seen at once. Only such a one tells how often workers crash: a rack
 // that loses power is one event, and not as many as it has workers.
-func (b *Background) IndependentProbability(at time.Time, life order.Life, rack string) float64 {
+func (b *Background) IndependentProbability(at time.Time, life order.Incarnation, rack string) float64 {
 	alone, atOnce, _ := b.hazards(at, life, rack)
 	return alone / (alone + atOnce)
 }
 
 // hazards returns the hazards, a second, of a crash of a worker by itself, and of one whose
 // cause is that of others which were seen at once, or about then.
-func (b *Background) hazards(at time.Time, life order.Life, rack string) (alone, once, about float64) {
+func (b *Background) hazards(at time.Time, life order.Incarnation, rack string) (alone, once, about float64) {
 	all := b.rate()
 	r := b.rackExposure(rack)
 	alone = (r.Crashes + all*rackPriorSeconds) / (r.Seconds + rackPriorSeconds)
@@ -215,7 +215,7 @@
 
 // peerGroup are the workers of a rack, or all, beside one, and how often each crashes, a second.
 type peerGroup struct {
-	life    order.Life
+	life    order.Incarnation
 	rack    string
 	workers int
 	rate    float64
--- a/services/blame/blame.go
+++ b/services/blame/blame.go
@@ -106,7 +106,7 @@
 // IsClearedBy says whether a run that has been at work for some time, on a worker that lives,
 // clears its task.
 func IsClearedBy(b job.Blame, worked time.Duration) bool {
-	return worked > clearFactor*b.Longest.Duration()+clearMargin
+	return worked > clearFactor*b.MaxWorkTime.Duration()+clearMargin
 }
 
 // RetryDelay returns how long a task waits before it is tried again: crashes of other workers
@@ -128,7 +128,7 @@
 	Prior job.Blame
 	// Worked is for how long it had been at work, and Time what is known of that.
 	Worked time.Duration
-	Time   job.CrashTime
+	Time   job.TimeBound
 	// Late is by how much the crash may have been seen too late.
 	Late time.Duration
 	// Alone says that no other task had begun on the worker shortly before.
@@ -141,7 +141,7 @@
 // crash returns the crash under the suspect.
 func (s Suspect) crash() job.Crash {
 	return job.Crash{
-		Worked: job.Milliseconds(s.Worked.Milliseconds()), Time: s.Time, Late: job.Milliseconds(min(s.Worked, s.Late).Milliseconds()), Workers: s.Workers,
+		Worked: job.Milliseconds(s.Worked.Milliseconds()), Bound: s.Time, DetectionDelay: job.Milliseconds(min(s.Worked, s.Late).Milliseconds()), Workers: s.Workers,
 	}
 }
 
@@ -151,14 +151,14 @@
 	caused := make([]float64, len(suspects))
 	all := 0.0
 	for i, s := range suspects {
-		odds := oddsOf(s.Prior.Seen, 0)
-		caused[i] = odds / (1 + odds) * nextCrashHazard(s.Prior.Seen, s.crash())
+		odds := oddsOf(s.Prior.RecentCrashes, 0)
+		caused[i] = odds / (1 + odds) * nextCrashHazard(s.Prior.RecentCrashes, s.crash())
 		all += caused[i]
 	}
 	judged := make([]job.Blame, len(suspects))
 	for i, s := range suspects {
 		c := s.crash()
-		c.Others, c.Itself = max(0, all-caused[i]), background
+		c.OtherTasksHazard, c.BackgroundHazard = max(0, all-caused[i]), background
 		judged[i] = s.afterCrash(c)
 	}
 	return judged
@@ -172,22 +172,22 @@
 		b.Alone++
 	}
 	if s.Time == job.Exact {
-		if b.Longest == 0 || c.Worked < b.Shortest {
-			b.Shortest = c.Worked
+		if b.MaxWorkTime == 0 || c.Worked < b.MinWorkTime {
+			b.MinWorkTime = c.Worked
 		}
-		b.Longest = max(b.Longest, c.Worked)
+		b.MaxWorkTime = max(b.MaxWorkTime, c.Worked)
 	}
-	b.TriedOn, b.TriedAt = nil, 0
-	b.Seen = append(slices.Clone(b.Seen), c)
-	b.Seen = b.Seen[max(0, len(b.Seen)-maxCrashesKept):]
+	b.LastStartWorkers, b.LastStartUnixMilli = nil, 0
+	b.RecentCrashes = append(slices.Clone(b.RecentCrashes), c)
+	b.RecentCrashes = b.RecentCrashes[max(0, len(b.RecentCrashes)-maxCrashesKept):]
 	return Reassess(b, 0)
 }
 
 // Reassess judges all crashes under a task again. Rate is how often a worker crashes by no
 // fault of its tasks by what is known now, a second.
 func Reassess(b job.Blame, rate float64) job.Blame {
-	if len(b.Seen) > 0 {
-		b.Odds = oddsOf(b.Seen, rate)
+	if len(b.RecentCrashes) > 0 {
+		b.Odds = oddsOf(b.RecentCrashes, rate)
 	}
 	return b
 }
--- a/services/blame/blame_test.go
+++ b/services/blame/blame_test.go
@@ -150,7 +150,7 @@
 }
 
 func TestBlameIsValidatedOnUnmarshal(t *testing.T) {
-	kept := job.Blame{Crashes: 3, Alone: 1, Odds: 12.5, Longest: 20, Shortest: 10, TriedOn: []string{"w"}, TriedAt: 77}
+	kept := job.Blame{Crashes: 3, Alone: 1, Odds: 12.5, MaxWorkTime: 20, MinWorkTime: 10, LastStartWorkers: []string{"w"}, LastStartUnixMilli: 77}
 	data, err := json.Marshal(kept)
 	assert.NilError(t, err)
 	var read job.Blame
@@ -210,7 +210,7 @@
 }
 
 func TestStoredCrashesAreValidatedOnUnmarshal(t *testing.T) {
-	kept := job.Blame{Crashes: 1, Odds: 2, Seen: []job.Crash{{Worked: 600, Time: job.Within, Late: 5, Workers: 2, Others: 0.5, Itself: 0.25, Counted: 1}}}
+	kept := job.Blame{Crashes: 1, Odds: 2, RecentCrashes: []job.Crash{{Worked: 600, Bound: job.AtMost, DetectionDelay: 5, Workers: 2, OtherTasksHazard: 0.5, BackgroundHazard: 0.25, BackgroundWeight: 1}}}
 	data, err := json.Marshal(kept)
 	assert.NilError(t, err)
 	var read job.Blame
@@ -233,7 +233,7 @@
 	for _, runs := range []bool{false, true} {
 		d := blame.NewTracker()
 		before := assessRepeatedly(1, true, time.Second, rareCrashHazard)
-		before.TriedOn, before.TriedAt = []string{"w"}, 1_000
+		before.LastStartWorkers, before.LastStartUnixMilli = []string{"w"}, 1_000
 		d.Restore(task, before)
 		d.RecordReport(life("w"), func(job.TaskID) bool { return runs })
 		found := d.RecordCrash(time.Unix(5, 0), blame.Crash{Life: life("w"), At: time.Unix(5, 0), UnixMilli: 5_000, TasksKnown: true})
@@ -242,4 +242,4 @@
 }
 
 // life names a life of a worker.
-func life(name string) order.Life { return order.Life{Name: name} }
+func life(name string) order.Incarnation { return order.Incarnation{Name: name} }
--- a/services/blame/docket.go
+++ b/services/blame/docket.go
@@ -94,7 +94,7 @@
 // Restore takes over what an earlier holder held against a task.
 func (d *Tracker) Restore(t job.TaskID, b job.Blame) {
 	c := d.setBlame(t, b)
-	for _, worker := range b.TriedOn {
+	for _, worker := range b.LastStartWorkers {
 		d.earlierStarts[worker] = append(d.earlierStarts[worker], t)
 	}
 	if IsGuilty(b) {
@@ -106,22 +106,22 @@
 
 // RecordStart notes that a task was started on a worker at a time, in milliseconds since 1970. It
 // returns whether anything is held against the task, so that the log is to know.
-func (d *Tracker) RecordStart(t job.TaskID, life order.Life, unixMilli int64) bool {
+func (d *Tracker) RecordStart(t job.TaskID, life order.Incarnation, unixMilli int64) bool {
 	b := d.Blame(t)
 	if b.Crashes == 0 {
 		return false
 	}
-	if b.TriedAt != unixMilli {
-		b.TriedOn, b.TriedAt = nil, unixMilli
+	if b.LastStartUnixMilli != unixMilli {
+		b.LastStartWorkers, b.LastStartUnixMilli = nil, unixMilli
 	}
-	b.TriedOn = append(slices.Clone(b.TriedOn), life.String())
+	b.LastStartWorkers = append(slices.Clone(b.LastStartWorkers), life.String())
 	d.setBlame(t, b)
 	return true
 }
 
 // RecordReport takes that a worker has told what it runs: a task that an earlier holder had meant to
 // try there, and that is not among it, will not crash it.
-func (d *Tracker) RecordReport(life order.Life, runs func(job.TaskID) bool) {
+func (d *Tracker) RecordReport(life order.Incarnation, runs func(job.TaskID) bool) {
 	worker := life.String()
 	tried := slices.DeleteFunc(d.earlierStarts[worker], func(t job.TaskID) bool { return !runs(t) })
 	if d.earlierStarts[worker] = tried; len(tried) == 0 {
@@ -161,7 +161,7 @@
 	Gang bool
 	// Worked, Time, Late, Alone and Workers are those of Suspect.
 	Worked  time.Duration
-	Time    job.CrashTime
+	Time    job.TimeBound
 	Late    time.Duration
 	Alone   bool
 	Workers int
@@ -169,7 +169,7 @@
 
 // Crash is the crash of a worker, as it was seen.
 type Crash struct {
-	Life order.Life
+	Life order.Incarnation
 	Rack string
 	// At is when it stopped answering, UnixMilli the same as a time of day.
 	At        time.Time
@@ -236,7 +236,7 @@
 // recordBlame holds a crash against a task, and returns what is held against it from now on. One
 // that is found guilty is judged again shortly.
 func (d *Tracker) recordBlame(now time.Time, j *assessment, place int, b job.Blame) job.Blame {
-	b.Seen[len(b.Seen)-1].Counted = j.backgroundWeight
+	b.RecentCrashes[len(b.RecentCrashes)-1].BackgroundWeight = j.backgroundWeight
 	b = d.attributeCrashes(Reassess(b, d.Background.rate()))
 	on := j.crash.Tasks[place]
 	c := d.setBlame(on.Task, b)
@@ -258,10 +258,10 @@
 	if Probability(b) < attributionThreshold {
 		return b
 	}
-	b.Seen = slices.Clone(b.Seen)
-	for i := range b.Seen {
-		d.Background.RemoveCrashes(b.Seen[i].Counted)
-		b.Seen[i].Counted = 0
+	b.RecentCrashes = slices.Clone(b.RecentCrashes)
+	for i := range b.RecentCrashes {
+		d.Background.RemoveCrashes(b.RecentCrashes[i].BackgroundWeight)
+		b.RecentCrashes[i].BackgroundWeight = 0
 	}
 	return Reassess(b, d.Background.rate())
 }
@@ -285,8 +285,8 @@
 	}
 	life := c.Life.String()
 	for _, t := range d.earlierStarts[life] {
-		if b := d.Blame(t); slices.Contains(b.TriedOn, life) {
-			add(StartedByEarlierHolder(t, b.TriedAt, c.UnixMilli, len(b.TriedOn)))
+		if b := d.Blame(t); slices.Contains(b.LastStartWorkers, life) {
+			add(StartedByEarlierHolder(t, b.LastStartUnixMilli, c.UnixMilli, len(b.LastStartWorkers)))
 		}
 	}
 	delete(d.earlierStarts, life)
@@ -300,7 +300,7 @@
 // StartedByEarlierHolder returns a task that an earlier holder had started at a time, on a worker which
 // crashed at another, both in milliseconds since 1970. A gang was started on several workers.
 func StartedByEarlierHolder(t job.TaskID, startedAt, crashedAt int64, workers int) RunningTask {
-	on := RunningTask{Task: t, Worked: time.Duration(crashedAt-startedAt) * time.Millisecond, Time: job.Within, Workers: workers}
+	on := RunningTask{Task: t, Worked: time.Duration(crashedAt-startedAt) * time.Millisecond, Time: job.AtMost, Workers: workers}
 	if on.Worked < 0 {
 		on.Worked, on.Time = elapsedAfterClockStep, job.AtLeast
 	}
@@ -310,7 +310,7 @@
 // merge takes what else is known of the same task on the same worker: of a gang, or of a run
 // that the log tells of and whose worker is known to have had it.
 func (o *RunningTask) merge(next RunningTask) {
-	o.Alone = o.Alone && (next.Alone || next.Time == job.Within)
+	o.Alone = o.Alone && (next.Alone || next.Time == job.AtMost)
 	if o.Time == job.AtLeast {
 		o.Worked, o.Time = next.Worked, next.Time
 		return
@@ -348,8 +348,8 @@
 			if c.blame.Crashes != b.Crashes {
 				continue
 			}
-			for i := range b.Seen {
-				b.Seen[i].Counted = c.blame.Seen[i].Counted
+			for i := range b.RecentCrashes {
+				b.RecentCrashes[i].BackgroundWeight = c.blame.RecentCrashes[i].BackgroundWeight
 			}
 			d.setBlame(a.task, Reassess(b, d.Background.rate()))
 		}
--- a/services/blame/evidence.go
+++ b/services/blame/evidence.go
@@ -86,15 +86,15 @@
 	if len(crashes) == 0 {
 		return priorOdds
 	}
-	if c := crashes[0]; len(crashes) == 1 && c.Time == job.Exact {
-		return min(maxOdds, priorOdds*(1+firstCrashHazard(c)/(c.Others+max(c.Itself, rate))))
+	if c := crashes[0]; len(crashes) == 1 && c.Bound == job.Exact {
+		return min(maxOdds, priorOdds*(1+firstCrashHazard(c)/(c.OtherTasksHazard+max(c.BackgroundHazard, rate))))
 	}
 	return posteriorOf(crashes, rate).odds()
 }
 
 // nextCrashHazard returns the hazard, a second, of one more crash by a task if it is guilty.
 func nextCrashHazard(before []job.Crash, c job.Crash) float64 {
-	if len(before) == 0 && c.Time == job.Exact {
+	if len(before) == 0 && c.Bound == job.Exact {
 		return firstCrashHazard(c)
 	}
 	return posteriorOf(before, 0).hazard(c)
@@ -117,7 +117,7 @@
 		b.atPoint[i] = priorOdds * samePointShare * p.prior
 	}
 	for _, c := range crashes {
-		otherwise := c.Others + max(c.Itself, rate)
+		otherwise := c.OtherTasksHazard + max(c.BackgroundHazard, rate)
 		b.anyTime *= 1 + perWorker(c, uninformedHazard(c.Worked.Duration()))/otherwise
 		for i, p := range points {
 			b.atPoint[i] *= likelihoodRatio(c, p, otherwise)
@@ -129,7 +129,7 @@
 // likelihoodRatio returns how much likelier a crash is if the task crashes its workers at a point
 // of its work than if it does not, where others cause one with some hazard, a second.
 func likelihoodRatio(c job.Crash, p point, otherwise float64) float64 {
-	if c.Time == job.Exact && c.Worked.Duration()-c.Late.Duration() > p.at+p.aroundSpan() {
+	if c.Bound == job.Exact && c.Worked.Duration()-c.DetectionDelay.Duration() > p.at+p.aroundSpan() {
 		return passedLikelihood
 	}
 	return 1 + perWorker(c, hazardAt(c, p))/otherwise
@@ -161,8 +161,8 @@
 // point of its work.
 func hazardAt(c job.Crash, p point) float64 {
 	worked := c.Worked.Duration()
-	switch c.Time {
-	case job.Within:
+	switch c.Bound {
+	case job.AtMost:
 		// It crashed somewhere in that time, which is as long as it could have been.
 		if p.at > worked {
 			return 0
@@ -183,7 +183,7 @@
 // density returns the density, a second, of a crash that comes within some span of the point,
 // where any such time is as likely as another, and which may have been seen late.
 func (p point) density(c job.Crash, span time.Duration) float64 {
-	worked, late := c.Worked.Duration(), c.Late.Duration()
+	worked, late := c.Worked.Duration(), c.DetectionDelay.Duration()
 	if worked < p.at-span || worked-late > p.at+span {
 		return 0
 	}
--- a/services/core/core.go
+++ b/services/core/core.go
@@ -103,7 +103,7 @@
 		return nil
 	case event.BoxesRead:
 		return c.boxesRead(now, e.List)
-	case event.HelloHeard:
+	case event.HelloReceived:
 		c.members.HelloHeard(now, e.Hello)
 		return c.peersChanged(now)
 	case event.SnapshotRead:
--- a/services/core/publish.go
+++ b/services/core/publish.go
@@ -33,7 +33,7 @@
 		return answer(e.Waiter, effect.PublishResult{Outcome: effect.Refused, Revision: c.ledger.Revision(p.File), Reasons: reasons})
 	}
 	c.journal.Add(record.Entry{Publish: &p})
-	c.waiting[p.ID] = publication{waiters: []uint64{e.Waiter}, until: now.Add(e.Patience)}
+	c.waiting[p.ID] = publication{waiters: []uint64{e.Waiter}, until: now.Add(e.Timeout)}
 	return c.journal.Tick(now)
 }
 
--- a/services/core/reader.go
+++ b/services/core/reader.go
@@ -112,7 +112,7 @@
 		return c.seekOn(now, e)
 	}
 	effects := c.applyRecords(now, e.Records)
-	if e.Head {
+	if e.AtEnd {
 		r.head = true
 		for _, h := range c.holders {
 			h.LogRead(r.began)
--- a/services/core/status.go
+++ b/services/core/status.go
@@ -113,7 +113,7 @@
 	for _, id := range c.shardIDs() {
 		d.Workers = append(d.Workers, c.holders[id].Workers(now, status.MaxListed-len(d.Workers))...)
 	}
-	d.Cut = len(d.Work) > status.MaxListed || len(d.Places) >= status.MaxListed || len(d.Workers) >= status.MaxListed
+	d.Truncated = len(d.Work) > status.MaxListed || len(d.Places) >= status.MaxListed || len(d.Workers) >= status.MaxListed
 	d.Work = d.Work[:min(len(d.Work), status.MaxListed)]
 	return d
 }
--- a/services/core/world_test.go
+++ b/services/core/world_test.go
@@ -219,7 +219,7 @@
 		w.append(n, life, e.Envelope)
 	case effect.SyncWorker:
 		w.sync(n, life, e)
-	case effect.SayHello:
+	case effect.SendHello:
 		w.hello(n, e)
 	case effect.FetchSnapshot:
 		w.fetch(n, life, e)
@@ -236,7 +236,7 @@
 		return
 	}
 	w.after(2*w.delay(), func() {
-		read := event.LogRead{Head: true}
+		read := event.LogRead{AtEnd: true}
 		if from < int64(len(w.log)) {
 			read.Records = append(read.Records, w.log[from:]...)
 		}
@@ -247,14 +247,14 @@
 func (w *world) append(n *node, life int, e record.Envelope) {
 	ended := event.AppendEnded{ID: e.ID}
 	if n.cutLog || w.logDown || w.lost() {
-		ended.Failed = "cut"
+		ended.Failure = "cut"
 		w.after(callLimit, func() { w.tell(n, life, ended) })
 		return
 	}
 	w.after(w.delay(), func() {
 		w.log = append(w.log, event.LogRecord{Offset: int64(len(w.log)), At: w.now, Envelope: e})
 		if w.lost() {
-			ended.Failed = "the answer was lost"
+			ended.Failure = "the answer was lost"
 		}
 		w.after(w.delay(), func() { w.tell(n, life, ended) })
 	})
@@ -262,7 +262,7 @@
 
 func (w *world) sync(n *node, life int, e effect.SyncWorker) {
 	sentAt := w.now
-	failed := event.WorkerAnswered{Worker: e.Worker, Seq: e.Sync.Seq, SentAt: sentAt, Failed: "cut"}
+	failed := event.WorkerAnswered{Worker: e.Worker, Seq: e.Sync.Seq, SentAt: sentAt, Failure: "cut"}
 	if n.cutWorkers[e.Worker] || w.lost() || w.dead[e.Worker] {
 		w.after(callLimit, func() { w.tell(n, life, failed) })
 		return
@@ -296,13 +296,13 @@
 	})
 }
 
-func (w *world) hello(n *node, e effect.SayHello) {
+func (w *world) hello(n *node, e effect.SendHello) {
 	to := w.node(e.Address)
 	if to == nil || n.cutPeers || to.cutPeers || w.lost() {
 		return
 	}
 	life := to.incarnation
-	w.after(w.delay(), func() { w.tell(to, life, event.HelloHeard{Hello: e.Hello}) })
+	w.after(w.delay(), func() { w.tell(to, life, event.HelloReceived{Hello: e.Hello}) })
 }
 
 func (w *world) fetch(n *node, life int, e effect.FetchSnapshot) {
@@ -384,7 +384,7 @@
 func (w *world) publish(n *node, id, file string, replaces int64, data string) effect.PublishResult {
 	waiter := uint64(len(w.results) + 1000)
 	p := record.Publish{ID: id, File: file, Replaces: replaces, Data: data}
-	w.tell(n, n.incarnation, event.PublishAsked{Waiter: waiter, Publish: p, Patience: 5 * time.Second})
+	w.tell(n, n.incarnation, event.PublishAsked{Waiter: waiter, Publish: p, Timeout: 5 * time.Second})
 	for range 200 {
 		if r, ok := w.results[waiter]; ok {
 			return r
--- a/services/delays/interruption.go
+++ b/services/delays/interruption.go
@@ -6,7 +6,7 @@
 import "saddlevane/models/order"
 
 // InterruptionCause returns the delay that an end which is not a good one stands for.
-func InterruptionCause(how order.How) Cause {
+func InterruptionCause(how order.EndStatus) Cause {
 	switch how {
 	case order.Failed:
 		return RunFailed
--- a/services/dispatch/advice.go
+++ b/services/dispatch/advice.go
@@ -138,10 +138,10 @@
 	s.advice.prioritized = s.advice.prioritized || len(c.holds) > 0
 	s.endCall(c)
 	h.planDue = true
-	if s.job.state.Final() {
+	if s.job.state.IsFinal() {
 		return
 	}
-	if e.Busy || e.Failed != "" {
+	if e.Busy || e.Failure != "" {
 		h.handleAdviceFailure(now, s, e)
 		return
 	}
@@ -156,7 +156,7 @@
 		return
 	}
 	h.advisers.RecordFailure(now, e.Box)
-	h.core.logEvent("advice failed", logField("step", s.id.String()), logField("asked_from", e.Box), logField("problem", e.Failed))
+	h.core.logEvent("advice failed", logField("step", s.id.String()), logField("asked_from", e.Box), logField("problem", e.Failure))
 }
 
 // recordAdvice keeps which of the workers asked about suit a step, and their
@@ -172,7 +172,7 @@
 		if _, known := a.IsEligible(w); !known {
 			fresh[w] = true
 		}
-		if h.currentWorker(w.Life) == w {
+		if h.currentWorker(w.Incarnation) == w {
 			// A worker that gets no ticket any more is not asked about again.
 			a.SetEligible(w, false, compareNames)
 			asked[w.Name] = w
@@ -181,9 +181,9 @@
 	good := 0
 	valid := time.Duration(0)
 	if q := h.queueOf(s.job); q.Advice != nil {
-		valid = q.Advice.Valid
+		valid = q.Advice.TicketLifetime
 	}
-	for _, t := range e.Good {
+	for _, t := range e.Tickets {
 		if w := asked[t.Worker]; w != nil {
 			a.SetEligible(w, true, compareNames)
 			if fresh[w] {
--- a/services/dispatch/ask.go
+++ b/services/dispatch/ask.go
@@ -36,7 +36,7 @@
 // requestAdvice calls for advice on some workers. It returns nil if the boxes have as many
 // calls under way as they should. What is late anyway waits until a box has none.
 func (h *holderState) requestAdvice(now time.Time, s *step, q *job.Advice, workers []*worker) *adviceCall {
-	takes := q.Base + time.Duration(len(workers))*q.Each
+	takes := q.BaseTime + time.Duration(len(workers))*q.TimePerWorker
 	class := h.callClass(now, s)
 	if h.isEnabled(mechanism.DividedAdvice) && takes > advisers.BriefCall && !h.advisers.FairShare.Admit(now, class) {
 		return nil
@@ -181,7 +181,7 @@
 // more, which may have it next. It returns false if no call was made.
 func (h *holderState) requestAdviceForRoom(now time.Time, r rankedStep, candidates []*worker) bool {
 	s := r.step
-	if !h.advisers.HasFreeBox(now, maps.Keys(h.core.members), r.queue.Advice.Base, advisers.MaxQueueTime) {
+	if !h.advisers.HasFreeBox(now, maps.Keys(h.core.members), r.queue.Advice.BaseTime, advisers.MaxQueueTime) {
 		h.advisers.FairShare.RecordDeferral(now, h.callClass(now, s))
 		return false
 	}
@@ -217,7 +217,7 @@
 	if len(shares) == 0 || now.Before(s.advice.retryAt) {
 		return
 	}
-	takes := r.queue.Advice.Base + time.Duration(len(shares))*r.queue.Advice.Each
+	takes := r.queue.Advice.BaseTime + time.Duration(len(shares))*r.queue.Advice.TimePerWorker
 	_, stale := s.splitByTicket(now.Add(takes+tickets.StartMargin), shares)
 	workers := make([]*worker, len(stale))
 	for i, sh := range stale {
--- a/services/dispatch/calls.go
+++ b/services/dispatch/calls.go
@@ -25,7 +25,7 @@
 			return
 		}
 		if h.journal.isFailing(now) {
-			h.core.reply(e.Call, exchange.Answer{Outcome: exchange.Unsure, Reason: "the log has not confirmed the job"})
+			h.core.reply(e.Call, exchange.Answer{Outcome: exchange.MaybeDone, Reason: "the log has not confirmed the job"})
 			return
 		}
 		j.acceptCalls = append(j.acceptCalls, e.Call)
@@ -35,9 +35,9 @@
 	case h.shuttingDown:
 		h.core.replyElsewhere(e.Call, "this box is handing the cell over")
 		return
-	case e.ComeBack > 0:
+	case e.RetryAfter > 0:
 		h.core.reply(e.Call, exchange.Answer{
-			Outcome: exchange.Unavailable, Reason: "the holder is behind with its work", RetryAfter: job.Milliseconds(e.ComeBack.Milliseconds()),
+			Outcome: exchange.Unavailable, Reason: "the holder is behind with its work", RetryAfter: job.Milliseconds(e.RetryAfter.Milliseconds()),
 		})
 		return
 	case h.journal.isFailing(now):
@@ -46,7 +46,7 @@
 	}
 	within, refusal := h.checkAdmission(now, &e.Submission)
 	if !within && refusal == nil || refusal != nil && refusal.RetryAfter > 0 {
-		h.core.emit(exchange.JobBeyondShare{Refused: refusal != nil})
+		h.core.emit(exchange.JobOverShare{Refused: refusal != nil})
 	}
 	if refusal != nil {
 		h.core.reply(e.Call, *refusal)
@@ -73,10 +73,10 @@
 	case j == nil, !e.Caller.MayActOn(j.workspace, j.queue):
 		h.core.reply(e.Call, exchange.Answer{Outcome: exchange.NoJob})
 		return
-	case j.reportedState.Final():
+	case j.reportedState.IsFinal():
 		h.core.reply(e.Call, exchange.Answer{Outcome: exchange.OK, State: j.reportedState})
 		return
-	case h.journal.isFailing(now) && j.state.Final():
+	case h.journal.isFailing(now) && j.state.IsFinal():
 		h.core.reply(e.Call, cancelUnsureAnswer)
 		return
 	}
@@ -104,7 +104,7 @@
 func (h *holderState) replyCount(e exchange.CountAsked) {
 	count := 0
 	for _, j := range h.jobs {
-		if j.queue == e.Queue && j.accepted && !j.started && !j.state.Final() {
+		if j.queue == e.Queue && j.accepted && !j.started && !j.state.IsFinal() {
 			count++
 		}
 	}
--- a/services/dispatch/caps.go
+++ b/services/dispatch/caps.go
@@ -25,9 +25,9 @@
 	}
 	ws := h.core.config.Workspace(sub.Workspace)
 	for i := range sub.Steps {
-		if need := sub.Steps[i].Least(); !workspaces.FitsCap(ws, need) {
+		if need := sub.Steps[i].MinNeed(); !workspaces.FitsCap(ws, need) {
 			return false, &exchange.Answer{
-				Outcome: exchange.Busy, Reason: fmt.Sprintf("step %d needs %v at a time, and the workspace may have %v", i, need, ws.Most),
+				Outcome: exchange.OverLimit, Reason: fmt.Sprintf("step %d needs %v at a time, and the workspace may have %v", i, need, ws.Cap),
 			}
 		}
 	}
@@ -36,7 +36,7 @@
 	}
 	if !h.hasAmpleRoom && h.isEnabled(mechanism.RefusedShares) {
 		return false, &exchange.Answer{
-			Outcome: exchange.Busy, Reason: "the workspace has sent more than its share, and there is little room",
+			Outcome: exchange.OverLimit, Reason: "the workspace has sent more than its share, and there is little room",
 			RetryAfter: job.Milliseconds(h.workspaceShares.TimeToToken(now, ws).Milliseconds()),
 		}
 	}
@@ -52,7 +52,7 @@
 	if s.job.workspace == "" {
 		return job.MaxTasks
 	}
-	return h.usage.Remaining(h.workspaceOf(s.job)).Holds(s.spec.Need, job.MaxTasks)
+	return h.usage.Remaining(h.workspaceOf(s.job)).FitCount(s.spec.Need, job.MaxTasks)
 }
 
 // workspaceOf returns the workspace of a job as it is in force.
@@ -83,8 +83,8 @@
 
 // recordLeftover notes what tasks may still run of a job that ended under an earlier holder.
 func (h *holderState) recordLeftover(now time.Time, p job.Progress) {
-	if p.Workspace != "" && h.core.unixMilli(now)-p.Ended < leftoverLifetime.Milliseconds() {
-		h.leftoverUsage[p.Workspace] = h.leftoverUsage[p.Workspace].Plus(p.Left)
+	if p.Workspace != "" && h.core.unixMilli(now)-p.EndedUnixMilli < leftoverLifetime.Milliseconds() {
+		h.leftoverUsage[p.Workspace] = h.leftoverUsage[p.Workspace].Plus(p.LeftoverUsage)
 	}
 }
 
@@ -135,7 +135,7 @@
 	var all []job.WorkspaceStatus
 	for name, w := range ordered.Map(h.core.config.Workspaces) {
 		all = append(all, job.WorkspaceStatus{
-			Name: name, Weight: w.Weight, Used: h.usage.Of(name), Most: w.Most, Waiting: waiting[name], Capped: capped[name],
+			Name: name, Weight: w.Weight, Used: h.usage.Of(name), Cap: w.Cap, Waiting: waiting[name], Capped: capped[name],
 		})
 	}
 	return all
--- a/services/dispatch/caps_test.go
+++ b/services/dispatch/caps_test.go
@@ -49,8 +49,8 @@
 func testCaps(least int64) []workspace.Workspace {
 	cores := func(n int64) resource.Millis { return resource.Millis(n) * resource.Processor }
 	return []workspace.Workspace{
-		{Name: "small", Weight: 100, Most: resource.Vector{Processors: cores(least)}},
-		{Name: "narrow", Weight: 100, Most: resource.Vector{Memory: resource.Bytes(least/12) * resource.GiB}},
+		{Name: "small", Weight: 100, Cap: resource.Vector{Processors: cores(least)}},
+		{Name: "narrow", Weight: 100, Cap: resource.Vector{Memory: resource.Bytes(least/12) * resource.GiB}},
 		{Name: "free", Weight: 100},
 	}
 }
@@ -74,7 +74,7 @@
 	all := testCaps(least)
 	if least == 0 {
 		for i := range all {
-			all[i].Most = resource.Vector{}
+			all[i].Cap = resource.Vector{}
 		}
 	}
 	if err := next.SetWorkspaces(all); err != nil {
@@ -101,7 +101,7 @@
 // maxCap returns the highest cap under which a start may have been ordered that is carried
 // out now: part by part, where 0 is none.
 func (w *world) maxCap(name string) resource.Vector {
-	most := w.config.Workspaces[name].Most
+	most := w.config.Workspaces[name].Cap
 	within := time.Second
 	if w.lateShare > 0 {
 		within = maxOrderDelay
@@ -110,7 +110,7 @@
 		if w.now.Sub(f.until) > within {
 			continue
 		}
-		former := f.caps[name].Most
+		former := f.caps[name].Cap
 		if most.Processors == 0 || former.Processors == 0 {
 			former.Processors, most.Processors = 0, 0
 		}
@@ -151,7 +151,7 @@
 	s := oneStep("wide", "quick", 40, true)
 	s.Workspace = "small"
 	got := w.callHolder(exchange.Submitted{Submission: s})
-	assert.Equal(t, got.Outcome, exchange.Busy)
+	assert.Equal(t, got.Outcome, exchange.OverLimit)
 	assert.Equal(t, got.RetryAfter, job.Milliseconds(0))
 	assert.Check(t, strings.Contains(got.Reason, "the workspace may have {126 0B 0}"), got.Reason)
 	// Its tasks one by one are not too much.
@@ -219,7 +219,7 @@
 	assert.Equal(t, w.callHolder(exchange.StateAsked{Caller: as("small"), Job: "j"}).Outcome, exchange.OK)
 	assert.DeepEqual(t, w.callHolder(exchange.StateAsked{Caller: as("free"), Job: "j"}), w.callHolder(exchange.StateAsked{Caller: as("free"), Job: "none"}))
 	assert.DeepEqual(t, w.callHolder(exchange.CancelAsked{Caller: as("free"), Job: "j"}), w.callHolder(exchange.CancelAsked{Caller: as("free"), Job: "none"}))
-	assert.Check(t, w.callHolder(exchange.Submitted{Caller: as("free"), Submission: s}).Outcome.NothingDone())
+	assert.Check(t, w.callHolder(exchange.Submitted{Caller: as("free"), Submission: s}).Outcome.HasNoEffect())
 	// The next holder knows whose job it is, also once it has ended.
 	for range 2 {
 		w.killBox(w.holder(), 500*time.Millisecond)
@@ -266,7 +266,7 @@
 		w.holder().post(exchange.ConfigRead{Config: next})
 		w.run(5 * time.Second)
 		if c.holderIsCurrent {
-			w.holder().post(exchange.ConfigSeen{AskedAt: w.now})
+			w.holder().post(exchange.ConfigReadEnded{AskedAt: w.now})
 		}
 		got := w.callHolder(exchange.StateAsked{Job: "none", Caller: &workspace.Caller{
 			Queue: "quick", Digest: &key, Workspace: "small", Version: c.box, Current: c.boxIsCurrent,
--- a/services/dispatch/choice.go
+++ b/services/dispatch/choice.go
@@ -28,7 +28,7 @@
 
 // slotsWhenEmpty returns how many tasks of a step an empty worker takes.
 func (s *step) slotsWhenEmpty(capacity resource.Vector) int {
-	n := capacity.Holds(s.spec.Reserved(), job.MaxTasks)
+	n := capacity.FitCount(s.spec.Reserved(), job.MaxTasks)
 	if s.spec.PerWorker > 0 {
 		n = min(n, s.spec.PerWorker)
 	}
@@ -89,7 +89,7 @@
 	if missing <= 0 {
 		return
 	}
-	if r.queue.Advice.Base <= advisers.ShortCall {
+	if r.queue.Advice.BaseTime <= advisers.ShortCall {
 		h.requestAdviceForRoom(now, r, candidates)
 		return
 	}
--- a/services/dispatch/claim.go
+++ b/services/dispatch/claim.go
@@ -50,9 +50,9 @@
 // handleClaimsRead takes a part of the stream of claims, or that it could not be
 // read.
 func (c *Core) handleClaimsRead(now time.Time, e exchange.ClaimsRead) {
-	if e.Failed != "" {
+	if e.Failure != "" {
 		if c.authority.Steady() {
-			c.logEvent("the log does not answer", logField("reason", e.Failed))
+			c.logEvent("the log does not answer", logField("reason", e.Failure))
 		}
 		c.authority.ReadFailed()
 		return
@@ -62,7 +62,7 @@
 		c.logRecoveredAt = now
 		c.logEvent("the log answers", logField("next", e.Next))
 	}
-	if e.Start {
+	if e.First {
 		c.authority.Start(now, e.Records, e.Next)
 	} else {
 		c.authority.Read(now, e.Records, e.Next)
--- a/services/dispatch/confirm.go
+++ b/services/dispatch/confirm.go
@@ -20,7 +20,7 @@
 		return
 	}
 	switch {
-	case e.Err == nil || errors.Is(e.Err, stream.ErrDone):
+	case e.Err == nil || errors.Is(e.Err, stream.ErrDuplicateSequence):
 		h.handleJournalAppended(now)
 	case errors.Is(e.Err, stream.ErrFenced):
 		h.core.stepDown("a later holder has appended")
@@ -45,7 +45,7 @@
 // replyUnsure tells the callers of a batch that its fate is not known.
 func (h *holderState) replyUnsure(b *batch) {
 	for _, s := range b.newJobs {
-		h.replyToCalls(s.acceptCalls, exchange.Answer{Outcome: exchange.Unsure, Reason: "the log has not confirmed the job"})
+		h.replyToCalls(s.acceptCalls, exchange.Answer{Outcome: exchange.MaybeDone, Reason: "the log has not confirmed the job"})
 		s.acceptCalls = nil
 	}
 	for i := range b.progressEntries {
@@ -67,7 +67,7 @@
 }
 
 // cancelUnsureAnswer is what a caller is told whose cancellation waits for the log.
-var cancelUnsureAnswer = exchange.Answer{Outcome: exchange.Unsure, Reason: "the log has not confirmed the cancellation"}
+var cancelUnsureAnswer = exchange.Answer{Outcome: exchange.MaybeDone, Reason: "the log has not confirmed the cancellation"}
 
 // refuseQueued answers the callers who wait for a later append. Jobs that were
 // in none are forgotten, so they never run.
@@ -123,7 +123,7 @@
 		n.MarkLogged()
 		h.renewSoon(now, n.Worker())
 	}
-	if p.state.Final() {
+	if p.state.IsFinal() {
 		h.closeJob(p.job)
 	}
 }
--- a/services/dispatch/core_test.go
+++ b/services/dispatch/core_test.go
@@ -27,7 +27,7 @@
 func TestHolderWithoutOtherBoxesAsksForNoPledges(t *testing.T) {
 	d := newHarness(t)
 	d.claimCell(time.Second)
-	d.handle(exchange.ClaimsRead{Failed: "down"})
+	d.handle(exchange.ClaimsRead{Failure: "down"})
 	for range 10 {
 		for _, e := range d.advance(100 * time.Millisecond) {
 			_, asked := e.(exchange.AskPledges)
--- a/services/dispatch/crash_test.go
+++ b/services/dispatch/crash_test.go
@@ -75,7 +75,7 @@
 func (w *world) explains(a *asked, told map[string]bool) {
 	w.holder().ask(func(id exchange.CallID) exchange.Event { return exchange.ExplanationAsked{Call: id, Job: a.sub.ID} }, func(got exchange.Answer) {
 		if x := got.Explanation; x != nil {
-			told[x.Why] = true
+			told[x.FailureReason] = true
 			for _, s := range x.Steps {
 				told[s.Reason] = true
 			}
@@ -180,7 +180,7 @@
 // entry returns what the list says of a worker.
 func (f *fakeWorker) entry() order.Worker {
 	return order.Worker{
-		Life: f.life, Address: f.name, Pool: pool, Domain: "a", Rack: f.rack, Labels: []string{"a", f.rack},
+		Incarnation: f.life, Address: f.name, Pool: pool, Domain: "a", Rack: f.rack, Labels: []string{"a", f.rack},
 		Capacity: f.capacity, Leaving: f.leaving,
 	}
 }
@@ -253,7 +253,7 @@
 	case 1:
 		s.Steps[0].Service = true
 	case 2:
-		s.Repeat = job.Repeat{Times: 2, First: w.now.Add(time.Second).UnixMilli(), Interval: 1500}
+		s.Repeat = job.Repeat{Times: 2, FirstUnixMilli: w.now.Add(time.Second).UnixMilli(), Interval: 1500}
 	}
 	after := []time.Duration{10 * time.Millisecond, 10 * time.Millisecond, 600 * time.Millisecond}[w.rng.Intn(3)]
 	w.blames(w.submit(s), 0, w.rng.Intn(s.Steps[0].Tasks), after)
--- a/services/dispatch/crashcases_test.go
+++ b/services/dispatch/crashcases_test.go
@@ -75,7 +75,7 @@
 	s.Steps[0].Estimate = 8000
 	a := w.submit(s)
 	w.crashesUnder("sound", 919*time.Millisecond, 886*time.Millisecond, 813*time.Millisecond)
-	w.until(60*time.Second, "the job has ended", func() bool { w.states(); return a.state.Final() })
+	w.until(60*time.Second, "the job has ended", func() bool { w.states(); return a.state.IsFinal() })
 	assert.Equal(t, a.state, job.Succeeded)
 	w.check()
 }
@@ -172,25 +172,25 @@
 // since the look before. Looks wait for half of a task's usual time, so this comes again and
 // again for the same task.
 func TestALookThatBreaksOffTellsWhenItsWorkerCrashed(t *testing.T) {
-	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	d, looks := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	starts := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("guilty", "quick", 1, false)))
 	assert.Equal(t, len(starts), 1)
 	run := starts[0].Order.Run
-	d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: run, Answer: order.Answer{Fate: order.Carried}})
+	d.handle(exchange.StartEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Run: run, Answer: order.Answer{Outcome: order.CarriedOut}})
 	waiting := effectsOf[exchange.Renew](d.handle(renewAnswer(looks["w"], run)))
 	assert.Equal(t, len(waiting), 1)
-	d.now = d.now.Add(waiting[0].Order.Wait.Duration() + 4*time.Millisecond)
-	broke := order.Answer{Fate: order.Unknown, Reason: order.Closed, Problem: "EOF"}
-	again := effectsOf[exchange.Renew](d.handle(exchange.RenewEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Look: waiting[0].Look, Answer: broke}))
+	d.now = d.now.Add(waiting[0].Order.MaxWait.Duration() + 4*time.Millisecond)
+	broke := order.Answer{Outcome: order.Unknown, Reason: order.ConnectionClosed, Problem: "EOF"}
+	again := effectsOf[exchange.Renew](d.handle(exchange.RenewEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Renewal: waiting[0].Renewal, Answer: broke}))
 	assert.Equal(t, len(again), 1)
-	lost := d.handle(exchange.RenewEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Look: again[0].Look, Answer: order.Answer{Fate: order.NoLife}})
+	lost := d.handle(exchange.RenewEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Renewal: again[0].Renewal, Answer: order.Answer{Outcome: order.WrongIncarnation}})
 	assert.DeepEqual(t, noted(lost, "a worker crashed under a task", "late"), []any{"0s"})
 }
 
 // noted returns the values of a field in the notes of some message.
 func noted(effects []exchange.Effect, message, name string) []any {
 	var all []any
-	for _, n := range effectsOf[exchange.Note](effects) {
+	for _, n := range effectsOf[exchange.LogEvent](effects) {
 		for _, f := range n.Fields {
 			if n.Message == message && f.Name == name {
 				all = append(all, f.Value)
--- a/services/dispatch/delay.go
+++ b/services/dispatch/delay.go
@@ -82,7 +82,7 @@
 
 // logJobEnd says how a job ended, against when it was wanted, and what delayed it.
 func (h *holderState) logJobEnd(now time.Time, j *trackedJob, state job.State, why string) {
-	fields := []exchange.Field{
+	fields := []exchange.LogField{
 		logField("job", string(j.id)), logField("queue", j.queue), logField("workspace", j.workspace), logField("outcome", string(state)), logField("reason", why),
 		logField("age", now.Sub(j.acceptedAt).String()), logField("claim", h.epoch),
 	}
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -129,7 +129,7 @@
 		c.beginStop(now)
 	case exchange.ConfigRead:
 		c.handleConfigRead(e.Config)
-	case exchange.ConfigSeen:
+	case exchange.ConfigReadEnded:
 		c.configReadAt = ordered.Later(c.configReadAt, e.AskedAt)
 	case exchange.ClaimsRead:
 		c.handleClaimsRead(now, e)
@@ -199,15 +199,17 @@
 
 func (c *Core) emit(e exchange.Effect) { c.effects = append(c.effects, e) }
 
-func (c *Core) logEvent(message string, fields ...exchange.Field) {
-	c.emit(exchange.Note{Message: message, Fields: fields})
+func (c *Core) logEvent(message string, fields ...exchange.LogField) {
+	c.emit(exchange.LogEvent{Message: message, Fields: fields})
 }
 
 // logField returns a named value of a note.
-func logField(name string, value any) exchange.Field { return exchange.Field{Name: name, Value: value} }
+func logField(name string, value any) exchange.LogField {
+	return exchange.LogField{Name: name, Value: value}
+}
 
 func (c *Core) reply(call exchange.CallID, a exchange.Answer) {
-	c.emit(exchange.Reply{Call: call, Reply: a})
+	c.emit(exchange.Reply{Call: call, Answer: a})
 }
 
 // serveCall runs f if this process serves the cell's jobs and the caller may call. A holder that
@@ -237,7 +239,7 @@
 func (c *Core) replyElsewhere(id exchange.CallID, reason string) {
 	holder := c.Holder()
 	c.reply(id, exchange.Answer{
-		Outcome: exchange.Elsewhere, Reason: reason, Holder: &holder, RetryAfter: job.Milliseconds(noHolderRetryAfter.Milliseconds()),
+		Outcome: exchange.HeldElsewhere, Reason: reason, Holder: &holder, RetryAfter: job.Milliseconds(noHolderRetryAfter.Milliseconds()),
 	})
 }
 
--- a/services/dispatch/dispatch_test.go
+++ b/services/dispatch/dispatch_test.go
@@ -50,7 +50,7 @@
 	}
 	lost.alive, lost.runs = false, map[order.Run]*fakeRun{}
 	w.until(25*time.Second, "the job has ended", w.ended)
-	assert.Check(t, a.state.Final())
+	assert.Check(t, a.state.IsFinal())
 	w.check()
 }
 
@@ -192,7 +192,7 @@
 	s := oneStep("j", "quick", 2, false)
 	s.Steps[0].Estimate = 300
 	first := w.now.Add(2 * time.Second)
-	s.Repeat = job.Repeat{Times: 4, First: first.UnixMilli(), Interval: 1500}
+	s.Repeat = job.Repeat{Times: 4, FirstUnixMilli: first.UnixMilli(), Interval: 1500}
 	a := w.submit(s)
 	w.run(1900 * time.Millisecond)
 	assert.Equal(t, len(w.starts), 0)
--- a/services/dispatch/driven_test.go
+++ b/services/dispatch/driven_test.go
@@ -41,7 +41,7 @@
 	d.handle(exchange.ConfigRead{Config: config()})
 	d.handle(exchange.Tick{})
 	d.handle(exchange.AppendEnded{Purpose: exchange.ForAnnounce})
-	d.handle(exchange.ClaimsRead{Start: true})
+	d.handle(exchange.ClaimsRead{First: true})
 	return d
 }
 
@@ -138,7 +138,7 @@
 	d.handle(exchange.AppendEnded{Purpose: exchange.ForJournal, Number: fence.Number})
 	d.handle(exchange.JobsLoaded{Epoch: 1})
 	looks := map[string]exchange.Renew{}
-	listed := d.handle(exchange.WorkersRead{Listing: order.Listing{Whole: true, Present: workers}})
+	listed := d.handle(exchange.WorkersRead{Listing: order.Listing{Complete: true, Present: workers}})
 	var effects []exchange.Effect
 	for _, r := range effectsOf[exchange.Renew](listed) {
 		effects = append(effects, d.handle(renewAnswer(r))...)
@@ -153,7 +153,7 @@
 // renewAnswer is the answer to a look at a worker that runs some tasks.
 func renewAnswer(r exchange.Renew, running ...order.Run) exchange.RenewEnded {
 	e := exchange.RenewEnded{
-		Worker: r.Worker, Epoch: r.Epoch, Look: r.Look, Answer: order.Answer{Fate: order.Carried}, Report: order.Report{Life: r.Worker, Clock: 1000},
+		Worker: r.Worker, Epoch: r.Epoch, Renewal: r.Renewal, Answer: order.Answer{Outcome: order.CarriedOut}, Report: order.Report{Incarnation: r.Worker, Clock: 1000},
 	}
 	for _, run := range running {
 		e.Report.Running = append(e.Report.Running, order.Running{Run: run, Progress: 100})
--- a/services/dispatch/ends.go
+++ b/services/dispatch/ends.go
@@ -28,7 +28,7 @@
 	if a != nil {
 		s = a.step
 		h.unassign(a)
-		if end.How == order.Stopped && !a.stopRequestedAt.IsZero() {
+		if end.Status == order.Stopped && !a.stopRequestedAt.IsZero() {
 			h.history.ObserveStop(now.Sub(a.stopRequestedAt))
 		}
 	}
@@ -41,14 +41,14 @@
 	if end.Checkpoint != "" && s.spec.Checkpoints {
 		t.checkpoint = end.Checkpoint
 	}
-	if end.How == order.Done {
+	if end.Status == order.Done {
 		h.clearBlame(s, end.Task.Index)
 		s.recordRunTime(now, a)
 		if a != nil {
 			h.learnSpeed(now, a)
 		}
 	} else {
-		t.runs.RecordInterruption(delays.InterruptionCause(end.How))
+		t.runs.RecordInterruption(delays.InterruptionCause(end.Status))
 	}
 	h.applyRunEnd(now, w, s, end)
 	h.logRunEnd(s, w, end)
@@ -62,22 +62,22 @@
 
 // logRunEnd logs an end that is not a good one; good ones are told by step.
 func (h *holderState) logRunEnd(s *step, w *worker, end order.End) {
-	if end.How == order.Done {
+	if end.Status == order.Done {
 		return
 	}
 	h.core.logEvent("task ended", logField("job", string(s.job.id)), logField("task", end.Task.String()), logField("run", end.Run.Number),
-		logField("worker", w.Life.String()), logField("outcome", string(end.How)), logField("claim", h.epoch))
+		logField("worker", w.Incarnation.String()), logField("outcome", string(end.Status)), logField("claim", h.epoch))
 }
 
 // applyRunEnd draws the consequences of one end.
 func (h *holderState) applyRunEnd(now time.Time, w *worker, s *step, end order.End) {
 	switch {
-	case s.job.state.Final(), s.spec.Service:
+	case s.job.state.IsFinal(), s.spec.Service:
 		h.replanAfterEnd(s)
-	case end.How == order.Done:
+	case end.Status == order.Done:
 		w.failedJobs = 0
 		h.completeTask(now, s, end)
-	case end.How == order.Failed:
+	case end.Status == order.Failed:
 		h.excludeFailingWorker(now, w, s.job.id)
 		s.recordFailedWorker(w)
 		h.recordTaskFailure(now, s, end)
@@ -176,7 +176,7 @@
 // replanAfterEnd has the step's remaining tasks placed again.
 func (h *holderState) replanAfterEnd(s *step) {
 	h.planDue = true
-	if s.placedTasks == 0 && s.job.endLogged && s.job.state.Final() {
+	if s.placedTasks == 0 && s.job.endLogged && s.job.state.IsFinal() {
 		s.job.releaseIfIdle()
 	}
 }
@@ -200,6 +200,6 @@
 	if w.failedJobs >= excludeAfter {
 		w.failedJobs = excludeAfter - 1
 		w.excludedUntil = now.Add(excludeFor)
-		h.core.logEvent("worker is left out because different jobs fail on it", logField("worker", w.Life.String()), logField("until", w.excludedUntil.UTC()))
+		h.core.logEvent("worker is left out because different jobs fail on it", logField("worker", w.Incarnation.String()), logField("until", w.excludedUntil.UTC()))
 	}
 }
--- a/services/dispatch/foreign_test.go
+++ b/services/dispatch/foreign_test.go
@@ -19,39 +19,39 @@
 
 // refusedEntries is a change of the list by which some entries name no worker any more.
 func refusedEntries(why string, ids ...string) exchange.WorkersRead {
-	l := order.Listing{Gone: ids, Foreign: map[string]string{}}
+	l := order.Listing{Removed: ids, Unreadable: map[string]string{}}
 	for _, id := range ids {
-		l.Foreign[id] = why
+		l.Unreadable[id] = why
 	}
 	return exchange.WorkersRead{Listing: l}
 }
 
 func TestWorkerWithUnreadableEntryKeepsTasksAndGetsNoMore(t *testing.T) {
-	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	d, looks := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	start := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))[0]
-	d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
+	d.handle(exchange.StartEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut}})
 	d.answerRenewals(3*time.Second, looks)
 	told := effectsOf[exchange.EntryRefused](d.handle(refusedEntries("it cannot be read", "w", "x")))
 	assert.Equal(t, len(told), 2)
 	told = effectsOf[exchange.EntryRefused](d.handle(refusedEntries("it cannot be read", "w", "x")))
 	assert.Equal(t, len(told), 0, "it is told of once")
 	assert.Equal(t, d.submitAndCountStarts(oneStep("k", "quick", 1, false), 3, looks), 0, "it gets no more")
-	state := effectsOf[exchange.Reply](d.handle(exchange.StateAsked{Call: 9, Job: "j"}))[0].Reply.State
+	state := effectsOf[exchange.Reply](d.handle(exchange.StateAsked{Call: 9, Job: "j"}))[0].Answer.State
 	assert.Equal(t, state, job.Running, "it keeps its task")
-	d.handle(exchange.WorkersRead{Listing: order.Listing{Present: []order.Worker{{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity}}}})
+	d.handle(exchange.WorkersRead{Listing: order.Listing{Present: []order.Worker{{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity}}}})
 	assert.Equal(t, d.answerRenewals(time.Second, looks), 1, "it is a worker again")
 }
 
 func TestWorkerOfUnnamedPoolIsNotContacted(t *testing.T) {
-	d, _ := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
-	other := order.Worker{Life: order.Life{Name: "o"}, Address: "o", Pool: "other", Capacity: workerCapacity}
+	d, _ := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	other := order.Worker{Incarnation: order.Incarnation{Name: "o"}, Address: "o", Pool: "other", Capacity: workerCapacity}
 	effects := d.handle(exchange.WorkersRead{Listing: order.Listing{Present: []order.Worker{other}}})
 	effects = append(effects, d.advance(200*time.Millisecond)...)
 	for _, r := range effectsOf[exchange.Renew](effects) {
 		assert.Check(t, r.Worker.Name != "o")
 	}
 	c := config()
-	c.Version, c.Guarded = 2, map[string]bool{"other": false}
+	c.Version, c.AdmissionChecked = 2, map[string]bool{"other": false}
 	effects = append(d.handle(exchange.ConfigRead{Config: c}), d.advance(200*time.Millisecond)...)
 	asked := false
 	for _, r := range effectsOf[exchange.Renew](effects) {
@@ -77,13 +77,13 @@
 		d.handle(exchange.AppendEnded{Purpose: exchange.ForJournal, Number: fence.Number})
 		records := []stream.Record{{Key: "s/j", Value: good, Offset: 1}, {Key: key, Value: value, Offset: 2}}
 		d.handle(exchange.JobsLoaded{Epoch: 1, Records: records})
-		w := order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity}
-		d.handle(exchange.WorkersRead{Listing: order.Listing{Whole: true, Present: []order.Worker{w}}})
+		w := order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity}
+		d.handle(exchange.WorkersRead{Listing: order.Listing{Complete: true, Present: []order.Worker{w}}})
 		d.advance(time.Second)
 		if strings.HasSuffix(key, "/j") {
 			return
 		}
 		state := effectsOf[exchange.Reply](d.handle(exchange.StateAsked{Call: 9, Job: "j"}))
-		assert.Check(t, len(state) == 0 || state[0].Reply.Outcome != exchange.NoJob, "the others hold")
+		assert.Check(t, len(state) == 0 || state[0].Answer.Outcome != exchange.NoJob, "the others hold")
 	})
 }
--- a/services/dispatch/fuzz_test.go
+++ b/services/dispatch/fuzz_test.go
@@ -24,7 +24,7 @@
 	for _, s := range []job.Submission{
 		oneStep("j", "quick", 2, false), oneStep("j", "wide", 3, true),
 		{ID: "j", Queue: "quick", Steps: []job.Step{{Tasks: 1, Service: true}, {Tasks: 2, After: []int{0}, Copies: true, PerWorker: 1}}},
-		{ID: "j", Queue: "none", Repeat: job.Repeat{Times: 3, First: 1, Interval: 5}, Steps: []job.Step{{Tasks: 1}}},
+		{ID: "j", Queue: "none", Repeat: job.Repeat{Times: 3, FirstUnixMilli: 1, Interval: 5}, Steps: []job.Step{{Tasks: 1}}},
 	} {
 		data, err := json.Marshal(s)
 		assert.NilError(f, err)
@@ -35,7 +35,7 @@
 		if json.Unmarshal(data, &s) != nil || s.Check() != nil {
 			return
 		}
-		w := order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity}
+		w := order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity}
 		d, looks := newHolder(t, w)
 		effects := append(d.handle(exchange.Submitted{Call: 1, Submission: s}), d.advance(20*time.Millisecond)...)
 		var records []stream.Record
@@ -47,9 +47,9 @@
 		}
 		effects = append(take(effects), d.advance(20*time.Millisecond)...)
 		for _, start := range effectsOf[exchange.StartRun](effects) {
-			d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
+			d.handle(exchange.StartEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut}})
 		}
-		gone := exchange.RenewEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Look: looks["w"].Look, Answer: order.Answer{Fate: order.NoLife}}
+		gone := exchange.RenewEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Renewal: looks["w"].Renewal, Answer: order.Answer{Outcome: order.WrongIncarnation}}
 		take(append(d.handle(gone), d.advance(20*time.Millisecond)...))
 		for i := range records {
 			records[i].Offset = int64(i)
@@ -60,6 +60,6 @@
 		next.handle(exchange.JobsLoaded{Epoch: 1, Records: records})
 		state := effectsOf[exchange.Reply](next.handle(exchange.StateAsked{Call: 9, Job: s.ID}))
 		assert.Equal(t, len(state), 1)
-		assert.Check(t, state[0].Reply.Outcome != exchange.NoJob, "%s was kept and is not known", s.ID)
+		assert.Check(t, state[0].Answer.Outcome != exchange.NoJob, "%s was kept and is not known", s.ID)
 	})
 }
--- a/services/dispatch/gangs_test.go
+++ b/services/dispatch/gangs_test.go
@@ -26,7 +26,7 @@
 	c.Queues = map[string]job.Queue{
 		"gangs": {
 			Name: "gangs", Pool: pool, Priority: 1, Attempts: 3, Stretch: 2.2, Latency: time.Second,
-			Advice: &job.Advice{Base: 600 * time.Millisecond, Each: 8600 * time.Microsecond, Valid: 1500 * time.Millisecond},
+			Advice: &job.Advice{BaseTime: 600 * time.Millisecond, TimePerWorker: 8600 * time.Microsecond, TicketLifetime: 1500 * time.Millisecond},
 		},
 		"sweeps": {Name: "sweeps", Pool: pool, Priority: 2, Attempts: 3, Stretch: 4, Latency: 3 * time.Second},
 		"quick":  c.Queues["quick"],
@@ -55,7 +55,7 @@
 func (w *world) endedWithPrefix(prefix string) bool {
 	w.states()
 	for id, a := range w.jobs {
-		if strings.HasPrefix(string(id), prefix) && !a.state.Final() {
+		if strings.HasPrefix(string(id), prefix) && !a.state.IsFinal() {
 			return false
 		}
 	}
@@ -116,7 +116,7 @@
 func (d *harness) answerAdvice(a exchange.Advise) []exchange.Effect {
 	e := exchange.Advised{Step: a.Step, Box: a.Box, Epoch: a.Epoch, Number: a.Number}
 	for _, w := range a.Workers {
-		e.Good = append(e.Good, order.Ticket{Worker: w, Ticket: "ticket"})
+		e.Tickets = append(e.Tickets, order.Ticket{Worker: w, Ticket: "ticket"})
 	}
 	return d.handle(e)
 }
@@ -127,7 +127,7 @@
 	t.Helper()
 	var all []order.Worker
 	for _, id := range workers {
-		all = append(all, order.Worker{Life: order.Life{Name: id}, Address: id, Pool: pool, Capacity: workerCapacity})
+		all = append(all, order.Worker{Incarnation: order.Incarnation{Name: id}, Address: id, Pool: pool, Capacity: workerCapacity})
 	}
 	d, looks := newHolder(t, all...)
 	c := gangConfig()
@@ -146,7 +146,7 @@
 	effects := d.submitAndLog(sweep)
 	d.confirmClaimRenewal(effects)
 	start := effectsOf[exchange.StartRun](effects)[0]
-	d.handle(exchange.StartEnded{Worker: start.Worker, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
+	d.handle(exchange.StartEnded{Worker: start.Worker, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut}})
 	return d, looks, map[string][]order.Run{start.Worker.Name: {start.Order.Run}}
 }
 
@@ -184,7 +184,7 @@
 		d.answerAdvice(a)
 	}
 	listed := d.handle(exchange.WorkersRead{Listing: order.Listing{Present: []order.Worker{
-		{Life: order.Life{Name: "w2"}, Address: "w2", Pool: pool, Capacity: workerCapacity}, {Life: order.Life{Name: "w3"}, Address: "w3", Pool: pool, Capacity: workerCapacity},
+		{Incarnation: order.Incarnation{Name: "w2"}, Address: "w2", Pool: pool, Capacity: workerCapacity}, {Incarnation: order.Incarnation{Name: "w3"}, Address: "w3", Pool: pool, Capacity: workerCapacity},
 	}}})
 	for _, r := range effectsOf[exchange.Renew](listed) {
 		looks[r.Worker.Name] = r
--- a/services/dispatch/gone.go
+++ b/services/dispatch/gone.go
@@ -14,7 +14,7 @@
 func (h *holderState) handleWorkerUnresponsive(now time.Time, w *worker) {
 	w.presence.RecordSilence(now, h.core.settings.RenewWait+renewMargin)
 	if w.isolatedAttempts == 0 {
-		h.blame.RecordSilence(now, w.Life, w.Rack, w.crashRisk())
+		h.blame.RecordSilence(now, w.Incarnation, w.Rack, w.crashRisk())
 	}
 }
 
@@ -30,7 +30,7 @@
 // loseAttempts frees the tasks of a worker that has surely ended them. Later is the life that has
 // taken its place, or nil: tasks that it may begin are handed down to it.
 func (h *holderState) loseAttempts(now time.Time, w, later *worker, how exchange.Ending, why string) {
-	lost := exchange.TasksLost{How: how, Tasks: len(w.attempts)}
+	lost := exchange.TasksLost{Ending: how, Tasks: len(w.attempts)}
 	at := w.presence.SilentSince()
 	var suspects []blame.RunningTask
 	if how == exchange.Crashed {
--- a/services/dispatch/hidden.go
+++ b/services/dispatch/hidden.go
@@ -16,7 +16,7 @@
 // needsStartRecord says whether the log is told of a start: not if its run has ended well.
 func (h *holderState) needsStartRecord(s recent.Start) bool {
 	st := h.findStep(s.Task.StepID)
-	return st != nil && !st.job.state.Final() && !st.tasks[s.Task.Index].done
+	return st != nil && !st.job.state.IsFinal() && !st.tasks[s.Task.Index].done
 }
 
 // restoreStarts takes over which tasks earlier holders had started last.
@@ -32,14 +32,14 @@
 // told this one what it runs, as far as they may have run there until it crashed.
 func (h *holderState) startedOn(w *worker, at time.Time) []blame.RunningTask {
 	var all []blame.RunningTask
-	for _, s := range h.inheritedStarts.StartedOn(w.Life) {
+	for _, s := range h.inheritedStarts.StartedOn(w.Incarnation) {
 		if st := h.possiblyLostStep(s); st != nil {
 			on := blame.StartedByEarlierHolder(st.blameUnit(s.Task.Index), s.UnixMilli, h.core.unixMilli(at), h.inheritedStarts.WorkerCount(st.id, st.spec.Gang))
 			on.Run, on.Gang = s.Run, st.spec.Gang
 			all = append(all, on)
 		}
 	}
-	h.inheritedStarts.Forget(w.Life)
+	h.inheritedStarts.Forget(w.Incarnation)
 	return all
 }
 
@@ -47,7 +47,7 @@
 // anew since, else nil.
 func (h *holderState) possiblyLostStep(s recent.Start) *step {
 	st := h.findStep(s.Task.StepID)
-	if st == nil || s.Task.Index >= len(st.tasks) || st.job.state.Final() {
+	if st == nil || s.Task.Index >= len(st.tasks) || st.job.state.IsFinal() {
 		return nil
 	}
 	t := &st.tasks[s.Task.Index]
--- a/services/dispatch/holding.go
+++ b/services/dispatch/holding.go
@@ -207,7 +207,7 @@
 
 // replyUnsureToAll answers every caller who waits for the log.
 func (h *holderState) replyUnsureToAll(why string) {
-	a := exchange.Answer{Outcome: exchange.Unsure, Reason: why}
+	a := exchange.Answer{Outcome: exchange.MaybeDone, Reason: why}
 	for _, j := range ordered.Map(h.jobs) {
 		h.replyToCalls(j.acceptCalls, a)
 		h.replyToCalls(j.cancelCalls, a)
--- a/services/dispatch/instances.go
+++ b/services/dispatch/instances.go
@@ -82,7 +82,7 @@
 		in.openedAt = now
 	}
 	for _, s := range in.steps {
-		if s.open || s.job.state.Final() || !in.isReady(s) {
+		if s.open || s.job.state.IsFinal() || !in.isReady(s) {
 			continue
 		}
 		s.open = true
@@ -106,7 +106,7 @@
 func (h *holderState) createAllDueInstances(now time.Time) {
 	kept := h.repeatingJobs[:0]
 	for _, j := range h.repeatingJobs {
-		if j.state.Final() {
+		if j.state.IsFinal() {
 			continue
 		}
 		h.createDueInstances(now, j)
--- a/services/dispatch/jobs.go
+++ b/services/dispatch/jobs.go
@@ -167,7 +167,7 @@
 
 // finishJob gives a job its final state and ends what still runs of it.
 func (h *holderState) finishJob(now time.Time, j *trackedJob, state job.State, why string) {
-	if j.state.Final() {
+	if j.state.IsFinal() {
 		return
 	}
 	j.state = state
--- a/services/dispatch/journal.go
+++ b/services/dispatch/journal.go
@@ -175,7 +175,7 @@
 		b.progressEntries = append(b.progressEntries, progressEntry{job: s, state: s.state, ends: s.unloggedEnds, cancelCalls: s.cancelCalls})
 		s.unloggedEnds, s.cancelCalls = nil, nil
 		size += b.addRecord(kept.ProgressRecord(s.id, s.progress(h.blame)))
-		if s.state.Final() {
+		if s.state.IsFinal() {
 			b.append.Records = append(b.append.Records, kept.DropSubmission(s.id))
 		}
 	}
--- a/services/dispatch/keep.go
+++ b/services/dispatch/keep.go
@@ -56,7 +56,7 @@
 // isLarge says whether a worker has room for only one of a step's tasks at a time, so
 // that they find none while smaller tasks come and go.
 func (set *workerSet) isLarge(s *step) bool {
-	return set.maxCapacity.Holds(s.spec.Reserved(), job.MaxTasks) < largeTaskSlots
+	return set.maxCapacity.FitCount(s.spec.Reserved(), job.MaxTasks) < largeTaskSlots
 }
 
 // drainForLargeTasks keeps other tasks off the workers that will be empty first, one for each
--- a/services/dispatch/late_test.go
+++ b/services/dispatch/late_test.go
@@ -17,14 +17,14 @@
 // doneAnswer is the answer to a look at a worker on which a run has ended well.
 func doneAnswer(r exchange.Renew, run order.Run) exchange.RenewEnded {
 	e := renewAnswer(r)
-	e.Report.Ended = []order.End{{Number: 1, Run: run, How: order.Done}}
+	e.Report.Ended = []order.End{{Number: 1, Run: run, Status: order.Done}}
 	return e
 }
 
 // renewalTimesOut ends a look that ran out of its time, and returns the next one.
 func (d *harness) renewalTimesOut(r exchange.Renew) exchange.Renew {
 	d.t.Helper()
-	effects := d.handle(exchange.RenewEnded{Worker: r.Worker, Epoch: r.Epoch, Look: r.Look, Answer: order.Answer{Fate: order.Unknown}})
+	effects := d.handle(exchange.RenewEnded{Worker: r.Worker, Epoch: r.Epoch, Renewal: r.Renewal, Answer: order.Answer{Outcome: order.Unknown}})
 	effects = append(effects, d.advance(200*time.Millisecond)...)
 	d.confirmAnyAppend(effects)
 	next := effectsOf[exchange.Renew](effects)
@@ -47,22 +47,22 @@
 // What settled it: the worker's lines `does not answer` without `answers again` between
 // the end of the run and the next start, on a day without any disturbance.
 func TestEndInLateAnswerCounts(t *testing.T) {
-	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	d, looks := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	start := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))[0]
-	d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
+	d.handle(exchange.StartEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut}})
 	d.renewalTimesOut(looks["w"])
 	effects := d.handle(doneAnswer(looks["w"], start.Order.Run))
 	d.confirmAnyAppend(append(effects, d.advance(20*time.Millisecond)...))
 	effects = d.handle(exchange.StateAsked{Call: 9, Job: "j"})
-	assert.Equal(t, effectsOf[exchange.Reply](effects)[0].Reply.State, job.Succeeded)
+	assert.Equal(t, effectsOf[exchange.Reply](effects)[0].Answer.State, job.Succeeded)
 }
 
 // A late answer is from before the look under way: what ran by then may have ended, and
 // what did not may have begun.
 func TestLateAnswerIsUsedForEndsOnly(t *testing.T) {
-	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	d, looks := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	start := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))[0]
-	d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
+	d.handle(exchange.StartEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut}})
 	second := d.renewalTimesOut(looks["w"])
 	third := d.renewalTimesOut(second)
 	effects := d.handle(renewAnswer(second))
@@ -82,12 +82,12 @@
 func TestOverloadedHolderRefusesOnlyUnknownJobs(t *testing.T) {
 	d := oneWorker(t)
 	d.submitAndLog(oneStep("known", "quick", 1, false))
-	again := d.handle(exchange.Submitted{Call: 7, Submission: oneStep("known", "quick", 1, false), ComeBack: 2 * time.Second})
-	assert.Equal(t, effectsOf[exchange.Reply](again)[0].Reply.Outcome, exchange.OK)
-	fresh := d.handle(exchange.Submitted{Call: 8, Submission: oneStep("new", "quick", 1, false), ComeBack: 2 * time.Second})
-	reply := effectsOf[exchange.Reply](fresh)[0].Reply
+	again := d.handle(exchange.Submitted{Call: 7, Submission: oneStep("known", "quick", 1, false), RetryAfter: 2 * time.Second})
+	assert.Equal(t, effectsOf[exchange.Reply](again)[0].Answer.Outcome, exchange.OK)
+	fresh := d.handle(exchange.Submitted{Call: 8, Submission: oneStep("new", "quick", 1, false), RetryAfter: 2 * time.Second})
+	reply := effectsOf[exchange.Reply](fresh)[0].Answer
 	assert.Equal(t, reply.Outcome, exchange.Unavailable)
 	assert.Equal(t, reply.RetryAfter.Duration(), 2*time.Second)
 	state := d.handle(exchange.StateAsked{Call: 9, Job: "new"})
-	assert.Equal(t, effectsOf[exchange.Reply](state)[0].Reply.Outcome, exchange.NoJob)
+	assert.Equal(t, effectsOf[exchange.Reply](state)[0].Answer.Outcome, exchange.NoJob)
 }
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -61,19 +61,19 @@
 	}
 	h.renewalsSent++
 	w.pendingRenewal = h.renewalsSent
-	r := order.Renew{Fence: h.fence(w), Seen: w.reportedEnds.Acknowledge(h.canAcknowledgeEnds(now, w))}
+	r := order.Renew{Fence: h.fence(w), Acknowledged: w.reportedEnds.Acknowledge(h.canAcknowledgeEnds(now, w))}
 	if w.failures == 0 {
 		// While a worker does not answer its lease must run out some time.
-		r.Until = h.extendLease(now, w)
+		r.LeaseEnd = h.extendLease(now, w)
 	}
 	mayWait := w.reported && !w.incarnations.HasCandidate()
 	if mayWait && (w.failures == 0 && !w.reportedEnds.HasPending() || len(w.attempts) == 0) {
-		r.Wait = job.Milliseconds(h.renewWait(w).Milliseconds())
+		r.MaxWait = job.Milliseconds(h.renewWait(w).Milliseconds())
 	}
-	w.answerDue = now.Add(r.Wait.Duration())
+	w.answerDue = now.Add(r.MaxWait.Duration())
 	h.core.emit(exchange.Renew{
-		Worker: w.Life, Address: w.renewAddress(), Epoch: h.epoch, Look: w.pendingRenewal, Order: r,
-		Timeout: h.adaptiveTimeout(now, renewMargin) + r.Wait.Duration(), Late: h.lateAnswerWindow(now, w),
+		Worker: w.Incarnation, Address: w.renewAddress(), Epoch: h.epoch, Renewal: w.pendingRenewal, Order: r,
+		Timeout: h.adaptiveTimeout(now, renewMargin) + r.MaxWait.Duration(), GracePeriod: h.lateAnswerWindow(now, w),
 	})
 }
 
@@ -108,18 +108,18 @@
 		h.handleOtherIncarnationAnswer(now, e)
 		return
 	}
-	if e.Look != w.pendingRenewal {
+	if e.Renewal != w.pendingRenewal {
 		h.handleLateRenewEnded(now, w, e)
 		return
 	}
 	w.pendingRenewal = 0
-	carried := e.Answer.Fate == order.Carried
+	carried := e.Answer.Outcome == order.CarriedOut
 	switch {
-	case e.Answer.Fate == order.NoLife && w.renewAddress() != w.Address:
+	case e.Answer.Outcome == order.WrongIncarnation && w.renewAddress() != w.Address:
 		// There is no life where another life's entry says, which may be old.
 		h.handleRenewFailed(now, w, e)
-	case h.handleSuperseded(now, w, e.Answer, e.Look):
-	case carried && w.incarnations.RecordAnswer(w.Life, e.Report.Life, e.Look):
+	case h.handleSuperseded(now, w, e.Answer, e.Renewal):
+	case carried && w.incarnations.RecordAnswer(w.Incarnation, e.Report.Incarnation, e.Renewal):
 		h.handleWorkerRestart(now, w, e)
 	case carried:
 		h.handleRenewed(now, w, e)
@@ -146,19 +146,19 @@
 // handleLateRenewEnded takes the answer to a look that has run out of its time. Ends have numbers
 // and stay true; what ran by then may have ended since, so the rest tells nothing.
 func (h *holderState) handleLateRenewEnded(now time.Time, w *worker, e exchange.RenewEnded) {
-	due, waited := w.overdue[e.Look]
-	delete(w.overdue, e.Look)
-	if e.Answer.Fate != order.Carried {
+	due, waited := w.overdue[e.Renewal]
+	delete(w.overdue, e.Renewal)
+	if e.Answer.Outcome != order.CarriedOut {
 		return
 	}
 	if waited {
 		h.answerDelays.Record(now, now.Sub(due))
 	}
 	switch {
-	case w.IsOther(e.Report.Life) && e.Worker.BornUnixMilli == 0:
+	case w.DiffersFrom(e.Report.Incarnation) && e.Worker.BornUnixMilli == 0:
 		// It may be an earlier life or a later one.
 		h.handleOtherIncarnationAnswer(now, e)
-	case w.incarnations.RecordAnswer(w.Life, e.Report.Life, 0):
+	case w.incarnations.RecordAnswer(w.Incarnation, e.Report.Incarnation, 0):
 		h.handleWorkerRestart(now, w, e)
 	default:
 		h.applyEnds(now, w, e.Report.Ended)
@@ -190,7 +190,7 @@
 	if _, shared := w.tailBesideFillers(); shared {
 		wait = min(maxServingWait, wait)
 	}
-	if !h.isEnabled(mechanism.ShortLooks) {
+	if !h.isEnabled(mechanism.ShortRenewals) {
 		return wait
 	}
 	for _, a := range w.attempts {
@@ -212,7 +212,7 @@
 // look, or 0 for other orders.
 func (h *holderState) handleSuperseded(now time.Time, w *worker, a order.Answer, look int64) bool {
 	switch {
-	case a.Fate == order.NoLife:
+	case a.Outcome == order.WrongIncarnation:
 		h.handleIncarnationGone(now, w)
 		return true
 	case w.incarnations.IsFencedByLaterHolder(a, look):
@@ -227,21 +227,21 @@
 func (h *holderState) handleRenewFailed(now time.Time, w *worker, e exchange.RenewEnded) {
 	w.failures++
 	if len(w.overdue) < maxOverdueRenewals {
-		w.overdue[e.Look] = w.answerDue
+		w.overdue[e.Renewal] = w.answerDue
 	}
 	if w.failures == 1 {
-		if e.Answer.Reason == order.Closed {
+		if e.Answer.Reason == order.ConnectionClosed {
 			// Also where the wait was just over: then the crash took the answer with it.
 			w.aliveAt = now
 		}
 		h.handleWorkerUnresponsive(now, w)
-		h.core.logEvent("worker does not answer", logField("worker", w.Life.String()), logField("problem", e.Answer.Problem), logField("tasks", len(w.attempts)))
+		h.core.logEvent("worker does not answer", logField("worker", w.Incarnation.String()), logField("problem", e.Answer.Problem), logField("tasks", len(w.attempts)))
 	}
 	w.renewAt = now.Add(renewRetryDelay)
 	if w.failures == 1 {
 		// Mostly one answer was lost.
 		w.renewAt = now
-		if e.Answer.Reason == order.Closed || e.Answer.Fate == order.NotDone {
+		if e.Answer.Reason == order.ConnectionClosed || e.Answer.Outcome == order.NotDone {
 			w.incarnations.RaiseFence(h.renewalsSent)
 		}
 		h.renew(now, w)
@@ -254,14 +254,14 @@
 // handleRenewed takes a worker's report and asks again.
 func (h *holderState) handleRenewed(now time.Time, w *worker, e exchange.RenewEnded) {
 	if w.failures > 0 {
-		h.core.logEvent("worker answers again", logField("worker", w.Life.String()), logField("failures", w.failures))
+		h.core.logEvent("worker answers again", logField("worker", w.Incarnation.String()), logField("failures", w.failures))
 	}
 	w.failures = 0
 	w.reportedEnds.ConfirmAck()
-	h.setBirthTime(w, e.Report.Life)
+	h.setBirthTime(w, e.Report.Incarnation)
 	h.recordResponsive(w)
 	if w.presence.RecordAnswer() {
-		h.blame.RecordAnswer(w.Life)
+		h.blame.RecordAnswer(w.Incarnation)
 	}
 	clear(w.overdue)
 	w.answeredAt, w.aliveAt = now, now
@@ -272,8 +272,8 @@
 	h.confirmFence(now, w)
 	if !w.reported {
 		w.reported = true
-		h.inheritedStarts.Forget(w.Life)
-		h.blame.RecordReport(w.Life, w.runsUnit)
+		h.inheritedStarts.Forget(w.Incarnation)
+		h.blame.RecordReport(w.Incarnation, w.runsUnit)
 		inherited := h.unreportedWorkers[w.Name]
 		delete(h.unreportedWorkers, w.Name)
 		h.recordWorker(w)
@@ -315,7 +315,7 @@
 // handleLeaseExpired frees the tasks of a worker that has surely ended them.
 func (h *holderState) handleLeaseExpired(now time.Time, w *worker) {
 	if len(w.attempts) > 0 || w.reported || h.unreportedWorkers[w.Name] {
-		h.core.logEvent("worker's lease has run out", logField("worker", w.Life.String()), logField("tasks", len(w.attempts)),
+		h.core.logEvent("worker's lease has run out", logField("worker", w.Incarnation.String()), logField("tasks", len(w.attempts)),
 			logField("lapsed_for", now.Sub(w.leaseExpiresBy).String()), logField("how", string(h.endingOf(now, w, w.incarnations.HasCandidate()))))
 	}
 	h.loseAttempts(now, w, nil, h.endingOf(now, w, w.incarnations.HasCandidate()), "the worker's lease has run out")
--- a/services/dispatch/listing.go
+++ b/services/dispatch/listing.go
@@ -18,14 +18,14 @@
 // handleWorkersRead takes a change of the platform's list. A worker that is no longer
 // listed keeps its tasks until its lease has run out.
 func (h *holderState) handleWorkersRead(now time.Time, l order.Listing) {
-	if l.Whole {
+	if l.Complete {
 		h.markMissing(now, l)
 	}
 	for _, o := range l.Present {
 		h.handleWorkerListed(now, o)
 	}
 	h.reportForeign(l)
-	for _, id := range l.Gone {
+	for _, id := range l.Removed {
 		if w := h.workers[id]; w != nil {
 			h.handleEntryMissing(now, w)
 		}
@@ -43,7 +43,7 @@
 
 // addPools notes the pools that a configuration names: workers of others are left alone.
 func (h *holderState) addPools(config job.Config) {
-	for pool := range config.Guarded {
+	for pool := range config.AdmissionChecked {
 		h.knownPools[pool] = true
 	}
 	for _, q := range config.Queues {
@@ -94,7 +94,7 @@
 	if !w.incarnations.HasCandidate() {
 		return
 	}
-	h.core.logEvent("another life of a worker is listed", logField("worker", w.Life.String()), logField("life", o.Life.String()))
+	h.core.logEvent("another life of a worker is listed", logField("worker", w.Incarnation.String()), logField("life", o.Incarnation.String()))
 	if h.phase != phaseActive || w.pendingRenewal != 0 && !w.incarnations.PrecedesCandidate(w.pendingRenewal) {
 		return
 	}
@@ -112,16 +112,16 @@
 	w := h.workers[o.Name]
 	if w == nil {
 		w = h.addWorker(now, o)
-		h.core.logEvent("worker listed", logField("worker", o.Life.String()), logField("address", o.Address), logField("pool", o.Pool), logField("domain", o.Domain))
+		h.core.logEvent("worker listed", logField("worker", o.Incarnation.String()), logField("address", o.Address), logField("pool", o.Pool), logField("domain", o.Domain))
 	}
-	if !w.incarnations.RecordEntry(w.Life, o, h.renewalsSent) {
+	if !w.incarnations.RecordEntry(w.Incarnation, o, h.renewalsSent) {
 		h.handleOtherIncarnationListed(now, w, o)
 		return
 	}
-	h.setBirthTime(w, o.Life)
-	o.Life = w.Life
+	h.setBirthTime(w, o.Incarnation)
+	o.Incarnation = w.Incarnation
 	if o.Leaving && !w.Leaving {
-		h.core.logEvent("worker is leaving", logField("worker", o.Life.String()), logField("remaining", o.Remaining.String()), logField("tasks", len(w.attempts)))
+		h.core.logEvent("worker is leaving", logField("worker", o.Incarnation.String()), logField("remaining", o.Remaining.String()), logField("tasks", len(w.attempts)))
 	}
 	w.presence.RecordEntry(o.Leaving)
 	used := w.Capacity.Minus(w.free)
--- a/services/dispatch/lives.go
+++ b/services/dispatch/lives.go
@@ -25,9 +25,9 @@
 
 // currentWorker returns the worker if the life is the present one of its name, as far as is known,
 // else nil.
-func (h *holderState) currentWorker(life order.Life) *worker {
+func (h *holderState) currentWorker(life order.Incarnation) *worker {
 	w := h.workers[life.Name]
-	if w == nil || w.IsOther(life) {
+	if w == nil || w.DiffersFrom(life) {
 		return nil
 	}
 	return w
@@ -38,14 +38,14 @@
 
 // handleWorkerRestart takes the answer of a life that is later than the one known: that one is over.
 func (h *holderState) handleWorkerRestart(now time.Time, w *worker, e exchange.RenewEnded) {
-	o, listed := w.incarnations.Successor(w.Worker, e.Report.Life)
+	o, listed := w.incarnations.Successor(w.Worker, e.Report.Incarnation)
 	n := newWorker(now, o)
 	n.incarnations = w.incarnations
 	if listed {
 		n.presence.RecordEntry(o.Leaving)
 	}
 	how := h.endingOf(now, w, true)
-	h.core.logEvent("worker has started again", logField("worker", w.Life.String()), logField("life", n.Life.String()), logField("tasks", len(w.attempts)),
+	h.core.logEvent("worker has started again", logField("worker", w.Incarnation.String()), logField("life", n.Incarnation.String()), logField("tasks", len(w.attempts)),
 		logField("how", string(how)), logField("listed", listed))
 	h.workers[n.Name] = n
 	h.sortedWorkers = nil
@@ -91,7 +91,7 @@
 // true; the rest holds for that life only.
 func (h *holderState) handleOtherIncarnationAnswer(now time.Time, e exchange.RenewEnded) {
 	for _, end := range e.Report.Ended {
-		if end.How == order.Done {
+		if end.Status == order.Done {
 			h.applyFormerSuccess(now, end)
 		}
 	}
@@ -100,7 +100,7 @@
 // applyFormerSuccess takes a good end that an earlier life has told.
 func (h *holderState) applyFormerSuccess(now time.Time, end order.End) {
 	s := h.findStep(end.Task.StepID)
-	if s == nil || end.Task.Index >= len(s.tasks) || s.spec.Service || s.job.state.Final() || s.tasks[end.Task.Index].done {
+	if s == nil || end.Task.Index >= len(s.tasks) || s.spec.Service || s.job.state.IsFinal() || s.tasks[end.Task.Index].done {
 		return
 	}
 	h.clearBlame(s, end.Task.Index)
@@ -111,11 +111,11 @@
 }
 
 // setBirthTime takes when a life began of which only the name was known.
-func (h *holderState) setBirthTime(w *worker, life order.Life) {
+func (h *holderState) setBirthTime(w *worker, life order.Incarnation) {
 	if w.BornUnixMilli != 0 || life.BornUnixMilli == 0 {
 		return
 	}
-	w.Life = life
+	w.Incarnation = life
 	if w.recorded || w.recordPending {
 		w.recorded, w.recordPending = false, false
 		h.recordWorker(w)
@@ -146,12 +146,12 @@
 	if w == nil {
 		return h.addWorker(now, o)
 	}
-	if w.reported || !w.IsOther(o.Life) {
+	if w.reported || !w.DiffersFrom(o.Incarnation) {
 		return w
 	}
 	entry := w.Worker
 	w = h.addWorker(now, o)
 	w.presence.RecordEntry(entry.Leaving)
-	w.incarnations.RecordEntry(w.Life, entry, h.renewalsSent)
+	w.incarnations.RecordEntry(w.Incarnation, entry, h.renewalsSent)
 	return w
 }
--- a/services/dispatch/lives_test.go
+++ b/services/dispatch/lives_test.go
@@ -18,12 +18,12 @@
 
 // workerEntry is an entry of a worker's life.
 func workerEntry(name string, born int64) order.Worker {
-	return order.Worker{Life: order.Life{Name: name, BornUnixMilli: born}, Address: name, Pool: pool, Capacity: workerCapacity}
+	return order.Worker{Incarnation: order.Incarnation{Name: name, BornUnixMilli: born}, Address: name, Pool: pool, Capacity: workerCapacity}
 }
 
 // answeredBy makes an answer that of another life of the same worker.
 func answeredBy(e exchange.RenewEnded, born int64) exchange.RenewEnded {
-	e.Report.Life.BornUnixMilli = born
+	e.Report.Incarnation.BornUnixMilli = born
 	return e
 }
 
@@ -35,7 +35,7 @@
 
 // startSucceeds ends the call of a start that was carried out.
 func (d *harness) startSucceeds(s exchange.StartRun) []exchange.Effect {
-	return d.handle(exchange.StartEnded{Worker: s.Worker, Epoch: 1, Run: s.Order.Run, Answer: order.Answer{Fate: order.Carried}})
+	return d.handle(exchange.StartEnded{Worker: s.Worker, Epoch: 1, Run: s.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut}})
 }
 
 // persist returns what comes of some effects once the log has kept what there is.
@@ -86,9 +86,9 @@
 			effects := d.persist(d.handle(answeredBy(renewAnswer(look), 700)))
 			assert.Equal(t, len(effectsOf[exchange.StartRun](effects)), 0)
 			second := effectsOf[exchange.Renew](effects)[0]
-			assert.Equal(t, second.Worker, order.Life{Name: start.Worker.Name, BornUnixMilli: 700})
+			assert.Equal(t, second.Worker, order.Incarnation{Name: start.Worker.Name, BornUnixMilli: 700})
 			assert.Check(t, second.Order.Fence > start.Order.Fence, "what was meant for the earlier life is refused from then on")
-			assert.Equal(t, second.Order.Until, order.WorkerClock(0), "its clock is not known yet")
+			assert.Equal(t, second.Order.LeaseEnd, order.WorkerClock(0), "its clock is not known yet")
 			if c.begun {
 				effects = d.persist(d.handle(renewAnswer(second, start.Order.Run)))
 				assert.Equal(t, len(effectsOf[exchange.StartRun](effects))+len(effectsOf[exchange.StopRun](effects)), 0)
@@ -122,14 +122,14 @@
 	d.persist(d.handle(answeredBy(renewAnswer(next), 2000)))
 	d.persist(d.handle(doneAnswer(late, start.Order.Run)))
 	effects := d.handle(exchange.StateAsked{Call: 9, Job: "j"})
-	assert.Equal(t, effectsOf[exchange.Reply](effects)[0].Reply.State, job.Succeeded)
+	assert.Equal(t, effectsOf[exchange.Reply](effects)[0].Answer.State, job.Succeeded)
 }
 
 func TestAnswerToOrderForEarlierIncarnationIsIgnored(t *testing.T) {
 	d, looks := newHolder(t, workerEntry("v", 1000), workerEntry("w", 1000))
 	start := d.startOneTask()
 	d.persist(d.handle(answeredBy(renewAnswer(looks[start.Worker.Name]), 2000)))
-	for _, a := range []order.Answer{{Fate: order.NoLife}, {Fate: order.Refused, Reason: order.Fenced}, {Fate: order.Carried}} {
+	for _, a := range []order.Answer{{Outcome: order.WrongIncarnation}, {Outcome: order.Refused, Reason: order.Fenced}, {Outcome: order.CarriedOut}} {
 		d.handle(exchange.StartEnded{Worker: start.Worker, Epoch: 1, Run: start.Order.Run, Answer: a})
 		d.handle(exchange.StopEnded{Worker: start.Worker, Epoch: 1, Run: start.Order.Run, Answer: a})
 	}
@@ -143,7 +143,7 @@
 	}
 	asked := effectsOf[exchange.Renew](listed(400))
 	assert.Equal(t, len(asked), 1, "the look under way was made before the entry was read")
-	assert.Equal(t, asked[0].Order.Wait, job.Milliseconds(0))
+	assert.Equal(t, asked[0].Order.MaxWait, job.Milliseconds(0))
 	assert.Check(t, asked[0].Order.Fence > looks["w"].Order.Fence, "a later life may be there")
 	assert.Equal(t, len(effectsOf[exchange.Renew](listed(400))), 0, "the answer is awaited")
 	assert.Equal(t, len(effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))), 0)
@@ -162,7 +162,7 @@
 		effects := d.runFor(20*time.Millisecond, looks, map[string][]order.Run{"w": running})
 		effects = append(effects, d.confirmAnyAppend(effects)...)
 		for _, r := range effectsOf[exchange.Renew](effects) {
-			last = max(last, r.Order.Seen)
+			last = max(last, r.Order.Acknowledged)
 		}
 	}
 	return last
@@ -187,7 +187,7 @@
 	d := newHarness(t)
 	fence := d.claimCell(time.Second)
 	d.handle(exchange.AppendEnded{Purpose: exchange.ForJournal, Number: fence.Number})
-	d.handle(exchange.WorkersRead{Listing: order.Listing{Whole: true, Present: []order.Worker{workerEntry("w", 2000)}}})
+	d.handle(exchange.WorkersRead{Listing: order.Listing{Complete: true, Present: []order.Worker{workerEntry("w", 2000)}}})
 	looks := effectsOf[exchange.Renew](d.handle(exchange.JobsLoaded{Epoch: 1, Records: []stream.Record{kept.WorkerRecord(workerEntry("w", 1000))}}))
 	assert.Equal(t, len(looks), 1)
 	next := effectsOf[exchange.Renew](d.handle(answeredBy(renewAnswer(looks[0]), 2000)))
@@ -202,7 +202,7 @@
 	d := newHarness(t)
 	fence := d.claimCell(time.Second)
 	d.handle(exchange.AppendEnded{Purpose: exchange.ForJournal, Number: fence.Number})
-	d.handle(exchange.WorkersRead{Listing: order.Listing{Whole: true, Present: []order.Worker{workerEntry("v", 1000), workerEntry("w", 2000)}}})
+	d.handle(exchange.WorkersRead{Listing: order.Listing{Complete: true, Present: []order.Worker{workerEntry("v", 1000), workerEntry("w", 2000)}}})
 	s := oneStep("j", "quick", 1, false)
 	run := order.Run{Task: job.TaskID{StepID: job.StepID{Job: "j"}}, Number: 3}
 	later := run
@@ -231,5 +231,5 @@
 	effects := d.handle(answeredBy(renewAnswer(late), 400))
 	next := effectsOf[exchange.Renew](effects)
 	assert.Equal(t, len(next), 1)
-	assert.Equal(t, next[0].Worker, order.Life{Name: "w", BornUnixMilli: 400}, "the call was made while the other was known")
+	assert.Equal(t, next[0].Worker, order.Incarnation{Name: "w", BornUnixMilli: 400}, "the call was made while the other was known")
 }
--- a/services/dispatch/livesworld_test.go
+++ b/services/dispatch/livesworld_test.go
@@ -112,7 +112,7 @@
 		}
 		for _, id := range w.order {
 			a := w.jobs[id]
-			if !a.accepted || a.state.Final() || !w.couldRun(a) {
+			if !a.accepted || a.state.IsFinal() || !w.couldRun(a) {
 				delete(since, id)
 				continue
 			}
@@ -181,7 +181,7 @@
 		for run := range f.runs {
 			free = free.Minus(f.runs[run].step.Need)
 		}
-		slots += free.Holds(s.Need, job.MaxTasks)
+		slots += free.FitCount(s.Need, job.MaxTasks)
 	}
 	wanted := 1
 	if s.Gang {
@@ -198,7 +198,7 @@
 			w := newWorld(t, 130_000+seed, 3, 8)
 			w.renames = true
 			for _, f := range w.workers {
-				f.life = order.Life{Name: f.name + "-1"}
+				f.life = order.Incarnation{Name: f.name + "-1"}
 			}
 			w.waitUntilServing()
 			w.lateShare = []float64{0, 0, 0.05}[w.rng.Intn(3)]
--- a/services/dispatch/load.go
+++ b/services/dispatch/load.go
@@ -52,7 +52,7 @@
 	}
 	for _, e := range state.Ended {
 		p := e.Progress
-		j := &trackedJob{id: e.ID, queue: p.Queue, workspace: p.Workspace, state: p.State, reportedState: p.State, accepted: true, endedUnixMilli: p.Ended, failReason: p.Why}
+		j := &trackedJob{id: e.ID, queue: p.Queue, workspace: p.Workspace, state: p.State, reportedState: p.State, accepted: true, endedUnixMilli: p.EndedUnixMilli, failReason: p.FailureReason}
 		h.jobs[e.ID] = j
 		h.endedJobs = append(h.endedJobs, j)
 		h.recordLeftover(now, p)
--- a/services/dispatch/look_test.go
+++ b/services/dispatch/look_test.go
@@ -17,12 +17,12 @@
 // the start reached it, and the holder, which was late, heard of both at once and
 // with a time from before the look was sent.
 func TestRenewalSentBeforeStartDoesNotProveAbsence(t *testing.T) {
-	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	d, looks := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	starts := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))
 	assert.Equal(t, len(starts), 1)
 	run := starts[0].Order.Run
 	d.now = d.now.Add(-15 * time.Millisecond)
-	d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: run, Answer: order.Answer{Fate: order.Carried}})
+	d.handle(exchange.StartEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Run: run, Answer: order.Answer{Outcome: order.CarriedOut}})
 	d.now = d.now.Add(40 * time.Millisecond)
 	effects := d.handle(renewAnswer(looks["w"]))
 	effects = append(effects, d.advance(20*time.Millisecond)...)
--- a/services/dispatch/outage.go
+++ b/services/dispatch/outage.go
@@ -32,7 +32,7 @@
 
 // handlePledgeAsked answers a holder that wants this box not to claim for a while.
 func (c *Core) handlePledgeAsked(now time.Time, e exchange.PledgeAsked) {
-	a := exchange.Answer{Outcome: exchange.Unavailable, Steady: c.authority.Steady() && !c.authority.Stopping() && c.config != nil}
+	a := exchange.Answer{Outcome: exchange.Unavailable, LogReachable: c.authority.Steady() && !c.authority.Stopping() && c.config != nil}
 	if c.authority.Pledge(now, e.Epoch) {
 		a.Outcome = exchange.OK
 	}
@@ -47,6 +47,6 @@
 		c.authority.Pledged(e.SentAt, e.Epoch)
 	}
 	if h := c.holding; h != nil && h.epoch == e.Epoch {
-		c.inviteLargest(e.Steady)
+		c.inviteLargest(e.LogReachable)
 	}
 }
--- a/services/dispatch/overview.go
+++ b/services/dispatch/overview.go
@@ -56,10 +56,10 @@
 		}
 	}
 	all := h.workspaceStatus()
-	h.core.emit(exchange.WorkspacesSeen{All: all})
+	h.core.emit(exchange.WorkspaceUsage{All: all})
 	for _, ws := range all {
 		if ws.Capped > 0 {
-			h.core.logEvent("a workspace waits for its cap", logField("workspace", ws.Name), logField("steps", ws.Capped), logField("used", ws.Used), logField("cap", ws.Most))
+			h.core.logEvent("a workspace waits for its cap", logField("workspace", ws.Name), logField("steps", ws.Capped), logField("used", ws.Used), logField("cap", ws.Cap))
 		}
 	}
 	h.core.logEvent("state of the cell", logField("claim", h.epoch), logField("workers", len(h.workers)), logField("taking", taking),
--- a/services/dispatch/paused_test.go
+++ b/services/dispatch/paused_test.go
@@ -25,7 +25,7 @@
 // The cause: plans may take a fifth of the time, by how long they took, so the next one waited
 // for four times the pause.
 func TestPauseDuringPlanDoesNotDelayNextPlan(t *testing.T) {
-	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	d, looks := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	pause := time.Second
 	d.now = d.now.Add(pause)
 	d.handle(exchange.Decided{Took: pause})
--- a/services/dispatch/preempt.go
+++ b/services/dispatch/preempt.go
@@ -164,7 +164,7 @@
 // start again and still be on time.
 func (h *holderState) canPreempt(p *pass, r rankedStep, a *attempt) bool {
 	s := a.step
-	if !h.isEnabled(mechanism.Preemption) || a.state != attemptRunning || a.markedForStop || a.isolated || s.spec.Gang || s.spec.Service || s.job.state.Final() {
+	if !h.isEnabled(mechanism.Preemption) || a.state != attemptRunning || a.markedForStop || a.isolated || s.spec.Gang || s.spec.Service || s.job.state.IsFinal() {
 		return false
 	}
 	if !s.spec.Checkpoints && (p.now.Sub(a.stateSince) > maxRestartableAge || h.expectedTime(s) < minPreemptableTime) {
--- a/services/dispatch/progress.go
+++ b/services/dispatch/progress.go
@@ -15,7 +15,7 @@
 func (h *holderState) restoreJob(now time.Time, j *trackedJob, p job.Progress) {
 	j.started = p.Started
 	if p.State != "" {
-		j.state, j.reportedState, j.failReason = p.State, p.State, p.Why
+		j.state, j.reportedState, j.failReason = p.State, p.State, p.FailureReason
 	}
 	for _, sp := range p.Steps {
 		in := j.instances[sp.Instance]
@@ -32,7 +32,7 @@
 	for _, in := range ordered.Map(j.instances) {
 		in.countDone(j)
 	}
-	if j.state.Final() {
+	if j.state.IsFinal() {
 		h.markDirty(j)
 		return
 	}
@@ -43,13 +43,13 @@
 func (h *holderState) restoreStep(s *step, p job.StepProgress) {
 	for i := range s.tasks {
 		t := &s.tasks[i]
-		if p.HasEndedWell(i) {
+		if p.IsDone(i) {
 			t.done = true
 			s.doneTasks++
 			s.unplacedTasks--
 		}
-		t.failedRuns = p.Failed[i]
-		t.checkpoint = p.Saved[i]
+		t.failedRuns = p.FailedRuns[i]
+		t.checkpoint = p.Checkpoints[i]
 		if b, held := p.Blame[i]; held {
 			h.blame.Restore(s.blameUnit(i), b)
 		}
@@ -70,9 +70,9 @@
 
 // progress returns what the log must keep of a job.
 func (j *trackedJob) progress(d *blame.Tracker) job.Progress {
-	p := job.Progress{State: j.state, Started: j.started, Queue: j.queue, Workspace: j.workspace, Ended: j.endedUnixMilli, Why: j.failReason}
-	if j.state.Final() {
-		p.Left = j.placedNeed()
+	p := job.Progress{State: j.state, Started: j.started, Queue: j.queue, Workspace: j.workspace, EndedUnixMilli: j.endedUnixMilli, FailureReason: j.failReason}
+	if j.state.IsFinal() {
+		p.LeftoverUsage = j.placedNeed()
 		return p
 	}
 	for _, in := range ordered.Map(j.instances) {
@@ -91,13 +91,13 @@
 	sp := job.StepProgress{Instance: s.id.Instance, Step: s.id.Step}
 	for i := range s.tasks {
 		t := &s.tasks[i]
-		sp.Fails(i, t.failedRuns)
+		sp.SetFailedRuns(i, t.failedRuns)
 		if t.done {
-			sp.EndsWell(i, len(s.tasks))
+			sp.SetDone(i, len(s.tasks))
 			continue
 		}
-		sp.Blames(i, d.Blame(job.TaskID{StepID: s.id, Index: i}))
-		sp.Saves(i, t.checkpoint)
+		sp.SetBlame(i, d.Blame(job.TaskID{StepID: s.id, Index: i}))
+		sp.SetCheckpoint(i, t.checkpoint)
 	}
-	return sp, !sp.IsNothing()
+	return sp, !sp.IsEmpty()
 }
--- a/services/dispatch/random_test.go
+++ b/services/dispatch/random_test.go
@@ -116,7 +116,7 @@
 		}
 	}
 	for _, id := range w.order {
-		if a := w.jobs[id]; a.accepted && !a.state.Final() {
+		if a := w.jobs[id]; a.accepted && !a.state.IsFinal() {
 			w.t.Logf("%s is %s: %+v, done %v", id, a.state, a.sub, a.done)
 		}
 	}
--- a/services/dispatch/rank.go
+++ b/services/dispatch/rank.go
@@ -65,7 +65,7 @@
 	var all []rankedStep
 	var waiting resource.Vector
 	for _, s := range h.openSteps {
-		if !s.open || s.job.state.Final() {
+		if !s.open || s.job.state.IsFinal() {
 			continue
 		}
 		kept = append(kept, s)
--- a/services/dispatch/remaining_test.go
+++ b/services/dispatch/remaining_test.go
@@ -36,9 +36,9 @@
 // newRunningTask starts the task of a job on the only worker.
 func newRunningTask(t *testing.T, s job.Submission) *runningTask {
 	t.Helper()
-	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	d, looks := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	start := effectsOf[exchange.StartRun](d.submitAndLog(s))[0]
-	d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
+	d.handle(exchange.StartEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut}})
 	return &runningTask{harness: d, renewal: looks["w"], run: start.Order.Run}
 }
 
@@ -102,9 +102,9 @@
 		w.advanceWithProgress(800*time.Millisecond, 9*(i+1))
 	}
 	done := renewAnswer(w.renewal)
-	done.Report.Ended = []order.End{{Number: 1, Run: w.run, How: order.Done}}
+	done.Report.Ended = []order.End{{Number: 1, Run: w.run, Status: order.Done}}
 	found := false
-	for _, n := range effectsOf[exchange.Note](w.handle(done)) {
+	for _, n := range effectsOf[exchange.LogEvent](w.handle(done)) {
 		if n.Message != "job ended" {
 			continue
 		}
--- a/services/dispatch/reports.go
+++ b/services/dispatch/reports.go
@@ -24,7 +24,7 @@
 	h.throttleFillers(now, w)
 	for _, a := range w.sortedAttempts() {
 		if !present[a.runID()] {
-			h.applyAbsence(now, a, e.Look)
+			h.applyAbsence(now, a, e.Renewal)
 		}
 	}
 	h.moveStalled(now, w)
@@ -67,7 +67,7 @@
 // run should not be there.
 func (h *holderState) adopt(now time.Time, w *worker, r order.Running) *attempt {
 	s := h.findStep(r.Task.StepID)
-	if s == nil || r.Task.Index >= len(s.tasks) || s.job.state.Final() {
+	if s == nil || r.Task.Index >= len(s.tasks) || s.job.state.IsFinal() {
 		return nil
 	}
 	t := &s.tasks[r.Task.Index]
@@ -103,7 +103,7 @@
 
 // stopOrphan ends a run that the holder would not have started.
 func (h *holderState) stopOrphan(now time.Time, w *worker, run order.Run) {
-	h.core.logEvent("a run that should not be there is stopped", logField("task", run.Task.String()), logField("run", run.Number), logField("worker", w.Life.String()))
+	h.core.logEvent("a run that should not be there is stopped", logField("task", run.Task.String()), logField("run", run.Number), logField("worker", w.Incarnation.String()))
 	h.sendStop(now, w, run)
 }
 
@@ -136,9 +136,9 @@
 	h.unassign(a)
 	a.task().runs.RecordInterruption(delays.RunLost)
 	h.core.logEvent("task lost", logField("job", string(a.step.job.id)), logField("task", a.runID().Task.String()), logField("run", a.run),
-		logField("worker", a.worker.Life.String()), logField("state", string(a.state)), logField("reason", why),
+		logField("worker", a.worker.Incarnation.String()), logField("state", string(a.state)), logField("reason", why),
 		logField("worked_most", a.maxWorkTime(a.worker.presence.SilentSince()).String()), logField("times_lost", a.task().lostRuns))
-	if !a.step.job.state.Final() {
+	if !a.step.job.state.IsFinal() {
 		h.restartGang(now, a.step)
 	}
 	h.replanAfterEnd(a.step)
--- a/services/dispatch/reserve.go
+++ b/services/dispatch/reserve.go
@@ -242,7 +242,7 @@
 // must hold at one time, and a call takes about as long as one holds.
 func (h *holderState) unrequestedWorkers(now time.Time, r rankedStep, asked int) []*worker {
 	s := r.step
-	takes := r.queue.Advice.Base + time.Duration(min(asked, advisers.MaxWorkersPerCall))*r.queue.Advice.Each
+	takes := r.queue.Advice.BaseTime + time.Duration(min(asked, advisers.MaxWorkersPerCall))*r.queue.Advice.TimePerWorker
 	_, stale := s.splitByTicket(now.Add(takes+advisers.MaxQueueTime+tickets.StartMargin), s.reservation.allocations)
 	var missing []*worker
 	for _, sh := range stale {
--- a/services/dispatch/restarts_test.go
+++ b/services/dispatch/restarts_test.go
@@ -23,7 +23,7 @@
 		for _, s := range waiting {
 			starts++
 			next = append(next, effectsOf[exchange.StartRun](d.handle(exchange.StartEnded{
-				Worker: s.Worker, Epoch: 1, Run: s.Order.Run, Answer: order.Answer{Fate: order.Refused, Reason: order.OldRun},
+				Worker: s.Worker, Epoch: 1, Run: s.Order.Run, Answer: order.Answer{Outcome: order.Refused, Reason: order.StaleRun},
 			}))...)
 		}
 		waiting = append(next, d.startsWithin(20*time.Millisecond, looks)...)
--- a/services/dispatch/room.go
+++ b/services/dispatch/room.go
@@ -70,7 +70,7 @@
 
 // slots returns how many more tasks of a step a worker has room for.
 func (w *worker) slots(s *step, room resource.Vector) int {
-	n := room.Holds(s.spec.Reserved(), job.MaxTasks)
+	n := room.FitCount(s.spec.Reserved(), job.MaxTasks)
 	if s.spec.PerWorker > 0 {
 		held := 0
 		for _, a := range w.attempts {
--- a/services/dispatch/shrink_test.go
+++ b/services/dispatch/shrink_test.go
@@ -70,11 +70,11 @@
 
 // resizedEntry is a change of the list by which a worker has some room.
 func resizedEntry(id string, to resource.Vector) exchange.WorkersRead {
-	return exchange.WorkersRead{Listing: order.Listing{Present: []order.Worker{{Life: order.Life{Name: id}, Address: id, Pool: pool, Capacity: to}}}}
+	return exchange.WorkersRead{Listing: order.Listing{Present: []order.Worker{{Incarnation: order.Incarnation{Name: id}, Address: id, Pool: pool, Capacity: to}}}}
 }
 
 func TestRegrownCapacityIsUsed(t *testing.T) {
-	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	d, looks := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	d.handle(resizedEntry("w", resource.Vector{}))
 	assert.Equal(t, d.submitAndCountStarts(oneStep("j", "quick", 2, false), 1, looks), 0, "there is no room")
 	d.handle(resizedEntry("w", workerCapacity))
@@ -85,7 +85,7 @@
 // reservation was kept for its 3 s, and with it the room on all other workers of the gang.
 func TestReservationThatNoLongerFitsIsReleased(t *testing.T) {
 	d, _ := newHolder(t,
-		order.Worker{Life: order.Life{Name: "v"}, Address: "v", Pool: pool, Capacity: workerCapacity}, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+		order.Worker{Incarnation: order.Incarnation{Name: "v"}, Address: "v", Pool: pool, Capacity: workerCapacity}, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	c := config()
 	wide := c.Queues["wide"]
 	wide.Advice = nil
@@ -97,7 +97,7 @@
 		s.Steps[0].Need = resource.Vector{Processors: 40 * resource.Processor}
 		s.Steps[0].Estimate = 60_000
 		for _, start := range effectsOf[exchange.StartRun](d.submitAndLog(s)) {
-			d.handle(exchange.StartEnded{Worker: start.Worker, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
+			d.handle(exchange.StartEnded{Worker: start.Worker, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut}})
 		}
 	}
 	gang := oneStep("g", "quick", 2, true)
@@ -106,7 +106,7 @@
 	assert.Equal(t, len(effectsOf[exchange.StopRun](d.submitAndLog(gang))), 2, "room is made for the gang")
 	shrunk := resource.Vector{Processors: 50 * resource.Processor, Memory: workerCapacity.Memory}
 	given := 0
-	for _, n := range effectsOf[exchange.Note](append(d.handle(resizedEntry("w", shrunk)), d.advance(50*time.Millisecond)...)) {
+	for _, n := range effectsOf[exchange.LogEvent](append(d.handle(resizedEntry("w", shrunk)), d.advance(50*time.Millisecond)...)) {
 		if n.Message == "a gang gives room back" {
 			given++
 		}
--- a/services/dispatch/silence.go
+++ b/services/dispatch/silence.go
@@ -103,7 +103,7 @@
 // ordered.
 func (h *holderState) restoreRun(now time.Time, w *worker, run order.Run) *attempt {
 	s := h.findStep(run.Task.StepID)
-	if s == nil || run.Task.Index >= len(s.tasks) || s.job.state.Final() {
+	if s == nil || run.Task.Index >= len(s.tasks) || s.job.state.IsFinal() {
 		return nil
 	}
 	t := &s.tasks[run.Task.Index]
--- a/services/dispatch/silent_test.go
+++ b/services/dispatch/silent_test.go
@@ -15,13 +15,13 @@
 
 // startUnanswered ends the call of a start that had no answer.
 func (d *harness) startUnanswered(s exchange.StartRun) []exchange.Effect {
-	return d.handle(exchange.StartEnded{Worker: s.Worker, Epoch: 1, Run: s.Order.Run, Answer: order.Answer{Fate: order.Unknown}})
+	return d.handle(exchange.StartEnded{Worker: s.Worker, Epoch: 1, Run: s.Order.Run, Answer: order.Answer{Outcome: order.Unknown}})
 }
 
 // oneWorker returns a reducer that holds the cell with one worker.
 func oneWorker(t *testing.T) *harness {
 	t.Helper()
-	d, _ := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	d, _ := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	return d
 }
 
@@ -41,11 +41,11 @@
 }
 
 func TestStartSentTwiceMayHaveBeenCarriedOut(t *testing.T) {
-	for _, fate := range []order.Fate{order.NotDone, order.Refused} {
+	for _, fate := range []order.Outcome{order.NotDone, order.Refused} {
 		d := oneWorker(t)
 		first := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))[0]
 		d.startUnanswered(first)
-		effects := d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: first.Order.Run, Answer: order.Answer{Fate: fate, Reason: order.NoRoom}})
+		effects := d.handle(exchange.StartEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Run: first.Order.Run, Answer: order.Answer{Outcome: fate, Reason: order.NoCapacity}})
 		effects = append(effects, d.advance(200*time.Millisecond)...)
 		assert.Equal(t, len(effectsOf[exchange.StartRun](effects)), 0, "after %s the first order may still be carried out", fate)
 	}
@@ -56,13 +56,13 @@
 	first := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))[0]
 	d.now = d.now.Add(150 * time.Millisecond)
 	assert.Equal(t, len(effectsOf[exchange.StartRun](d.submitAndLog(oneStep("k", "quick", 1, false)))), 0)
-	effects := d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: first.Order.Run, Answer: order.Answer{Fate: order.Carried}})
+	effects := d.handle(exchange.StartEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Run: first.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut}})
 	effects = append(effects, d.advance(100*time.Millisecond)...)
 	assert.Equal(t, len(effectsOf[exchange.StartRun](effects)), 1, "it has answered")
 }
 
 func TestHolderWithoutAuthorityRenewsNoLease(t *testing.T) {
-	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	d, looks := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	// The log confirms no renewal of the claim any more.
 	d.advance(settings().Authority.HoldFor)
 	effects := d.handle(renewAnswer(looks["w"]))
@@ -72,18 +72,18 @@
 }
 
 func TestRenewalWaitsAtMostHalfTheShortestTask(t *testing.T) {
-	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
-	assert.Equal(t, looks["w"].Order.Wait.Duration(), settings().RenewWait, "nothing runs there")
+	d, looks := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	assert.Equal(t, looks["w"].Order.MaxWait.Duration(), settings().RenewWait, "nothing runs there")
 	s := oneStep("j", "quick", 1, false)
 	s.Steps[0].Estimate = 600
 	start := effectsOf[exchange.StartRun](d.submitAndLog(s))[0]
-	d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
+	d.handle(exchange.StartEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut}})
 	effects := d.handle(renewAnswer(looks["w"], start.Order.Run))
 	look := effectsOf[exchange.Renew](effects)[0]
-	assert.Equal(t, look.Order.Wait.Duration(), 300*time.Millisecond)
+	assert.Equal(t, look.Order.MaxWait.Duration(), 300*time.Millisecond)
 	assert.Check(t, look.Timeout <= 500*time.Millisecond, "a lost answer is noticed after %v", look.Timeout)
 	// The next look follows at once.
-	effects = d.handle(exchange.RenewEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Look: look.Look, Answer: order.Answer{Fate: order.Unknown}})
+	effects = d.handle(exchange.RenewEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Renewal: look.Renewal, Answer: order.Answer{Outcome: order.Unknown}})
 	assert.Equal(t, len(effectsOf[exchange.Renew](effects)), 1)
 }
 
--- a/services/dispatch/stall.go
+++ b/services/dispatch/stall.go
@@ -21,7 +21,7 @@
 
 // observe takes what a look tells of a run at work.
 func (a *attempt) observe(now time.Time, r order.Running) {
-	a.figure, a.reportedAt = r.Figure, now
+	a.figure, a.reportedAt = r.Measurement, now
 	if r.Progress > a.progress {
 		a.progress, a.progressAt = r.Progress, now
 	}
@@ -56,7 +56,7 @@
 			continue
 		}
 		h.core.logEvent("a run stands still and is moved", logField("job", string(a.step.job.id)), logField("task", a.runID().Task.String()),
-			logField("run", a.run), logField("worker", w.Life.String()), logField("progress", a.progress), logField("ran", now.Sub(a.stateSince).String()),
+			logField("run", a.run), logField("worker", w.Incarnation.String()), logField("progress", a.progress), logField("ran", now.Sub(a.stateSince).String()),
 			logField("usual", h.usualTime(a.step).String()))
 		w.excludedUntil = ordered.Later(w.excludedUntil, now.Add(excludeFor))
 		a.task().runs.RecordInterruption(delays.RunStalled)
--- a/services/dispatch/starts.go
+++ b/services/dispatch/starts.go
@@ -48,8 +48,8 @@
 	a.orderCount++
 	a.lastOrderedAt = now
 	w := a.worker
-	h.core.emit(exchange.StartRun{Worker: w.Life, Address: w.Address, Epoch: h.epoch, Order: order.Start{
-		Run: a.runID(), Spec: a.step.job.submission.Spec, Until: h.extendLease(now, w), Fence: h.fence(w),
+	h.core.emit(exchange.StartRun{Worker: w.Incarnation, Address: w.Address, Epoch: h.epoch, Order: order.Start{
+		Run: a.runID(), Spec: a.step.job.submission.Spec, LeaseEnd: h.extendLease(now, w), Fence: h.fence(w),
 		Checkpoint: a.checkpoint, Ticket: a.ticket,
 	}, Timeout: h.orderTimeout(now)})
 }
@@ -75,28 +75,28 @@
 	if w == nil || e.Epoch != h.epoch {
 		return
 	}
-	if e.Answer.Fate == order.NoLife {
+	if e.Answer.Outcome == order.WrongIncarnation {
 		h.handleIncarnationGone(now, w)
 		return
 	}
-	if e.Answer.Fate != order.Unknown {
+	if e.Answer.Outcome != order.Unknown {
 		w.unansweredSince = time.Time{}
 	}
 	a := w.attempts[e.Run]
 	if a == nil {
 		return
 	}
-	if a.orderCount == 1 && e.Answer.Fate != order.Unknown {
+	if a.orderCount == 1 && e.Answer.Outcome != order.Unknown {
 		h.answerDelays.Record(now, now.Sub(a.lastOrderedAt))
 	}
 	a.stopConfirmed = a.stopConfirmed && a.state == attemptStopping
-	if a.orderCount > 1 && e.Answer.Fate != order.Carried && !w.incarnations.IsFencedByLaterHolder(e.Answer, 0) {
+	if a.orderCount > 1 && e.Answer.Outcome != order.CarriedOut && !w.incarnations.IsFencedByLaterHolder(e.Answer, 0) {
 		// An earlier order may have been carried out, or may be yet.
 		h.handleStartUnconfirmed(now, a, e.Answer)
 		return
 	}
-	switch e.Answer.Fate {
-	case order.Carried:
+	switch e.Answer.Outcome {
+	case order.CarriedOut:
 		if a.state == attemptStarting {
 			a.state = attemptRunning
 			h.markStateChange(now, a)
@@ -122,18 +122,18 @@
 // canRetryStart says whether the order to start an attempt may be sent again. It sets
 // the worker's lease, which takes authority.
 func (h *holderState) canRetryStart(now time.Time, a *attempt) bool {
-	return h.isEnabled(mechanism.RepeatedStarts) && a.state == attemptStarting && a.orderCount < maxStartTries && !a.step.job.state.Final() && h.mayRenew(now)
+	return h.isEnabled(mechanism.RepeatedStarts) && a.state == attemptStarting && a.orderCount < maxStartTries && !a.step.job.state.IsFinal() && h.mayRenew(now)
 }
 
 // handleStartUnconfirmed keeps the place of a start of which it is not known whether it was
 // carried out. The worker's next report tells.
 func (h *holderState) handleStartUnconfirmed(now time.Time, a *attempt, answer order.Answer) {
-	if h.canRetryStart(now, a) && answer.Fate == order.Unknown {
+	if h.canRetryStart(now, a) && answer.Outcome == order.Unknown {
 		h.sendStart(now, a)
 		return
 	}
 	h.core.logEvent("a start had no answer", logField("job", string(a.step.job.id)), logField("task", a.runID().Task.String()),
-		logField("run", a.run), logField("worker", a.worker.Life.String()), logField("problem", answer.Problem))
+		logField("run", a.run), logField("worker", a.worker.Incarnation.String()), logField("problem", answer.Problem))
 	if a.state != attemptStarting {
 		return
 	}
@@ -146,7 +146,7 @@
 // handleStartRefused acts on why a worker refused a start.
 func (h *holderState) handleStartRefused(now time.Time, a *attempt, answer order.Answer) {
 	h.core.logEvent("a start was refused", logField("job", string(a.step.job.id)), logField("task", a.runID().Task.String()),
-		logField("run", a.run), logField("worker", a.worker.Life.String()), logField("reason", string(answer.Reason)))
+		logField("run", a.run), logField("worker", a.worker.Incarnation.String()), logField("reason", string(answer.Reason)))
 	switch answer.Reason {
 	case order.Fenced:
 		if a.worker.incarnations.IsFencedByLaterHolder(answer, 0) {
@@ -156,7 +156,7 @@
 		a.step.delayStart(now.Add(refusedStartDelay))
 	case order.BadTicket:
 		a.step.advice.DropTicket(a.worker)
-	case order.OldRun:
+	case order.StaleRun:
 		// The run has ended there; its end, if it is not known, is still to come.
 	default:
 		a.step.delayStart(now.Add(refusedStartDelay))
--- a/services/dispatch/status.go
+++ b/services/dispatch/status.go
@@ -37,18 +37,18 @@
 	for _, j := range h.jobs {
 		s.Jobs[j.reportedState]++
 	}
-	s.Open, s.Unsure, s.Failing = len(h.openSteps), len(h.unreportedWorkers), h.journal.isFailing(now)
+	s.OpenSteps, s.UnsettledWorkers, s.AppendsFailing = len(h.openSteps), len(h.unreportedWorkers), h.journal.isFailing(now)
 	var capacity, used resource.Vector
 	for id, w := range ordered.Map(h.workers) {
 		s.Workers = append(s.Workers, job.WorkerStatus{
-			ID: id, Domain: w.Domain, Takes: h.isSchedulable(now, w), Tasks: len(w.attempts), Free: w.free.Processors.String(),
+			ID: id, Domain: w.Domain, AcceptsTasks: h.isSchedulable(now, w), Tasks: len(w.attempts), FreeProcessors: w.free.Processors.String(),
 			Failures: w.failures, Leaving: w.Leaving,
 		})
 		capacity = capacity.Plus(w.Capacity)
 		used = used.Plus(w.Capacity.Minus(w.free))
 	}
 	s.Workspaces = h.workspaceStatus()
-	s.Capacity, s.Used = capacity.Processors.String(), used.Processors.String()
+	s.Processors, s.ProcessorsUsed = capacity.Processors.String(), used.Processors.String()
 }
 
 // explainJob answers why a job is as it is.
@@ -58,7 +58,7 @@
 		h.core.reply(e.Call, exchange.Answer{Outcome: exchange.NoJob})
 		return
 	}
-	x := job.Explanation{ID: j.id, Queue: j.queue, Workspace: j.workspace, State: j.reportedState, Why: j.failReason}
+	x := job.Explanation{ID: j.id, Queue: j.queue, Workspace: j.workspace, State: j.reportedState, FailureReason: j.failReason}
 	for _, in := range ordered.Map(j.instances) {
 		x.Slack = job.Milliseconds(in.dueAt.Add(objective(in, h.queueOf(j))).Sub(now).Milliseconds())
 		for _, s := range in.steps {
@@ -72,7 +72,7 @@
 func (h *holderState) explainStep(now time.Time, s *step) job.StepExplanation {
 	x := job.StepExplanation{Step: s.id.String(), Tasks: len(s.tasks), Done: s.doneTasks, Placed: s.placedTasks, Waiting: s.unplacedTasks}
 	switch {
-	case s.job.state.Final():
+	case s.job.state.IsFinal():
 	case s.unplacedTasks > 0:
 		x.Reason = h.waitReason(now, s)
 	default:
@@ -100,7 +100,7 @@
 		return fmt.Sprintf("%d members of the gang's last run have not ended yet", s.placedTasks)
 	case h.placeable(s) == 0 || s.spec.Gang && h.slotsUnderCap(s) < len(s.tasks):
 		return fmt.Sprintf("%d tasks need %v each; tasks of workspace %q take or may take %v, and it may have %v",
-			s.unplacedTasks, s.spec.Need, s.job.workspace, h.usage.Of(s.job.workspace), h.workspaceOf(s.job).Most)
+			s.unplacedTasks, s.spec.Need, s.job.workspace, h.usage.Of(s.job.workspace), h.workspaceOf(s.job).Cap)
 	case len(set.workers) == 0:
 		return "no worker of the pool takes new tasks at present"
 	case !slices.ContainsFunc(set.workers, func(w *worker) bool { return s.spec.Reserved().Fits(w.Capacity) }):
--- a/services/dispatch/stops.go
+++ b/services/dispatch/stops.go
@@ -24,7 +24,7 @@
 
 // sendStop sends a worker the order to end a run.
 func (h *holderState) sendStop(now time.Time, w *worker, run order.Run) {
-	h.core.emit(exchange.StopRun{Worker: w.Life, Address: w.Address, Epoch: h.epoch, Order: order.Stop{Run: run, Fence: h.fence(w)}, Timeout: h.orderTimeout(now)})
+	h.core.emit(exchange.StopRun{Worker: w.Incarnation, Address: w.Address, Epoch: h.epoch, Order: order.Stop{Run: run, Fence: h.fence(w)}, Timeout: h.orderTimeout(now)})
 }
 
 // hasUnconfirmedStop says whether some stop was not confirmed.
@@ -64,7 +64,7 @@
 	if a == nil || a.state != attemptStopping || a.stopConfirmed {
 		return
 	}
-	if e.Answer.Fate == order.Carried || e.Answer.Fate == order.Refused && e.Answer.Reason != order.Fenced {
+	if e.Answer.Outcome == order.CarriedOut || e.Answer.Outcome == order.Refused && e.Answer.Reason != order.Fenced {
 		a.stopConfirmed = true
 		h.markStateChange(now, a)
 		h.renewSoon(now, w)
--- a/services/dispatch/suspects.go
+++ b/services/dispatch/suspects.go
@@ -68,7 +68,7 @@
 func (h *holderState) tasksAtCrash(w *worker, at time.Time) []blame.RunningTask {
 	var all []blame.RunningTask
 	for _, a := range w.sortedAttempts() {
-		if a.step.job.state.Final() {
+		if a.step.job.state.IsFinal() {
 			continue
 		}
 		on := blame.RunningTask{
@@ -127,9 +127,9 @@
 // recordCrash tells what the crash of a worker says of the tasks that were on it.
 func (h *holderState) recordCrash(now time.Time, w *worker, on []blame.RunningTask) {
 	at := w.presence.SilentSince()
-	c := blame.Crash{Life: w.Life, Rack: w.Rack, At: at, UnixMilli: h.core.unixMilli(at), TasksKnown: w.reported || w.unresponsive.written, Tasks: on}
+	c := blame.Crash{Life: w.Incarnation, Rack: w.Rack, At: at, UnixMilli: h.core.unixMilli(at), TasksKnown: w.reported || w.unresponsive.written, Tasks: on}
 	for _, f := range h.blame.RecordCrash(now, c) {
-		h.core.logEvent("a worker crashed under a task", logField("job", string(f.Task.Job)), logField("task", f.Task.String()), logField("worker", w.Life.String()),
+		h.core.logEvent("a worker crashed under a task", logField("job", string(f.Task.Job)), logField("task", f.Task.String()), logField("worker", w.Incarnation.String()),
 			logField("crashes", f.Blame.Crashes), logField("guilty", fmt.Sprintf("%.3g", blame.Probability(f.Blame))), logField("worked_most", f.Worked.String()),
 			logField("time", string(f.Time)), logField("late", f.Late.String()), logField("alone", f.Alone), logField("odds", fmt.Sprintf("%.3g", f.Blame.Odds)),
 			logField("crashes_otherwise_every", fmt.Sprintf("%.3gs", 1/f.BackgroundHazard)))
@@ -144,7 +144,7 @@
 		j, b := h.jobs[t.Job], h.blame.Blame(t)
 		h.markDirty(j)
 		if blame.IsGuilty(b) {
-			h.core.emit(exchange.GivenUp{Crashes: b.Crashes})
+			h.core.emit(exchange.JobGivenUp{Crashes: b.Crashes})
 			h.finishJob(now, j, job.Failed, fmt.Sprintf("%d workers crashed under task %s", b.Crashes, t))
 		}
 	}
@@ -161,7 +161,7 @@
 			a.untrackSuspect()
 		}
 	}
-	if !s.job.state.Final() {
+	if !s.job.state.IsFinal() {
 		h.markDirty(s.job)
 	}
 }
@@ -180,7 +180,7 @@
 // recordTrial has the log tell that a suspect is tried on a worker from now on. It returns false
 // if nothing is held against the task.
 func (h *holderState) recordTrial(now time.Time, s *step, index int, w *worker) bool {
-	if !h.blame.RecordStart(s.blameUnit(index), w.Life, h.core.unixMilli(now)) {
+	if !h.blame.RecordStart(s.blameUnit(index), w.Incarnation, h.core.unixMilli(now)) {
 		return false
 	}
 	h.markDirty(s.job)
@@ -278,7 +278,7 @@
 		}
 		h.startTask(p.now, s, i, h.nextRunNumber(s), w, ticket)
 		h.core.logEvent("a suspected task is tried", logField("job", string(s.job.id)), logField("task", s.blameUnit(i).String()), logField("run", s.lastRun),
-			logField("worker", w.Life.String()), logField("beside", len(w.attempts)-1), logField("crashes", h.blameOf(s, i).Crashes), logField("claim", h.epoch))
+			logField("worker", w.Incarnation.String()), logField("beside", len(w.attempts)-1), logField("crashes", h.blameOf(s, i).Crashes), logField("claim", h.epoch))
 	}
 }
 
--- a/services/dispatch/throttle.go
+++ b/services/dispatch/throttle.go
@@ -63,7 +63,7 @@
 	if next == w.fillPace {
 		return
 	}
-	h.core.logEvent("fillers change their pace", logField("worker", w.Life.String()), logField("percent", next), logField("before", w.fillPace),
+	h.core.logEvent("fillers change their pace", logField("worker", w.Incarnation.String()), logField("percent", next), logField("before", w.fillPace),
 		logField("tail_of_target", worst), logField("claim", h.epoch))
 	w.fillPace, w.throttledAt = next, now
 }
@@ -73,7 +73,7 @@
 	for _, a := range w.sortedAttempts() {
 		if a.step.spec.Filler && a.state == attemptRunning && a.pace != w.fillPace && !a.paceOrdered {
 			a.paceOrdered = true
-			h.core.emit(exchange.ThrottleRun{Worker: w.Life, Address: w.Address, Epoch: h.epoch, Order: order.Throttle{
+			h.core.emit(exchange.ThrottleRun{Worker: w.Incarnation, Address: w.Address, Epoch: h.epoch, Order: order.Throttle{
 				Run: a.runID(), Percent: w.fillPace, Fence: h.fence(w),
 			}, Timeout: h.orderTimeout(now)})
 		}
@@ -92,7 +92,7 @@
 		return
 	}
 	a.paceOrdered = false
-	if e.Answer.Fate == order.Carried {
+	if e.Answer.Outcome == order.CarriedOut {
 		a.pace = e.Percent
 	}
 }
--- a/services/dispatch/throttle_test.go
+++ b/services/dispatch/throttle_test.go
@@ -25,14 +25,14 @@
 // newSharedWorker starts both tasks.
 func newSharedWorker(t *testing.T) *sharedWorker {
 	t.Helper()
-	d, looks := newHolder(t, order.Worker{Life: order.Life{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	d, looks := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	s := oneStep("j", "quick", 1, false)
 	s.Steps[0].Service, s.Steps[0].TailTarget = true, 100
 	s.Steps = append(s.Steps, job.Step{Tasks: 1, Need: need, Filler: true})
 	starts := effectsOf[exchange.StartRun](d.submitAndLog(s))
 	assert.Equal(t, len(starts), 2)
 	for _, start := range starts {
-		d.handle(exchange.StartEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Fate: order.Carried}})
+		d.handle(exchange.StartEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut}})
 	}
 	w := &sharedWorker{harness: d, renewal: looks["w"], serving: starts[0].Order.Run, filler: starts[1].Order.Run}
 	if w.serving.Task.Step != 0 {
@@ -48,7 +48,7 @@
 	w.now = w.now.Add(700 * time.Millisecond)
 	w.confirmClaimRenewal(w.advance(time.Millisecond))
 	answer := renewAnswer(w.renewal)
-	answer.Report.Running = []order.Running{{Run: w.serving, Progress: 100, Figure: tail}, {Run: w.filler, Progress: 3, Figure: 4000}}
+	answer.Report.Running = []order.Running{{Run: w.serving, Progress: 100, Measurement: tail}, {Run: w.filler, Progress: 3, Measurement: 4000}}
 	effects := w.handle(answer)
 	effects = append(effects, w.advance(20*time.Millisecond)...)
 	w.renewal = effectsOf[exchange.Renew](effects)[0]
@@ -56,11 +56,11 @@
 	for _, e := range effectsOf[exchange.ThrottleRun](effects) {
 		assert.Equal(w.t, e.Order.Run, w.filler)
 		paces = append(paces, e.Order.Percent)
-		fate := order.Carried
+		fate := order.CarriedOut
 		if w.dropOrders {
 			fate = order.Unknown
 		}
-		w.handle(exchange.ThrottleEnded{Worker: order.Life{Name: "w"}, Epoch: 1, Run: w.filler, Percent: e.Order.Percent, Answer: order.Answer{Fate: fate}})
+		w.handle(exchange.ThrottleEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Run: w.filler, Percent: e.Order.Percent, Answer: order.Answer{Outcome: fate}})
 	}
 	return paces
 }
@@ -85,5 +85,5 @@
 func TestWorkersWithServingTasksBesideFillersArePolledOften(t *testing.T) {
 	w := newSharedWorker(t)
 	w.reportTail(50)
-	assert.Check(t, w.renewal.Order.Wait <= 400, "a look waits %d ms", w.renewal.Order.Wait)
+	assert.Check(t, w.renewal.Order.MaxWait <= 400, "a look waits %d ms", w.renewal.Order.MaxWait)
 }
--- a/services/dispatch/turns_test.go
+++ b/services/dispatch/turns_test.go
@@ -22,11 +22,11 @@
 	c.Queues = map[string]job.Queue{
 		"gangs": {
 			Name: "gangs", Pool: pool, Priority: 1, Attempts: 3, Stretch: 2.2, Latency: time.Second,
-			Advice: &job.Advice{Base: time.Duration(boxes) * 490 * time.Millisecond, Each: 7 * time.Millisecond, Valid: 2 * time.Second},
+			Advice: &job.Advice{BaseTime: time.Duration(boxes) * 490 * time.Millisecond, TimePerWorker: 7 * time.Millisecond, TicketLifetime: 2 * time.Second},
 		},
 		"sweeps": {
 			Name: "sweeps", Pool: pool, Priority: 2, Attempts: 3, Stretch: 1, Latency: 100 * time.Millisecond,
-			Advice: &job.Advice{Base: 170 * time.Millisecond, Each: 2400 * time.Microsecond, Valid: 2 * time.Second},
+			Advice: &job.Advice{BaseTime: 170 * time.Millisecond, TimePerWorker: 2400 * time.Microsecond, TicketLifetime: 2 * time.Second},
 		},
 	}
 	return c
--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -151,7 +151,7 @@
 // isHealthy says whether a worker could take new tasks if it were not kept for a suspect.
 func (h *holderState) isHealthy(now time.Time, w *worker) bool {
 	return w.reported && w.presence.IsListed() && w.recorded && !w.Leaving && !w.incarnations.HasCandidate() && w.failures == 0 && len(w.orphans) == 0 &&
-		now.Sub(w.answeredAt) < h.core.settings.RenewWait+h.adaptiveTimeout(now, silentWorkerTimeout) && !now.Before(w.excludedUntil) && !(h.isEnabled(mechanism.OwedAnswers) && h.hasOverdueStart(now, w))
+		now.Sub(w.answeredAt) < h.core.settings.RenewWait+h.adaptiveTimeout(now, silentWorkerTimeout) && !now.Before(w.excludedUntil) && !(h.isEnabled(mechanism.OverdueAnswers) && h.hasOverdueStart(now, w))
 }
 
 // hasOverdueStart says whether a worker has not answered the starts that it was given.
@@ -180,7 +180,7 @@
 // handleWorkerTerminated frees the tasks of a worker whose life is over for sure.
 func (h *holderState) handleWorkerTerminated(now time.Time, w *worker, why string) {
 	how := h.endingOf(now, w, true)
-	h.core.logEvent("worker is gone", logField("worker", w.Life.String()), logField("reason", why), logField("tasks", len(w.attempts)), logField("how", string(how)))
+	h.core.logEvent("worker is gone", logField("worker", w.Incarnation.String()), logField("reason", why), logField("tasks", len(w.attempts)), logField("how", string(how)))
 	h.loseAttempts(now, w, nil, how, why)
 	delete(h.unreportedWorkers, w.Name)
 	h.removeWorker(now, w)
@@ -190,7 +190,7 @@
 func (h *holderState) removeWorker(now time.Time, w *worker) {
 	delete(h.workers, w.Name)
 	h.sortedWorkers = nil
-	w.incarnations.End(w.Life)
+	w.incarnations.End(w.Incarnation)
 	h.formerWorkers.Add(now, w.Name, w.incarnations)
 	if w.recorded || w.recordPending || w.unresponsive.written {
 		h.journal.addRecord(kept.DropWorker(w.Name))
--- a/services/dispatch/world_test.go
+++ b/services/dispatch/world_test.go
@@ -44,7 +44,7 @@
 }
 
 func config() job.Config {
-	advice := &job.Advice{Base: 50 * time.Millisecond, Each: time.Millisecond, Valid: 1500 * time.Millisecond}
+	advice := &job.Advice{BaseTime: 50 * time.Millisecond, TimePerWorker: time.Millisecond, TicketLifetime: 1500 * time.Millisecond}
 	return job.Config{Version: 1, Queues: map[string]job.Queue{
 		"wide":  {Name: "wide", Pool: pool, Priority: 1, Attempts: 3, Stretch: 2.2, Latency: time.Second, Advice: advice},
 		"quick": {Name: "quick", Pool: pool, Priority: 0, Attempts: 2, Stretch: 1.5, Latency: 250 * time.Millisecond},
@@ -227,18 +227,18 @@
 	q := w.config.Queues[w.jobs[e.Step.Job].sub.Queue].Advice
 	if q == nil {
 		// The queue is gone.
-		q = &job.Advice{Base: 50 * time.Millisecond, Each: time.Millisecond}
+		q = &job.Advice{BaseTime: 50 * time.Millisecond, TimePerWorker: time.Millisecond}
 	}
 	begins := w.adviserFree[e.Box]
 	if begins.Before(w.now) {
 		begins = w.now
 	}
-	done := begins.Add(q.Base + time.Duration(len(e.Workers))*q.Each)
+	done := begins.Add(q.BaseTime + time.Duration(len(e.Workers))*q.TimePerWorker)
 	w.adviserFree[e.Box] = done
 	a := exchange.Advised{Step: e.Step, Box: e.Box, Epoch: e.Epoch, Number: e.Number}
 	for _, id := range e.Workers {
 		if suits(e.Step, id) {
-			a.Good = append(a.Good, order.Ticket{Worker: id, Ticket: ticketOf(e.Step, id, done)})
+			a.Tickets = append(a.Tickets, order.Ticket{Worker: id, Ticket: ticketOf(e.Step, id, done)})
 		}
 	}
 	back(done.Sub(w.now), a)
--- a/services/dispatch/worldbox_test.go
+++ b/services/dispatch/worldbox_test.go
@@ -88,7 +88,7 @@
 	}
 	b.w.after(30*time.Millisecond, func() { b.poll(life) })
 	if b.w.logDown || b.noLog {
-		b.deliver(life, exchange.ClaimsRead{Failed: "down"})
+		b.deliver(life, exchange.ClaimsRead{Failure: "down"})
 		return
 	}
 	b.readMembers(life)
@@ -100,7 +100,7 @@
 	records := slices.Clone(claims.records[b.nextClaim:])
 	start := !b.started
 	b.nextClaim, b.started = next, true
-	b.w.after(b.w.delay(), func() { b.deliver(life, exchange.ClaimsRead{Start: start, Records: records, Next: next}) })
+	b.w.after(b.w.delay(), func() { b.deliver(life, exchange.ClaimsRead{First: start, Records: records, Next: next}) })
 }
 
 func (b *fakeBox) readMembers(life int) {
@@ -147,11 +147,11 @@
 	case exchange.Reply:
 		if f := b.calls[e.Call]; f != nil {
 			delete(b.calls, e.Call)
-			f(e.Reply)
+			f(e.Answer)
 		}
 	case exchange.Stopped:
 		b.stopped = true
-	case exchange.Note:
+	case exchange.LogEvent:
 		w.trace = append(w.trace, fmt.Sprintf("%v %s %s %v", w.now.Sub(w.begin), b.name, e.Message, e.Fields))
 	}
 }
@@ -164,7 +164,7 @@
 	if b.w.logDown || b.noLog {
 		return
 	}
-	l := order.Listing{Whole: true}
+	l := order.Listing{Complete: true}
 	l.Present = b.w.listed()
 	b.w.after(b.w.delay(), func() { b.deliver(life, exchange.WorkersRead{Listing: l}) })
 }
@@ -194,8 +194,8 @@
 			}
 			once = true
 			p.All = p.All && a.Outcome == exchange.OK
-			if a.Steady {
-				p.Steady = append(p.Steady, name)
+			if a.LogReachable {
+				p.LogReachable = append(p.LogReachable, name)
 			}
 			if left--; left == 0 {
 				ended()
--- a/services/dispatch/worldjobs_test.go
+++ b/services/dispatch/worldjobs_test.go
@@ -106,7 +106,7 @@
 func (w *world) ended() bool {
 	w.states()
 	for _, a := range w.jobs {
-		if a.accepted && !a.state.Final() {
+		if a.accepted && !a.state.IsFinal() {
 			return false
 		}
 	}
--- a/services/dispatch/worldlog_test.go
+++ b/services/dispatch/worldlog_test.go
@@ -22,7 +22,7 @@
 	}
 	var all []stream.Record
 	for _, r := range s.records {
-		if n := last[r.Key]; n.Offset == r.Offset && !r.Dropped() {
+		if n := last[r.Key]; n.Offset == r.Offset && !r.IsTombstone() {
 			all = append(all, r)
 		}
 	}
@@ -59,15 +59,15 @@
 func (w *world) apply(a stream.Append) (int64, error) {
 	s := w.log[a.Stream]
 	end := int64(len(s.records))
-	if a.At != nil && *a.At != end {
-		return 0, &stream.MovedError{End: end}
+	if a.ExpectedEnd != nil && *a.ExpectedEnd != end {
+		return 0, &stream.EndMismatchError{End: end}
 	}
 	if a.Writer != nil {
 		switch {
 		case a.Writer.Epoch < w.epoch:
 			return 0, stream.ErrFenced
 		case a.Writer.Epoch == w.epoch && a.Writer.Sequence <= w.lastSeq:
-			return 0, stream.ErrDone
+			return 0, stream.ErrDuplicateSequence
 		}
 		w.epoch, w.lastSeq = a.Writer.Epoch, a.Writer.Sequence
 	}
--- a/services/dispatch/worldworker_test.go
+++ b/services/dispatch/worldworker_test.go
@@ -26,27 +26,27 @@
 
 // carry brings an order to a worker. f returns the answer. Some orders are lost,
 // and some are carried out late.
-func (w *world) carry(address string, id order.Life, answered func(time.Duration, order.Answer), late bool, f func(*fakeWorker) order.Answer) {
+func (w *world) carry(address string, id order.Incarnation, answered func(time.Duration, order.Answer), late bool, f func(*fakeWorker) order.Answer) {
 	worker := w.worker(address)
 	if worker == nil || worker.cut || !worker.alive && !w.crashesSeen && w.rng.Intn(2) == 0 {
-		answered(time.Second, order.Answer{Fate: order.Unknown, Problem: "no answer"})
+		answered(time.Second, order.Answer{Outcome: order.Unknown, Problem: "no answer"})
 		return
 	}
 	if !worker.alive {
-		answered(w.delay(), order.Answer{Fate: order.NotDone, Problem: "refused"})
+		answered(w.delay(), order.Answer{Outcome: order.NotDone, Problem: "refused"})
 		return
 	}
 	run := func() order.Answer {
 		if !worker.alive {
-			return order.Answer{Fate: order.Unknown, Reason: order.Closed, Problem: "EOF"}
+			return order.Answer{Outcome: order.Unknown, Reason: order.ConnectionClosed, Problem: "EOF"}
 		}
 		if worker.life.Name != id.Name {
-			return order.Answer{Fate: order.NoLife}
+			return order.Answer{Outcome: order.WrongIncarnation}
 		}
 		return f(worker)
 	}
 	if late && w.rng.Float64() < w.lateShare {
-		answered(time.Second, order.Answer{Fate: order.Unknown, Problem: "no answer"})
+		answered(time.Second, order.Answer{Outcome: order.Unknown, Problem: "no answer"})
 		w.after(time.Duration(2000+w.rng.Intn(10000))*time.Millisecond, func() {
 			w.carriesLate = true
 			run()
@@ -95,12 +95,12 @@
 	if w.lateLooks == 0 || w.rng.Float64() >= w.lateLooks {
 		return back
 	}
-	back(e.Timeout, exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Look: e.Look, Answer: order.Answer{Fate: order.Unknown}})
+	back(e.Timeout, exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Renewal: e.Renewal, Answer: order.Answer{Outcome: order.Unknown}})
 	sent := w.now
 	after := e.Timeout + time.Duration(w.rng.Intn(4000))*time.Millisecond
 	return func(d time.Duration, answer exchange.Event) {
 		at := sent.Add(after).Truncate(bunch).Add(bunch)
-		if at.Sub(sent) <= e.Timeout+e.Late {
+		if at.Sub(sent) <= e.Timeout+e.GracePeriod {
 			back(max(d, at.Sub(w.now)), answer)
 		}
 	}
@@ -109,22 +109,22 @@
 func (w *world) renew(b *fakeBox, e exchange.Renew, back func(time.Duration, exchange.Event)) {
 	back = w.overdue(e, back)
 	var report order.Report
-	var by order.Life
+	var by order.Incarnation
 	answered := func(d time.Duration, a order.Answer) {
-		back(d, exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Look: e.Look, Answer: a, Report: report})
+		back(d, exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Renewal: e.Renewal, Answer: a, Report: report})
 	}
 	look := func(f *fakeWorker) order.Answer {
 		if f.fenced(e.Order.Fence) {
-			return order.Answer{Fate: order.Refused, Reason: order.Fenced, Clock: f.clock()}
+			return order.Answer{Outcome: order.Refused, Reason: order.Fenced, Clock: f.clock()}
 		}
-		f.extend(e.Order.Until)
-		f.forget(e.Order.Seen)
+		f.extend(e.Order.LeaseEnd)
+		f.forget(e.Order.Acknowledged)
 		report, by = f.report(), f.life
-		return order.Answer{Fate: order.Carried, Clock: f.clock()}
+		return order.Answer{Outcome: order.CarriedOut, Clock: f.clock()}
 	}
 	w.carry(e.Address, e.Worker, func(d time.Duration, a order.Answer) {
-		if a.Fate == order.Carried && len(report.Ended) == 0 && e.Order.Wait > 0 {
-			w.await(e, by, w.now.Add(e.Order.Wait.Duration()), back)
+		if a.Outcome == order.CarriedOut && len(report.Ended) == 0 && e.Order.MaxWait > 0 {
+			w.await(e, by, w.now.Add(e.Order.MaxWait.Duration()), back)
 			return
 		}
 		if f := w.worker(e.Address); f != nil && f.life == by {
@@ -142,17 +142,17 @@
 }
 
 // await answers a renewal that a life has got at the next end, or when its wait is over.
-func (w *world) await(e exchange.Renew, by order.Life, until time.Time, back func(time.Duration, exchange.Event)) {
+func (w *world) await(e exchange.Renew, by order.Incarnation, until time.Time, back func(time.Duration, exchange.Event)) {
 	f := w.worker(e.Address)
 	switch {
 	case w.crashesSeen && f != nil && !f.alive && !f.cut:
-		back(w.delay(), exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Look: e.Look, Answer: order.Answer{Fate: order.Unknown, Reason: order.Closed, Problem: "EOF"}})
+		back(w.delay(), exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Renewal: e.Renewal, Answer: order.Answer{Outcome: order.Unknown, Reason: order.ConnectionClosed, Problem: "EOF"}})
 	case f == nil || f.life != by || !f.alive || f.cut:
-		back(time.Second, exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Look: e.Look, Answer: order.Answer{Fate: order.Unknown}})
+		back(time.Second, exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Renewal: e.Renewal, Answer: order.Answer{Outcome: order.Unknown}})
 	case len(f.ended) > 0 || w.now.After(until):
 		f.answers()
 		back(w.delay(), exchange.RenewEnded{
-			Worker: e.Worker, Epoch: e.Epoch, Look: e.Look, Answer: order.Answer{Fate: order.Carried, Clock: f.clock()}, Report: f.report(),
+			Worker: e.Worker, Epoch: e.Epoch, Renewal: e.Renewal, Answer: order.Answer{Outcome: order.CarriedOut, Clock: f.clock()}, Report: f.report(),
 		})
 	default:
 		w.after(10*time.Millisecond, func() { w.await(e, by, until, back) })
@@ -160,7 +160,7 @@
 }
 
 func (f *fakeWorker) report() order.Report {
-	r := order.Report{Life: f.life, Clock: f.clock(), Ended: slices.Clone(f.ended)}
+	r := order.Report{Incarnation: f.life, Clock: f.clock(), Ended: slices.Clone(f.ended)}
 	// A run that is being stopped is named until its end is told, as the users'
 	// workers do (tried on a day of theirs: 280 looks at such runs, 42 at runs
 	// that were stopped before they began, none of which ended later).
@@ -195,7 +195,7 @@
 	if a.sub.Steps[id.Step].Gang {
 		id.Index = 0
 	}
-	switch e.How {
+	switch e.Status {
 	case order.Done:
 		a.noted[id] = true
 	case order.Failed:
@@ -219,20 +219,20 @@
 	// No holder can keep a life from what was meant for an earlier one before it knows of it.
 	unreached := f.w.carriesLate && f.lives > 1 && (f.reachedAt.IsZero() || f.w.now.Sub(f.reachedAt) < answersWithin)
 	refused := func(r order.Reason) order.Answer {
-		return order.Answer{Fate: order.Refused, Reason: r, Clock: f.clock()}
+		return order.Answer{Outcome: order.Refused, Reason: r, Clock: f.clock()}
 	}
 	switch {
 	case f.fenced(s.Fence):
 		return refused(order.Fenced)
-	case s.Until <= f.clock():
+	case s.LeaseEnd <= f.clock():
 		return refused(order.TooLate)
 	}
-	f.extend(s.Until)
+	f.extend(s.LeaseEnd)
 	if f.runs[s.Run] != nil {
-		return order.Answer{Fate: order.Carried, Clock: f.clock()}
+		return order.Answer{Outcome: order.CarriedOut, Clock: f.clock()}
 	}
 	if s.Number <= f.highest[s.Task] {
-		return refused(order.OldRun)
+		return refused(order.StaleRun)
 	}
 	if !unreached {
 		f.w.checkStart(f, s)
@@ -250,18 +250,18 @@
 	}
 	f.begun++
 	f.w.startsGuilty(f, s.Run)
-	return order.Answer{Fate: order.Carried, Clock: f.clock()}
+	return order.Answer{Outcome: order.CarriedOut, Clock: f.clock()}
 }
 
 func (f *fakeWorker) stop(s order.Stop) order.Answer {
 	if f.fenced(s.Fence) {
-		return order.Answer{Fate: order.Refused, Reason: order.Fenced, Clock: f.clock()}
+		return order.Answer{Outcome: order.Refused, Reason: order.Fenced, Clock: f.clock()}
 	}
 	f.highest[s.Task] = max(f.highest[s.Task], s.Number)
 	if r := f.runs[s.Run]; r != nil && r.stopping.IsZero() {
 		r.stopping, r.how = f.w.now.Add(f.w.stopping()), order.Stopped
 	}
-	return order.Answer{Fate: order.Carried, Clock: f.clock()}
+	return order.Answer{Outcome: order.CarriedOut, Clock: f.clock()}
 }
 
 // stopping returns how long a stop takes.
@@ -304,10 +304,10 @@
 					r.begun = w.now
 				}
 			case !r.begun.IsZero():
-				r.end(w.now, order.Broken)
+				r.end(w.now, order.GangBroken)
 			case w.now.Sub(r.present) > gangWait:
 				w.alone++
-				r.end(w.now, order.Alone)
+				r.end(w.now, order.GangIncomplete)
 			}
 		}
 	}
@@ -319,7 +319,7 @@
 	return run
 }
 
-func (r *fakeRun) end(now time.Time, how order.How) {
+func (r *fakeRun) end(now time.Time, how order.EndStatus) {
 	if r.stopping.IsZero() {
 		r.stopping, r.how = now, how
 	}
@@ -329,7 +329,7 @@
 	now := f.w.now
 	for run, r := range ordered.By(f.runs, order.Run.Compare) {
 		if now.After(f.leaseEnd) {
-			r.stopping, r.how = now, order.Lapsed
+			r.stopping, r.how = now, order.LeaseExpired
 		}
 		if r.stopping.IsZero() && !r.begun.IsZero() && !r.stalled && now.Sub(r.begun) >= r.lasts {
 			f.w.finish(run, r)
@@ -338,7 +338,7 @@
 			delete(f.runs, run)
 			f.highest[run.Task] = max(f.highest[run.Task], run.Number)
 			f.nextEnd++
-			f.ended = append(f.ended, order.End{Number: f.nextEnd, Run: run, How: r.how})
+			f.ended = append(f.ended, order.End{Number: f.nextEnd, Run: run, Status: r.how})
 		}
 	}
 }
@@ -366,7 +366,7 @@
 				continue
 			}
 			if how == order.Failed && other != run {
-				o.end(w.now, order.Broken)
+				o.end(w.now, order.GangBroken)
 				continue
 			}
 			o.end(w.now, how)
@@ -414,7 +414,7 @@
 	name string
 	// life is the present one, lives counts them; it began at bornAt, and its entry is
 	// listed from listedAt on.
-	life     order.Life
+	life     order.Incarnation
 	lives    int
 	bornAt   time.Time
 	listedAt time.Time
@@ -455,7 +455,7 @@
 	lasts    time.Duration
 	fails    bool
 	stopping time.Time
-	how      order.How
+	how      order.EndStatus
 	// unreached says that it was started late on a life that no holder had reached.
 	unreached bool
 	// stalled says that it comes no further.
@@ -478,8 +478,8 @@
 	f.bornAt, f.reachedAt = f.w.now, time.Time{}
 	f.listedAt = f.w.now.Add(time.Duration(f.lives*131%800) * time.Millisecond)
 	if f.w.renames {
-		f.life = order.Life{Name: fmt.Sprintf("%s-%d", f.name, f.lives)}
+		f.life = order.Incarnation{Name: fmt.Sprintf("%s-%d", f.name, f.lives)}
 		return
 	}
-	f.life = order.Life{Name: f.name, BornUnixMilli: f.w.now.UnixMilli() + int64(f.lives) - int64(f.lives*1777%3000)}
+	f.life = order.Incarnation{Name: f.name, BornUnixMilli: f.w.now.UnixMilli() + int64(f.lives) - int64(f.lives*1777%3000)}
 }
--- a/services/jobrun/advice.go
+++ b/services/jobrun/advice.go
@@ -95,10 +95,10 @@
 	} else {
 		good, err = l.peers.advise(ctx, e.Address, params)
 	}
-	ended := exchange.Advised{Step: e.Step, Box: e.Box, Epoch: e.Epoch, Number: e.Number, Good: good}
+	ended := exchange.Advised{Step: e.Step, Box: e.Box, Epoch: e.Epoch, Number: e.Number, Tickets: good}
 	l.metrics.advised(err)
 	if err != nil {
-		ended.Failed = err.Error()
+		ended.Failure = err.Error()
 		ended.Busy = errors.Is(err, ErrAdviceBusy)
 	}
 	l.post(ended)
--- a/services/jobrun/callers.go
+++ b/services/jobrun/callers.go
@@ -36,7 +36,7 @@
 // configuration.
 func (l *Loop) noteRefused(queue string, a exchange.Answer, version int64, current bool) {
 	l.metrics.refusedCalls.WithLabelValues(string(a.Outcome)).Inc()
-	l.notes.write(exchange.Note{Message: "call refused", Fields: []exchange.Field{
+	l.notes.write(exchange.LogEvent{Message: "call refused", Fields: []exchange.LogField{
 		{Name: "queue", Value: queue},
 		{Name: "outcome", Value: string(a.Outcome)},
 		{Name: "reason", Value: a.Reason},
--- a/services/jobrun/calls.go
+++ b/services/jobrun/calls.go
@@ -31,7 +31,7 @@
 	l.mu.Lock()
 	delete(l.calls, id)
 	l.mu.Unlock()
-	return exchange.Answer{Outcome: exchange.Unsure, Reason: "no answer in time"}
+	return exchange.Answer{Outcome: exchange.MaybeDone, Reason: "no answer in time"}
 }
 
 // answer hands an answer to the caller who waits for it, if one still does.
@@ -82,8 +82,8 @@
 }
 
 // refusalNote is the line about a call that was not served.
-func refusalNote(r Request, a exchange.Answer, took time.Duration) exchange.Note {
-	return exchange.Note{Message: "call not served", Fields: []exchange.Field{
+func refusalNote(r Request, a exchange.Answer, took time.Duration) exchange.LogEvent {
+	return exchange.LogEvent{Message: "call not served", Fields: []exchange.LogField{
 		{Name: "call", Value: r.kind()},
 		{Name: "job", Value: string(r.job())},
 		{Name: "workspace", Value: r.workspace()},
@@ -112,7 +112,7 @@
 		if l.hears(a.Holder) {
 			continue
 		}
-		if a.Outcome != exchange.Elsewhere || !l.handingOver() || !l.now().Before(until) || ctx.Err() != nil {
+		if a.Outcome != exchange.HeldElsewhere || !l.handingOver() || !l.now().Before(until) || ctx.Err() != nil {
 			return a
 		}
 		clock.Wait(ctx, handoverAgain)
--- a/services/jobrun/connections.go
+++ b/services/jobrun/connections.go
@@ -20,7 +20,7 @@
 	if g.Count < 2 {
 		return
 	}
-	l.notes.write(exchange.Note{Message: "connections were given up", Fields: []exchange.Field{
+	l.notes.write(exchange.LogEvent{Message: "connections were given up", Fields: []exchange.LogField{
 		{Name: "to", Value: g.To},
 		{Name: "address", Value: g.Address},
 		{Name: "count", Value: g.Count},
@@ -32,7 +32,7 @@
 // CallMadeAgain logs and counts a call that was made again.
 func (l *Loop) CallMadeAgain(a httpclient.Again) {
 	l.metrics.callsAgain.WithLabelValues(a.To, string(a.Answered)).Inc()
-	l.notes.write(exchange.Note{Message: "a call was made again", Fields: []exchange.Field{
+	l.notes.write(exchange.LogEvent{Message: "a call was made again", Fields: []exchange.LogField{
 		{Name: "to", Value: a.To},
 		{Name: "address", Value: a.Address},
 		{Name: "call", Value: a.Call},
@@ -51,7 +51,7 @@
 // service.
 func (l *Loop) Unanswered(u conntrack.Unanswered) {
 	l.metrics.unansweredCall(u)
-	l.notes.write(exchange.Note{Message: "a call had no answer", Fields: []exchange.Field{
+	l.notes.write(exchange.LogEvent{Message: "a call had no answer", Fields: []exchange.LogField{
 		{Name: "to", Value: u.To},
 		{Name: "address", Value: u.Address},
 		{Name: "call", Value: u.Call},
@@ -65,7 +65,7 @@
 // linkGivenUp logs and counts a link to another entry box that was given up as silent.
 func (l *Loop) linkGivenUp(g peering.GivenUp) {
 	l.metrics.connectionGivenUp(g.To, string(g.Reason))
-	l.notes.write(exchange.Note{Message: "a link to an entry box was given up", Fields: []exchange.Field{
+	l.notes.write(exchange.LogEvent{Message: "a link to an entry box was given up", Fields: []exchange.LogField{
 		{Name: "address", Value: g.Address},
 		{Name: "reason", Value: g.Reason},
 		{Name: "open_for", Value: g.OpenFor.String()},
@@ -76,5 +76,5 @@
 
 // linkNotAccepted logs why a connection of another entry box could not be accepted.
 func (l *Loop) linkNotAccepted(err error) {
-	l.notes.write(exchange.Note{Message: "a link could not be accepted", Fields: []exchange.Field{{Name: "problem", Value: err.Error()}}})
+	l.notes.write(exchange.LogEvent{Message: "a link could not be accepted", Fields: []exchange.LogField{{Name: "problem", Value: err.Error()}}})
 }
