--- a/services/jobrun/follow.go
+++ b/services/jobrun/follow.go
@@ -79,7 +79,7 @@
 func (l *Loop) followConfig() {
 	l.follow(l.ctx, follower{
 		loop: l, name: stream.Config, wait: configWait, take: l.takeConfig, fail: l.debugFail(stream.Config),
-		seen: func(askedAt time.Time) { l.post(exchange.ConfigSeen{AskedAt: askedAt}) },
+		seen: func(askedAt time.Time) { l.post(exchange.ConfigReadEnded{AskedAt: askedAt}) },
 	})
 }
 
@@ -98,9 +98,9 @@
 	l.follow(l.ctx, follower{
 		loop: l, name: stream.Claims, wait: l.settings.ReadWait,
 		take: func(p stream.Page, whole bool) {
-			l.post(exchange.ClaimsRead{Start: whole, Records: p.Records, Next: p.Next})
+			l.post(exchange.ClaimsRead{First: whole, Records: p.Records, Next: p.Next})
 		},
-		fail: func(err error) { l.post(exchange.ClaimsRead{Failed: err.Error()}) },
+		fail: func(err error) { l.post(exchange.ClaimsRead{Failure: err.Error()}) },
 	})
 }
 
@@ -145,7 +145,7 @@
 			loop: l, name: stream.Workers, pause: l.settings.WorkersEvery,
 			take: func(p stream.Page, whole bool) {
 				listing := l.platform.Listing(p.Records)
-				listing.Whole = whole
+				listing.Complete = whole
 				if whole || len(p.Records) > 0 {
 					l.relays.Workers(listing)
 					l.post(exchange.WorkersRead{Listing: listing})
--- a/services/jobrun/jobrun_test.go
+++ b/services/jobrun/jobrun_test.go
@@ -233,7 +233,7 @@
 	began := time.Now()
 	for range 5000 {
 		a := b.loop.Serve(context.Background(), jobrun.Request{State: "j"})
-		assert.Equal(t, a.Outcome, exchange.Elsewhere)
+		assert.Equal(t, a.Outcome, exchange.HeldElsewhere)
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		b.loop.Serve(context.Background(), jobrun.Request{State: "j"})
--- a/services/jobrun/late_test.go
+++ b/services/jobrun/late_test.go
@@ -25,13 +25,13 @@
 	assert.NilError(t, err)
 	calls := on.Calls()
 	renew := calls.Workers.Renew
-	calls.Workers.Renew = func(ctx context.Context, address string, worker order.Life, r order.Renew) (order.Report, order.Answer) {
+	calls.Workers.Renew = func(ctx context.Context, address string, worker order.Incarnation, r order.Renew) (order.Report, order.Answer) {
 		report, answer := renew(ctx, address, worker, r)
 		select {
 		case <-time.After(500 * time.Millisecond):
 			return report, answer
 		case <-ctx.Done():
-			return order.Report{}, order.Answer{Fate: order.Unknown, Problem: ctx.Err().Error()}
+			return order.Report{}, order.Answer{Outcome: order.Unknown, Problem: ctx.Err().Error()}
 		}
 	}
 	p := startVia(t, calls, "a", io.Discard, func(address string) string { return address })
@@ -50,7 +50,7 @@
 	assert.NilError(t, err)
 	calls := on.Calls()
 	renew := calls.Workers.Renew
-	calls.Workers.Renew = func(ctx context.Context, address string, worker order.Life, r order.Renew) (order.Report, order.Answer) {
+	calls.Workers.Renew = func(ctx context.Context, address string, worker order.Incarnation, r order.Renew) (order.Report, order.Answer) {
 		began := time.Now()
 		report, answer := renew(ctx, address, worker, r)
 		for time.Since(began) < 210*time.Millisecond {
--- a/services/jobrun/load.go
+++ b/services/jobrun/load.go
@@ -60,7 +60,7 @@
 }
 
 // note returns the line about the load, and begins to count anew.
-func (l *load) note(queued int, taken float64) exchange.Note {
+func (l *load) note(queued int, taken float64) exchange.LogEvent {
 	l.mu.Lock()
 	all := maps.Clone(l.bytes)
 	l.mu.Unlock()
@@ -68,7 +68,7 @@
 	for name, p := range all {
 		in[name], out[name] = p.in.Swap(0), p.out.Swap(0)
 	}
-	n := exchange.Note{Message: "load of the process", Fields: []exchange.Field{
+	n := exchange.LogEvent{Message: "load of the process", Fields: []exchange.LogField{
 		{Name: "events", Value: l.events},
 		{Name: "waited_most", Value: l.waited.String()},
 		{Name: "queued", Value: queued},
@@ -110,12 +110,12 @@
 		return e
 	}
 	if taken, after := l.gate.Admit(now, string(s.Submission.ID)); !taken {
-		s.ComeBack = after
+		s.RetryAfter = after
 	}
 	if waited > l.settings.PeerTimeout {
-		s.ComeBack = max(s.ComeBack, waited)
+		s.RetryAfter = max(s.RetryAfter, waited)
 	}
-	if s.ComeBack > 0 {
+	if s.RetryAfter > 0 {
 		l.metrics.refused.Inc()
 	}
 	return s
@@ -131,5 +131,5 @@
 	if l.gate.IsRefusing() {
 		message = "the holder is behind and refuses new jobs in part"
 	}
-	l.notes.write(exchange.Note{Message: message, Fields: []exchange.Field{{Name: "jobs_taken", Value: l.gate.AdmittedShare()}}})
+	l.notes.write(exchange.LogEvent{Message: message, Fields: []exchange.LogField{{Name: "jobs_taken", Value: l.gate.AdmittedShare()}}})
 }
--- a/services/jobrun/loop.go
+++ b/services/jobrun/loop.go
@@ -280,7 +280,7 @@
 }
 
 // decidedBefore is the answer to an order that was not written.
-var decidedBefore = order.Answer{Fate: order.NotDone, Problem: "the authority under which it was decided has ended"}
+var decidedBefore = order.Answer{Outcome: order.NotDone, Problem: "the authority under which it was decided has ended"}
 
 // do carries out one effect. What takes time runs beside the loop and comes
 // back as an event.
@@ -307,18 +307,18 @@
 	case exchange.Invite:
 		l.tasks.Go(func() { l.peers.invite(e) })
 	case exchange.Reply:
-		l.answer(e.Call, e.Reply)
-	case exchange.Note:
+		l.answer(e.Call, e.Answer)
+	case exchange.LogEvent:
 		l.notes.write(e)
 	case exchange.TasksLost:
 		l.metrics.lost(e)
-	case exchange.WorkspacesSeen:
+	case exchange.WorkspaceUsage:
 		l.metrics.workspacesSeen(e.All)
-	case exchange.JobBeyondShare:
+	case exchange.JobOverShare:
 		l.metrics.beyondShare(e.Refused)
 	case exchange.EntryRefused:
 		l.metrics.entriesRefused.Inc()
-	case exchange.GivenUp:
+	case exchange.JobGivenUp:
 		l.metrics.givenUp.Inc()
 		l.metrics.crashesBlamed.Add(float64(e.Crashes))
 	case exchange.Stopped:
--- a/services/jobrun/metrics.go
+++ b/services/jobrun/metrics.go
@@ -131,15 +131,15 @@
 }
 
 func (m *Metrics) ordered(kind string, a order.Answer) {
-	m.orders.WithLabelValues(kind, string(a.Fate)).Inc()
+	m.orders.WithLabelValues(kind, string(a.Outcome)).Inc()
 }
 
 func (m *Metrics) lost(e exchange.TasksLost) {
-	m.tasksLost.WithLabelValues(string(e.How)).Add(float64(e.Tasks))
-	m.workLost.WithLabelValues(string(e.How)).Add(e.Worked.Seconds())
+	m.tasksLost.WithLabelValues(string(e.Ending)).Add(float64(e.Tasks))
+	m.workLost.WithLabelValues(string(e.Ending)).Add(e.Worked.Seconds())
 }
 
-func (m *Metrics) ended(how order.How) { m.ends.WithLabelValues(string(how)).Inc() }
+func (m *Metrics) ended(how order.EndStatus) { m.ends.WithLabelValues(string(how)).Inc() }
 
 func (m *Metrics) appended(p exchange.Purpose, took time.Duration, err error) {
 	m.appends.WithLabelValues(string(p), appendResult(err)).Inc()
@@ -148,7 +148,7 @@
 
 // appendResult names the end of an append for the counters.
 func appendResult(err error) string {
-	_, moved := errors.AsType[*stream.MovedError](err)
+	_, moved := errors.AsType[*stream.EndMismatchError](err)
 	switch {
 	case err == nil:
 		return "done"
@@ -182,8 +182,8 @@
 			name = otherWorkspaces
 		}
 		for of, n := range map[string]float64{
-			"processors": w.Used.Processors.Processors(), "processors_cap": w.Most.Processors.Processors(),
-			"memory_bytes": float64(w.Used.Memory), "memory_bytes_cap": float64(w.Most.Memory),
+			"processors": w.Used.Processors.Processors(), "processors_cap": w.Cap.Processors.Processors(),
+			"memory_bytes": float64(w.Used.Memory), "memory_bytes_cap": float64(w.Cap.Memory),
 			"steps_waiting": float64(w.Waiting), "steps_capped": float64(w.Capped),
 		} {
 			m.workspaces.WithLabelValues(name, of).Add(n)
--- a/services/jobrun/notes.go
+++ b/services/jobrun/notes.go
@@ -37,7 +37,7 @@
 
 // line is a note and when it was made.
 type line struct {
-	note exchange.Note
+	note exchange.LogEvent
 	at   time.Time
 }
 
@@ -59,7 +59,7 @@
 }
 
 // write queues a line, or counts it among those left out.
-func (n *notes) write(e exchange.Note) {
+func (n *notes) write(e exchange.LogEvent) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	at := n.now()
@@ -80,7 +80,7 @@
 func (n *notes) tellLeft(at time.Time) {
 	for message, count := range n.left {
 		delete(n.left, message)
-		n.put(line{at: at, note: exchange.Note{Message: "lines were left out", Fields: []exchange.Field{
+		n.put(line{at: at, note: exchange.LogEvent{Message: "lines were left out", Fields: []exchange.LogField{
 			{Name: "of", Value: message}, {Name: "count", Value: count},
 		}}})
 	}
--- a/services/jobrun/orders.go
+++ b/services/jobrun/orders.go
@@ -48,21 +48,21 @@
 // of the answer too if it comes later.
 func (l *Loop) renew(e exchange.Renew) {
 	if !l.mayOrder(e.Epoch) {
-		l.post(exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Look: e.Look, Answer: decidedBefore})
+		l.post(exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Renewal: e.Renewal, Answer: decidedBefore})
 		return
 	}
-	ctx, cancel := context.WithTimeout(httpclient.Overdue(l.ctx, e.Timeout), e.Timeout+e.Late)
+	ctx, cancel := context.WithTimeout(httpclient.Overdue(l.ctx, e.Timeout), e.Timeout+e.GracePeriod)
 	defer cancel()
-	ended := exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Look: e.Look}
+	ended := exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Renewal: e.Renewal}
 	none := ended
-	none.Answer = order.Answer{Fate: order.Unknown, Problem: "no answer in time"}
+	none.Answer = order.Answer{Outcome: order.Unknown, Problem: "no answer in time"}
 	overdue := time.AfterFunc(e.Timeout, func() { l.post(none) })
 	ended.Report, ended.Answer = l.workers.Renew(ctx, e.Address, e.Worker, e.Order)
 	l.metrics.ordered("renew", ended.Answer)
 	for _, end := range ended.Report.Ended {
-		l.metrics.ended(end.How)
+		l.metrics.ended(end.Status)
 	}
-	if overdue.Stop() || ended.Answer.Fate == order.Carried {
+	if overdue.Stop() || ended.Answer.Outcome == order.CarriedOut {
 		l.post(ended)
 	}
 }
--- a/services/jobrun/outage.go
+++ b/services/jobrun/outage.go
@@ -24,8 +24,8 @@
 	pledged := exchange.Pledged{Epoch: e.Epoch, SentAt: sentAt, All: true}
 	for i, a := range answers {
 		pledged.All = pledged.All && a.Outcome == exchange.OK
-		if a.Steady {
-			pledged.Steady = append(pledged.Steady, e.Addresses[i])
+		if a.LogReachable {
+			pledged.LogReachable = append(pledged.LogReachable, e.Addresses[i])
 		}
 	}
 	p.loop.post(pledged)
--- a/services/jobrun/passed_test.go
+++ b/services/jobrun/passed_test.go
@@ -58,10 +58,10 @@
 			cut.Reset()
 			return nil, nil
 		}
-		return exchange.Answer{Outcome: exchange.Elsewhere, Reason: "its authority has run out meanwhile"}, nil
+		return exchange.Answer{Outcome: exchange.HeldElsewhere, Reason: "its authority has run out meanwhile"}, nil
 	})
 	a := b.loop.Serve(context.Background(), jobrun.Request{Submit: submission("second")})
-	assert.Equal(t, a.Outcome, exchange.Unsure, "%+v", a)
+	assert.Equal(t, a.Outcome, exchange.MaybeDone, "%+v", a)
 	assert.Check(t, calls.Load() > 1, "it is passed on again")
 }
 
@@ -81,7 +81,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Millisecond)
 	defer cancel()
 	a := b.loop.Serve(ctx, jobrun.Request{Submit: submission("second")})
-	assert.Equal(t, a.Outcome, exchange.Unsure, "%+v", a)
+	assert.Equal(t, a.Outcome, exchange.MaybeDone, "%+v", a)
 	close(left)
 	a = b.loop.Serve(context.Background(), jobrun.Request{Submit: submission("third")})
 	assert.Equal(t, a.Outcome, exchange.OK, "%+v", a)
--- a/services/jobrun/peers.go
+++ b/services/jobrun/peers.go
@@ -117,7 +117,7 @@
 	failed, _ := errors.AsType[*peering.NoAnswerError](err)
 	switch {
 	case err == nil:
-		p.answered(address, a.Outcome == exchange.Elsewhere)
+		p.answered(address, a.Outcome == exchange.HeldElsewhere)
 	case failed != nil && failed.OfBox && ctx.Err() == nil:
 		// A caller who has left tells nothing of the box.
 		p.setSilent(address)
@@ -138,7 +138,7 @@
 	case failed != nil && !failed.Sent:
 		a = p.unreached(err.Error())
 	case err != nil:
-		a = exchange.Answer{Outcome: exchange.Unsure, Reason: err.Error()}
+		a = exchange.Answer{Outcome: exchange.MaybeDone, Reason: err.Error()}
 	}
 	return a, repeated, err
 }
@@ -146,10 +146,10 @@
 // sure returns an answer as far as it is sure: if it says that nothing was done, an
 // earlier try may still have been served.
 func sure(a exchange.Answer, repeated bool) exchange.Answer {
-	if !repeated || !a.Outcome.NothingDone() {
+	if !repeated || !a.Outcome.HasNoEffect() {
 		return a
 	}
-	return exchange.Answer{Outcome: exchange.Unsure, Reason: "an earlier try had no answer, a later one was refused: " + a.Reason}
+	return exchange.Answer{Outcome: exchange.MaybeDone, Reason: "an earlier try had no answer, a later one was refused: " + a.Reason}
 }
 
 // unreached is the answer where the holder was not asked, so nothing was done.
--- a/services/jobrun/relays_test.go
+++ b/services/jobrun/relays_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	calls, given := on.Calls(), &atomic.Int64{}
 	start := calls.Workers.Start
-	calls.Workers.Start = func(ctx context.Context, address string, worker order.Life, s order.Start) order.Answer {
+	calls.Workers.Start = func(ctx context.Context, address string, worker order.Incarnation, s order.Start) order.Answer {
 		given.Add(1)
 		return start(ctx, address, worker, s)
 	}
--- a/services/jobrun/silent_test.go
+++ b/services/jobrun/silent_test.go
@@ -211,7 +211,7 @@
 func advisedConfig() job.Config {
 	c := config()
 	q := c.Queues["q"]
-	q.Advice = &job.Advice{Base: time.Millisecond, Each: time.Millisecond, Valid: time.Minute}
+	q.Advice = &job.Advice{BaseTime: time.Millisecond, TimePerWorker: time.Millisecond, TicketLifetime: time.Minute}
 	c.Queues["q"] = q
 	return c
 }
--- a/services/journal/journal.go
+++ b/services/journal/journal.go
@@ -120,11 +120,11 @@
 		return
 	}
 	j.inFlight = false
-	j.lastFailure = e.Failed
+	j.lastFailure = e.Failure
 	// Tries get rarer, so that a log that comes back is not met by all at once.
 	wait := j.settings.RetryAfter << min(j.failures, maxBackoffDoublings)
 	j.failures++
-	if e.Failed == "" {
+	if e.Failure == "" {
 		// It is in the log. Should the reader not see it within this time, it is
 		// appended again, which does no harm.
 		wait = readBackTimeout
--- a/services/journal/journal_test.go
+++ b/services/journal/journal_test.go
@@ -34,7 +34,7 @@
 	assert.Equal(t, len(j.Tick(start.Add(time.Second))), 0, "a second append while one is under way")
 
 	// The answer is lost: the same record again, without what came later.
-	j.AppendEnded(start.Add(time.Second), event.AppendEnded{ID: e.ID, Failed: "lost"})
+	j.AppendEnded(start.Add(time.Second), event.AppendEnded{ID: e.ID, Failure: "lost"})
 	assert.Check(t, j.FailureReason() != "")
 	again := sentEnvelope(t, j.Tick(start.Add(3*time.Second)))
 	assert.DeepEqual(t, again, e)
@@ -55,7 +55,7 @@
 	for range 60 {
 		for _, e := range j.Tick(now) {
 			tries++
-			j.AppendEnded(now, event.AppendEnded{ID: e.(effect.Append).Envelope.ID, Failed: "down"})
+			j.AppendEnded(now, event.AppendEnded{ID: e.(effect.Append).Envelope.ID, Failure: "down"})
 		}
 		now = now.Add(time.Second)
 	}
--- a/services/kept/kept.go
+++ b/services/kept/kept.go
@@ -172,14 +172,14 @@
 	})
 	open := map[job.ID]bool{}
 	for _, r := range inOrder {
-		if id, ok := strings.CutPrefix(r.Key, keySubmission); ok && !r.Dropped() {
+		if id, ok := strings.CutPrefix(r.Key, keySubmission); ok && !r.IsTombstone() {
 			open[job.ID(id)] = s.decodeJob(job.ID(id), r, newest[keyProgress+id])
 		}
 	}
 	for _, r := range inOrder {
 		s.decodeOther(r, open)
 	}
-	slices.SortStableFunc(s.Ended, func(a, b EndedJob) int { return cmp.Compare(a.Progress.Ended, b.Progress.Ended) })
+	slices.SortStableFunc(s.Ended, func(a, b EndedJob) int { return cmp.Compare(a.Progress.EndedUnixMilli, b.Progress.EndedUnixMilli) })
 	return s
 }
 
@@ -210,7 +210,7 @@
 
 // decodeOther reads a record that is not of a job which has not ended.
 func (s *State) decodeOther(r stream.Record, open map[job.ID]bool) {
-	if r.Dropped() {
+	if r.IsTombstone() {
 		return
 	}
 	if id, ok := strings.CutPrefix(r.Key, keyProgress); ok {
@@ -246,7 +246,7 @@
 		}
 		return
 	}
-	if p.State.Final() {
+	if p.State.IsFinal() {
 		s.Ended = append(s.Ended, EndedJob{ID: id, Progress: p})
 	}
 }
--- a/services/kept/kept_test.go
+++ b/services/kept/kept_test.go
@@ -35,10 +35,10 @@
 	s := kept.Decode(withOffsets(
 		kept.FenceRecord(), kept.RunTimesRecord(map[string]int{"q": 1}),
 		submission("b").Record(), submission("a").Record(), kept.ProgressRecord("a", job.Progress{State: job.Running}),
-		kept.WorkerRecord(order.Worker{Life: order.Life{Name: "w", BornUnixMilli: 7}, Pool: "p"}), kept.WorkerRecord(order.Worker{Life: order.Life{Name: "gone"}}), kept.DropWorker("gone"),
-		submission("done").Record(), kept.ProgressRecord("done", job.Progress{State: job.Succeeded, Ended: 9}), kept.DropSubmission("done"),
-		kept.ProgressRecord("earlier", job.Progress{State: job.Failed, Ended: 4}),
-		kept.ProgressRecord("old", job.Progress{State: job.Failed, Ended: 1}), kept.DropProgress("old"),
+		kept.WorkerRecord(order.Worker{Incarnation: order.Incarnation{Name: "w", BornUnixMilli: 7}, Pool: "p"}), kept.WorkerRecord(order.Worker{Incarnation: order.Incarnation{Name: "gone"}}), kept.DropWorker("gone"),
+		submission("done").Record(), kept.ProgressRecord("done", job.Progress{State: job.Succeeded, EndedUnixMilli: 9}), kept.DropSubmission("done"),
+		kept.ProgressRecord("earlier", job.Progress{State: job.Failed, EndedUnixMilli: 4}),
+		kept.ProgressRecord("old", job.Progress{State: job.Failed, EndedUnixMilli: 1}), kept.DropProgress("old"),
 		kept.ProgressRecord("a", blamed),
 	))
 	assert.Equal(t, len(s.Jobs), 2)
@@ -47,7 +47,7 @@
 	assert.Equal(t, len(s.Ended), 2)
 	assert.Equal(t, s.Ended[0].ID, job.ID("earlier"), "the first to end comes first")
 	assert.Equal(t, len(s.Workers), 1)
-	assert.Equal(t, s.Workers[0].Life, order.Life{Name: "w", BornUnixMilli: 7})
+	assert.Equal(t, s.Workers[0].Incarnation, order.Incarnation{Name: "w", BornUnixMilli: 7})
 	assert.Equal(t, string(s.RunTimes), `{"q":1}`)
 	assert.Equal(t, len(s.Unread), 0)
 }
@@ -73,7 +73,7 @@
 
 func TestUnresponsiveWorkerRecordHoldsWorkTimes(t *testing.T) {
 	run := order.Run{Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Number: 7}
-	s := kept.Decode(withOffsets(kept.UnresponsiveWorkerRecord(order.Worker{Life: order.Life{Name: "w"}}, kept.UnresponsiveState{LeaseLeft: 5, Runs: []order.Run{run, run, run}, WorkTimes: []job.Milliseconds{600, -1}})))
+	s := kept.Decode(withOffsets(kept.UnresponsiveWorkerRecord(order.Worker{Incarnation: order.Incarnation{Name: "w"}}, kept.UnresponsiveState{LeaseLeft: 5, Runs: []order.Run{run, run, run}, WorkTimes: []job.Milliseconds{600, -1}})))
 	assert.Equal(t, len(s.Workers), 1)
 	silent := s.Workers[0].Unresponsive
 	worked, known := silent.WorkTime(0)
@@ -87,6 +87,6 @@
 func TestWorkerRecordOfEarlierReleaseIsDecoded(t *testing.T) {
 	s := kept.Decode(withOffsets(stream.Record{Key: "w/i-7", Value: []byte(`{"ID":"i-7","Address":"1.2.3.4:5","Pool":"p"}`)}))
 	assert.Equal(t, len(s.Workers), 1)
-	assert.Equal(t, s.Workers[0].Life, order.Life{Name: "i-7"})
+	assert.Equal(t, s.Workers[0].Incarnation, order.Incarnation{Name: "i-7"})
 	assert.Equal(t, s.Workers[0].Address, "1.2.3.4:5")
 }
--- a/services/ledger/former.go
+++ b/services/ledger/former.go
@@ -75,14 +75,14 @@
 	return Change{Files: true}
 }
 
-func (l *Ledger) snapshotFormer() []record.Former {
-	var all []record.Former
+func (l *Ledger) snapshotFormer() []record.FormerWorker {
+	var all []record.FormerWorker
 	for id, workers := range l.former {
 		for w, rack := range workers {
-			all = append(all, record.Former{Shard: id, Worker: w, Rack: rack})
+			all = append(all, record.FormerWorker{Shard: id, Worker: w, Rack: rack})
 		}
 	}
-	slices.SortFunc(all, func(a, b record.Former) int {
+	slices.SortFunc(all, func(a, b record.FormerWorker) int {
 		return cmp.Or(a.Shard.Compare(b.Shard), cmp.Compare(a.Worker, b.Worker))
 	})
 	return all
--- a/services/ledger/progress.go
+++ b/services/ledger/progress.go
@@ -105,11 +105,11 @@
 			continue
 		}
 		switch i := uint32(key.Index); s.As {
-		case spec.FateDone:
+		case spec.OutcomeDone:
 			p.done.Add(i)
-		case spec.FateFailed:
+		case spec.OutcomeFailed:
 			p.failed.Add(i)
-		case spec.FateRerun:
+		case spec.OutcomeRerun:
 			p.rerun.Add(i)
 		}
 	}
--- a/services/ledger/snapshot.go
+++ b/services/ledger/snapshot.go
@@ -21,11 +21,11 @@
 		s.Files = append(s.Files, l.snapshotFile(name))
 	}
 	for shard, c := range l.claims {
-		s.Claims = append(s.Claims, record.Held{
+		s.Claims = append(s.Claims, record.HeldClaim{
 			Shard: shard, Box: c.box, Incarnation: c.incarnation, Revision: c.revision,
 		})
 	}
-	slices.SortFunc(s.Claims, func(a, b record.Held) int { return a.Shard.Compare(b.Shard) })
+	slices.SortFunc(s.Claims, func(a, b record.HeldClaim) int { return a.Shard.Compare(b.Shard) })
 	for id, p := range l.progress {
 		s.Progress = append(s.Progress, record.Progress{
 			Object: id, Intents: Ranges(p.intents), Done: Ranges(p.done), Failed: Ranges(p.failed), Rerun: Ranges(p.rerun),
--- a/services/membership/membership.go
+++ b/services/membership/membership.go
@@ -117,7 +117,7 @@
 func (m *Membership) hellos() []effect.Effect {
 	var effects []effect.Effect
 	for _, address := range m.peerAddresses() {
-		effects = append(effects, effect.SayHello{Address: address, Hello: m.self})
+		effects = append(effects, effect.SendHello{Address: address, Hello: m.self})
 	}
 	return effects
 }
--- a/services/presence/foreign.go
+++ b/services/presence/foreign.go
@@ -25,8 +25,8 @@
 		delete(f.reasons, o.Name)
 	}
 	var news []ForeignEntry
-	for _, id := range l.Gone {
-		why, foreign := l.Foreign[id]
+	for _, id := range l.Removed {
+		why, foreign := l.Unreadable[id]
 		if !foreign {
 			delete(f.reasons, id)
 			continue
--- a/services/presence/lives.go
+++ b/services/presence/lives.go
@@ -23,7 +23,7 @@
 	candidate          *order.Worker
 	candidateReadAfter int64
 	// past has lives that are over, the last one last.
-	past []order.Life
+	past []order.Incarnation
 	// raised counts how often the worker was to hear a higher fence number. fenceRaisedAfter is how
 	// many calls had been made when it last was for the life that is known, or 0.
 	fenceRaises      int64
@@ -52,7 +52,7 @@
 // fence number has risen since. Call is the number of the call, or 0 if it has none: the next
 // one that has tells then.
 func (l *Lives) IsFencedByLaterHolder(a order.Answer, call int64) bool {
-	return a.Fate == order.Refused && a.Reason == order.Fenced && (l.fenceRaisedAfter == 0 || call > l.fenceRaisedAfter)
+	return a.Outcome == order.Refused && a.Reason == order.Fenced && (l.fenceRaisedAfter == 0 || call > l.fenceRaisedAfter)
 }
 
 // Candidate returns the entry of another life, if there is one.
@@ -65,15 +65,15 @@
 
 // RecordEntry takes an entry that was read after some number of calls. It returns whether the entry
 // is that of the life that is known.
-func (l *Lives) RecordEntry(known order.Life, entry order.Worker, calls int64) bool {
+func (l *Lives) RecordEntry(known order.Incarnation, entry order.Worker, calls int64) bool {
 	switch {
-	case !known.IsOther(entry.Life):
+	case !known.DiffersFrom(entry.Incarnation):
 		l.candidate = nil
 		return true
-	case slices.Contains(l.past, entry.Life):
+	case slices.Contains(l.past, entry.Incarnation):
 		return false
 	}
-	if l.candidate == nil || l.candidate.Life != entry.Life {
+	if l.candidate == nil || l.candidate.Incarnation != entry.Incarnation {
 		l.candidateReadAfter = calls
 	}
 	l.candidate = &entry
@@ -91,13 +91,13 @@
 
 // RecordAnswer takes that a life has answered a call of some number, made since the known one was
 // known. It returns whether the known one is over.
-func (l *Lives) RecordAnswer(known, by order.Life, call int64) bool {
-	if known.IsOther(by) {
+func (l *Lives) RecordAnswer(known, by order.Incarnation, call int64) bool {
+	if known.DiffersFrom(by) {
 		l.End(known)
 		return true
 	}
 	if l.candidate != nil && call > l.candidateReadAfter {
-		l.addPast(l.candidate.Life)
+		l.addPast(l.candidate.Incarnation)
 		l.candidate = nil
 	}
 	return false
@@ -105,26 +105,26 @@
 
 // Successor returns what is known of a life that has taken the place of another, and whether
 // its entry was read.
-func (l *Lives) Successor(former order.Worker, by order.Life) (o order.Worker, listed bool) {
+func (l *Lives) Successor(former order.Worker, by order.Incarnation) (o order.Worker, listed bool) {
 	if l.candidate == nil {
-		former.Life = by
+		former.Incarnation = by
 		return former, false
 	}
-	o, listed = *l.candidate, !l.candidate.IsOther(by)
-	o.Life = by
+	o, listed = *l.candidate, !l.candidate.DiffersFrom(by)
+	o.Incarnation = by
 	l.candidate = nil
 	return o, listed
 }
 
 // End notes that the life that was known is over.
-func (l *Lives) End(known order.Life) {
+func (l *Lives) End(known order.Incarnation) {
 	l.addPast(known)
 	l.fenceRaises++
 	l.fenceRaisedAfter = 0
 }
 
 // addPast notes that a life is not the present one.
-func (l *Lives) addPast(life order.Life) {
+func (l *Lives) addPast(life order.Incarnation) {
 	l.past = append(l.past, life)
 	if len(l.past) > maxPastLives {
 		l.past = l.past[1:]
--- a/services/presence/lives_test.go
+++ b/services/presence/lives_test.go
@@ -13,9 +13,9 @@
 )
 
 // life is a life of one worker; clocks step back, so the number tells nothing of the order.
-func life(born int64) order.Life { return order.Life{Name: "w", BornUnixMilli: born} }
+func life(born int64) order.Incarnation { return order.Incarnation{Name: "w", BornUnixMilli: born} }
 
-func entry(born int64) order.Worker { return order.Worker{Life: life(born), Address: "a"} }
+func entry(born int64) order.Worker { return order.Worker{Incarnation: life(born), Address: "a"} }
 
 func TestOnlyAnswersDetermineCurrentLife(t *testing.T) {
 	var l presence.Lives
@@ -37,7 +37,7 @@
 func TestSuccessorUsesEntryIfRead(t *testing.T) {
 	var l presence.Lives
 	o, listed := l.Successor(entry(1), life(2))
-	assert.Check(t, !listed && o.Life == life(2) && o.Address == "a")
+	assert.Check(t, !listed && o.Incarnation == life(2) && o.Address == "a")
 	next := entry(3)
 	next.Address = "b"
 	l.RecordEntry(life(2), next, 0)
--- a/services/recent/recent.go
+++ b/services/recent/recent.go
@@ -48,7 +48,9 @@
 }
 
 // life returns the life on which it was started.
-func (s Start) life() order.Life { return order.Life{Name: s.Worker, BornUnixMilli: s.Born} }
+func (s Start) life() order.Incarnation {
+	return order.Incarnation{Name: s.Worker, BornUnixMilli: s.Born}
+}
 
 // validate says what makes no sense in a start that was kept.
 func (s Start) validate() error {
@@ -102,7 +104,7 @@
 }
 
 // LoggedStarts are the starts of which the log told, by the worker's life.
-type LoggedStarts struct{ byLife map[order.Life][]Start }
+type LoggedStarts struct{ byLife map[order.Incarnation][]Start }
 
 // Read returns the last start of each task. Records that could not be read are returned too.
 func Read(records [][]byte) (LoggedStarts, []error) {
@@ -120,7 +122,7 @@
 			}
 		}
 	}
-	told := LoggedStarts{byLife: map[order.Life][]Start{}}
+	told := LoggedStarts{byLife: map[order.Incarnation][]Start{}}
 	for _, s := range slices.SortedFunc(maps.Values(last), Start.compare) {
 		told.byLife[s.life()] = append(told.byLife[s.life()], s)
 	}
@@ -146,12 +148,12 @@
 }
 
 // StartedOn returns the tasks that were started last on a life of a worker.
-func (t LoggedStarts) StartedOn(life order.Life) []Start {
+func (t LoggedStarts) StartedOn(life order.Incarnation) []Start {
 	if life.BornUnixMilli == 0 {
 		return t.byLife[life]
 	}
 	// An earlier release told names only.
-	return slices.Concat(t.byLife[life], t.byLife[order.Life{Name: life.Name}])
+	return slices.Concat(t.byLife[life], t.byLife[order.Incarnation{Name: life.Name}])
 }
 
 // WorkerCount counts the workers on which a task of a step was started, or its gang.
@@ -169,7 +171,7 @@
 }
 
 // Forget drops what was started on a life of a worker: it has told itself what it runs.
-func (t LoggedStarts) Forget(life order.Life) {
+func (t LoggedStarts) Forget(life order.Incarnation) {
 	delete(t.byLife, life)
-	delete(t.byLife, order.Life{Name: life.Name})
+	delete(t.byLife, order.Incarnation{Name: life.Name})
 }
--- a/services/recent/recent_test.go
+++ b/services/recent/recent_test.go
@@ -52,11 +52,11 @@
 		record(start("a", 7, "w2"), start("b", 3, "w1")), record(start("a", 5, "w1")), []byte(`{`), []byte(`[{"t":"a.0.0.1","n":9,"w":"","m":1}]`),
 	})
 	assert.Equal(t, len(unread), 2)
-	assert.DeepEqual(t, told.StartedOn(order.Life{Name: "w1"}), []recent.Start{start("b", 3, "w1")})
-	assert.DeepEqual(t, told.StartedOn(order.Life{Name: "w2"}), []recent.Start{start("a", 7, "w2")})
+	assert.DeepEqual(t, told.StartedOn(order.Incarnation{Name: "w1"}), []recent.Start{start("b", 3, "w1")})
+	assert.DeepEqual(t, told.StartedOn(order.Incarnation{Name: "w2"}), []recent.Start{start("a", 7, "w2")})
 	assert.Equal(t, told.WorkerCount(job.StepID{Job: "a"}, true), 1)
-	told.Forget(order.Life{Name: "w2"})
-	assert.Equal(t, len(told.StartedOn(order.Life{Name: "w2"})), 0)
+	told.Forget(order.Incarnation{Name: "w2"})
+	assert.Equal(t, len(told.StartedOn(order.Incarnation{Name: "w2"})), 0)
 }
 
 func TestStartsAreGroupedByWorkerLife(t *testing.T) {
@@ -66,8 +66,8 @@
 	assert.NilError(t, err)
 	told, unread := recent.Read([][]byte{data})
 	assert.Equal(t, len(unread), 0)
-	life := order.Life{Name: "w", BornUnixMilli: 400}
+	life := order.Incarnation{Name: "w", BornUnixMilli: 400}
 	assert.DeepEqual(t, told.StartedOn(life), []recent.Start{later, before})
 	told.Forget(life)
-	assert.DeepEqual(t, told.StartedOn(order.Life{Name: "w", BornUnixMilli: 500}), []recent.Start{first})
+	assert.DeepEqual(t, told.StartedOn(order.Incarnation{Name: "w", BornUnixMilli: 500}), []recent.Start{first})
 }
--- a/services/relay/bench_test.go
+++ b/services/relay/bench_test.go
@@ -22,7 +22,7 @@
 func BenchmarkLook(b *testing.B) {
 	var report order.Report
 	for i := range 5 {
-		report.Running = append(report.Running, order.Running{Run: run(int64(100_000 + i)), Checkpoint: "00000bb87a21d94b", Progress: 40, Figure: 16000})
+		report.Running = append(report.Running, order.Running{Run: run(int64(100_000 + i)), Checkpoint: "00000bb87a21d94b", Progress: 40, Measurement: 16000})
 	}
 	var client *relay.Client
 	send := func(_ context.Context, _ claim.Member, sent relay.Batch) relay.Fate {
@@ -31,7 +31,7 @@
 		}
 		back := relay.Batch{From: sent.From, Life: sent.Life}
 		for _, o := range sent.Orders {
-			back.Ended = append(back.Ended, relay.Answered{ID: o.ID, Answer: order.Answer{Fate: order.Carried, Clock: 7}, Report: &report})
+			back.Ended = append(back.Ended, relay.Answered{ID: o.ID, Answer: order.Answer{Outcome: order.CarriedOut, Clock: 7}, Report: &report})
 		}
 		data, err := json.Marshal(back)
 		if err != nil {
@@ -57,7 +57,7 @@
 			calls.Go(func() {
 				ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 				defer cancel()
-				workers.Renew(ctx, "10.3.64.47:8684", order.Life{Name: fmt.Sprintf("w-b-%03d", i)}, order.Renew{Until: 9, Fence: 4, Seen: 11, Wait: 400})
+				workers.Renew(ctx, "10.3.64.47:8684", order.Incarnation{Name: fmt.Sprintf("w-b-%03d", i)}, order.Renew{LeaseEnd: 9, Fence: 4, Acknowledged: 11, MaxWait: 400})
 			})
 		}
 		calls.Wait()
--- a/services/relay/client.go
+++ b/services/relay/client.go
@@ -65,7 +65,7 @@
 // Workers returns the calls to workers by way of relays.
 func (c *Client) Workers() Workers {
 	return Workers{
-		Renew: func(ctx context.Context, address string, worker order.Life, r order.Renew) (order.Report, order.Answer) {
+		Renew: func(ctx context.Context, address string, worker order.Incarnation, r order.Renew) (order.Report, order.Answer) {
 			a, ok := c.carry(ctx, Order{Worker: worker, Address: address, Renew: &r})
 			if !ok {
 				return c.direct.Renew(ctx, address, worker, r)
@@ -73,22 +73,22 @@
 			if a.Report == nil {
 				a.Report = &order.Report{Clock: a.Answer.Clock}
 			}
-			a.Report.Life.Name = worker.Name
+			a.Report.Incarnation.Name = worker.Name
 			return *a.Report, a.Answer
 		},
-		Start: func(ctx context.Context, address string, worker order.Life, s order.Start) order.Answer {
+		Start: func(ctx context.Context, address string, worker order.Incarnation, s order.Start) order.Answer {
 			if a, ok := c.carry(ctx, Order{Worker: worker, Address: address, Start: &s}); ok {
 				return a.Answer
 			}
 			return c.direct.Start(ctx, address, worker, s)
 		},
-		Stop: func(ctx context.Context, address string, worker order.Life, s order.Stop) order.Answer {
+		Stop: func(ctx context.Context, address string, worker order.Incarnation, s order.Stop) order.Answer {
 			if a, ok := c.carry(ctx, Order{Worker: worker, Address: address, Stop: &s}); ok {
 				return a.Answer
 			}
 			return c.direct.Stop(ctx, address, worker, s)
 		},
-		Throttle: func(ctx context.Context, address string, worker order.Life, t order.Throttle) order.Answer {
+		Throttle: func(ctx context.Context, address string, worker order.Incarnation, t order.Throttle) order.Answer {
 			if a, ok := c.carry(ctx, Order{Worker: worker, Address: address, Throttle: &t}); ok {
 				return a.Answer
 			}
@@ -140,15 +140,15 @@
 
 // unknown is the answer to an order of which nothing is known.
 func unknown(id uint64, problem string) Answered {
-	return Answered{ID: id, Answer: order.Answer{Fate: order.Unknown, Problem: problem}}
+	return Answered{ID: id, Answer: order.Answer{Outcome: order.Unknown, Problem: problem}}
 }
 
 // took takes the answer to an order. One that was surely not sent is given directly.
 func (c *Client) took(o Order, a Answered) (Answered, bool) {
-	if a.Answer.Fate == "" {
+	if a.Answer.Outcome == "" {
 		return a, false
 	}
-	if a.Answer.Fate == order.Unknown {
+	if a.Answer.Outcome == order.Unknown {
 		c.roster.Unanswered(c.now(), o.Worker.Name)
 	}
 	return a, true
--- a/services/relay/codec.go
+++ b/services/relay/codec.go
@@ -103,15 +103,15 @@
 	switch {
 	case o.Renew != nil:
 		p.number(kindRenew)
-		p.number(int64(o.Renew.Until))
+		p.number(int64(o.Renew.LeaseEnd))
 		p.number(o.Renew.Fence)
-		p.number(o.Renew.Seen)
-		p.number(int64(o.Renew.Wait))
+		p.number(o.Renew.Acknowledged)
+		p.number(int64(o.Renew.MaxWait))
 	case o.Start != nil:
 		p.number(kindStart)
 		p.run(o.Start.Run)
 		p.text(o.Start.Spec)
-		p.number(int64(o.Start.Until))
+		p.number(int64(o.Start.LeaseEnd))
 		p.number(o.Start.Fence)
 		p.text(o.Start.Checkpoint)
 		p.text(o.Start.Ticket)
@@ -130,7 +130,7 @@
 func (p *packer) answered(a Answered) {
 	p.number(int64(a.ID))
 	p.number(int64(a.Answer.Clock))
-	p.text(string(a.Answer.Fate))
+	p.text(string(a.Answer.Outcome))
 	p.text(string(a.Answer.Reason))
 	p.text(a.Answer.Problem)
 	if a.Report == nil {
@@ -143,13 +143,13 @@
 		p.run(r.Run)
 		p.text(r.Checkpoint)
 		p.number(int64(r.Progress))
-		p.number(r.Figure)
+		p.number(r.Measurement)
 	}
 	p.number(int64(len(a.Report.Ended)))
 	for _, e := range a.Report.Ended {
 		p.number(e.Number)
 		p.run(e.Run)
-		p.text(string(e.How))
+		p.text(string(e.Status))
 		p.text(e.Checkpoint)
 	}
 }
@@ -160,7 +160,7 @@
 	for _, a := range all {
 		born := int64(0)
 		if a.Report != nil {
-			born = a.Report.Life.BornUnixMilli
+			born = a.Report.Incarnation.BornUnixMilli
 		}
 		told = told || born != 0
 		p.number(born)
@@ -233,16 +233,16 @@
 
 func (u *unpacker) order() Order {
 	o := Order{
-		ID: uint64(u.number()), Worker: order.Life{Name: u.text()}, Address: u.text(),
+		ID: uint64(u.number()), Worker: order.Incarnation{Name: u.text()}, Address: u.text(),
 		Within: job.Milliseconds(u.number()), Overdue: job.Milliseconds(u.number()),
 	}
 	switch kind := u.number(); {
 	case u.err != nil:
 	case kind == kindRenew:
-		o.Renew = &order.Renew{Until: order.WorkerClock(u.number()), Fence: u.number(), Seen: u.number(), Wait: job.Milliseconds(u.number())}
+		o.Renew = &order.Renew{LeaseEnd: order.WorkerClock(u.number()), Fence: u.number(), Acknowledged: u.number(), MaxWait: job.Milliseconds(u.number())}
 	case kind == kindStart:
 		o.Start = &order.Start{
-			Run: u.run(), Spec: u.text(), Until: order.WorkerClock(u.number()), Fence: u.number(), Checkpoint: u.text(), Ticket: u.text(),
+			Run: u.run(), Spec: u.text(), LeaseEnd: order.WorkerClock(u.number()), Fence: u.number(), Checkpoint: u.text(), Ticket: u.text(),
 		}
 	case kind == kindStop:
 		o.Stop = &order.Stop{Run: u.run(), Fence: u.number()}
@@ -256,7 +256,7 @@
 
 func (u *unpacker) answered() Answered {
 	a := Answered{ID: uint64(u.number()), Answer: order.Answer{
-		Clock: order.WorkerClock(u.number()), Fate: order.Fate(u.text()), Reason: order.Reason(u.text()), Problem: u.text(),
+		Clock: order.WorkerClock(u.number()), Outcome: order.Outcome(u.text()), Reason: order.Reason(u.text()), Problem: u.text(),
 	}}
 	if u.number() == 0 {
 		return a
@@ -264,11 +264,11 @@
 	a.Report = &order.Report{Clock: a.Answer.Clock}
 	for range u.count() {
 		a.Report.Running = append(a.Report.Running, order.Running{
-			Run: u.run(), Checkpoint: u.text(), Progress: int(u.number()), Figure: u.number(),
+			Run: u.run(), Checkpoint: u.text(), Progress: int(u.number()), Measurement: u.number(),
 		})
 	}
 	for range u.count() {
-		a.Report.Ended = append(a.Report.Ended, order.End{Number: u.number(), Run: u.run(), How: order.How(u.text()), Checkpoint: u.text()})
+		a.Report.Ended = append(a.Report.Ended, order.End{Number: u.number(), Run: u.run(), Status: order.EndStatus(u.text()), Checkpoint: u.text()})
 	}
 	return a
 }
@@ -284,7 +284,7 @@
 			u.fail(fmt.Errorf("a worker that started at %d", born))
 		}
 		if r := all[i].Report; r != nil && u.err == nil {
-			r.Life.BornUnixMilli = born
+			r.Incarnation.BornUnixMilli = born
 		}
 	}
 }
--- a/services/relay/codec_test.go
+++ b/services/relay/codec_test.go
@@ -18,19 +18,19 @@
 	return relay.Batch{
 		From: "10.1.0.11:7340", Life: "01M0JPVH8KD3MYTHZT124XCZDT",
 		Orders: []relay.Order{
-			{ID: 1, Worker: order.Life{Name: "w"}, Address: "a", Within: 300, Overdue: 200, Renew: &order.Renew{Until: 9, Fence: 2, Seen: 3, Wait: 400}},
-			{ID: 2, Worker: order.Life{Name: "w"}, Address: "a", Within: 300, Start: &order.Start{Run: run(1), Spec: "text", Until: 9, Fence: 2, Checkpoint: "c", Ticket: "t"}},
-			{ID: 3, Worker: order.Life{Name: "w"}, Address: "a", Within: 300, Stop: &order.Stop{Run: run(2), Fence: 2}},
-			{ID: 4, Worker: order.Life{Name: "w"}, Address: "a", Within: 300, Throttle: &order.Throttle{Run: run(3), Percent: 40, Fence: 2}},
+			{ID: 1, Worker: order.Incarnation{Name: "w"}, Address: "a", Within: 300, Overdue: 200, Renew: &order.Renew{LeaseEnd: 9, Fence: 2, Acknowledged: 3, MaxWait: 400}},
+			{ID: 2, Worker: order.Incarnation{Name: "w"}, Address: "a", Within: 300, Start: &order.Start{Run: run(1), Spec: "text", LeaseEnd: 9, Fence: 2, Checkpoint: "c", Ticket: "t"}},
+			{ID: 3, Worker: order.Incarnation{Name: "w"}, Address: "a", Within: 300, Stop: &order.Stop{Run: run(2), Fence: 2}},
+			{ID: 4, Worker: order.Incarnation{Name: "w"}, Address: "a", Within: 300, Throttle: &order.Throttle{Run: run(3), Percent: 40, Fence: 2}},
 		},
 		Ended: []relay.Answered{
-			{ID: 1, Answer: order.Answer{Fate: order.Carried, Clock: 7}},
-			{ID: 2, Answer: order.Answer{Fate: order.Refused, Reason: order.OldRun, Clock: 7, Problem: "status 409 old"}},
-			{ID: 3, Answer: order.Answer{Fate: order.Unknown, Problem: "no answer"}},
-			{ID: 4, Answer: order.Answer{Fate: order.Carried, Clock: 7}, Report: &order.Report{Clock: 7}},
-			{ID: 5, Answer: order.Answer{Fate: order.Carried, Clock: 7}, Report: &order.Report{
-				Life: order.Life{BornUnixMilli: 1764750912345}, Clock: 7, Running: []order.Running{{Run: run(4), Checkpoint: "c", Progress: 30, Figure: 5}},
-				Ended: []order.End{{Number: 8, Run: run(5), How: order.Broken, Checkpoint: "d"}},
+			{ID: 1, Answer: order.Answer{Outcome: order.CarriedOut, Clock: 7}},
+			{ID: 2, Answer: order.Answer{Outcome: order.Refused, Reason: order.StaleRun, Clock: 7, Problem: "status 409 old"}},
+			{ID: 3, Answer: order.Answer{Outcome: order.Unknown, Problem: "no answer"}},
+			{ID: 4, Answer: order.Answer{Outcome: order.CarriedOut, Clock: 7}, Report: &order.Report{Clock: 7}},
+			{ID: 5, Answer: order.Answer{Outcome: order.CarriedOut, Clock: 7}, Report: &order.Report{
+				Incarnation: order.Incarnation{BornUnixMilli: 1764750912345}, Clock: 7, Running: []order.Running{{Run: run(4), Checkpoint: "c", Progress: 30, Measurement: 5}},
+				Ended: []order.End{{Number: 8, Run: run(5), Status: order.GangBroken, Checkpoint: "d"}},
 			}},
 		},
 	}
@@ -42,8 +42,8 @@
 
 // A look that waits at an idle worker and its answer, as they pass 1,000 times a second.
 func TestAnIdleLookIsSmall(t *testing.T) {
-	look := relay.Order{ID: 123456, Worker: order.Life{Name: "i-299c99caea"}, Address: "10.3.64.47:8684", Within: 7330, Overdue: 1200, Renew: &order.Renew{Until: 486000, Fence: 12, Seen: 57, Wait: 1000}}
-	end := relay.Answered{ID: 123456, Answer: order.Answer{Fate: order.Carried, Clock: 482113}, Report: &order.Report{Life: order.Life{BornUnixMilli: 1764750912345}, Clock: 482113}}
+	look := relay.Order{ID: 123456, Worker: order.Incarnation{Name: "i-299c99caea"}, Address: "10.3.64.47:8684", Within: 7330, Overdue: 1200, Renew: &order.Renew{LeaseEnd: 486000, Fence: 12, Acknowledged: 57, MaxWait: 1000}}
+	end := relay.Answered{ID: 123456, Answer: order.Answer{Outcome: order.CarriedOut, Clock: 482113}, Report: &order.Report{Incarnation: order.Incarnation{BornUnixMilli: 1764750912345}, Clock: 482113}}
 	for _, b := range []relay.Batch{{From: "f", Life: "l", Orders: []relay.Order{look}}, {From: "f", Life: "l", Ended: []relay.Answered{end}}} {
 		data, err := json.Marshal(b)
 		assert.NilError(t, err)
--- a/services/relay/relay.go
+++ b/services/relay/relay.go
@@ -28,18 +28,18 @@
 
 // Workers are the calls to workers. Their answers say what became of the order.
 type Workers struct {
-	Renew func(ctx context.Context, address string, worker order.Life, r order.Renew) (order.Report, order.Answer)
-	Start func(ctx context.Context, address string, worker order.Life, s order.Start) order.Answer
-	Stop  func(ctx context.Context, address string, worker order.Life, s order.Stop) order.Answer
+	Renew func(ctx context.Context, address string, worker order.Incarnation, r order.Renew) (order.Report, order.Answer)
+	Start func(ctx context.Context, address string, worker order.Incarnation, s order.Start) order.Answer
+	Stop  func(ctx context.Context, address string, worker order.Incarnation, s order.Stop) order.Answer
 	// Throttle sets the pace of a run.
-	Throttle func(ctx context.Context, address string, worker order.Life, t order.Throttle) order.Answer
+	Throttle func(ctx context.Context, address string, worker order.Incarnation, t order.Throttle) order.Answer
 }
 
 // Order is one order on its way to a worker. Exactly one of its parts is set.
 type Order struct {
 	// ID tells the orders of one sender apart.
 	ID       uint64
-	Worker   order.Life
+	Worker   order.Incarnation
 	Address  string
 	Renew    *order.Renew
 	Start    *order.Start
--- a/services/relay/relay_test.go
+++ b/services/relay/relay_test.go
@@ -99,20 +99,22 @@
 		count.Add(1)
 		select {
 		case <-time.After(time.Duration(p.takes.Load())):
-			return order.Answer{Fate: order.Carried, Clock: 7}
+			return order.Answer{Outcome: order.CarriedOut, Clock: 7}
 		case <-ctx.Done():
-			return order.Answer{Fate: order.Unknown, Problem: ctx.Err().Error()}
+			return order.Answer{Outcome: order.Unknown, Problem: ctx.Err().Error()}
 		}
 	}
 	return relay.Workers{
-		Renew: func(ctx context.Context, _ string, worker order.Life, r order.Renew) (order.Report, order.Answer) {
-			end := order.End{Number: r.Seen + 1, Run: run(1), How: order.Done, Checkpoint: "c"}
-			running := order.Running{Run: run(2), Checkpoint: "d", Progress: 40, Figure: 9}
-			return order.Report{Life: order.Life{Name: worker.Name, BornUnixMilli: 5}, Clock: 7, Running: []order.Running{running}, Ended: []order.End{end}}, work(ctx)
+		Renew: func(ctx context.Context, _ string, worker order.Incarnation, r order.Renew) (order.Report, order.Answer) {
+			end := order.End{Number: r.Acknowledged + 1, Run: run(1), Status: order.Done, Checkpoint: "c"}
+			running := order.Running{Run: run(2), Checkpoint: "d", Progress: 40, Measurement: 9}
+			return order.Report{Incarnation: order.Incarnation{Name: worker.Name, BornUnixMilli: 5}, Clock: 7, Running: []order.Running{running}, Ended: []order.End{end}}, work(ctx)
+		},
+		Start: func(ctx context.Context, _ string, _ order.Incarnation, _ order.Start) order.Answer { return work(ctx) },
+		Stop:  func(ctx context.Context, _ string, _ order.Incarnation, _ order.Stop) order.Answer { return work(ctx) },
+		Throttle: func(ctx context.Context, _ string, _ order.Incarnation, _ order.Throttle) order.Answer {
+			return work(ctx)
 		},
-		Start:    func(ctx context.Context, _ string, _ order.Life, _ order.Start) order.Answer { return work(ctx) },
-		Stop:     func(ctx context.Context, _ string, _ order.Life, _ order.Stop) order.Answer { return work(ctx) },
-		Throttle: func(ctx context.Context, _ string, _ order.Life, _ order.Throttle) order.Answer { return work(ctx) },
 	}
 }
 
@@ -124,7 +126,7 @@
 func (p *pair) starts(within time.Duration) order.Answer {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	return p.client.Workers().Start(ctx, "address", order.Life{Name: "w-b-000"}, order.Start{Run: run(1), Until: 9, Fence: 4})
+	return p.client.Workers().Start(ctx, "address", order.Incarnation{Name: "w-b-000"}, order.Start{Run: run(1), LeaseEnd: 9, Fence: 4})
 }
 
 func TestOrdersAndTheirAnswersComeThroughWhole(t *testing.T) {
@@ -132,14 +134,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	w := p.client.Workers()
-	report, answer := w.Renew(ctx, "address", order.Life{Name: "w-b-000"}, order.Renew{Until: 9, Fence: 4, Seen: 11})
-	assert.Equal(t, answer, order.Answer{Fate: order.Carried, Clock: 7})
-	assert.Equal(t, report.Life, order.Life{Name: "w-b-000", BornUnixMilli: 5})
-	assert.DeepEqual(t, report.Ended, []order.End{{Number: 12, Run: run(1), How: order.Done, Checkpoint: "c"}})
-	assert.DeepEqual(t, report.Running, []order.Running{{Run: run(2), Checkpoint: "d", Progress: 40, Figure: 9}})
-	assert.Equal(t, p.starts(time.Second).Fate, order.Carried)
-	assert.Equal(t, w.Stop(ctx, "address", order.Life{Name: "w-b-000"}, order.Stop{Run: run(1)}).Fate, order.Carried)
-	assert.Equal(t, w.Throttle(ctx, "address", order.Life{Name: "w-b-000"}, order.Throttle{Run: run(1)}).Fate, order.Carried)
+	report, answer := w.Renew(ctx, "address", order.Incarnation{Name: "w-b-000"}, order.Renew{LeaseEnd: 9, Fence: 4, Acknowledged: 11})
+	assert.Equal(t, answer, order.Answer{Outcome: order.CarriedOut, Clock: 7})
+	assert.Equal(t, report.Incarnation, order.Incarnation{Name: "w-b-000", BornUnixMilli: 5})
+	assert.DeepEqual(t, report.Ended, []order.End{{Number: 12, Run: run(1), Status: order.Done, Checkpoint: "c"}})
+	assert.DeepEqual(t, report.Running, []order.Running{{Run: run(2), Checkpoint: "d", Progress: 40, Measurement: 9}})
+	assert.Equal(t, p.starts(time.Second).Outcome, order.CarriedOut)
+	assert.Equal(t, w.Stop(ctx, "address", order.Incarnation{Name: "w-b-000"}, order.Stop{Run: run(1)}).Outcome, order.CarriedOut)
+	assert.Equal(t, w.Throttle(ctx, "address", order.Incarnation{Name: "w-b-000"}, order.Throttle{Run: run(1)}).Outcome, order.CarriedOut)
 	assert.Equal(t, p.carried.Load(), int64(4))
 	assert.Equal(t, p.direct.Load(), int64(0))
 }
@@ -149,7 +151,7 @@
 	p := newPair(t)
 	var calls sync.WaitGroup
 	for range 200 {
-		calls.Go(func() { assert.Check(t, p.starts(5*time.Second).Fate == order.Carried) })
+		calls.Go(func() { assert.Check(t, p.starts(5*time.Second).Outcome == order.CarriedOut) })
 	}
 	calls.Wait()
 	p.set(func() { assert.Check(t, p.batches <= 20, "%d messages for 200 orders", p.batches) })
@@ -158,26 +160,26 @@
 func TestOrdersThatWereSurelyNotSentAreGivenDirectly(t *testing.T) {
 	p := newPair(t)
 	p.set(func() { p.orders = relay.Unsent })
-	assert.Equal(t, p.starts(5*time.Second).Fate, order.Carried)
+	assert.Equal(t, p.starts(5*time.Second).Outcome, order.CarriedOut)
 	assert.Equal(t, p.direct.Load(), int64(1))
 	p.set(func() { p.orders = "" })
-	assert.Equal(t, p.starts(5*time.Second).Fate, order.Carried)
+	assert.Equal(t, p.starts(5*time.Second).Outcome, order.CarriedOut)
 	assert.Equal(t, p.direct.Load(), int64(2), "the box is put aside")
 }
 
 func TestOrdersThatMayHaveBeenGivenAreNotGivenAgain(t *testing.T) {
 	p := newPair(t)
 	p.set(func() { p.orders = relay.Lost })
-	assert.Equal(t, p.starts(5*time.Second).Fate, order.Unknown)
+	assert.Equal(t, p.starts(5*time.Second).Outcome, order.Unknown)
 	assert.Equal(t, p.direct.Load(), int64(0))
-	assert.Equal(t, p.starts(5*time.Second).Fate, order.Carried)
+	assert.Equal(t, p.starts(5*time.Second).Outcome, order.CarriedOut)
 	assert.Equal(t, p.direct.Load(), int64(1), "the next one is given directly")
 }
 
 func TestARelayThatTellsNothingIsPutAside(t *testing.T) {
 	p := newPair(t)
 	p.set(func() { p.silent = true })
-	assert.Equal(t, p.starts(100*time.Millisecond).Fate, order.Unknown)
+	assert.Equal(t, p.starts(100*time.Millisecond).Outcome, order.Unknown)
 	_, ok := p.roster.Pick(time.Now(), "w-b-000")
 	assert.Check(t, !ok)
 }
@@ -190,18 +192,18 @@
 		func() time.Time { return time.Now().Add(time.Duration(later.Add(int64(time.Second)))) },
 		relay.Workers{}, func(_ context.Context, _ claim.Member, b relay.Batch) relay.Fate { given <- b; return relay.Arrived })
 	defer server.Close()
-	o := relay.Order{ID: 1, Worker: order.Life{Name: "w"}, Address: "a", Start: &order.Start{Run: run(1)}, Within: 300}
+	o := relay.Order{ID: 1, Worker: order.Incarnation{Name: "w"}, Address: "a", Start: &order.Start{Run: run(1)}, Within: 300}
 	assert.NilError(t, server.Carry(relay.Batch{From: "holder", Life: "1", Orders: []relay.Order{o}}))
 	b := <-given
-	assert.Equal(t, b.Ended[0].Answer.Fate, order.NotDone)
+	assert.Equal(t, b.Ended[0].Answer.Outcome, order.NotDone)
 }
 
 func TestWhatMakesNoSenseIsRefusedWhole(t *testing.T) {
-	good := relay.Order{ID: 1, Worker: order.Life{Name: "w"}, Address: "a", Stop: &order.Stop{Run: run(1)}, Within: 300}
+	good := relay.Order{ID: 1, Worker: order.Incarnation{Name: "w"}, Address: "a", Stop: &order.Stop{Run: run(1)}, Within: 300}
 	two := good
 	two.Start = &order.Start{Run: run(1)}
 	nobody, none, never := good, good, good
-	nobody.Worker, none.Stop, never.Within = order.Life{}, nil, 0
+	nobody.Worker, none.Stop, never.Within = order.Incarnation{}, nil, 0
 	for name, b := range map[string]relay.Batch{
 		"no sender": {Life: "1", Orders: []relay.Order{good}}, "no life": {From: "holder", Orders: []relay.Order{good}},
 		"two parts": {From: "holder", Life: "1", Orders: []relay.Order{good, two}},
@@ -228,7 +230,7 @@
 		}
 		return poll.Success()
 	})
-	forged := relay.Answered{ID: 1, Answer: order.Answer{Fate: order.Refused}}
+	forged := relay.Answered{ID: 1, Answer: order.Answer{Outcome: order.Refused}}
 	p.client.Ended(relay.Batch{From: "a-00:1", Life: "an earlier life", Ended: []relay.Answered{forged}})
-	assert.Equal(t, (<-done).Fate, order.Carried)
+	assert.Equal(t, (<-done).Outcome, order.CarriedOut)
 }
--- a/services/relay/roster.go
+++ b/services/relay/roster.go
@@ -86,7 +86,7 @@
 func (r *Roster) Workers(l order.Listing) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if l.Whole {
+	if l.Complete {
 		clear(r.domains)
 		clear(r.counts)
 	}
@@ -95,7 +95,7 @@
 		r.domains[w.Name] = w.Domain
 		r.counts[w.Domain]++
 	}
-	for _, id := range l.Gone {
+	for _, id := range l.Removed {
 		r.remove(id)
 		delete(r.direct, id)
 	}
--- a/services/relay/roster_test.go
+++ b/services/relay/roster_test.go
@@ -25,10 +25,10 @@
 
 // listing has some workers in each of some domains.
 func listing(each int, domains ...string) order.Listing {
-	l := order.Listing{Whole: true}
+	l := order.Listing{Complete: true}
 	for _, d := range domains {
 		for i := range each {
-			l.Present = append(l.Present, order.Worker{Life: order.Life{Name: fmt.Sprintf("w-%s-%03d", d, i)}, Domain: d})
+			l.Present = append(l.Present, order.Worker{Incarnation: order.Incarnation{Name: fmt.Sprintf("w-%s-%03d", d, i)}, Domain: d})
 		}
 	}
 	return l
@@ -145,7 +145,7 @@
 
 func TestWorkersThatAreGoneNeedNoRelay(t *testing.T) {
 	r := cell(relay.Limits{From: 100, PerRelay: 48}, 50)
-	gone := order.Listing{Gone: []string{"w-a-000", "w-a-000", "never listed"}}
+	gone := order.Listing{Removed: []string{"w-a-000", "w-a-000", "never listed"}}
 	r.Workers(gone)
 	_, ok := r.Pick(begin, "w-b-000")
 	assert.Check(t, !ok, "99 workers are left")
--- a/services/relay/server.go
+++ b/services/relay/server.go
@@ -67,11 +67,11 @@
 	a := Answered{ID: o.ID}
 	switch {
 	case ctx.Err() != nil:
-		a.Answer = order.Answer{Fate: order.NotDone, Problem: "it came too late to the relay"}
+		a.Answer = order.Answer{Outcome: order.NotDone, Problem: "it came too late to the relay"}
 	case o.Renew != nil:
 		var r order.Report
 		r, a.Answer = s.direct.Renew(ctx, o.Address, o.Worker, *o.Renew)
-		if a.Answer.Fate == order.Carried {
+		if a.Answer.Outcome == order.CarriedOut {
 			a.Report = &r
 		}
 	case o.Start != nil:
--- a/services/routing/finish.go
+++ b/services/routing/finish.go
@@ -87,7 +87,7 @@
 	waited := q.sentAt.Sub(q.arrivedAt)
 	return r.end(q, func(a request.Arrival) effect.Effect {
 		r.count(a, verdict.Ran, http.StatusOK)
-		return effect.Deliver{To: a.ID, From: q.arrival.ID, Attempt: q.attempt, Waited: waited, Keep: q.keyed != nil}
+		return effect.Deliver{To: a.ID, From: q.arrival.ID, Attempt: q.attempt, Waited: waited, Retain: q.keyed != nil}
 	}, keptEnd{from: q.arrival.ID, attempt: q.attempt})
 }
 
--- a/services/routing/keys.go
+++ b/services/routing/keys.go
@@ -150,7 +150,7 @@
 		return r.refuse(q.arrival, *known.kept.refusal)
 	default:
 		r.count(q.arrival, verdict.Ran, http.StatusOK)
-		return []effect.Effect{effect.Deliver{To: q.arrival.ID, From: known.kept.from, Attempt: known.kept.attempt, Keep: true}}
+		return []effect.Effect{effect.Deliver{To: q.arrival.ID, From: known.kept.from, Attempt: known.kept.attempt, Retain: true}}
 	}
 }
 
@@ -159,7 +159,7 @@
 func (r *Router) forward(now time.Time, q *pending) []effect.Effect {
 	key := q.arrival.Key
 	peer, ok := r.peers[key.Box()]
-	if !ok || peer.Incarnation != key.Incarnation() || q.arrival.Peer {
+	if !ok || peer.Incarnation != key.Incarnation() || q.arrival.Forwarded {
 		return r.refuse(q.arrival, unknown(http.StatusConflict, "the entry box that issued the key cannot be reached"))
 	}
 	q.state = stageForwarded
@@ -177,8 +177,8 @@
 		return nil
 	}
 	delete(r.requests, e.ID)
-	if e.Failed != "" {
-		return r.refuse(q.arrival, unknown(http.StatusBadGateway, "the entry box that issued the key did not answer: "+e.Failed))
+	if e.Failure != "" {
+		return r.refuse(q.arrival, unknown(http.StatusBadGateway, "the entry box that issued the key did not answer: "+e.Failure))
 	}
 	r.count(q.arrival, verdict.Ran, http.StatusOK)
 	return []effect.Effect{
--- a/services/routing/spill.go
+++ b/services/routing/spill.go
@@ -61,7 +61,7 @@
 // once. The key, if it has one, stays here: this box answers for its running at
 // most once. Without a neighbour the request is refused.
 func (r *Router) spill(now time.Time, q *pending, f request.Refusal) []effect.Effect {
-	if !r.policy.Spill || q.arrival.Peer || r.neighbours.out >= maxSpilled {
+	if !r.policy.Spill || q.arrival.Forwarded || r.neighbours.out >= maxSpilled {
 		return r.drop(now, q, f)
 	}
 	b, ok := r.neighbours.pick(now)
@@ -80,15 +80,15 @@
 func (r *Router) spillEnded(now time.Time, q *pending, e event.ForwardEnded) []effect.Effect {
 	r.neighbours.out--
 	switch {
-	case e.Verdict == verdict.NotRun && e.Failed != "":
+	case e.Verdict == verdict.NotRun && e.Failure != "":
 		r.neighbours.wait[q.neighbour.Domain] = now.Add(afterFailure)
 		return r.drop(now, q, q.refusal)
 	case e.Verdict == verdict.NotRun:
 		r.neighbours.wait[q.neighbour.Domain] = now.Add(afterRefusal)
 		return r.drop(now, q, q.refusal)
-	case e.Failed != "":
+	case e.Failure != "":
 		r.neighbours.wait[q.neighbour.Domain] = now.Add(afterFailure)
-		return r.endUnknown(q, "the entry box of another domain did not answer: "+e.Failed)
+		return r.endUnknown(q, "the entry box of another domain did not answer: "+e.Failure)
 	default:
 		// The neighbour's own word may be that it may have run; its answer says so.
 		return r.deliver(q)
--- a/services/runtime/log.go
+++ b/services/runtime/log.go
@@ -88,13 +88,13 @@
 }
 
 func logRead(from int64, r platform.Read) event.LogRead {
-	e := event.LogRead{First: r.First, Head: r.Next <= from}
+	e := event.LogRead{First: r.First, AtEnd: r.Next <= from}
 	for _, rec := range r.Records {
 		// A record that cannot be decoded is skipped by every process alike.
 		envelope, _ := record.Decode([]byte(rec.Data))
 		envelope.Parse()
 		e.Records = append(e.Records, event.LogRecord{Offset: rec.Offset, At: rec.Time(), Envelope: envelope})
-		e.Head = rec.Offset+1 == r.Next
+		e.AtEnd = rec.Offset+1 == r.Next
 	}
 	return e
 }
@@ -104,7 +104,7 @@
 		offset, err := l.appendOnce(e.Envelope)
 		ended := event.AppendEnded{ID: e.Envelope.ID, Offset: offset}
 		if err != nil {
-			ended.Failed = err.Error()
+			ended.Failure = err.Error()
 		}
 		l.loop.Post(ended)
 	})
--- a/services/runtime/loop.go
+++ b/services/runtime/loop.go
@@ -154,7 +154,7 @@
 		l.adapters.Log.append(e)
 	case effect.SyncWorker:
 		l.adapters.Workers.sync(e)
-	case effect.SayHello:
+	case effect.SendHello:
 		l.adapters.Peers.hello(e)
 	case effect.FetchSnapshot:
 		l.adapters.Peers.fetch(e)
--- a/services/runtime/peers.go
+++ b/services/runtime/peers.go
@@ -73,7 +73,7 @@
 		if err != nil {
 			return nil, err
 		}
-		p.loop.Post(event.HelloHeard{Hello: hello})
+		p.loop.Post(event.HelloReceived{Hello: hello})
 		return struct{}{}, nil
 	case peer.MethodSnapshot:
 		var s record.Snapshot
@@ -128,7 +128,7 @@
 	return err
 }
 
-func (p *Peers) hello(e effect.SayHello) {
+func (p *Peers) hello(e effect.SendHello) {
 	p.mu.Lock()
 	busy := p.greeting[e.Address]
 	p.greeting[e.Address] = true
@@ -181,7 +181,7 @@
 		}})
 		ended := event.ForwardEnded{ID: e.ID, Verdict: answer.Verdict}
 		if err != nil {
-			ended.Failed, ended.Verdict = err.Error(), verdict.Of(err)
+			ended.Failure, ended.Verdict = err.Error(), verdict.Of(err)
 		} else {
 			p.requests.keep(e.ID, 0, forwarded(answer))
 		}
--- a/services/runtime/publish.go
+++ b/services/runtime/publish.go
@@ -54,7 +54,7 @@
 	p.Parse()
 	id, result := l.publish.add()
 	defer l.publish.remove(id)
-	l.Post(event.PublishAsked{Waiter: id, Publish: p, Patience: patience})
+	l.Post(event.PublishAsked{Waiter: id, Publish: p, Timeout: patience})
 	select {
 	case r := <-result:
 		return r
--- a/services/runtime/requests.go
+++ b/services/runtime/requests.go
@@ -120,7 +120,7 @@
 		return refused(0, tooMany()), true
 	}
 	r.loop.Post(event.RequestArrived{Arrival: request.Arrival{
-		ID: id, Pool: in.Pool, Class: in.Class, Key: in.Key, Digest: in.digest(), Peer: in.Peer, Delegated: in.Delegated, Budget: in.Budget,
+		ID: id, Pool: in.Pool, Class: in.Class, Key: in.Key, Digest: in.digest(), Forwarded: in.Peer, Delegated: in.Delegated, Budget: in.Budget,
 	}})
 	select {
 	case result := <-k.done:
@@ -211,7 +211,7 @@
 	if e.To != e.From {
 		delete(r.pending, e.To)
 	}
-	if e.Keep {
+	if e.Retain {
 		r.keepAnswer(e.From)
 	}
 }
--- a/services/runtime/workers.go
+++ b/services/runtime/workers.go
@@ -57,7 +57,7 @@
 			err = &wrongWorkerError{want: e.Worker, got: answered.Report.Worker}
 		}
 		if err != nil {
-			answered.Failed = err.Error()
+			answered.Failure = err.Error()
 			answered.Report = worker.Report{}
 		}
 		w.loop.Post(answered)
--- a/services/shard/lease.go
+++ b/services/shard/lease.go
@@ -56,7 +56,7 @@
 		s.Starts, s.Acks = slices.Clone(w.starts), slices.Clone(w.acks)
 		w.sent = len(s.Starts)
 		if w.adopted {
-			s.Seen = w.seen
+			s.KnownVersion = w.seen
 		}
 		for _, stop := range ordered.By(w.stops, task.ID.Compare) {
 			s.Stops = append(s.Stops, stop)
@@ -88,8 +88,8 @@
 	}
 	s := w.inflight
 	w.inflight = nil
-	w.failing = e.Failed
-	if e.Failed != "" {
+	w.failing = e.Failure
+	if e.Failure != "" {
 		return
 	}
 	w.answeredAt, w.unanswered = now, 0
--- a/services/workspaces/caps.go
+++ b/services/workspaces/caps.go
@@ -64,9 +64,9 @@
 func (u *Usage) Remaining(w workspace.Workspace) resource.Vector {
 	of := u.Of(w.Name)
 	return resource.Vector{
-		Processors:   remaining(w.Most.Processors, of.Processors),
-		Memory:       remaining(w.Most.Memory, of.Memory),
-		Accelerators: remaining(w.Most.Accelerators, of.Accelerators),
+		Processors:   remaining(w.Cap.Processors, of.Processors),
+		Memory:       remaining(w.Cap.Memory, of.Memory),
+		Accelerators: remaining(w.Cap.Accelerators, of.Accelerators),
 	}
 }
 
--- a/services/workspaces/keys_test.go
+++ b/services/workspaces/keys_test.go
@@ -88,7 +88,7 @@
 		"no name":        {{}},
 		"two of a name":  {{Name: "a"}, {Name: "a"}},
 		"a key of two":   {{Name: "a", Keys: []workspace.Digest{d}}, {Name: "b", Keys: []workspace.Digest{d}}},
-		"a cap below 0":  {{Name: "a", Most: capOf(-1)}},
+		"a cap below 0":  {{Name: "a", Cap: capOf(-1)}},
 		"a share below":  {{Name: "a", Weight: -1}},
 		"no such number": {{Name: "a", Weight: nan()}},
 	} {
--- a/services/workspaces/shares_test.go
+++ b/services/workspaces/shares_test.go
@@ -51,17 +51,17 @@
 
 func TestRemainingCap(t *testing.T) {
 	u := workspaces.NewUsage()
-	w := workspace.Workspace{Name: "a", Most: resource.Vector{Processors: 10, Memory: 0, Accelerators: 2}}
+	w := workspace.Workspace{Name: "a", Cap: resource.Vector{Processors: 10, Memory: 0, Accelerators: 2}}
 	need := resource.Vector{Processors: 4, Memory: 1 << 40}
-	assert.Equal(t, u.Remaining(w).Holds(need, 100), 2)
+	assert.Equal(t, u.Remaining(w).FitCount(need, 100), 2)
 	u.Add("a", need)
 	u.Add("", need)
-	assert.Equal(t, u.Remaining(w).Holds(need, 100), 1)
+	assert.Equal(t, u.Remaining(w).FitCount(need, 100), 1)
 	// One resource that is used up keeps no task from starting that needs none of it.
 	u.Add("a", resource.Vector{Accelerators: 3})
-	assert.Equal(t, u.Remaining(w).Holds(need, 100), 1)
+	assert.Equal(t, u.Remaining(w).FitCount(need, 100), 1)
 	u.SetUnreported(map[string]resource.Vector{"a": {Processors: 3}})
-	assert.Equal(t, u.Remaining(w).Holds(need, 100), 0)
+	assert.Equal(t, u.Remaining(w).FitCount(need, 100), 0)
 	u.SetUnreported(nil)
 	u.Subtract("a", resource.Vector{Accelerators: 3})
 	u.Subtract("a", need)
--- a/tests/fake/worker.go
+++ b/tests/fake/worker.go
@@ -82,7 +82,7 @@
 		report.ExpiresIn = worker.MillisecondsOf(w.until.Sub(now))
 	}
 	report.Version = w.version
-	if report.Granted && s.Seen == w.version && len(report.Refused) == 0 {
+	if report.Granted && s.KnownVersion == w.version && len(report.Refused) == 0 {
 		report.Unchanged = true
 		return report
 	}
--- a/tests/memory/log.go
+++ b/tests/memory/log.go
@@ -17,15 +17,15 @@
 		return 0, stream.ErrNotDone
 	}
 	end := int64(len(p.streams[a.Stream]))
-	if a.At != nil && *a.At != end {
-		return 0, &stream.MovedError{End: end}
+	if a.ExpectedEnd != nil && *a.ExpectedEnd != end {
+		return 0, &stream.EndMismatchError{End: end}
 	}
 	if w := a.Writer; w != nil {
 		if w.Epoch < p.epoch {
 			return 0, stream.ErrFenced
 		}
 		if w.Epoch == p.epoch && w.Sequence < p.next {
-			return 0, stream.ErrDone
+			return 0, stream.ErrDuplicateSequence
 		}
 		p.epoch, p.next = w.Epoch, w.Sequence+1
 	}
@@ -73,7 +73,7 @@
 	}
 	page := stream.Page{Next: int64(len(p.streams[name]))}
 	for _, r := range p.streams[name] {
-		if last[r.Key] == r.Offset && !r.Dropped() {
+		if last[r.Key] == r.Offset && !r.IsTombstone() {
 			page.Records = append(page.Records, r)
 		}
 	}
--- a/tests/memory/workers.go
+++ b/tests/memory/workers.go
@@ -34,15 +34,15 @@
 	var l order.Listing
 	for id := range p.workers {
 		l.Present = append(l.Present, order.Worker{
-			Life: order.Life{Name: id}, Address: id, Pool: "pool", Domain: "a",
+			Incarnation: order.Incarnation{Name: id}, Address: id, Pool: "pool", Domain: "a",
 			Capacity: resource.Vector{Processors: 8 * resource.Processor, Memory: 8 * resource.GiB},
 		})
 	}
 	return l
 }
 
-func (p *Platform) renew(ctx context.Context, _ string, of order.Life, r order.Renew) (order.Report, order.Answer) {
-	deadline := time.Now().Add(r.Wait.Duration())
+func (p *Platform) renew(ctx context.Context, _ string, of order.Incarnation, r order.Renew) (order.Report, order.Answer) {
+	deadline := time.Now().Add(r.MaxWait.Duration())
 	for {
 		report, answer, done := p.look(of.Name, r)
 		if done || !time.Now().Before(deadline) {
@@ -51,7 +51,7 @@
 		select {
 		case <-time.After(time.Millisecond):
 		case <-ctx.Done():
-			return order.Report{}, order.Answer{Fate: order.Unknown, Problem: ctx.Err().Error()}
+			return order.Report{}, order.Answer{Outcome: order.Unknown, Problem: ctx.Err().Error()}
 		}
 	}
 }
@@ -61,10 +61,10 @@
 	defer p.mu.Unlock()
 	w := p.workers[id]
 	if r.Fence < w.fence {
-		return order.Report{}, order.Answer{Fate: order.Refused, Reason: order.Fenced}, true
+		return order.Report{}, order.Answer{Outcome: order.Refused, Reason: order.Fenced}, true
 	}
 	w.fence = r.Fence
-	for len(w.ended) > 0 && w.ended[0].Number <= r.Seen {
+	for len(w.ended) > 0 && w.ended[0].Number <= r.Acknowledged {
 		w.ended = w.ended[1:]
 	}
 	clock := order.WorkerClock(time.Now().UnixMilli())
@@ -72,16 +72,16 @@
 	for run := range w.running {
 		running = append(running, order.Running{Run: run, Progress: 100})
 	}
-	report := order.Report{Life: order.Life{Name: id}, Clock: clock, Running: running, Ended: append([]order.End(nil), w.ended...)}
-	return report, order.Answer{Fate: order.Carried, Clock: clock}, len(w.ended) > 0
+	report := order.Report{Incarnation: order.Incarnation{Name: id}, Clock: clock, Running: running, Ended: append([]order.End(nil), w.ended...)}
+	return report, order.Answer{Outcome: order.CarriedOut, Clock: clock}, len(w.ended) > 0
 }
 
-func (p *Platform) start(_ context.Context, _ string, of order.Life, s order.Start) order.Answer {
+func (p *Platform) start(_ context.Context, _ string, of order.Incarnation, s order.Start) order.Answer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	w := p.workers[of.Name]
 	if s.Fence < w.fence {
-		return order.Answer{Fate: order.Refused, Reason: order.Fenced}
+		return order.Answer{Outcome: order.Refused, Reason: order.Fenced}
 	}
 	p.runs[s.Task.String()]++
 	w.running[s.Run] = true
@@ -90,15 +90,15 @@
 		defer p.mu.Unlock()
 		delete(w.running, s.Run)
 		w.last++
-		w.ended = append(w.ended, order.End{Number: w.last, Run: s.Run, How: order.Done})
+		w.ended = append(w.ended, order.End{Number: w.last, Run: s.Run, Status: order.Done})
 	})
-	return order.Answer{Fate: order.Carried, Clock: order.WorkerClock(time.Now().UnixMilli())}
+	return order.Answer{Outcome: order.CarriedOut, Clock: order.WorkerClock(time.Now().UnixMilli())}
 }
 
-func (p *Platform) stop(context.Context, string, order.Life, order.Stop) order.Answer {
-	return order.Answer{Fate: order.Carried, Clock: order.WorkerClock(time.Now().UnixMilli())}
+func (p *Platform) stop(context.Context, string, order.Incarnation, order.Stop) order.Answer {
+	return order.Answer{Outcome: order.CarriedOut, Clock: order.WorkerClock(time.Now().UnixMilli())}
 }
 
-func (p *Platform) throttle(context.Context, string, order.Life, order.Throttle) order.Answer {
-	return order.Answer{Fate: order.Carried, Clock: order.WorkerClock(time.Now().UnixMilli())}
+func (p *Platform) throttle(context.Context, string, order.Incarnation, order.Throttle) order.Answer {
+	return order.Answer{Outcome: order.CarriedOut, Clock: order.WorkerClock(time.Now().UnixMilli())}
 }
--- a/tests/soak/callers.go
+++ b/tests/soak/callers.go
@@ -129,7 +129,7 @@
 			if c.submit(ctx, s) {
 				at := time.Now()
 				c.tasks.Go(func() {
-					if state := c.watch(ctx, s, at); state.Final() {
+					if state := c.watch(ctx, s, at); state.IsFinal() {
 						c.ends(ctx, s, state)
 					}
 				})
@@ -251,7 +251,7 @@
 		sleep(ctx, time.Duration(c.number(1500))*time.Millisecond)
 		c.cancel(ctx, s.ID)
 	}
-	if state := c.watch(ctx, s, acceptedAt); state.Final() {
+	if state := c.watch(ctx, s, acceptedAt); state.IsFinal() {
 		c.hasEnded(t)
 		c.ends(ctx, s, state)
 	}
@@ -309,7 +309,7 @@
 		case status == http.StatusGone && time.Since(acceptedAt) > visibleAfter:
 			c.breaks("%s was accepted and is not known %v later", s.ID, time.Since(acceptedAt))
 			return a.State
-		case status == http.StatusOK && a.State.Final():
+		case status == http.StatusOK && a.State.IsFinal():
 			return a.State
 		}
 		sleep(ctx, stateEvery)
