--- a/services/dispatch/ask.go
+++ b/services/dispatch/ask.go
@@ -23,34 +23,35 @@
 )
 
 const (
-	// maxAskedForRoom bounds the workers that a step is asked about at a time because they
-	// have room.
+	// maxAskedForRoom is the most workers with room that advice for one step is requested on at a
+	// time.
 	maxAskedForRoom = 60
-	// askFactor is for how many times the waiting tasks workers are named.
+	// askFactor is the number of suitable slots to expect on the named workers for each unplaced
+	// task.
 	askFactor = 1.5
-	// minRoomPerWorker is the room, in tasks, that a named worker counts for which has none
-	// now.
+	// minRoomPerWorker is the number of slots that a named worker without any room counts for.
 	minRoomPerWorker = 0.3
 )
 
-// requestAdvice calls for advice on some workers. It returns nil if the boxes have as many
-// calls under way as they should. What is late anyway waits until a box has none.
+// requestAdvice calls the advice service for a step and some workers. It returns nil if the boxes
+// already have as many calls in flight as they should. Calls for late steps are made only through a
+// box without any.
 func (h *holderState) requestAdvice(now time.Time, s *step, q *job.Advice, workers []*worker) *adviceCall {
-	takes := q.BaseTime + time.Duration(len(workers))*q.TimePerWorker
+	callTime := q.BaseTime + time.Duration(len(workers))*q.TimePerWorker
 	class := h.callClass(now, s)
-	if h.isEnabled(mechanism.DividedAdvice) && takes > advisers.BriefCall && !h.advisers.FairShare.Admit(now, class) {
+	if h.isEnabled(mechanism.DividedAdvice) && callTime > advisers.BriefCall && !h.advisers.FairShare.Admit(now, class) {
 		return nil
 	}
-	patience := time.Duration(0)
+	maxQueueTime := time.Duration(0)
 	if !class.Late {
-		patience = advisers.MaxQueueTime
+		maxQueueTime = advisers.MaxQueueTime
 	}
-	box, ok := h.advisers.Assign(now, maps.Keys(h.core.members), takes, patience)
+	box, ok := h.advisers.Assign(now, maps.Keys(h.core.members), callTime, maxQueueTime)
 	if !ok {
 		h.advisers.FairShare.RecordDeferral(now, class)
 		return nil
 	}
-	h.advisers.FairShare.RecordCall(now, class, takes)
+	h.advisers.FairShare.RecordCall(now, class, callTime)
 	names := make([]string, len(workers))
 	for i, w := range workers {
 		names[i] = w.Name
@@ -62,7 +63,7 @@
 		address = h.core.members[box].Address
 	}
 	s.advice.addCall(c)
-	h.advisers.CallTimeByQueue[s.job.queue] += takes
+	h.advisers.CallTimeByQueue[s.job.queue] += callTime
 	h.core.emit(exchange.Advise{
 		Box: box, Address: address, Epoch: h.epoch, Number: c.number, Step: s.id, Workers: names,
 		Expected: c.due.Sub(now), Timeout: c.due.Sub(now) + adviceTimeoutMargin,
@@ -70,12 +71,13 @@
 	return c
 }
 
-// callClass returns what a step competes as for calls.
+// callClass returns the class in which a step's calls compete with others.
 func (h *holderState) callClass(now time.Time, s *step) turns.CallClass {
 	return turns.CallClass{Queue: s.job.queue, Late: h.rank(now, s).Tier != ranking.OnTime}
 }
 
-// requestEarlyAdvice asks for the first steps of a job while the log takes it in.
+// requestEarlyAdvice requests advice for the first steps of a job while the job is being appended
+// to the log.
 func (h *holderState) requestEarlyAdvice(now time.Time, j *trackedJob) {
 	q := h.queueOf(j)
 	if q.Advice == nil || !h.isEnabled(mechanism.EarlyAdvice) {
@@ -91,8 +93,8 @@
 	}
 }
 
-// requestEarlyStepAdvice asks for a step that is not open yet. The pass is the look at the
-// workers, which may be older than now.
+// requestEarlyStepAdvice requests advice for a step that is not open yet. The pass may be older
+// than now.
 func (h *holderState) requestEarlyStepAdvice(p *pass, now time.Time, r rankedStep) {
 	candidates := h.workersFor(p, r.step, r.queue.Pool).workers
 	if r.step.spec.Gang {
@@ -102,10 +104,10 @@
 	h.requestAdviceForRoom(now, r, candidates)
 }
 
-// earlyPassLifetime is how long jobs that are handed in share one look at the workers.
+// earlyPassLifetime is how long the pass for newly submitted jobs is reused.
 const earlyPassLifetime = 10 * time.Millisecond
 
-// earlyPass returns the look at the workers for jobs that are handed in now.
+// earlyPass returns the pass, with its view of the workers, for jobs that are submitted at now.
 func (h *holderState) earlyPass(now time.Time) *pass {
 	if h.submitPass == nil || now.Sub(h.submitPass.now) > earlyPassLifetime {
 		h.submitPass = newPass(now)
@@ -113,8 +115,8 @@
 	return h.submitPass
 }
 
-// unaskedByRoom returns the candidates about which nothing is known for a step and nobody
-// is asked, those with most room first.
+// unaskedByRoom returns the candidates whose suitability for the step is neither known nor
+// requested, those with the most room first.
 func (s *step) unaskedByRoom(candidates []*worker) []*worker {
 	var all []*worker
 	for _, w := range candidates {
@@ -128,10 +130,10 @@
 	return all
 }
 
-// unaskedRotated yields the candidates about which nothing is known for a step and nobody
-// is asked, with the room they have for its tasks: those that have some first. It
-// begins at a place of the step's own, so that steps which wait at once ask about
-// different ones.
+// unaskedRotated yields the candidates whose suitability for the step is neither known nor
+// requested, and how many of its tasks each has room for: candidates with room first. The iteration
+// starts at an index derived from the step's ID, so that steps waiting at the same time ask for
+// different workers.
 func (s *step) unaskedRotated(candidates []*worker) iter.Seq2[*worker, int] {
 	return func(yield func(*worker, int) bool) {
 		if len(candidates) == 0 {
@@ -159,26 +161,26 @@
 	}
 }
 
-// requestAdviceOn calls for advice on some workers, in as many calls as that takes. It
-// returns false if none was made.
+// requestAdviceOn requests advice on some workers, in as many calls as necessary. It returns false
+// if no call was made.
 func (h *holderState) requestAdviceOn(now time.Time, r rankedStep, workers []*worker) bool {
 	s := r.step
 	if now.Before(s.advice.retryAt) {
 		return false
 	}
-	asked := false
+	requested := false
 	for chunk := range slices.Chunk(workers, advisers.MaxWorkersPerCall) {
 		if h.requestAdvice(now, s, r.queue.Advice, chunk) == nil {
 			break
 		}
-		asked = true
+		requested = true
 	}
-	return asked
+	return requested
 }
 
-// requestAdviceForRoom asks about as many unknown workers as should have room for the waiting
-// tasks of a step, those that have some first. Where few have room it names some
-// more, which may have it next. It returns false if no call was made.
+// requestAdviceForRoom requests advice on as many unknown workers as should have room for the
+// step's unplaced tasks, on those with room first. If few have room it names some more, which may
+// have room soon. It returns false if no call was made.
 func (h *holderState) requestAdviceForRoom(now time.Time, r rankedStep, candidates []*worker) bool {
 	s := r.step
 	if !h.advisers.HasFreeBox(now, maps.Keys(h.core.members), r.queue.Advice.BaseTime, advisers.MaxQueueTime) {
@@ -198,46 +200,46 @@
 	return h.requestAdviceOn(now, r, named)
 }
 
-// requestMoreAdvice asks about those of some workers that have room now. It returns false if
-// no call was made.
+// requestMoreAdvice requests advice on those of some workers that have room now. It returns false
+// if no call was made.
 func (h *holderState) requestMoreAdvice(now time.Time, r rankedStep, workers []*worker) bool {
-	var open []*worker
+	var withRoom []*worker
 	for _, w := range workers {
 		if w.slots(r.step, w.available()) > 0 {
-			open = append(open, w)
+			withRoom = append(withRoom, w)
 		}
 	}
-	return h.requestAdviceForRoom(now, r, open)
+	return h.requestAdviceForRoom(now, r, withRoom)
 }
 
-// refreshTickets asks for tickets for shares, and keeps their room until they come.
-// Tickets that outlast the call are not asked for again.
-func (h *holderState) refreshTickets(now time.Time, r rankedStep, shares []allocation) {
+// refreshTickets requests tickets for allocations and holds their capacity until the answer.
+// Tickets that stay valid until after the call are not requested again.
+func (h *holderState) refreshTickets(now time.Time, r rankedStep, allocations []allocation) {
 	s := r.step
-	if len(shares) == 0 || now.Before(s.advice.retryAt) {
+	if len(allocations) == 0 || now.Before(s.advice.retryAt) {
 		return
 	}
-	takes := r.queue.Advice.BaseTime + time.Duration(len(shares))*r.queue.Advice.TimePerWorker
-	_, stale := s.splitByTicket(now.Add(takes+tickets.StartMargin), shares)
+	callTime := r.queue.Advice.BaseTime + time.Duration(len(allocations))*r.queue.Advice.TimePerWorker
+	_, stale := s.splitByTicket(now.Add(callTime+tickets.StartMargin), allocations)
 	workers := make([]*worker, len(stale))
-	for i, sh := range stale {
-		workers[i] = sh.Worker
+	for i, a := range stale {
+		workers[i] = a.Worker
 	}
 	if c := h.requestAdvice(now, s, r.queue.Advice, workers); c != nil {
-		for _, sh := range shares {
-			c.holdCapacity(sh.Worker, sh.Tasks)
+		for _, a := range allocations {
+			c.holdCapacity(a.Worker, a.Tasks)
 		}
 	}
 }
 
-// splitByTicket splits shares into those whose tickets a start could use now and the
-// others.
-func (s *step) splitByTicket(now time.Time, shares []allocation) (valid, stale []allocation) {
-	for _, sh := range shares {
-		if _, ok := s.advice.TicketFor(now, sh.Worker); ok {
-			valid = append(valid, sh)
+// splitByTicket splits allocations into those with a ticket that is valid for a start at now and
+// the others.
+func (s *step) splitByTicket(now time.Time, allocations []allocation) (valid, stale []allocation) {
+	for _, a := range allocations {
+		if _, ok := s.advice.TicketFor(now, a.Worker); ok {
+			valid = append(valid, a)
 		} else {
-			stale = append(stale, sh)
+			stale = append(stale, a)
 		}
 	}
 	return valid, stale
--- a/services/dispatch/calls.go
+++ b/services/dispatch/calls.go
@@ -10,14 +10,14 @@
 	"saddlevane/models/job"
 )
 
-// submit accepts a job once the log has it. The same ID is the same job.
+// submit accepts a job once the log has it. Submissions with the same ID are the same job.
 func (h *holderState) submit(now time.Time, e exchange.Submitted) {
 	if e.Caller != nil {
 		e.Submission.Workspace = e.Caller.Workspace
 	}
 	if j := h.jobs[e.Submission.ID]; j != nil {
 		if !e.Caller.MayActOn(j.workspace, j.queue) {
-			h.replyUnavailable(e.Call, "the job cannot be taken under this ID")
+			h.replyUnavailable(e.Call, "a job cannot be submitted under this ID")
 			return
 		}
 		if j.accepted {
@@ -37,11 +37,11 @@
 		return
 	case e.RetryAfter > 0:
 		h.core.reply(e.Call, exchange.Answer{
-			Outcome: exchange.Unavailable, Reason: "the holder is behind with its work", RetryAfter: job.Milliseconds(e.RetryAfter.Milliseconds()),
+			Outcome: exchange.Unavailable, Reason: "the holder is overloaded", RetryAfter: job.Milliseconds(e.RetryAfter.Milliseconds()),
 		})
 		return
 	case h.journal.isFailing(now):
-		h.replyUnavailable(e.Call, "the log keeps no records at present")
+		h.replyUnavailable(e.Call, "the log is currently not accepting records")
 		return
 	}
 	within, refusal := h.checkAdmission(now, &e.Submission)
@@ -59,14 +59,14 @@
 	h.requestEarlyAdvice(now, j)
 }
 
-// replyUnavailable answers that nothing was done and when to come back.
+// replyUnavailable replies that nothing was done and when to retry.
 func (h *holderState) replyUnavailable(call exchange.CallID, reason string) {
 	h.core.reply(call, exchange.Answer{
 		Outcome: exchange.Unavailable, Reason: reason, RetryAfter: job.Milliseconds(noHolderRetryAfter.Milliseconds()),
 	})
 }
 
-// cancel ends a job; the caller is told once the log has it.
+// cancel ends a job. The caller gets the reply once the log has the cancellation.
 func (h *holderState) cancel(now time.Time, e exchange.CancelAsked) {
 	j := h.jobs[e.Job]
 	switch {
@@ -85,8 +85,7 @@
 	h.markDirty(j)
 }
 
-// replyState answers with the state that the log has, or running once a task was
-// seen at work.
+// replyState replies with a job's state in the log, or with running once one of its tasks has run.
 func (h *holderState) replyState(e exchange.StateAsked) {
 	j := h.jobs[e.Job]
 	if j == nil || !e.Caller.MayActOn(j.workspace, j.queue) {
@@ -100,7 +99,7 @@
 	h.core.reply(e.Call, exchange.Answer{Outcome: exchange.OK, State: state})
 }
 
-// replyCount counts the accepted jobs of a queue of which no task was seen at work.
+// replyCount replies with the number of accepted jobs of a queue of which no task has run yet.
 func (h *holderState) replyCount(e exchange.CountAsked) {
 	count := 0
 	for _, j := range h.jobs {
--- a/services/dispatch/confirm.go
+++ b/services/dispatch/confirm.go
@@ -12,8 +12,8 @@
 	"saddlevane/models/stream"
 )
 
-// handleJournalAppendEnded takes the end of the append under way. One that the log has seen
-// before is in the log.
+// handleJournalAppendEnded handles the end of the append in flight. ErrDuplicateSequence means that an earlier
+// attempt of the same append succeeded.
 func (h *holderState) handleJournalAppendEnded(now time.Time, e exchange.AppendEnded) {
 	j := &h.journal
 	if j.batch == nil || !j.batch.sent || e.Number != j.batch.append.Writer.Number() {
@@ -23,13 +23,13 @@
 	case e.Err == nil || errors.Is(e.Err, stream.ErrDuplicateSequence):
 		h.handleJournalAppended(now)
 	case errors.Is(e.Err, stream.ErrFenced):
-		h.core.stepDown("a later holder has appended")
+		h.core.stepDown("a later holder has appended to the log")
 	default:
 		h.retryAppend(now, e.Err)
 	}
 }
 
-// retryAppend sends the same append again; it may be in the log already.
+// retryAppend schedules the same append again after a failure. The log may have it already.
 func (h *holderState) retryAppend(now time.Time, err error) {
 	j := &h.journal
 	j.batch.sent = false
@@ -42,7 +42,7 @@
 	h.refuseWhileFailing(now)
 }
 
-// replyUnsure tells the callers of a batch that its fate is not known.
+// replyUnsure replies to the callers waiting for a batch that the outcome is unknown.
 func (h *holderState) replyUnsure(b *batch) {
 	for _, s := range b.newJobs {
 		h.replyToCalls(s.acceptCalls, exchange.Answer{Outcome: exchange.MaybeDone, Reason: "the log has not confirmed the job"})
@@ -55,7 +55,7 @@
 	}
 }
 
-// refuseWhileFailing lets no caller wait for a log that keeps nothing.
+// refuseWhileFailing replies to all callers waiting for the log while appends to it fail.
 func (h *holderState) refuseWhileFailing(now time.Time) {
 	if !h.journal.isFailing(now) {
 		return
@@ -66,15 +66,15 @@
 	h.refuseQueued()
 }
 
-// cancelUnsureAnswer is what a caller is told whose cancellation waits for the log.
+// cancelUnsureAnswer is the reply to a caller whose cancellation waits for the log.
 var cancelUnsureAnswer = exchange.Answer{Outcome: exchange.MaybeDone, Reason: "the log has not confirmed the cancellation"}
 
-// refuseQueued answers the callers who wait for a later append. Jobs that were
-// in none are forgotten, so they never run.
+// refuseQueued replies to the callers waiting for a later append. Jobs that have not been in any
+// append are dropped, so they never run.
 func (h *holderState) refuseQueued() {
 	for _, s := range h.journal.unloggedJobs {
 		for _, call := range s.acceptCalls {
-			h.replyUnavailable(call, "the log keeps no records at present")
+			h.replyUnavailable(call, "the log is currently not accepting records")
 		}
 		s.acceptCalls = nil
 		s.state = job.Cancelled
@@ -87,7 +87,7 @@
 	}
 }
 
-// handleJournalAppended acts on what is now in the log.
+// handleJournalAppended handles the success of the append in flight.
 func (h *holderState) handleJournalAppended(now time.Time) {
 	j := &h.journal
 	b := j.batch
@@ -114,8 +114,8 @@
 	h.planDue = true
 }
 
-// handleProgressAppended acts on one job's progress that is now in the log: callers are told
-// and workers may forget the ends.
+// handleProgressAppended handles one job's progress that is now in the log: it replies to the
+// callers waiting for it, and the ends of runs may be acknowledged to the workers.
 func (h *holderState) handleProgressAppended(now time.Time, p progressEntry) {
 	p.job.reportedState = p.state
 	h.replyToCalls(p.cancelCalls, exchange.Answer{Outcome: exchange.OK, State: p.state})
--- a/services/dispatch/foreign_test.go
+++ b/services/dispatch/foreign_test.go
@@ -17,29 +17,29 @@
 	"gotest.tools/v3/assert"
 )
 
-// refusedEntries is a change of the list by which some entries name no worker any more.
-func refusedEntries(why string, ids ...string) exchange.WorkersRead {
+// refusedEntries returns a change of the list in which some entries no longer describe a worker.
+func refusedEntries(reason string, ids ...string) exchange.WorkersRead {
 	l := order.Listing{Removed: ids, Unreadable: map[string]string{}}
 	for _, id := range ids {
-		l.Unreadable[id] = why
+		l.Unreadable[id] = reason
 	}
 	return exchange.WorkersRead{Listing: l}
 }
 
 func TestWorkerWithUnreadableEntryKeepsTasksAndGetsNoMore(t *testing.T) {
-	d, looks := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	d, renewals := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	start := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))[0]
 	d.handle(exchange.StartEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut}})
-	d.answerRenewals(3*time.Second, looks)
-	told := effectsOf[exchange.EntryRefused](d.handle(refusedEntries("it cannot be read", "w", "x")))
-	assert.Equal(t, len(told), 2)
-	told = effectsOf[exchange.EntryRefused](d.handle(refusedEntries("it cannot be read", "w", "x")))
-	assert.Equal(t, len(told), 0, "it is told of once")
-	assert.Equal(t, d.submitAndCountStarts(oneStep("k", "quick", 1, false), 3, looks), 0, "it gets no more")
+	d.answerRenewals(3*time.Second, renewals)
+	refusals := effectsOf[exchange.EntryRefused](d.handle(refusedEntries("it cannot be read", "w", "x")))
+	assert.Equal(t, len(refusals), 2)
+	refusals = effectsOf[exchange.EntryRefused](d.handle(refusedEntries("it cannot be read", "w", "x")))
+	assert.Equal(t, len(refusals), 0, "each entry is counted once")
+	assert.Equal(t, d.submitAndCountStarts(oneStep("k", "quick", 1, false), 3, renewals), 0, "the worker gets no more tasks")
 	state := effectsOf[exchange.Reply](d.handle(exchange.StateAsked{Call: 9, Job: "j"}))[0].Answer.State
-	assert.Equal(t, state, job.Running, "it keeps its task")
+	assert.Equal(t, state, job.Running, "the worker keeps its task")
 	d.handle(exchange.WorkersRead{Listing: order.Listing{Present: []order.Worker{{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity}}}})
-	assert.Equal(t, d.answerRenewals(time.Second, looks), 1, "it is a worker again")
+	assert.Equal(t, d.answerRenewals(time.Second, renewals), 1, "the entry describes a worker again")
 }
 
 func TestWorkerOfUnnamedPoolIsNotContacted(t *testing.T) {
@@ -53,14 +53,14 @@
 	c := config()
 	c.Version, c.AdmissionChecked = 2, map[string]bool{"other": false}
 	effects = append(d.handle(exchange.ConfigRead{Config: c}), d.advance(200*time.Millisecond)...)
-	asked := false
+	contacted := false
 	for _, r := range effectsOf[exchange.Renew](effects) {
-		asked = asked || r.Worker.Name == "o"
+		contacted = contacted || r.Worker.Name == "o"
 	}
-	assert.Check(t, asked, "a configuration names its pool")
+	assert.Check(t, contacted, "the configuration now names its pool")
 }
 
-// FuzzLoadedJobs gives a new holder a record that another writer left among its own.
+// FuzzLoadedJobs loads a record that another writer left among those of the holder.
 func FuzzLoadedJobs(f *testing.F) {
 	kept := map[string]any{"queue": config().Queues["quick"], "job": oneStep("j", "quick", 2, false), "accepted_unix_ms": 1_700_000_000_000}
 	good, err := json.Marshal(kept)
@@ -84,6 +84,6 @@
 			return
 		}
 		state := effectsOf[exchange.Reply](d.handle(exchange.StateAsked{Call: 9, Job: "j"}))
-		assert.Check(t, len(state) == 0 || state[0].Answer.Outcome != exchange.NoJob, "the others hold")
+		assert.Check(t, len(state) == 0 || state[0].Answer.Outcome != exchange.NoJob, "the other records must be loaded")
 	})
 }
--- a/services/dispatch/gone.go
+++ b/services/dispatch/gone.go
@@ -10,7 +10,7 @@
 	"saddlevane/services/blame"
 )
 
-// handleWorkerUnresponsive notes that a worker does not answer from now on.
+// handleWorkerUnresponsive records that a worker stopped answering at now.
 func (h *holderState) handleWorkerUnresponsive(now time.Time, w *worker) {
 	w.presence.RecordSilence(now, h.core.settings.RenewWait+renewMargin)
 	if w.isolatedAttempts == 0 {
@@ -18,8 +18,8 @@
 	}
 }
 
-// endingOf tells how the life of a worker has ended that does not answer any more, or
-// of which it is sure that it is over.
+// endingOf returns how the incarnation of an unresponsive worker ended. Over says that the
+// incarnation itself has ended, not only its lease.
 func (h *holderState) endingOf(now time.Time, w *worker, over bool) exchange.Ending {
 	if w.presence.SilentSince().IsZero() {
 		h.handleWorkerUnresponsive(now, w)
@@ -27,41 +27,41 @@
 	return w.presence.Ending(over)
 }
 
-// loseAttempts frees the tasks of a worker that has surely ended them. Later is the life that has
-// taken its place, or nil: tasks that it may begin are handed down to it.
-func (h *holderState) loseAttempts(now time.Time, w, later *worker, how exchange.Ending, why string) {
-	lost := exchange.TasksLost{Ending: how, Tasks: len(w.attempts)}
-	at := w.presence.SilentSince()
+// loseAttempts frees the tasks of an incarnation that has certainly ended them. Later is the
+// incarnation that has replaced it, or nil: attempts that it may still start are moved to it.
+func (h *holderState) loseAttempts(now time.Time, w, later *worker, ending exchange.Ending, reason string) {
+	lost := exchange.TasksLost{Ending: ending, Tasks: len(w.attempts)}
+	silentAt := w.presence.SilentSince()
 	var suspects []blame.RunningTask
-	if how == exchange.Crashed {
-		suspects = h.tasksAtCrash(w, at)
+	if ending == exchange.Crashed {
+		suspects = h.tasksAtCrash(w, silentAt)
 	}
 	for _, a := range w.sortedAttempts() {
-		lost.Worked += a.maxWorkTime(at)
+		lost.Worked += a.maxWorkTime(silentAt)
 		a.task().lostRuns++
 		if later != nil && a.mayStartOnSuccessor() {
 			h.moveToSuccessor(now, a, later)
 			continue
 		}
-		h.loseAttempt(now, a, why)
+		h.loseAttempt(now, a, reason)
 	}
 	h.core.emit(lost)
-	if how == exchange.Crashed {
+	if ending == exchange.Crashed {
 		h.recordCrash(now, w, suspects)
 	}
 }
 
-// workTime returns for how long an attempt had been at work when its worker fell silent
-// at a time, if that is known.
-func (a *attempt) workTime(at time.Time) (time.Duration, bool) {
+// workTime returns how long the attempt had been running when its worker stopped answering at
+// silentAt, and whether that is known.
+func (a *attempt) workTime(silentAt time.Time) (time.Duration, bool) {
 	if a.firstOrderedAt.IsZero() {
 		return a.workedUntilSilence, a.workedUntilSilenceKnown
 	}
-	return a.maxWorkTime(at), true
+	return a.maxWorkTime(silentAt), true
 }
 
-// detectionDelay returns by how much the silence of a worker may have been seen too late: while no
-// look waits there a crash is seen by the next, and not at its time.
+// detectionDelay returns how late it may have been detected that the worker stopped answering.
+// While no renewal waits at the worker, a crash is detected only by the next one.
 func (w *worker) detectionDelay() time.Duration {
 	if w.unresponsive.detectionDelay > 0 || w.aliveAt.IsZero() {
 		return w.unresponsive.detectionDelay
@@ -69,8 +69,8 @@
 	return max(0, w.presence.SilentSince().Sub(w.aliveAt))
 }
 
-// maxWorkTime returns for how long at most an attempt had been at work at a time, or 0
-// if an earlier holder started it.
+// maxWorkTime returns how long the attempt had been running at a time at most, or 0 if an earlier
+// holder started it.
 func (a *attempt) maxWorkTime(at time.Time) time.Duration {
 	if a.firstOrderedAt.IsZero() {
 		return 0
--- a/services/dispatch/handover_test.go
+++ b/services/dispatch/handover_test.go
@@ -23,9 +23,9 @@
 	w.run(500 * time.Millisecond)
 	first := w.holder()
 	first.post(exchange.Stop{})
-	// Two appends of the journal, at most: one under way, one with jobs that came
-	// before. Half of the grace of the stop is 750 ms.
-	w.until(600*time.Millisecond, "the box has given the cell up", func() bool { return !first.core.IsServing(w.now) })
+	// At most two appends to the journal are waited for: the one in flight and one with jobs
+	// submitted before. Half of the grace period of the stop is 750 ms.
+	w.until(600*time.Millisecond, "the box has handed the cell over", func() bool { return !first.core.IsServing(w.now) })
 	w.logSlow = 0
 	w.until(30*time.Second, "the jobs have ended", w.ended)
 	w.check()
--- a/services/dispatch/hidden.go
+++ b/services/dispatch/hidden.go
@@ -11,40 +11,42 @@
 	"saddlevane/services/recent"
 )
 
-// A worker may crash while no box holds the cell: only the log tells what ran there.
+// If a worker crashes while no box holds the cell, only the log shows which tasks ran there.
 
-// needsStartRecord says whether the log is told of a start: not if its run has ended well.
+// needsStartRecord reports whether a start is to be recorded in the log: not if its task is done or
+// its job has ended.
 func (h *holderState) needsStartRecord(s recent.Start) bool {
 	st := h.findStep(s.Task.StepID)
 	return st != nil && !st.job.state.IsFinal() && !st.tasks[s.Task.Index].done
 }
 
-// restoreStarts takes over which tasks earlier holders had started last.
+// restoreStarts restores the starts that earlier holders ordered last.
 func (h *holderState) restoreStarts(records [][]byte) {
-	told, unread := recent.Read(records)
+	starts, unread := recent.Read(records)
 	for _, err := range unread {
 		h.core.logEvent("kept starts could not be read", logField("error", err.Error()))
 	}
-	h.inheritedStarts = told
+	h.inheritedStarts = starts
 }
 
-// startedOn returns the tasks that an earlier holder had started on a worker which has not
-// told this one what it runs, as far as they may have run there until it crashed.
-func (h *holderState) startedOn(w *worker, at time.Time) []blame.RunningTask {
+// startedOn returns the tasks that earlier holders had started on a worker which has not reported
+// to this holder, as far as they may have been running there when it crashed. It then forgets these
+// starts.
+func (h *holderState) startedOn(w *worker, crashedAt time.Time) []blame.RunningTask {
 	var all []blame.RunningTask
 	for _, s := range h.inheritedStarts.StartedOn(w.Incarnation) {
 		if st := h.possiblyLostStep(s); st != nil {
-			on := blame.StartedByEarlierHolder(st.blameUnit(s.Task.Index), s.UnixMilli, h.core.unixMilli(at), h.inheritedStarts.WorkerCount(st.id, st.spec.Gang))
-			on.Run, on.Gang = s.Run, st.spec.Gang
-			all = append(all, on)
+			running := blame.StartedByEarlierHolder(st.blameUnit(s.Task.Index), s.UnixMilli, h.core.unixMilli(crashedAt), h.inheritedStarts.WorkerCount(st.id, st.spec.Gang))
+			running.Run, running.Gang = s.Run, st.spec.Gang
+			all = append(all, running)
 		}
 	}
 	h.inheritedStarts.Forget(w.Incarnation)
 	return all
 }
 
-// possiblyLostStep returns the step of a start if its task is not known to have run on, ended or begun
-// anew since, else nil.
+// possiblyLostStep returns the step of a start, or nil if its task is known to have kept running,
+// ended or been started again since.
 func (h *holderState) possiblyLostStep(s recent.Start) *step {
 	st := h.findStep(s.Task.StepID)
 	if st == nil || s.Task.Index >= len(st.tasks) || st.job.state.IsFinal() {
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -16,17 +16,19 @@
 	"saddlevane/services/lateness"
 )
 
-// maxLeaseDuration is how long a lease can last on the slowest clock allowed.
+// maxLeaseDuration returns the duration of a lease, by the holder's clock, on the slowest worker
+// clock allowed.
 func (h *holderState) maxLeaseDuration() time.Duration {
 	return lateness.MaxLeaseDuration(h.core.settings.Lease)
 }
 
-// clockNow returns what the worker's clock shows at now.
+// clockNow returns the reading of the worker's clock at now.
 func (w *worker) clockNow(now time.Time) order.WorkerClock {
 	return w.clock + order.WorkerClock(now.Sub(w.clockAt).Milliseconds())
 }
 
-// extendLease returns the end of a lease that begins at now, and notes it.
+// extendLease returns the end, on the worker's clock, of a lease that begins at now, and updates
+// leaseExpiresBy. It returns 0 while the worker's clock is unknown.
 func (h *holderState) extendLease(now time.Time, w *worker) order.WorkerClock {
 	if w.clockAt.IsZero() {
 		return 0
@@ -35,35 +37,36 @@
 	return w.clockNow(now) + order.WorkerClock(h.core.settings.Lease.Milliseconds())
 }
 
-// renewAll renews what is due, in a fixed order.
+// renewAll sends the renewals that are due, in a fixed order.
 func (h *holderState) renewAll(now time.Time) {
 	for _, w := range h.workersByName() {
 		h.renew(now, w)
 	}
 }
 
-// renewSoon looks at a worker again once some more ends may have come.
+// renewSoon schedules the worker's next renewal for when it may have reported some more ends.
 func (h *holderState) renewSoon(now time.Time, w *worker) {
 	if at := now.Add(minRenewIntervalAfterEnds); at.Before(w.renewAt) && w.failures == 0 {
 		w.renewAt = at
 	}
 }
 
-// renew renews a worker's lease and asks what it runs, if that is due. The call
-// waits at the worker for an end where there is nothing else to hear.
+// renew sends a renewal to the worker if one is due. A renewal extends the worker's lease and asks
+// for its runs; if there is nothing else to report, it waits at the worker for the end of a run.
 func (h *holderState) renew(now time.Time, w *worker) {
 	if w.pendingRenewal != 0 || now.Before(w.renewAt) || w.renewAddress() == "" || !h.mayRenew(now) {
 		return
 	}
 	if !h.knownPools[w.Pool] && len(w.attempts) == 0 && !h.unreportedWorkers[w.Name] {
-		// No job could run there.
+		// No job can be placed in the worker's pool.
 		return
 	}
 	h.renewalsSent++
 	w.pendingRenewal = h.renewalsSent
 	r := order.Renew{Fence: h.fence(w), Acknowledged: w.reportedEnds.Acknowledge(h.canAcknowledgeEnds(now, w))}
 	if w.failures == 0 {
-		// While a worker does not answer its lease must run out some time.
+		// The lease of a worker that does not answer must expire at some point, so it is not
+		// extended.
 		r.LeaseEnd = h.extendLease(now, w)
 	}
 	mayWait := w.reported && !w.incarnations.HasCandidate()
@@ -77,8 +80,9 @@
 	})
 }
 
-// canAcknowledgeEnds says whether the life that is known is surely the present one, or has at least
-// not ended any task since: it answered the last look, and told of all tasks started on it
+// canAcknowledgeEnds reports whether the ends of runs may be acknowledged to the worker. That is
+// the case if the known incarnation is certainly the current one or, at least, no later one has
+// ended a task: the worker answered the last renewal, and has reported every task started on it
 // that may have ended.
 func (h *holderState) canAcknowledgeEnds(now time.Time, w *worker) bool {
 	if w.failures > 0 || w.incarnations.HasCandidate() {
@@ -92,13 +96,13 @@
 	return true
 }
 
-// mayRenew says whether leases may be renewed: the next holder counts on it that
-// those of this one run out after its authority has ended.
+// mayRenew reports whether leases may be extended. The next holder relies on it that the leases
+// given by this one expire after its authority has ended.
 func (h *holderState) mayRenew(now time.Time) bool {
 	return h.core.authority.Holds(now) && !h.invitePending
 }
 
-// handleRenewEnded takes the end of a renewal's call.
+// handleRenewEnded handles the end of a renewal call.
 func (h *holderState) handleRenewEnded(now time.Time, e exchange.RenewEnded) {
 	if e.Epoch != h.epoch {
 		return
@@ -116,7 +120,7 @@
 	carried := e.Answer.Outcome == order.CarriedOut
 	switch {
 	case e.Answer.Outcome == order.WrongIncarnation && w.renewAddress() != w.Address:
-		// There is no life where another life's entry says, which may be old.
+		// The address is that of another incarnation's entry, which may be outdated.
 		h.handleRenewFailed(now, w, e)
 	case h.handleSuperseded(now, w, e.Answer, e.Renewal):
 	case carried && w.incarnations.RecordAnswer(w.Incarnation, e.Report.Incarnation, e.Renewal):
@@ -128,12 +132,12 @@
 	}
 }
 
-// maxOverdueRenewals is how many looks at a worker may be overdue and still be listened for: each
-// holds a connection.
+// maxOverdueRenewals bounds the timed-out renewals of one worker whose answers are still accepted:
+// each of them holds a connection.
 const maxOverdueRenewals = 3
 
-// lateAnswerWindow returns for how long the answer to a look still counts when it is overdue: as
-// long as the worker's lease may last, so that no end is heard too late because this
+// lateAnswerWindow returns for how long after the timeout of a renewal its answer is still
+// accepted: as long as the worker's lease may last, so that no end of a run is missed because this
 // process, its link or the worker was slow.
 func (h *holderState) lateAnswerWindow(now time.Time, w *worker) time.Duration {
 	maps.DeleteFunc(w.overdue, func(_ int64, due time.Time) bool { return now.Sub(due) > h.maxLeaseDuration() })
@@ -143,8 +147,8 @@
 	return h.maxLeaseDuration()
 }
 
-// handleLateRenewEnded takes the answer to a look that has run out of its time. Ends have numbers
-// and stay true; what ran by then may have ended since, so the rest tells nothing.
+// handleLateRenewEnded handles the answer to a renewal that has timed out. The ends in it are
+// numbered and stay valid. The runs in it may have ended since, so the rest is ignored.
 func (h *holderState) handleLateRenewEnded(now time.Time, w *worker, e exchange.RenewEnded) {
 	due, waited := w.overdue[e.Renewal]
 	delete(w.overdue, e.Renewal)
@@ -156,7 +160,7 @@
 	}
 	switch {
 	case w.DiffersFrom(e.Report.Incarnation) && e.Worker.BornUnixMilli == 0:
-		// It may be an earlier life or a later one.
+		// The answer may come from an earlier incarnation or from a later one.
 		h.handleOtherIncarnationAnswer(now, e)
 	case w.incarnations.RecordAnswer(w.Incarnation, e.Report.Incarnation, 0):
 		h.handleWorkerRestart(now, w, e)
@@ -165,8 +169,8 @@
 	}
 }
 
-// recordAnswerTime takes how long the answer to a look took beside its wait. Where an end cut
-// the wait short that is not known.
+// recordAnswerTime records how long the answer to a renewal took beyond its wait at the worker.
+// That is unknown if the end of a run cut the wait short.
 func (h *holderState) recordAnswerTime(now time.Time, w *worker, e exchange.RenewEnded) {
 	if took := now.Sub(w.answerDue); took > 0 || len(e.Report.Ended) == 0 {
 		h.answerDelays.Record(now, took)
@@ -174,17 +178,17 @@
 }
 
 const (
-	// renewWaitShare is the part of the usual time of the shortest task on a worker that a
-	// look may wait there: a look whose answer is lost keeps an end from being known.
+	// renewWaitShare is the part of the usual time of the worker's shortest task for which a
+	// renewal may wait there: if an answer is lost, the ends in it stay unknown until the next one.
 	renewWaitShare = 0.5
-	// minRenewWait bounds that wait from below.
+	// minRenewWait is the least such wait.
 	minRenewWait = 200 * time.Millisecond
-	// renewMargin is how much longer than it waits a look may take: answers come within
-	// some milliseconds.
+	// renewMargin is how much longer than its wait a renewal may take: answers arrive within some
+	// milliseconds.
 	renewMargin = 200 * time.Millisecond
 )
 
-// renewWait returns how long a look waits at a worker for an end.
+// renewWait returns how long a renewal waits at the worker for the end of a run.
 func (h *holderState) renewWait(w *worker) time.Duration {
 	wait := h.core.settings.RenewWait
 	if _, shared := w.tailBesideFillers(); shared {
@@ -202,20 +206,20 @@
 }
 
 const (
-	reasonOtherIncarnation = "another worker answers at its address"
-	reasonRestarted        = "it has started again"
+	reasonOtherIncarnation = "another incarnation answers at its address"
+	reasonRestarted        = "the worker has restarted"
 	reasonLaterHolder      = "a worker has seen a later holder"
 )
 
-// handleSuperseded acts on an answer which says that the worker meant, or the authority of
-// this holder, has ended. It returns false on any other answer. Look is the number of the
-// look, or 0 for other orders.
-func (h *holderState) handleSuperseded(now time.Time, w *worker, a order.Answer, look int64) bool {
+// handleSuperseded handles an answer saying that the incarnation meant has ended, or that the
+// worker has seen a later holder, which ends this holder's authority. It returns false for any
+// other answer. Renewal is the number of the renewal, or 0 for other orders.
+func (h *holderState) handleSuperseded(now time.Time, w *worker, a order.Answer, renewal int64) bool {
 	switch {
 	case a.Outcome == order.WrongIncarnation:
 		h.handleIncarnationGone(now, w)
 		return true
-	case w.incarnations.IsFencedByLaterHolder(a, look):
+	case w.incarnations.IsFencedByLaterHolder(a, renewal):
 		h.core.stepDown(reasonLaterHolder)
 		return true
 	default:
@@ -223,7 +227,8 @@
 	}
 }
 
-// handleRenewFailed tries again soon, and ever less often at a worker that runs nothing.
+// handleRenewFailed schedules another renewal after a failed one: soon, and ever less often for a
+// worker that runs nothing.
 func (h *holderState) handleRenewFailed(now time.Time, w *worker, e exchange.RenewEnded) {
 	w.failures++
 	if len(w.overdue) < maxOverdueRenewals {
@@ -231,7 +236,8 @@
 	}
 	if w.failures == 1 {
 		if e.Answer.Reason == order.ConnectionClosed {
-			// Also where the wait was just over: then the crash took the answer with it.
+			// The worker was alive until it closed the connection, even if the renewal's wait had
+			// just ended: the crash then prevented the answer.
 			w.aliveAt = now
 		}
 		h.handleWorkerUnresponsive(now, w)
@@ -239,7 +245,7 @@
 	}
 	w.renewAt = now.Add(renewRetryDelay)
 	if w.failures == 1 {
-		// Mostly one answer was lost.
+		// In most cases a single answer was lost, so the next renewal is sent at once.
 		w.renewAt = now
 		if e.Answer.Reason == order.ConnectionClosed || e.Answer.Outcome == order.NotDone {
 			w.incarnations.RaiseFence(h.renewalsSent)
@@ -251,7 +257,7 @@
 	}
 }
 
-// handleRenewed takes a worker's report and asks again.
+// handleRenewed applies the worker's report and schedules the next renewal.
 func (h *holderState) handleRenewed(now time.Time, w *worker, e exchange.RenewEnded) {
 	if w.failures > 0 {
 		h.core.logEvent("worker answers again", logField("worker", w.Incarnation.String()), logField("failures", w.failures))
@@ -293,8 +299,8 @@
 	h.renew(now, w)
 }
 
-// sweepWorkers renews leases that are due and gives up workers whose lease has
-// run out.
+// sweepWorkers sends the renewals that are due and frees the tasks of workers whose lease has
+// expired.
 func (h *holderState) sweepWorkers(now time.Time) {
 	h.dropMissing(now)
 	h.formerWorkers.Expire(now)
@@ -312,20 +318,21 @@
 	}
 }
 
-// handleLeaseExpired frees the tasks of a worker that has surely ended them.
+// handleLeaseExpired frees the tasks of a worker whose lease has expired, so that it has certainly
+// ended them.
 func (h *holderState) handleLeaseExpired(now time.Time, w *worker) {
 	if len(w.attempts) > 0 || w.reported || h.unreportedWorkers[w.Name] {
 		h.core.logEvent("worker's lease has run out", logField("worker", w.Incarnation.String()), logField("tasks", len(w.attempts)),
 			logField("lapsed_for", now.Sub(w.leaseExpiresBy).String()), logField("how", string(h.endingOf(now, w, w.incarnations.HasCandidate()))))
 	}
-	h.loseAttempts(now, w, nil, h.endingOf(now, w, w.incarnations.HasCandidate()), "the worker's lease has run out")
+	h.loseAttempts(now, w, nil, h.endingOf(now, w, w.incarnations.HasCandidate()), "the worker's lease has expired")
 	if w.reported {
 		w.incarnations.RaiseFence(h.renewalsSent)
 	}
 	w.reported = false
 	delete(h.unreportedWorkers, w.Name)
 	if w.unresponsive.written {
-		// Nothing runs on it any more.
+		// The log must no longer list runs on this worker.
 		h.recordUnresponsive(now, w)
 	}
 	if !w.presence.IsListed() {
--- a/services/dispatch/listing.go
+++ b/services/dispatch/listing.go
@@ -11,12 +11,12 @@
 	"saddlevane/models/order"
 )
 
-// entryReturnTime is how long after the log's return entries that lapsed with it may
-// still be missing although their workers live (the users' protocol: about 2 s).
+// entryReturnTime is how long after the log's recovery entries that expired during its outage may
+// still be missing although their workers are alive. The users' protocol gives about 2 s.
 const entryReturnTime = 2200 * time.Millisecond
 
-// handleWorkersRead takes a change of the platform's list. A worker that is no longer
-// listed keeps its tasks until its lease has run out.
+// handleWorkersRead handles a change of the platform's list of workers. A worker that is no longer
+// listed keeps its tasks until its lease expires.
 func (h *holderState) handleWorkersRead(now time.Time, l order.Listing) {
 	if l.Complete {
 		h.markMissing(now, l)
@@ -33,7 +33,8 @@
 	h.planDue = true
 }
 
-// reportForeign tells of entries that name no worker. A worker of that name keeps its tasks.
+// reportForeign logs and counts entries that do not describe a worker. A known worker of that name
+// keeps its tasks.
 func (h *holderState) reportForeign(l order.Listing) {
 	for _, r := range h.foreignEntries.Update(l) {
 		h.core.logEvent("an entry names no worker", logField("entry", r.Entry), logField("reason", r.Reason), logField("known", h.workers[r.Entry] != nil))
@@ -41,7 +42,7 @@
 	}
 }
 
-// addPools notes the pools that a configuration names: workers of others are left alone.
+// addPools adds the pools that a configuration names. Workers of other pools are not contacted.
 func (h *holderState) addPools(config job.Config) {
 	for pool := range config.AdmissionChecked {
 		h.knownPools[pool] = true
@@ -51,7 +52,7 @@
 	}
 }
 
-// markMissing acts on the workers that a whole list does not name.
+// markMissing handles the workers that a full list does not name.
 func (h *holderState) markMissing(now time.Time, l order.Listing) {
 	present := map[string]bool{}
 	for _, o := range l.Present {
@@ -64,19 +65,19 @@
 	}
 }
 
-// handleEntryMissing acts on a worker that is no longer listed. Shortly after the log was
-// away its entry may only have lapsed, and it is used on as long as it answers.
+// handleEntryMissing handles a worker that is no longer listed. Shortly after an outage of the log
+// its entry may only have expired, so the worker stays in use as long as it answers.
 func (h *holderState) handleEntryMissing(now time.Time, w *worker) {
 	w.incarnations.RecordEntryRemoved()
 	w.presence.RecordMissing(now, h.entriesMayReturn(now))
 }
 
-// entriesMayReturn says whether entries may be missing that will be back.
+// entriesMayReturn reports whether entries may be missing only because of an outage of the log.
 func (h *holderState) entriesMayReturn(now time.Time) bool {
 	return !h.core.authority.Steady() || now.Sub(h.core.logRecoveredAt) < entryReturnTime
 }
 
-// dropMissing gives up the workers whose entries have not come back.
+// dropMissing stops using the workers whose entries have not returned.
 func (h *holderState) dropMissing(now time.Time) {
 	if h.entriesMayReturn(now) {
 		return
@@ -88,8 +89,8 @@
 	}
 }
 
-// handleOtherIncarnationListed takes that the platform lists another life of a worker, which may be an earlier
-// one or a later one: the worker tells.
+// handleOtherIncarnationListed handles an entry of another incarnation of a worker. It may be an
+// earlier or a later one, so a renewal asks the worker.
 func (h *holderState) handleOtherIncarnationListed(now time.Time, w *worker, o order.Worker) {
 	if !w.incarnations.HasCandidate() {
 		return
@@ -107,7 +108,7 @@
 	h.renew(now, w)
 }
 
-// handleWorkerListed takes what the platform says of one worker.
+// handleWorkerListed handles the platform's entry of one worker.
 func (h *holderState) handleWorkerListed(now time.Time, o order.Worker) {
 	w := h.workers[o.Name]
 	if w == nil {
--- a/services/dispatch/lives.go
+++ b/services/dispatch/lives.go
@@ -11,20 +11,23 @@
 	"saddlevane/services/lateness"
 )
 
-// A worker that starts again keeps its name, and what it ran is gone. The holder keeps a
-// worker for each life; orders name the worker only, so one that was meant for an earlier life
-// may be carried out by a later one, with a deadline by the earlier one's clock. A later life
-// therefore gets a higher fence number: once it has answered a look under that, it refuses
-// what was meant for the earlier one, and what it has begun of that is in its answer. Until
-// then tasks whose start it may yet carry out are taken to be on it. The number rises as soon
-// as a later life may be there, so that the first look that reaches it is one.
-
-// maxOrderDelay is how much later than it was sent an order may still be carried out
-// (protocol: seconds).
+// A worker that restarts keeps its name, and the runs of its earlier incarnation are gone. The
+// holder keeps one worker value per incarnation. Orders name only the worker, so an order meant for
+// an earlier incarnation may be carried out by a later one, with a deadline on the clock of the
+// earlier one.
+//
+// Orders to a later incarnation therefore carry a higher fence number. Once it has answered a
+// renewal with that number, it refuses orders meant for the earlier one, and its answer lists what
+// it has already started of them. Until then, tasks whose start it may still carry out count as
+// placed on it. The fence number is raised as soon as a later incarnation may exist, so that the
+// first renewal that reaches it carries the higher number.
+
+// maxOrderDelay is the longest time after sending at which a worker may still carry out an order;
+// the users' protocol says "seconds".
 const maxOrderDelay = 15 * time.Second
 
-// currentWorker returns the worker if the life is the present one of its name, as far as is known,
-// else nil.
+// currentWorker returns the worker of that name if life is, as far as the holder can determine, its
+// current incarnation, else nil.
 func (h *holderState) currentWorker(life order.Incarnation) *worker {
 	w := h.workers[life.Name]
 	if w == nil || w.DiffersFrom(life) {
@@ -33,10 +36,11 @@
 	return w
 }
 
-// fence returns the fence number of orders to a worker.
+// fence returns the fence number of orders to the worker.
 func (h *holderState) fence(w *worker) int64 { return w.incarnations.Fence(h.epoch) }
 
-// handleWorkerRestart takes the answer of a life that is later than the one known: that one is over.
+// handleWorkerRestart handles an answer from a later incarnation than the known one: the known one
+// has ended, and the later one replaces it.
 func (h *holderState) handleWorkerRestart(now time.Time, w *worker, e exchange.RenewEnded) {
 	o, listed := w.incarnations.Successor(w.Worker, e.Report.Incarnation)
 	n := newWorker(now, o)
@@ -57,8 +61,9 @@
 	h.renew(now, n)
 }
 
-// confirmFence takes that a later life refuses from now on what was meant for the earlier one:
-// nothing lengthens its lease any more that was asked for by the earlier one's clock.
+// confirmFence handles the first answer of a later incarnation. From now on it refuses orders meant
+// for the earlier one, so no renewal computed with the earlier one's clock can extend its lease any
+// more.
 func (h *holderState) confirmFence(now time.Time, w *worker) {
 	if w.fencePending {
 		w.fencePending = false
@@ -66,29 +71,32 @@
 	}
 }
 
-// maxForeignLease is how long a lease can last that was asked for by the clock of another life.
+// maxForeignLease returns the longest duration of a lease whose end was computed with the clock of
+// another incarnation.
 func (h *holderState) maxForeignLease() time.Duration {
 	return lateness.MaxLeaseDuration(max(h.core.settings.Lease, h.core.settings.MaxLease))
 }
 
-// mayStartOnSuccessor says whether a later life of its worker may carry an order to start the attempt
-// out: unless all such orders were carried out by the life that has told this holder of the run.
+// mayStartOnSuccessor reports whether a later incarnation of the attempt's worker may carry out an
+// order to start it. It cannot if there was only one order and the earlier incarnation has reported
+// the run.
 func (a *attempt) mayStartOnSuccessor() bool { return a.reportedAt.IsZero() || a.orderCount > 1 }
 
-// moveToSuccessor takes it that a later life of its worker may have begun an attempt, or may yet, until
-// that life has told.
-func (h *holderState) moveToSuccessor(now time.Time, a *attempt, to *worker) {
+// moveToSuccessor places an attempt on a later incarnation of its worker, which may have started it
+// or may still do so, until that incarnation reports what it runs.
+func (h *holderState) moveToSuccessor(now time.Time, a *attempt, successor *worker) {
 	h.unassign(a)
 	n := &attempt{
-		step: a.step, index: a.index, run: a.run, worker: to, state: attemptUnconfirmed, pace: fullPace, firstOrderedAt: a.firstOrderedAt, lastOrderedAt: a.lastOrderedAt,
+		step: a.step, index: a.index, run: a.run, worker: successor, state: attemptUnconfirmed, pace: fullPace, firstOrderedAt: a.firstOrderedAt, lastOrderedAt: a.lastOrderedAt,
 		checkpoint: a.checkpoint, ticket: a.ticket, orderCount: a.orderCount, resumed: a.resumed, onlyLogged: a.onlyLogged, fromEarlierIncarnation: true,
 	}
 	h.assign(now, n)
 	h.markStateChange(now, n)
 }
 
-// handleOtherIncarnationAnswer takes the answer of a life that is not the present one. A good end stays
-// true; the rest holds for that life only.
+// handleOtherIncarnationAnswer handles a renewal's answer from an incarnation that is not the
+// current one. Tasks that ended successfully there are done; the rest of the report is valid for
+// that incarnation only.
 func (h *holderState) handleOtherIncarnationAnswer(now time.Time, e exchange.RenewEnded) {
 	for _, end := range e.Report.Ended {
 		if end.Status == order.Done {
@@ -97,7 +105,8 @@
 	}
 }
 
-// applyFormerSuccess takes a good end that an earlier life has told.
+// applyFormerSuccess applies a successful end reported by an incarnation that is not the current
+// one.
 func (h *holderState) applyFormerSuccess(now time.Time, end order.End) {
 	s := h.findStep(end.Task.StepID)
 	if s == nil || end.Task.Index >= len(s.tasks) || s.spec.Service || s.job.state.IsFinal() || s.tasks[end.Task.Index].done {
@@ -110,7 +119,8 @@
 	}
 }
 
-// setBirthTime takes when a life began of which only the name was known.
+// setBirthTime sets the birth time of an incarnation that was known by name only, and corrects its
+// record in the log.
 func (h *holderState) setBirthTime(w *worker, life order.Incarnation) {
 	if w.BornUnixMilli != 0 || life.BornUnixMilli == 0 {
 		return
@@ -122,7 +132,8 @@
 	}
 }
 
-// handleIncarnationGone acts on the answer that no life of the worker is at its address.
+// handleIncarnationGone handles an answer saying that the incarnation meant is not at the worker's
+// address.
 func (h *holderState) handleIncarnationGone(now time.Time, w *worker) {
 	next, listed := w.incarnations.Candidate()
 	h.handleWorkerTerminated(now, w, reasonOtherIncarnation)
@@ -131,16 +142,16 @@
 	}
 }
 
-// renewAddress is where a worker is looked at: where its newest entry says.
+// renewAddress returns the address for renewals: that of the worker's newest entry.
 func (w *worker) renewAddress() string {
-	if next, doubted := w.incarnations.Candidate(); doubted {
+	if next, ok := w.incarnations.Candidate(); ok {
 		return next.Address
 	}
 	return w.Address
 }
 
-// restoreIncarnation returns the worker of which the log tells. If the list names another life, the
-// first answer tells which of them is over.
+// restoreIncarnation returns the worker for an incarnation recorded in the log. If the platform
+// lists another incarnation, the first answer decides which of the two has ended.
 func (h *holderState) restoreIncarnation(now time.Time, o order.Worker) *worker {
 	w := h.workers[o.Name]
 	if w == nil {
--- a/services/dispatch/lives_test.go
+++ b/services/dispatch/lives_test.go
@@ -16,29 +16,29 @@
 	"gotest.tools/v3/assert"
 )
 
-// workerEntry is an entry of a worker's life.
+// workerEntry returns the platform's entry of one incarnation of a worker.
 func workerEntry(name string, born int64) order.Worker {
 	return order.Worker{Incarnation: order.Incarnation{Name: name, BornUnixMilli: born}, Address: name, Pool: pool, Capacity: workerCapacity}
 }
 
-// answeredBy makes an answer that of another life of the same worker.
+// answeredBy returns the answer as if another incarnation of the worker had sent it.
 func answeredBy(e exchange.RenewEnded, born int64) exchange.RenewEnded {
 	e.Report.Incarnation.BornUnixMilli = born
 	return e
 }
 
-// startOneTask has a job of one task started, and returns its start.
+// startOneTask submits a job of one task and returns the order that starts it.
 func (d *harness) startOneTask() exchange.StartRun {
 	d.t.Helper()
 	return effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))[0]
 }
 
-// startSucceeds ends the call of a start that was carried out.
+// startSucceeds ends the call of a start with the answer that it was carried out.
 func (d *harness) startSucceeds(s exchange.StartRun) []exchange.Effect {
 	return d.handle(exchange.StartEnded{Worker: s.Worker, Epoch: 1, Run: s.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut}})
 }
 
-// persist returns what comes of some effects once the log has kept what there is.
+// persist confirms the appends in effects and those that follow, and returns all effects.
 func (d *harness) persist(effects []exchange.Effect) []exchange.Effect {
 	d.confirmAnyAppend(effects)
 	all := append(effects, d.advance(20*time.Millisecond)...)
@@ -46,18 +46,19 @@
 	return append(all, d.advance(20*time.Millisecond)...)
 }
 
-// startsWithin lets time pass while the log keeps all and workers answer, and returns the starts.
-func (d *harness) startsWithin(span time.Duration, looks map[string]exchange.Renew) (starts []exchange.StartRun) {
+// startsWithin advances the time while all appends succeed and all workers answer, and returns the
+// starts.
+func (d *harness) startsWithin(span time.Duration, renewals map[string]exchange.Renew) (starts []exchange.StartRun) {
 	d.t.Helper()
 	for end := d.now.Add(span); d.now.Before(end); {
-		effects := d.runFor(20*time.Millisecond, looks, nil)
+		effects := d.runFor(20*time.Millisecond, renewals, nil)
 		effects = append(effects, d.confirmAnyAppend(effects)...)
 		starts = append(starts, effectsOf[exchange.StartRun](effects)...)
 	}
 	return starts
 }
 
-// otherWorker returns the name of the other of two workers.
+// otherWorker returns the name of the worker, v or w, that did not get the start.
 func otherWorker(s exchange.StartRun) string {
 	if s.Worker.Name == "v" {
 		return "w"
@@ -69,33 +70,33 @@
 	for _, c := range []struct {
 		name     string
 		answered bool
-		begun    bool
+		started  bool
 	}{
-		{"its start had no answer, and the later life got it", false, true},
-		{"its start had no answer, and no life got it", false, false},
-		{"its start was answered, by which life is not known", true, true},
-		{"its start was answered by the earlier life", true, false},
+		{"start unanswered, received by the successor", false, true},
+		{"start unanswered, not received by any incarnation", false, false},
+		{"start answered by an unknown incarnation", true, true},
+		{"start answered by the earlier incarnation", true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d, looks := newHolder(t, workerEntry("v", 1000), workerEntry("w", 1000))
+			d, renewals := newHolder(t, workerEntry("v", 1000), workerEntry("w", 1000))
 			start := d.startOneTask()
 			if c.answered {
 				d.startSucceeds(start)
 			}
-			look := looks[start.Worker.Name]
-			effects := d.persist(d.handle(answeredBy(renewAnswer(look), 700)))
+			renewal := renewals[start.Worker.Name]
+			effects := d.persist(d.handle(answeredBy(renewAnswer(renewal), 700)))
 			assert.Equal(t, len(effectsOf[exchange.StartRun](effects)), 0)
 			second := effectsOf[exchange.Renew](effects)[0]
 			assert.Equal(t, second.Worker, order.Incarnation{Name: start.Worker.Name, BornUnixMilli: 700})
-			assert.Check(t, second.Order.Fence > start.Order.Fence, "what was meant for the earlier life is refused from then on")
+			assert.Check(t, second.Order.Fence > start.Order.Fence, "orders meant for the earlier incarnation must be refused from now on")
 			assert.Equal(t, second.Order.LeaseEnd, order.WorkerClock(0), "its clock is not known yet")
-			if c.begun {
+			if c.started {
 				effects = d.persist(d.handle(renewAnswer(second, start.Order.Run)))
 				assert.Equal(t, len(effectsOf[exchange.StartRun](effects))+len(effectsOf[exchange.StopRun](effects)), 0)
 				return
 			}
-			looks[start.Worker.Name] = second
-			again := d.startsWithin(2*time.Second, looks)
+			renewals[start.Worker.Name] = second
+			again := d.startsWithin(2*time.Second, renewals)
 			assert.Check(t, len(again) > 0)
 			assert.Check(t, again[0].Order.Number > start.Order.Number)
 		})
@@ -103,21 +104,21 @@
 }
 
 func TestTasksReportedByEarlierIncarnationAreRestarted(t *testing.T) {
-	d, looks := newHolder(t, workerEntry("v", 1000), workerEntry("w", 1000))
+	d, renewals := newHolder(t, workerEntry("v", 1000), workerEntry("w", 1000))
 	start := d.startOneTask()
 	d.startSucceeds(start)
-	d.runFor(time.Second, looks, map[string][]order.Run{start.Worker.Name: {start.Order.Run}})
-	looks[start.Worker.Name] = effectsOf[exchange.Renew](d.handle(answeredBy(renewAnswer(looks[start.Worker.Name]), 2000)))[0]
-	again := d.startsWithin(2*time.Second, looks)
+	d.runFor(time.Second, renewals, map[string][]order.Run{start.Worker.Name: {start.Order.Run}})
+	renewals[start.Worker.Name] = effectsOf[exchange.Renew](d.handle(answeredBy(renewAnswer(renewals[start.Worker.Name]), 2000)))[0]
+	again := d.startsWithin(2*time.Second, renewals)
 	assert.Check(t, len(again) > 0)
-	assert.Equal(t, again[0].Worker.Name, otherWorker(start), "the later life is not listed yet")
+	assert.Equal(t, again[0].Worker.Name, otherWorker(start), "the later incarnation is not listed yet")
 }
 
 func TestSuccessReportedByEarlierIncarnationCounts(t *testing.T) {
-	d, looks := newHolder(t, workerEntry("v", 1000), workerEntry("w", 1000))
+	d, renewals := newHolder(t, workerEntry("v", 1000), workerEntry("w", 1000))
 	start := d.startOneTask()
 	d.startSucceeds(start)
-	late := looks[start.Worker.Name]
+	late := renewals[start.Worker.Name]
 	next := d.renewalTimesOut(late)
 	d.persist(d.handle(answeredBy(renewAnswer(next), 2000)))
 	d.persist(d.handle(doneAnswer(late, start.Order.Run)))
@@ -126,61 +127,61 @@
 }
 
 func TestAnswerToOrderForEarlierIncarnationIsIgnored(t *testing.T) {
-	d, looks := newHolder(t, workerEntry("v", 1000), workerEntry("w", 1000))
+	d, renewals := newHolder(t, workerEntry("v", 1000), workerEntry("w", 1000))
 	start := d.startOneTask()
-	d.persist(d.handle(answeredBy(renewAnswer(looks[start.Worker.Name]), 2000)))
+	d.persist(d.handle(answeredBy(renewAnswer(renewals[start.Worker.Name]), 2000)))
 	for _, a := range []order.Answer{{Outcome: order.WrongIncarnation}, {Outcome: order.Refused, Reason: order.Fenced}, {Outcome: order.CarriedOut}} {
 		d.handle(exchange.StartEnded{Worker: start.Worker, Epoch: 1, Run: start.Order.Run, Answer: a})
 		d.handle(exchange.StopEnded{Worker: start.Worker, Epoch: 1, Run: start.Order.Run, Answer: a})
 	}
-	assert.Check(t, d.core.IsServing(d.now), "a later life that refuses such an order has seen no later holder")
+	assert.Check(t, d.core.IsServing(d.now), "a refusal by a later incarnation does not mean that it has seen a later holder")
 }
 
 func TestEntryOfOtherIncarnationTriggersRenewalAndBlocksStarts(t *testing.T) {
-	d, looks := newHolder(t, workerEntry("w", 1000))
+	d, renewals := newHolder(t, workerEntry("w", 1000))
 	listed := func(born int64) []exchange.Effect {
 		return d.handle(exchange.WorkersRead{Listing: order.Listing{Present: []order.Worker{workerEntry("w", born)}}})
 	}
-	asked := effectsOf[exchange.Renew](listed(400))
-	assert.Equal(t, len(asked), 1, "the look under way was made before the entry was read")
-	assert.Equal(t, asked[0].Order.MaxWait, job.Milliseconds(0))
-	assert.Check(t, asked[0].Order.Fence > looks["w"].Order.Fence, "a later life may be there")
-	assert.Equal(t, len(effectsOf[exchange.Renew](listed(400))), 0, "the answer is awaited")
+	sent := effectsOf[exchange.Renew](listed(400))
+	assert.Equal(t, len(sent), 1, "the renewal in flight was sent before the entry was read")
+	assert.Equal(t, sent[0].Order.MaxWait, job.Milliseconds(0))
+	assert.Check(t, sent[0].Order.Fence > renewals["w"].Order.Fence, "a later incarnation may exist")
+	assert.Equal(t, len(effectsOf[exchange.Renew](listed(400))), 0, "a renewal is already in flight")
 	assert.Equal(t, len(effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))), 0)
-	d.handle(renewAnswer(looks["w"]))
-	assert.Equal(t, len(effectsOf[exchange.StartRun](d.advance(20*time.Millisecond))), 0, "that answer is of before")
-	started := effectsOf[exchange.StartRun](d.persist(d.handle(renewAnswer(asked[0]))))
-	assert.Equal(t, len(started), 1, "the entry was old")
-	assert.Equal(t, len(effectsOf[exchange.Renew](listed(400))), 0, "and is no reason any more")
+	d.handle(renewAnswer(renewals["w"]))
+	assert.Equal(t, len(effectsOf[exchange.StartRun](d.advance(20*time.Millisecond))), 0, "the answer is to a renewal sent before the entry was read")
+	started := effectsOf[exchange.StartRun](d.persist(d.handle(renewAnswer(sent[0]))))
+	assert.Equal(t, len(started), 1, "the entry was outdated")
+	assert.Equal(t, len(effectsOf[exchange.Renew](listed(400))), 0, "an outdated entry must not cause another renewal")
 }
 
-// lastAcknowledged lets time pass in which one worker answers that it runs some tasks, and returns the
-// last end that it is asked to forget.
-func (d *harness) lastAcknowledged(looks map[string]exchange.Renew, running ...order.Run) (last int64) {
+// lastAcknowledged advances the time while worker w reports the given runs, and returns the highest
+// number of an end that is acknowledged to it.
+func (d *harness) lastAcknowledged(renewals map[string]exchange.Renew, running ...order.Run) (number int64) {
 	d.t.Helper()
 	for range 20 {
-		effects := d.runFor(20*time.Millisecond, looks, map[string][]order.Run{"w": running})
+		effects := d.runFor(20*time.Millisecond, renewals, map[string][]order.Run{"w": running})
 		effects = append(effects, d.confirmAnyAppend(effects)...)
 		for _, r := range effectsOf[exchange.Renew](effects) {
-			last = max(last, r.Order.Acknowledged)
+			number = max(number, r.Order.Acknowledged)
 		}
 	}
-	return last
+	return number
 }
 
 func TestNoEndIsAcknowledgedWhileSuccessorMayHaveEndedTask(t *testing.T) {
-	d, looks := newHolder(t, workerEntry("w", 1000))
+	d, renewals := newHolder(t, workerEntry("w", 1000))
 	first := d.startOneTask()
 	d.startSucceeds(first)
-	d.lastAcknowledged(looks, first.Order.Run)
+	d.lastAcknowledged(renewals, first.Order.Run)
 	second := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("k", "quick", 1, false)))
 	assert.Equal(t, len(second), 1)
 	d.now = d.now.Add(100 * time.Millisecond)
-	effects := d.handle(doneAnswer(looks["w"], first.Order.Run))
-	looks["w"] = effectsOf[exchange.Renew](append(effects, d.persist(effects)...))[0]
-	assert.Equal(t, d.lastAcknowledged(looks), int64(0), "the second start was not told of yet")
+	effects := d.handle(doneAnswer(renewals["w"], first.Order.Run))
+	renewals["w"] = effectsOf[exchange.Renew](append(effects, d.persist(effects)...))[0]
+	assert.Equal(t, d.lastAcknowledged(renewals), int64(0), "the second start has not been reported yet")
 	d.startSucceeds(second[0])
-	assert.Equal(t, d.lastAcknowledged(looks, second[0].Order.Run), int64(1))
+	assert.Equal(t, d.lastAcknowledged(renewals, second[0].Order.Run), int64(1))
 }
 
 func TestRestartOfRecordedWorkerIsDetectedByItsAnswer(t *testing.T) {
@@ -188,16 +189,16 @@
 	fence := d.claimCell(time.Second)
 	d.handle(exchange.AppendEnded{Purpose: exchange.ForJournal, Number: fence.Number})
 	d.handle(exchange.WorkersRead{Listing: order.Listing{Complete: true, Present: []order.Worker{workerEntry("w", 2000)}}})
-	looks := effectsOf[exchange.Renew](d.handle(exchange.JobsLoaded{Epoch: 1, Records: []stream.Record{kept.WorkerRecord(workerEntry("w", 1000))}}))
-	assert.Equal(t, len(looks), 1)
-	next := effectsOf[exchange.Renew](d.handle(answeredBy(renewAnswer(looks[0]), 2000)))
+	renewals := effectsOf[exchange.Renew](d.handle(exchange.JobsLoaded{Epoch: 1, Records: []stream.Record{kept.WorkerRecord(workerEntry("w", 1000))}}))
+	assert.Equal(t, len(renewals), 1)
+	next := effectsOf[exchange.Renew](d.handle(answeredBy(renewAnswer(renewals[0]), 2000)))
 	assert.Equal(t, len(next), 1)
 	effects := d.persist(d.handle(renewAnswer(next[0])))
 	assert.Equal(t, len(effectsOf[exchange.StartRun](append(effects, d.submitAndLog(oneStep("j", "quick", 1, false))...))), 1)
 }
 
-// A later holder is told by the log of a run on a silent worker, and by another worker of a
-// later run of the same task.
+// A new holder learns of a run on an unresponsive worker from the log, and of a later run of the
+// same task from another worker.
 func TestRunMovedToSuccessorYieldsToLaterRunOfItsTask(t *testing.T) {
 	d := newHarness(t)
 	fence := d.claimCell(time.Second)
@@ -214,22 +215,22 @@
 	for i := range records {
 		records[i].Offset = int64(i)
 	}
-	looks := map[string]exchange.Renew{}
+	renewals := map[string]exchange.Renew{}
 	for _, r := range effectsOf[exchange.Renew](d.handle(exchange.JobsLoaded{Epoch: 1, Records: records})) {
-		looks[r.Worker.Name] = r
+		renewals[r.Worker.Name] = r
 	}
-	effects := d.handle(answeredBy(renewAnswer(looks["w"]), 2000))
-	effects = append(effects, d.handle(renewAnswer(looks["v"], later))...)
-	assert.Equal(t, len(effectsOf[exchange.StopRun](effects)), 0, "the later run goes on")
-	assert.Equal(t, len(d.startsWithin(time.Second, looks)), 0, "and is the only one")
+	effects := d.handle(answeredBy(renewAnswer(renewals["w"]), 2000))
+	effects = append(effects, d.handle(renewAnswer(renewals["v"], later))...)
+	assert.Equal(t, len(effectsOf[exchange.StopRun](effects)), 0, "the later run must continue")
+	assert.Equal(t, len(d.startsWithin(time.Second, renewals)), 0, "the task must not be started again")
 }
 
 func TestLateAnswerOfOtherIncarnationReplacesCurrentOne(t *testing.T) {
-	d, looks := newHolder(t, workerEntry("w", 1000))
-	late := looks["w"]
+	d, renewals := newHolder(t, workerEntry("w", 1000))
+	late := renewals["w"]
 	d.renewalTimesOut(late)
 	effects := d.handle(answeredBy(renewAnswer(late), 400))
 	next := effectsOf[exchange.Renew](effects)
 	assert.Equal(t, len(next), 1)
-	assert.Equal(t, next[0].Worker, order.Incarnation{Name: "w", BornUnixMilli: 400}, "the call was made while the other was known")
+	assert.Equal(t, next[0].Worker, order.Incarnation{Name: "w", BornUnixMilli: 400}, "the renewal was sent when the other incarnation was the known one")
 }
--- a/services/dispatch/livesworld_test.go
+++ b/services/dispatch/livesworld_test.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// restartPeriod is how long workers start again in the worlds of this file, settleTime how long
-	// after that what waits must have a reason, and maxIdleWait for how long it may have none.
+	// Workers restart during restartPeriod. From settleTime after that on, no job may wait for
+	// longer than maxIdleWait without a reason.
 	restartPeriod = 15 * time.Second
 	settleTime    = 7 * time.Second
 	maxIdleWait   = 3 * time.Second
 )
 
-// A third of the workers start again under their names at once, again and again, and one by
-// one between that, beside gangs and wide steps, late orders and takeovers: nothing that is
-// done runs again, and nothing waits for good with room free.
+// A third of the workers restart under their names at once, three times, and single ones in
+// between, together with gangs, wide steps, late orders and takeovers. No task that is done may run
+// again, and no job may wait forever while there is room.
 func TestGangsAndWideStepsWhileWorkersRestart(t *testing.T) {
 	for seed := range seeds() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// scheduleRestarts hands jobs in and has workers start again.
+// scheduleRestarts schedules submissions, restarts of workers and losses of the holder.
 func (w *world) scheduleRestarts() {
 	w.config.Queues["sweeps"] = gangConfig().Queues["sweeps"]
 	for _, b := range w.boxes {
@@ -72,13 +72,13 @@
 	}
 }
 
-// restartWorker has a worker start again after a moment, or after a while.
+// restartWorker crashes a worker, which restarts after at most 2 s, often much sooner.
 func (w *world) restartWorker(i int) {
-	back := []int{1, 20, 300, 2000}[w.rng.Intn(4)]
-	w.workers[i].crash(time.Duration(1+w.rng.Intn(back)) * time.Millisecond)
+	maxDowntime := []int{1, 20, 300, 2000}[w.rng.Intn(4)]
+	w.workers[i].crash(time.Duration(1+w.rng.Intn(maxDowntime)) * time.Millisecond)
 }
 
-// wideJob returns a gang, a step of many tasks after another, or a small job.
+// wideJob returns a gang, a sweep with a wide second step, or a small job.
 func (w *world) wideJob(i int) job.Submission {
 	wide := 10 + w.rng.Intn(15)
 	switch i % 3 {
@@ -99,8 +99,8 @@
 	}
 }
 
-// runUntilEndedWithoutIdleWaits waits until no accepted job is left, and notes those of which nothing
-// runs for a while with most of the room free.
+// runUntilEndedWithoutIdleWaits runs the world until no accepted job is left. It fails if a job
+// that could run does not for maxIdleWait.
 func (w *world) runUntilEndedWithoutIdleWaits() {
 	w.t.Helper()
 	since := map[job.ID]time.Time{}
@@ -120,15 +120,15 @@
 				since[id] = w.now
 			}
 			if w.now.Sub(since[id]) > maxIdleWait {
-				w.fail("%s could run and does not, with most of the room free: %+v, done %v", id, a.sub.Steps, a.done)
+				w.fail("%s could run but does not, with most of the room free: %+v, done %v", id, a.sub.Steps, a.done)
 			}
 		}
 	}
 	w.fail("not all jobs have ended")
 }
 
-// couldRun says whether nothing of a job runs although a step's turn has come, room for it
-// is there twice over and less than half of all is in use.
+// couldRun reports whether no task of a job runs although one of its steps is ready, the workers
+// have room for it twice over and at most half of all processors are in use.
 func (w *world) couldRun(a *asked) bool {
 	var used, all resource.Vector
 	for _, f := range w.workers {
@@ -151,9 +151,9 @@
 	return false
 }
 
-// isReady says whether a step has tasks that are not done, and all it comes after are.
+// isReady reports whether a step has tasks that are not done, and all steps it depends on are done.
 func (w *world) isReady(a *asked, step int) bool {
-	left := func(i int) int {
+	unfinished := func(i int) int {
 		n := 0
 		for index := range a.sub.Steps[i].Tasks {
 			if !a.done[job.TaskID{StepID: job.StepID{Job: a.sub.ID, Step: i}, Index: index}] {
@@ -163,14 +163,14 @@
 		return n
 	}
 	for _, before := range a.sub.Steps[step].After {
-		if left(before) > 0 {
+		if unfinished(before) > 0 {
 			return false
 		}
 	}
-	return left(step) > 0
+	return unfinished(step) > 0
 }
 
-// hasRoomForTwice says whether workers that may run a step have room for it twice over.
+// hasRoomForTwice reports whether the workers suitable for a step have twice the room it needs.
 func (w *world) hasRoomForTwice(id job.StepID, s job.Step, queue string) bool {
 	slots := 0
 	for _, f := range w.workers {
@@ -190,7 +190,7 @@
 	return slots >= 2*wanted
 }
 
-// Where the platform gives each life a name of its own and tells no birth, all is as before.
+// The platform may give each incarnation a name of its own and no birth time.
 func TestRandomWorldsWithUniqueNamePerIncarnation(t *testing.T) {
 	for seed := range seeds() / 2 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/services/dispatch/outage.go
+++ b/services/dispatch/outage.go
@@ -9,18 +9,18 @@
 	"saddlevane/models/exchange"
 )
 
-// While the log does not answer the holder, it asks the other boxes. If the log
-// answers one of them, that one takes the cell over at once. If it answers none,
-// they promise not to claim, and the holder goes on with the work it has.
+// While the log does not answer the holder, the holder asks the other boxes. If the log answers one
+// of them, that box takes the cell over at once. If it answers none of them, they pledge not to
+// claim the cell, and the holder continues with the work it has.
 
-// askPledges asks the other boxes when the claim cannot be renewed.
+// askPledges asks the other boxes for pledges while the claim cannot be renewed.
 func (c *Core) askPledges(now time.Time) {
 	h := c.holding
 	if h == nil || h.invitePending || c.awaitingPledges || now.Before(c.pledgeRetryAt) || c.authority.Stopping() {
 		return
 	}
 	if len(c.members) == 0 {
-		// The boxes have not been read; whom to ask is not known.
+		// The list of boxes has not been read yet.
 		return
 	}
 	if c.authority.Steady() && c.authority.HoldsUntil().Sub(now) > c.settings.Authority.HoldFor/2 {
@@ -30,7 +30,7 @@
 	c.emit(exchange.AskPledges{Epoch: h.epoch, Addresses: c.members.Others(c.self)})
 }
 
-// handlePledgeAsked answers a holder that wants this box not to claim for a while.
+// handlePledgeAsked answers a holder that asks this box not to claim the cell for some time.
 func (c *Core) handlePledgeAsked(now time.Time, e exchange.PledgeAsked) {
 	a := exchange.Answer{Outcome: exchange.Unavailable, LogReachable: c.authority.Steady() && !c.authority.Stopping() && c.config != nil}
 	if c.authority.Pledge(now, e.Epoch) {
@@ -39,7 +39,7 @@
 	c.reply(e.Call, a)
 }
 
-// handlePledged takes what the other boxes have answered.
+// handlePledged handles the answers of the other boxes.
 func (c *Core) handlePledged(e exchange.Pledged) {
 	c.awaitingPledges = false
 	c.pledgeRetryAt = e.SentAt.Add(c.settings.Authority.Renew / 2)
--- a/services/dispatch/reports.go
+++ b/services/dispatch/reports.go
@@ -12,34 +12,34 @@
 	"saddlevane/services/delays"
 )
 
-// applyReport brings what is believed of a worker in line with its own word.
+// applyReport updates what the holder assumes of a worker to the worker's report.
 func (h *holderState) applyReport(now time.Time, w *worker, e exchange.RenewEnded) {
 	h.applyEnds(now, w, e.Report.Ended)
 	clear(w.orphans)
-	present := make(map[order.Run]bool, len(e.Report.Running))
+	listed := make(map[order.Run]bool, len(e.Report.Running))
 	for _, r := range e.Report.Running {
-		present[r.Run] = true
+		listed[r.Run] = true
 		h.applyRunning(now, w, r)
 	}
 	h.throttleFillers(now, w)
 	for _, a := range w.sortedAttempts() {
-		if !present[a.runID()] {
+		if !listed[a.runID()] {
 			h.applyAbsence(now, a, e.Renewal)
 		}
 	}
 	h.moveStalled(now, w)
 }
 
-// applyEnds takes the ends of a list that were not heard before.
+// applyEnds applies the ends of runs in a report that are new.
 func (h *holderState) applyEnds(now time.Time, w *worker, all []order.End) {
 	for _, end := range all {
-		if note, news := w.reportedEnds.Add(w, end.Number); news {
-			h.handleRunEnd(now, w, end, note)
+		if report, isNew := w.reportedEnds.Add(w, end.Number); isNew {
+			h.handleRunEnd(now, w, end, report)
 		}
 	}
 }
 
-// applyRunning notes that a run is at work on a worker.
+// applyRunning applies a report that a run is running on the worker.
 func (h *holderState) applyRunning(now time.Time, w *worker, r order.Running) {
 	a := w.attempts[r.Run]
 	if a == nil {
@@ -63,8 +63,8 @@
 	}
 }
 
-// adopt takes over a run that an earlier holder started. It returns nil if the
-// run should not be there.
+// adopt creates the attempt for a run that an earlier holder started. It returns nil if the run
+// should not be running.
 func (h *holderState) adopt(now time.Time, w *worker, r order.Running) *attempt {
 	s := h.findStep(r.Task.StepID)
 	if s == nil || r.Task.Index >= len(s.tasks) || s.job.state.IsFinal() {
@@ -87,8 +87,7 @@
 	return a
 }
 
-// findStep returns a step, or nil if it is not known or nothing runs of its job any
-// more.
+// findStep returns a step, or nil if it is unknown or its job is no longer run.
 func (h *holderState) findStep(id job.StepID) *step {
 	j := h.jobs[id.Job]
 	if j == nil || j.instances == nil {
@@ -101,22 +100,21 @@
 	return in.steps[id.Step]
 }
 
-// stopOrphan ends a run that the holder would not have started.
+// stopOrphan stops a run that this holder would not have started.
 func (h *holderState) stopOrphan(now time.Time, w *worker, run order.Run) {
 	h.core.logEvent("a run that should not be there is stopped", logField("task", run.Task.String()), logField("run", run.Number), logField("worker", w.Incarnation.String()))
 	h.sendStop(now, w, run)
 }
 
-// applyAbsence acts on an attempt that a report does not name. A look that was asked
-// for before the attempt came to its present state proves nothing: the worker may
-// have answered it earlier. A run that is being stopped is named as running until
-// its end is told.
-func (h *holderState) applyAbsence(now time.Time, a *attempt, look int64) {
-	if a.state == attemptStarting || look <= a.renewalsSent {
+// applyAbsence handles an attempt that a report does not list. A renewal sent before the attempt
+// entered its current state proves nothing, since the worker may have answered it before. A run
+// that is being stopped is listed as running until its end is reported.
+func (h *holderState) applyAbsence(now time.Time, a *attempt, renewal int64) {
+	if a.state == attemptStarting || renewal <= a.renewalsSent {
 		return
 	}
 	if a.fromEarlierIncarnation {
-		h.loseAttempt(now, a, "the worker's present life has not begun it")
+		h.loseAttempt(now, a, "the worker's current incarnation has not started it")
 		return
 	}
 	if a.state == attemptUnconfirmed {
@@ -127,16 +125,16 @@
 	case a.state == attemptRunning:
 		h.loseAttempt(now, a, "the worker no longer has it")
 	case a.stopConfirmed:
-		h.loseAttempt(now, a, "it was stopped before it began")
+		h.loseAttempt(now, a, "it was stopped before it started")
 	}
 }
 
-// loseAttempt frees an attempt of which the worker knows nothing any more.
-func (h *holderState) loseAttempt(now time.Time, a *attempt, why string) {
+// loseAttempt frees an attempt that the worker no longer has.
+func (h *holderState) loseAttempt(now time.Time, a *attempt, reason string) {
 	h.unassign(a)
 	a.task().runs.RecordInterruption(delays.RunLost)
 	h.core.logEvent("task lost", logField("job", string(a.step.job.id)), logField("task", a.runID().Task.String()), logField("run", a.run),
-		logField("worker", a.worker.Incarnation.String()), logField("state", string(a.state)), logField("reason", why),
+		logField("worker", a.worker.Incarnation.String()), logField("state", string(a.state)), logField("reason", reason),
 		logField("worked_most", a.maxWorkTime(a.worker.presence.SilentSince()).String()), logField("times_lost", a.task().lostRuns))
 	if !a.step.job.state.IsFinal() {
 		h.restartGang(now, a.step)
--- a/services/dispatch/shrink_test.go
+++ b/services/dispatch/shrink_test.go
@@ -15,11 +15,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// shrinkDelay is how long after a worker's room has shrunk a start counts as over it: it
-// has to be written to the list and read from it.
+// shrinkDelay is how long after a worker's capacity has shrunk starts may still use the former
+// capacity: the change has to be written to the platform's list and read from it.
 const shrinkDelay = 3400 * time.Millisecond
 
-// startLimit returns what a start on a worker may take.
+// startLimit returns the capacity that starts on the worker may use.
 func (f *fakeWorker) startLimit() resource.Vector {
 	if f.w.now.Sub(f.shrunkAt) < shrinkDelay {
 		return f.capacity.Max(f.before)
@@ -27,14 +27,15 @@
 	return f.capacity
 }
 
-// resize changes a worker's room. Smaller room is told of at once, and counts later.
+// resize changes the worker's capacity. The list shows a smaller capacity at once, while checks use
+// it only after shrinkDelay.
 func (f *fakeWorker) resize(to resource.Vector) {
 	f.before, f.shrunkAt = f.startLimit(), f.w.now
 	f.capacity = to
 }
 
-// TestRandomWorldsWithChangingCapacity changes the room of workers while tasks run,
-// gangs have room reserved, and workers and boxes are lost.
+// TestRandomWorldsWithChangingCapacity changes the capacity of workers while tasks run, capacity is
+// reserved for gangs, and workers and boxes are lost.
 func TestRandomWorldsWithChangingCapacity(t *testing.T) {
 	for seed := range seeds() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -59,30 +60,31 @@
 	}
 }
 
-// resizeRandomWorker leaves a worker some of its full room, or nothing.
+// resizeRandomWorker sets the capacity of a random worker to between none and all of its full
+// capacity.
 func (w *world) resizeRandomWorker() {
 	f := w.workers[w.rng.Intn(len(w.workers))]
-	part := []int64{0, 1, 2, 3, 4, 4}[w.rng.Intn(6)]
+	quarters := []int64{0, 1, 2, 3, 4, 4}[w.rng.Intn(6)]
 	f.resize(resource.Vector{
-		Processors: workerCapacity.Processors * resource.Millis(part) / 4, Memory: workerCapacity.Memory * resource.Bytes(part) / 4,
+		Processors: workerCapacity.Processors * resource.Millis(quarters) / 4, Memory: workerCapacity.Memory * resource.Bytes(quarters) / 4,
 	})
 }
 
-// resizedEntry is a change of the list by which a worker has some room.
+// resizedEntry returns a change of the list that gives a worker a capacity.
 func resizedEntry(id string, to resource.Vector) exchange.WorkersRead {
 	return exchange.WorkersRead{Listing: order.Listing{Present: []order.Worker{{Incarnation: order.Incarnation{Name: id}, Address: id, Pool: pool, Capacity: to}}}}
 }
 
 func TestRegrownCapacityIsUsed(t *testing.T) {
-	d, looks := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	d, renewals := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	d.handle(resizedEntry("w", resource.Vector{}))
-	assert.Equal(t, d.submitAndCountStarts(oneStep("j", "quick", 2, false), 1, looks), 0, "there is no room")
+	assert.Equal(t, d.submitAndCountStarts(oneStep("j", "quick", 2, false), 1, renewals), 0, "the worker has no capacity")
 	d.handle(resizedEntry("w", workerCapacity))
-	assert.Equal(t, d.answerRenewals(time.Second, looks), 2)
+	assert.Equal(t, d.answerRenewals(time.Second, renewals), 2)
 }
 
-// A gang had room reserved on a worker whose room shrank below what was reserved: the
-// reservation was kept for its 3 s, and with it the room on all other workers of the gang.
+// A gang's reservation on a worker whose capacity shrinks below it can never be used. It was kept
+// for its 3 s, and with it the reservations on all other workers of the gang.
 func TestReservationThatNoLongerFitsIsReleased(t *testing.T) {
 	d, _ := newHolder(t,
 		order.Worker{Incarnation: order.Incarnation{Name: "v"}, Address: "v", Pool: pool, Capacity: workerCapacity}, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
@@ -103,13 +105,13 @@
 	gang := oneStep("g", "quick", 2, true)
 	gang.Steps[0].Need = resource.Vector{Processors: 60 * resource.Processor}
 	gang.Steps[0].Estimate = 500
-	assert.Equal(t, len(effectsOf[exchange.StopRun](d.submitAndLog(gang))), 2, "room is made for the gang")
+	assert.Equal(t, len(effectsOf[exchange.StopRun](d.submitAndLog(gang))), 2, "tasks are stopped to make room for the gang")
 	shrunk := resource.Vector{Processors: 50 * resource.Processor, Memory: workerCapacity.Memory}
-	given := 0
+	released := 0
 	for _, n := range effectsOf[exchange.LogEvent](append(d.handle(resizedEntry("w", shrunk)), d.advance(50*time.Millisecond)...)) {
 		if n.Message == "a gang gives room back" {
-			given++
+			released++
 		}
 	}
-	assert.Equal(t, given, 1)
+	assert.Equal(t, released, 1)
 }
--- a/services/dispatch/silence.go
+++ b/services/dispatch/silence.go
@@ -12,31 +12,35 @@
 	"saddlevane/services/kept"
 )
 
-// A new holder asks all workers what they run before it starts any task that an earlier one
-// may have started. One that does not answer would hold all of them up until its lease is
-// over, and each handover would begin the wait anew. So the log is told what may run on a
-// worker once it does not answer, and nothing is started there until the log has it that it
-// answers again: the next holder takes those runs as being at work, and all others are free.
+// A new holder asks all workers for their runs before it starts any task that an earlier holder may
+// have started. A worker that does not answer would delay all of these tasks until its lease
+// expires, and each further takeover would start that wait again. The holder therefore records in
+// the log what may run on a worker that does not answer, and starts nothing there until the log has
+// a record that it answers again. The next holder treats the recorded runs as running, so that all
+// other tasks can be started at once.
 
-// unresponsiveRecord is what the log is told of a worker that does not answer.
+// unresponsiveRecord describes the log's record of a worker that does not answer.
 type unresponsiveRecord struct {
-	// kept says that the log has it, or is about to, at is when it was last told.
+	// written is true if the log has such a record or is about to, writtenAt is when the last one
+	// was added to the journal.
 	written   bool
 	writtenAt time.Time
-	// late is by how much an earlier holder may have seen it too late.
+	// detectionDelay is how late an earlier holder may have detected that the worker stopped
+	// answering.
 	detectionDelay time.Duration
 }
 
 const (
-	// failuresBeforeRecord is after how many looks without an answer in a row the log is told: one
-	// may have been lost.
+	// failuresBeforeRecord is the number of consecutive failed renewals after which the record is
+	// written: a single answer may have been lost.
 	failuresBeforeRecord = 2
-	// unresponsiveRecordInterval is when the log is told again how long the lease of a silent worker lasts
-	// at most.
+	// unresponsiveRecordInterval is how often the record is written again, with the time that the
+	// lease can still last.
 	unresponsiveRecordInterval = 2 * time.Second
 )
 
-// refreshUnresponsiveRecord has the log tell what may run on a worker that does not answer.
+// refreshUnresponsiveRecord records in the log what may run on a worker that does not answer, and
+// updates that record at intervals.
 func (h *holderState) refreshUnresponsiveRecord(now time.Time, w *worker) {
 	again := w.unresponsive.written
 	switch {
@@ -48,27 +52,28 @@
 	h.recordUnresponsive(now, w)
 }
 
-// recordUnresponsive adds the record of a silent worker to the next append. No start may be ordered
-// to it until a later record says that it answers.
+// recordUnresponsive adds the record of an unresponsive worker to the next append. No start may be
+// ordered on the worker until a later record says that it answers.
 func (h *holderState) recordUnresponsive(now time.Time, w *worker) {
-	late := w.detectionDelay()
+	delay := w.detectionDelay()
 	w.unresponsive = unresponsiveRecord{written: true, writtenAt: now, detectionDelay: w.unresponsive.detectionDelay}
 	w.recorded, w.recordPending = false, false
 	w.recordCount++
-	s := kept.UnresponsiveState{DetectionDelay: job.Milliseconds(late.Milliseconds()), LeaseLeft: job.Milliseconds(max(0, w.leaseExpiresBy.Sub(now)).Milliseconds())}
+	state := kept.UnresponsiveState{DetectionDelay: job.Milliseconds(delay.Milliseconds()), LeaseLeft: job.Milliseconds(max(0, w.leaseExpiresBy.Sub(now)).Milliseconds())}
 	for _, a := range w.sortedAttempts() {
-		s.Runs = append(s.Runs, a.runID())
-		s.WorkTimes = append(s.WorkTimes, a.recordedWorkTime(w.presence.SilentSince()))
+		state.Runs = append(state.Runs, a.runID())
+		state.WorkTimes = append(state.WorkTimes, a.recordedWorkTime(w.presence.SilentSince()))
 	}
 	for run := range ordered.By(w.orphans, order.Run.Compare) {
-		s.Runs = append(s.Runs, run)
+		state.Runs = append(state.Runs, run)
 	}
-	h.journal.addRecord(kept.UnresponsiveWorkerRecord(w.Worker, s))
+	h.journal.addRecord(kept.UnresponsiveWorkerRecord(w.Worker, state))
 }
 
-// recordedWorkTime returns for how long an attempt had been at work at a time, as the log keeps
-// it. Without it each crash that was followed by a takeover counted as one after a lease or
-// more of work, that is for next to nothing, and a task that crashes its workers took seven.
+// recordedWorkTime returns how long the attempt had been running at a time, for the log, or -1 if
+// that is unknown. Without it, a crash followed by a takeover counted as one after at least a lease
+// of work, which is hardly evidence: a task that crashes its workers was given up only after seven
+// crashes.
 func (a *attempt) recordedWorkTime(at time.Time) job.Milliseconds {
 	if worked, known := a.workTime(at); known {
 		return job.Milliseconds(worked.Milliseconds())
@@ -76,7 +81,7 @@
 	return -1
 }
 
-// recordResponsive has the log tell that a worker answers again.
+// recordResponsive records in the log that a worker answers again.
 func (h *holderState) recordResponsive(w *worker) {
 	if w.unresponsive.written {
 		w.unresponsive = unresponsiveRecord{}
@@ -85,22 +90,22 @@
 	}
 }
 
-// restoreUnresponsive takes over a worker that was silent under an earlier holder: what may run on it
-// is known, and counts as being at work until it answers or its lease is over.
-func (h *holderState) restoreUnresponsive(now time.Time, w *worker, s *kept.UnresponsiveState) {
-	w.unresponsive = unresponsiveRecord{written: true, writtenAt: now, detectionDelay: s.DetectionDelay.Duration()}
-	w.leaseExpiresBy = ordered.Later(w.leaseExpiresBy, now.Add(min(h.maxLeaseDuration(), s.LeaseLeft.Duration())))
-	for i, run := range s.Runs {
+// restoreUnresponsive restores a worker that did not answer an earlier holder. The recorded runs
+// count as running until the worker answers or its lease expires.
+func (h *holderState) restoreUnresponsive(now time.Time, w *worker, state *kept.UnresponsiveState) {
+	w.unresponsive = unresponsiveRecord{written: true, writtenAt: now, detectionDelay: state.DetectionDelay.Duration()}
+	w.leaseExpiresBy = ordered.Later(w.leaseExpiresBy, now.Add(min(h.maxLeaseDuration(), state.LeaseLeft.Duration())))
+	for i, run := range state.Runs {
 		a := h.restoreRun(now, w, run)
-		if worked, known := s.WorkTime(i); a != nil && known {
+		if worked, known := state.WorkTime(i); a != nil && known {
 			a.workedUntilSilence, a.workedUntilSilenceKnown = worked, true
 		}
 	}
 }
 
-// restoreRun takes a run as being at work on a silent worker, and returns it, or nil if it is
-// over. Where the log names two runs of a task, the first was over before the second was
-// ordered.
+// restoreRun restores a run on an unresponsive worker as a running attempt and returns it, or nil
+// if the run has ended. If the log names two runs of a task, the first had ended before the second
+// was ordered.
 func (h *holderState) restoreRun(now time.Time, w *worker, run order.Run) *attempt {
 	s := h.findStep(run.Task.StepID)
 	if s == nil || run.Task.Index >= len(s.tasks) || s.job.state.IsFinal() {
@@ -122,8 +127,8 @@
 	return a
 }
 
-// isSupersededBy says whether a run is later than the one that the log told of, if any did, and
-// no other is known.
+// isSupersededBy reports whether a run replaces the task's known run: it is newer, and the known
+// run, if any, is known from the log only.
 func (t *task) isSupersededBy(run order.Run) bool {
 	if t.attempt == nil {
 		return run.Number > t.lastRun
--- a/services/dispatch/silent_test.go
+++ b/services/dispatch/silent_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// startUnanswered ends the call of a start that had no answer.
+// startUnanswered ends the call of a start without an answer.
 func (d *harness) startUnanswered(s exchange.StartRun) []exchange.Effect {
 	return d.handle(exchange.StartEnded{Worker: s.Worker, Epoch: 1, Run: s.Order.Run, Answer: order.Answer{Outcome: order.Unknown}})
 }
@@ -33,11 +33,11 @@
 	for range 3 {
 		again := effectsOf[exchange.StartRun](d.startUnanswered(first))
 		assert.Equal(t, len(again), 1)
-		assert.Equal(t, again[0].Order.Run, first.Order.Run, "the same run is ordered")
+		assert.Equal(t, again[0].Order.Run, first.Order.Run, "the same run must be ordered again")
 		assert.Equal(t, again[0].Order.Ticket, first.Order.Ticket)
 	}
 	effects := d.startUnanswered(first)
-	assert.Equal(t, len(effectsOf[exchange.StartRun](effects)), 0, "it is not tried for ever")
+	assert.Equal(t, len(effectsOf[exchange.StartRun](effects)), 0, "the number of attempts is limited")
 }
 
 func TestStartSentTwiceMayHaveBeenCarriedOut(t *testing.T) {
@@ -58,32 +58,32 @@
 	assert.Equal(t, len(effectsOf[exchange.StartRun](d.submitAndLog(oneStep("k", "quick", 1, false)))), 0)
 	effects := d.handle(exchange.StartEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Run: first.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut}})
 	effects = append(effects, d.advance(100*time.Millisecond)...)
-	assert.Equal(t, len(effectsOf[exchange.StartRun](effects)), 1, "it has answered")
+	assert.Equal(t, len(effectsOf[exchange.StartRun](effects)), 1, "the worker has answered")
 }
 
 func TestHolderWithoutAuthorityRenewsNoLease(t *testing.T) {
-	d, looks := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
-	// The log confirms no renewal of the claim any more.
+	d, renewals := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	// The log confirms no more renewals of the claim.
 	d.advance(settings().Authority.HoldFor)
-	effects := d.handle(renewAnswer(looks["w"]))
+	effects := d.handle(renewAnswer(renewals["w"]))
 	effects = append(effects, d.advance(200*time.Millisecond)...)
-	assert.Equal(t, len(effectsOf[exchange.Renew](effects)), 0, "the next holder counts on leases to run out")
+	assert.Equal(t, len(effectsOf[exchange.Renew](effects)), 0, "the next holder relies on the leases expiring")
 	assert.Check(t, !d.core.IsServing(d.now))
 }
 
 func TestRenewalWaitsAtMostHalfTheShortestTask(t *testing.T) {
-	d, looks := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
-	assert.Equal(t, looks["w"].Order.MaxWait.Duration(), settings().RenewWait, "nothing runs there")
+	d, renewals := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	assert.Equal(t, renewals["w"].Order.MaxWait.Duration(), settings().RenewWait, "nothing runs on the worker")
 	s := oneStep("j", "quick", 1, false)
 	s.Steps[0].Estimate = 600
 	start := effectsOf[exchange.StartRun](d.submitAndLog(s))[0]
 	d.handle(exchange.StartEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut}})
-	effects := d.handle(renewAnswer(looks["w"], start.Order.Run))
-	look := effectsOf[exchange.Renew](effects)[0]
-	assert.Equal(t, look.Order.MaxWait.Duration(), 300*time.Millisecond)
-	assert.Check(t, look.Timeout <= 500*time.Millisecond, "a lost answer is noticed after %v", look.Timeout)
-	// The next look follows at once.
-	effects = d.handle(exchange.RenewEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Renewal: look.Renewal, Answer: order.Answer{Outcome: order.Unknown}})
+	effects := d.handle(renewAnswer(renewals["w"], start.Order.Run))
+	renewal := effectsOf[exchange.Renew](effects)[0]
+	assert.Equal(t, renewal.Order.MaxWait.Duration(), 300*time.Millisecond)
+	assert.Check(t, renewal.Timeout <= 500*time.Millisecond, "a lost answer is detected after %v", renewal.Timeout)
+	// The next renewal is sent at once.
+	effects = d.handle(exchange.RenewEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Renewal: renewal.Renewal, Answer: order.Answer{Outcome: order.Unknown}})
 	assert.Equal(t, len(effectsOf[exchange.Renew](effects)), 1)
 }
 
@@ -94,7 +94,7 @@
 		w.submit(oneStep(string(rune('a'+i)), "quick", 2, false))
 	}
 	w.until(8*time.Second, "the jobs have ended", w.ended)
-	assert.Check(t, w.workers[0].begun > 0, "none began on the worker whose runs stand still")
+	assert.Check(t, w.workers[0].begun > 0, "no run started on the worker whose runs stall")
 	w.check()
 }
 
@@ -103,7 +103,7 @@
 	first := w.holder()
 	w.logDown = true
 	w.run(2 * time.Second)
-	// The holder is cut off before the log is back.
+	// The holder loses its network before the log recovers.
 	first.noLog, first.noPeers = true, true
 	w.run(3 * time.Second)
 	w.logDown = false
--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -18,93 +18,97 @@
 	"saddlevane/services/presence"
 )
 
-// worker is one life of a worker.
+// worker is the holder's state of one incarnation of a worker. A worker that restarts keeps its
+// name and becomes a new incarnation.
 type worker struct {
 	order.Worker
-	// lives are those that its name has had. fencePending says that it has taken the place of an
-	// earlier one, and has not answered a look of its own.
+	// incarnations tracks all incarnations under the worker's name. fencePending is true for an
+	// incarnation that replaced an earlier one and has not answered a renewal of its own yet.
 	incarnations *presence.Lives
 	fencePending bool
-	// presence is whether it is listed and answers.
+	// presence records whether the platform lists the worker and whether it answers.
 	presence presence.Presence
-	// settled says that it has told under this claim what it runs.
+	// reported is true once the worker has reported, under this claim, which runs it has.
 	reported bool
-	// recorded says that the log names it, so that the next holder asks it.
+	// recorded is true once the log names the worker, so that the next holder contacts it.
 	recorded bool
-	// recording says that the record waits for the log, records counts those of it.
+	// recordPending is true while the worker's record waits to be appended. recordCount counts the
+	// worker's records: only the confirmation of the last one sets recorded.
 	recordPending bool
 	recordCount   int
-	// silence is what the log is told while it does not answer.
+	// unresponsive describes the record that the log has of the worker while it does not answer.
 	unresponsive unresponsiveRecord
 
-	// place is where it is among all workers by name.
+	// nameIndex is the worker's index among all workers sorted by name.
 	nameIndex int
 
 	attempts map[order.Run]*attempt
-	// free is the capacity that no attempt takes.
+	// free is the capacity that no attempt uses.
 	free resource.Vector
-	// strays are runs that should not be there. What they take is not known, so
-	// nothing is started beside them.
+	// orphans are runs that this holder would not have started. What they use is unknown, so no
+	// task is started on the worker while it has any.
 	orphans map[order.Run]bool
-	// promised is room kept for steps that wait for tickets.
+	// committed is the capacity reserved for steps that wait for tickets.
 	committed resource.Vector
-	// reserved is the part of it that is reserved for gangs, in the order in which it was.
+	// gangReservations is the part of committed that is reserved for gangs, in the order in which
+	// it was reserved.
 	gangReservations []gangReservation
 
-	// clock was the worker's clock when an answer came at clockAt.
+	// clock is the worker's clock as of the answer received at clockAt.
 	clock   order.WorkerClock
 	clockAt time.Time
-	// leaseExpiresBy is when its lease has run out for sure.
+	// leaseExpiresBy is when the worker's lease has expired for certain, whatever the error of its
+	// clock.
 	leaseExpiresBy time.Time
 
-	// look is the number of the renewal under way, or 0; renewAt is when the next
-	// is due.
+	// pendingRenewal is the number of the renewal in flight, or 0. renewAt is when the next one is
+	// due.
 	pendingRenewal int64
 	renewAt        time.Time
-	// answerDue is when that renewal was asked for and the time for which it waits there,
-	// overdue the same of those that have run out of their time, by number.
+	// answerDue is when the renewal in flight was sent plus the time it may wait at the worker.
+	// overdue holds the same time of each renewal that has timed out, by number.
 	answerDue time.Time
 	overdue   map[int64]time.Time
-	// answeredAt is when a renewal was last answered, failures how many were not
-	// since.
+	// answeredAt is when a renewal was last answered, failures the number of failed renewals since
+	// then.
 	answeredAt time.Time
 	failures   int
-	// aliveAt is when it was last surely alive.
+	// aliveAt is the last time at which the worker was certainly alive.
 	aliveAt time.Time
-	// unansweredSince is when a start was ordered of which, and of all those after it, none
-	// was answered, or zero.
+	// unansweredSince is when the oldest start order was sent since the worker last answered a
+	// start or a renewal, or zero if all are answered.
 	unansweredSince time.Time
-	// told are the ends that it has told.
+	// reportedEnds tracks the ends of runs that the worker has reported.
 	reportedEnds ends.Tracker[*worker]
 
-	// held is room that this pass of the plan keeps for steps which rank higher than
-	// those it comes to next, keeper the last of them, prevHeldFor that of the pass
-	// before: other steps take the worker's room last.
+	// heldInPass is the capacity that the current planning pass keeps for higher-ranking steps.
+	// heldFor is the last of these steps and prevHeldFor that of the previous pass: other steps use
+	// the worker's capacity last.
 	heldInPass           resource.Vector
 	heldFor, prevHeldFor *step
-	// fillPace is the pace of its fillers, in percent, throttledAt when it was changed.
+	// fillPace is the pace of the worker's fillers in percent, throttledAt the time of its last
+	// change.
 	fillPace    int
 	throttledAt time.Time
-	// speed is how long tasks take on it.
+	// speed is the learned speed of tasks on the worker.
 	speed learned.Speed
-	// drainedFor is the gang that waits for the worker's tasks to end. Meanwhile
-	// short steps may use it.
+	// drainedFor is the gang for which the worker is drained. Short steps may use it meanwhile.
 	drainedFor *step
-	// prevDrainedFor is what drainedFor was in the pass before.
+	// prevDrainedFor is the value of drainedFor in the previous planning pass.
 	prevDrainedFor *step
-	// failedJobs counts failed ends of different jobs in a row.
+	// failedJobs counts consecutive failed ends of different jobs.
 	failedJobs int
 	lastFailed job.ID
-	// suspects counts the attempts of suspects on it, trials those beside which nothing
-	// is started.
+	// suspectAttempts counts the attempts of suspect tasks on the worker, isolatedAttempts those of
+	// them beside which nothing may be started.
 	suspectAttempts, isolatedAttempts int
-	// prepared says for which likely suspect it is kept, or is nil.
+	// prepared is the trial of a likely suspect for which the worker is kept idle, or nil.
 	prepared *trialPreparation
-	// excludedUntil is until when the worker gets no starts.
+	// excludedUntil is when the worker may get starts again.
 	excludedUntil time.Time
 }
 
-// newWorker returns a life of a worker of which nothing is known but its entry.
+// newWorker returns an incarnation of which only the platform's entry is known.
 func newWorker(now time.Time, o order.Worker) *worker {
 	return &worker{
 		Worker: o, attempts: map[order.Run]*attempt{}, orphans: map[order.Run]bool{}, free: o.Capacity, renewAt: now,
@@ -113,8 +117,8 @@
 	}
 }
 
-// workersByName returns the workers in the order of their names. The reducer walks them in
-// that order wherever it matters.
+// workersByName returns the workers sorted by name. The reducer iterates in this order wherever the
+// order affects its decisions.
 func (h *holderState) workersByName() []*worker {
 	if h.sortedWorkers == nil {
 		h.sortedWorkers = slices.Collect(maps.Values(h.workers))
@@ -126,7 +130,8 @@
 	return h.sortedWorkers
 }
 
-// addWorker adds the first life of a worker that is known.
+// addWorker adds an incarnation of a worker, with what is remembered of earlier incarnations of
+// that name.
 func (h *holderState) addWorker(now time.Time, o order.Worker) *worker {
 	w := newWorker(now, o)
 	w.incarnations = h.formerWorkers.Take(o.Name)
@@ -135,38 +140,40 @@
 	return w
 }
 
-// sortedAttempts returns the attempts on the worker in a fixed order, so that the same
-// events always have the same effects.
+// sortedAttempts returns the worker's attempts in a fixed order, so that equal events have equal
+// effects.
 func (w *worker) sortedAttempts() []*attempt {
 	all := slices.Collect(maps.Values(w.attempts))
 	slices.SortFunc(all, func(a, b *attempt) int { return a.runID().Compare(b.runID()) })
 	return all
 }
 
-// isSchedulable says whether new tasks may be started on the worker.
+// isSchedulable reports whether new tasks may be started on the worker.
 func (h *holderState) isSchedulable(now time.Time, w *worker) bool {
 	return w.isolatedAttempts == 0 && w.prepared == nil && h.isHealthy(now, w)
 }
 
-// isHealthy says whether a worker could take new tasks if it were not kept for a suspect.
+// isHealthy reports whether new tasks could be started on the worker if it were not kept for a
+// suspect.
 func (h *holderState) isHealthy(now time.Time, w *worker) bool {
 	return w.reported && w.presence.IsListed() && w.recorded && !w.Leaving && !w.incarnations.HasCandidate() && w.failures == 0 && len(w.orphans) == 0 &&
 		now.Sub(w.answeredAt) < h.core.settings.RenewWait+h.adaptiveTimeout(now, silentWorkerTimeout) && !now.Before(w.excludedUntil) && !(h.isEnabled(mechanism.OverdueAnswers) && h.hasOverdueStart(now, w))
 }
 
-// hasOverdueStart says whether a worker has not answered the starts that it was given.
+// hasOverdueStart reports whether the worker is overdue with the answers to its start orders.
 func (h *holderState) hasOverdueStart(now time.Time, w *worker) bool {
 	return !w.unansweredSince.IsZero() && now.Sub(w.unansweredSince) > h.adaptiveTimeout(now, startAnswerTimeout)
 }
 
-// adaptiveTimeout returns how long to wait for an answer that is waited for some time as a
-// rule: longer while most workers' answers are late. A call that is given up and made
-// again makes a link that is full, or a process that is late, later still.
-func (h *holderState) adaptiveTimeout(now time.Time, rule time.Duration) time.Duration {
-	return h.answerDelays.CallTimeout(now, rule, h.core.settings.Lease/leaseWaitDivisor)
+// adaptiveTimeout returns how long to wait for an answer that usually arrives within base: longer
+// while most workers answer late. Giving a call up and repeating it would only add to the delay of
+// a congested link or an overloaded process.
+func (h *holderState) adaptiveTimeout(now time.Time, base time.Duration) time.Duration {
+	return h.answerDelays.CallTimeout(now, base, h.core.settings.Lease/leaseWaitDivisor)
 }
 
-// recordWorker has the log name a worker before anything is started on it.
+// recordWorker adds the worker's record to the next append. Nothing is started on the worker before
+// the log has it.
 func (h *holderState) recordWorker(w *worker) {
 	if w.recorded || w.recordPending {
 		return
@@ -177,7 +184,8 @@
 	h.journal.addRecord(kept.WorkerRecord(w.Worker))
 }
 
-// handleWorkerTerminated frees the tasks of a worker whose life is over for sure.
+// handleWorkerTerminated removes a worker whose incarnation has certainly ended, and frees its
+// tasks.
 func (h *holderState) handleWorkerTerminated(now time.Time, w *worker, why string) {
 	how := h.endingOf(now, w, true)
 	h.core.logEvent("worker is gone", logField("worker", w.Incarnation.String()), logField("reason", why), logField("tasks", len(w.attempts)), logField("how", string(how)))
@@ -186,7 +194,7 @@
 	h.removeWorker(now, w)
 }
 
-// removeWorker drops a worker here and in the log.
+// removeWorker removes the worker from the holder's state and its record from the log.
 func (h *holderState) removeWorker(now time.Time, w *worker) {
 	delete(h.workers, w.Name)
 	h.sortedWorkers = nil
