--- a/services/dispatch/attempts.go
+++ b/services/dispatch/attempts.go
@@ -10,88 +10,97 @@
 	"saddlevane/models/order"
 )
 
-// attempt is one start of a task, from its order until its end is known.
+// attempt is one run of a task on a worker, from the start order until its end is known.
 type attempt struct {
 	step   *step
 	index  int
 	run    int64
 	worker *worker
 	state  attemptState
-	// since is when the state began; for a stop, when it was confirmed.
+	// stateSince is when the attempt entered its state; for a stop, when the stop was last
+	// ordered or was confirmed.
 	stateSince time.Time
-	// looks is how many renewals the holder had asked for by then.
-	renewalsSent  int64
+	// renewalsSent is how many renewals the holder had sent by then: the answer to an earlier
+	// renewal does not prove that the worker does not have the run.
+	renewalsSent int64
+	// stopConfirmed is set once the worker has confirmed the stop, and for adopted runs.
 	stopConfirmed bool
-	// firstOrderedAt is when the order was first sent, or zero if an earlier holder sent it,
-	// lastOrderedAt when it was last.
+	// firstOrderedAt is when the start order was first sent, or zero if an earlier holder sent
+	// it; lastOrderedAt is when it was last sent.
 	firstOrderedAt, lastOrderedAt time.Time
-	// checkpoint and ticket are what it was ordered with, tries how often the order was
-	// sent: the same order again changes nothing more.
+	// checkpoint and ticket are those of the start order; orderCount is how often it was
+	// sent. The order is idempotent.
 	checkpoint, ticket string
 	orderCount         int
-	// figure is the worker's rough figure of the run.
+	// figure is the load that the worker last reported, see order.Running: for a serving task
+	// its tail latency in milliseconds, else the processors in use in thousandths of one.
 	figure int64
-	// pace is the percentage of its speed at which it works, or paceUnknown; pacing says
-	// that another was ordered.
+	// pace is the percentage of full speed at which the run works, or unknownPace;
+	// paceOrdered is set while the order of another pace is unanswered.
 	pace        int
 	paceOrdered bool
-	// progress is how much of its work was done, in percent, when a look last told of
-	// more, at progressAt.
+	// progress is the highest progress that the worker reported, in percent; progressAt is
+	// when it was reported first.
 	progress   int
 	progressAt time.Time
-	// reportedAt is when a look last told of it.
+	// reportedAt is when the worker last reported the run as running.
 	reportedAt time.Time
-	// marked says that it is to be stopped for a gang that has its place reserved.
+	// markedForStop is set if the attempt is to be stopped for a gang that has reserved its
+	// room.
 	markedForStop bool
-	// stopAt is when its end was first ordered.
+	// stopRequestedAt is when the stop was first ordered.
 	stopRequestedAt time.Time
-	// risk is the probability that it crashes its worker, if it is of a suspect, and trial
-	// says that the worker gets nothing else meanwhile.
+	// crashRisk is the probability that the task crashes its worker, if it is a suspect.
+	// isolated is set while the worker gets no other tasks because of that.
 	crashRisk float64
 	isolated  bool
-	// adopted says that an earlier holder started it, resumed that it began from a
+	// adopted is set if an earlier holder started the run, resumed if it began from a
 	// checkpoint.
 	adopted, resumed bool
-	// unheard says that only the log told of it: its worker was silent.
+	// onlyLogged is set if the run is known only from the log: its worker was unresponsive
+	// under the earlier holder.
 	onlyLogged bool
-	// fromEarlierIncarnation says that it was ordered from an earlier life of its worker: unless the
-	// worker tells of it, it never begins.
+	// fromEarlierIncarnation is set if the start was ordered from an earlier incarnation of
+	// the worker: if the present one does not report the run, it never begins.
 	fromEarlierIncarnation bool
-	// silentAfter is for how long it had been at work when its worker fell silent under an
-	// earlier holder, if workedUntilSilenceKnown.
+	// workedUntilSilence is how long the run had been at work when its worker became
+	// unresponsive under an earlier holder; it is valid if workedUntilSilenceKnown is set.
 	workedUntilSilence      time.Duration
 	workedUntilSilenceKnown bool
 }
 
-// markStateChange notes that an attempt has come to its present state.
+// markStateChange records the time at which an attempt enters its state, and the number of
+// renewals sent so far.
 func (h *holderState) markStateChange(now time.Time, a *attempt) {
 	a.stateSince = now
 	a.renewalsSent = h.renewalsSent
 }
 
-// attemptState is how far an attempt has come.
+// attemptState is the state of an attempt.
 type attemptState string
 
 const (
-	// attemptStarting: the order is under way.
+	// attemptStarting means that the start order is not answered yet.
 	attemptStarting attemptState = "starting"
-	// attemptRunning: the worker has confirmed it.
+	// attemptRunning means that the worker has confirmed the run.
 	attemptRunning attemptState = "running"
-	// attemptUnconfirmed: the order had no answer.
+	// attemptUnconfirmed means that the start order got no answer, so that the run may exist.
 	attemptUnconfirmed attemptState = "unsure"
-	// attemptStopping: it is to end; its place stays taken until it has.
+	// attemptStopping means that the stop was ordered. The room stays taken until the run has
+	// ended.
 	attemptStopping attemptState = "stopping"
 )
 
-// task returns the task that the attempt is a start of.
+// task returns the task that the attempt runs.
 func (a *attempt) task() *task { return &a.step.tasks[a.index] }
 
-// runID returns the name under which the worker knows the attempt.
+// runID returns the identifier of the attempt's run in orders and reports.
 func (a *attempt) runID() order.Run {
 	return order.Run{Task: job.TaskID{StepID: a.step.id, Index: a.index}, Number: a.run}
 }
 
-// assign takes an attempt's room on its worker.
+// assign allocates an attempt's room on its worker and makes it the current attempt of its
+// task.
 func (h *holderState) assign(now time.Time, a *attempt) {
 	a.worker.attempts[a.runID()] = a
 	a.worker.free = a.worker.free.Minus(a.step.spec.Reserved())
@@ -106,7 +115,8 @@
 	h.trackSuspect(now, a)
 }
 
-// unassign gives the room back.
+// unassign frees an attempt's room on its worker. If it is still the current attempt of its
+// task, the task has to be placed again unless it is done.
 func (h *holderState) unassign(a *attempt) {
 	a.untrackSuspect()
 	delete(a.worker.attempts, a.runID())
@@ -123,8 +133,8 @@
 	h.planDue = true
 }
 
-// nextRunNumber returns a run number above all earlier ones of the step's tasks, under
-// this claim and those before.
+// nextRunNumber returns a run number that is higher than all earlier ones of the step's
+// tasks, under this claim and earlier ones.
 func (h *holderState) nextRunNumber(s *step) int64 {
 	s.lastRun = max(s.lastRun+1, h.epoch*runsPerEpoch)
 	return s.lastRun
--- a/services/dispatch/claim.go
+++ b/services/dispatch/claim.go
@@ -9,8 +9,8 @@
 	"saddlevane/models/exchange"
 )
 
-// updateClaim claims the cell, renews the claim or gives it to a better box,
-// whichever is due.
+// updateClaim claims the cell, renews the claim, asks the other boxes for pledges or moves
+// the cell to a larger box, whichever is due.
 func (c *Core) updateClaim(now time.Time) {
 	if a := c.authority.Tick(now); a != nil {
 		c.emit(exchange.Append{Purpose: exchange.ForClaim, Number: a.Claim.Renewal, Append: a.Stream})
@@ -20,7 +20,8 @@
 	c.syncWithAuthority(now)
 }
 
-// syncWithAuthority begins or ends the holding in line with the authority.
+// syncWithAuthority starts or ends this process's tenure as holder according to the claim
+// that the authority has.
 func (c *Core) syncWithAuthority(now time.Time) {
 	epoch := c.authority.Epoch()
 	if c.holding != nil && (c.holding.epoch != epoch || c.authority.Current().Epoch > epoch) {
@@ -33,22 +34,22 @@
 	}
 }
 
-// stepDown ends the holding without giving it to anyone.
-func (c *Core) stepDown(why string) {
+// stepDown ends this process's tenure as holder without releasing the claim, and answers the
+// callers who wait for the log.
+func (c *Core) stepDown(reason string) {
 	h := c.holding
 	c.holding = nil
 	c.authority.StepDown()
 	if h == nil {
 		return
 	}
-	h.replyUnsureToAll(why)
+	h.replyUnsureToAll(reason)
 	c.emit(exchange.FollowWorkers{On: false})
-	c.logEvent("stopped holding the cell", logField("claim", h.epoch), logField("reason", why),
+	c.logEvent("stopped holding the cell", logField("claim", h.epoch), logField("reason", reason),
 		logField("holder", c.authority.Current().Box), logField("holder_claim", c.authority.Current().Epoch))
 }
 
-// handleClaimsRead takes a part of the stream of claims, or that it could not be
-// read.
+// handleClaimsRead applies a part of the stream of claims, or the failure to read it.
 func (c *Core) handleClaimsRead(now time.Time, e exchange.ClaimsRead) {
 	if e.Failure != "" {
 		if c.authority.Steady() {
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -1,32 +1,35 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package dispatch is the reducer for jobs that callers submit. One box holds
-// the cell's workers at a time and keeps all that must last in the log; the
-// others pass calls on to it. The reducer is told each event with the present
-// time and returns what to do; it does no I/O and reads no clock.
+// Package dispatch schedules submitted jobs on the workers of a cell. One box at a
+// time, the holder, controls the cell's workers and writes all durable state to the
+// log; the other boxes forward calls to it. The package is a deterministic reducer:
+// it receives each event with the current time and returns the effects to carry
+// out. It does no I/O and reads no clock.
 //
-// Core is what every process has; claim, handover, outage and move decide who holds
-// the cell. A holding is what the holder has besides:
+// Core is the state that every process has; the files claim, handover, outage and
+// move decide which box holds the cell. holderState is the additional state of the
+// holder, and these files work on it:
 //
-//   - load reads what earlier holders kept, journal and confirm keep what is new;
-//   - calls and status answer callers and operators, overview sums the cell up in
-//     the output;
-//   - jobs, instances and progress hold the work;
+//   - load restores what earlier holders wrote to the log, journal and confirm write
+//     new state;
+//   - calls and status answer callers and operators, overview logs a summary of the
+//     cell;
+//   - jobs, instances and progress keep the jobs, their instances, steps and tasks;
 //   - plan ranks the open steps (rank) and places their tasks (placement, fit,
-//     room); where there is no room it stops tasks of lower rank (preempt), reserves
-//     room for a gang (reserve) or keeps workers for it until they are empty (keep);
-//   - ask and choice decide whom to ask which workers suit a step, advice
-//     carries the calls;
-//   - runtimes and speed note what answers and ends have shown: how many
-//     workers suit, how long steps take, and which workers are slow; remaining says
-//     how much of a step is left;
-//   - attempts, starts, stops, reports and ends follow the tasks on their workers, stall
-//     moves those that stand still, throttle sets the pace of those that fill idle
+//     room); where there is no room it preempts tasks of lower rank (preempt), reserves
+//     room for a gang (reserve) or drains workers for it (keep);
+//   - ask and choice decide about which workers to ask the advice service, advice
+//     tracks the calls to it;
+//   - runtimes and speed learn from answers and run ends how many workers suit a step,
+//     how long steps take, and which workers are slow; remaining estimates how much
+//     time a step still needs;
+//   - attempts, starts, stops, reports and ends track the runs on the workers, stall
+//     moves runs that make no progress, throttle sets the pace of tasks that fill idle
 //     processors;
-//   - workers, listing, lease and gone follow the workers themselves, suspects tries
-//     the tasks apart under which workers have crashed;
-//   - delay tells what made jobs late.
+//   - workers, listing, lease and gone track the workers themselves, suspects runs
+//     tasks that are suspected of crashing workers on separate workers;
+//   - delay computes what made a job late.
 package dispatch
 
 import (
@@ -43,42 +46,46 @@
 	"saddlevane/services/workspaces"
 )
 
-// Core is the state of a process. It is not safe for concurrent use.
+// Core is the scheduling state of one process, whether or not it holds the cell. It is
+// not safe for concurrent use.
 type Core struct {
 	settings  Settings
 	self      claim.Member
 	authority *authority.Authority
 	members   authority.Boxes
 	config    *job.Config
-	// configReadAt is when the last read of the configurations was asked for that has ended.
+	// configReadAt is when the latest completed read of the configurations was requested.
 	configReadAt time.Time
-	// holding is set while this process holds the cell, or is about to.
+	// holding is the holder's state, or nil unless this process holds the cell or is taking
+	// it over.
 	holding *holderState
-	// out has the effects that Decide returns next.
+	// effects are the effects that the next Decide returns.
 	effects []exchange.Effect
 
-	// announced says that the log has this life of the box, announcing that an
-	// append of it is under way, announceRetryAt when one may be sent again.
+	// announced is set once the log has the record of this incarnation of the box,
+	// announcing while an append of it is pending. announceRetryAt is when the next append
+	// may be sent.
 	announced       bool
 	announcing      bool
 	announceRetryAt time.Time
-	// stopAt is when a planned stop is complete, stopped that this was told.
+	// stopDeadline is when a planned stop is complete; stopped is set once that was
+	// reported.
 	stopDeadline time.Time
 	stopped      bool
-	// pledging says that the other boxes are being asked not to claim, pledgeRetryAt
-	// when they may be asked again.
+	// awaitingPledges is set while a request to the other boxes not to claim the cell is
+	// pending; pledgeRetryAt is when the next one may be sent.
 	awaitingPledges bool
 	pledgeRetryAt   time.Time
-	// logRecoveredAt is when the log last began to answer after a silence.
+	// logRecoveredAt is when the log last became reachable after an outage.
 	logRecoveredAt time.Time
-	// suspended is by how much the time that the reducer is told is ahead of the time of
-	// day, because the machine was suspended.
+	// suspendOffset is how far the event times are ahead of the wall clock because the
+	// machine was suspended.
 	suspendOffset time.Duration
-	// moveRetryAt is when a larger box may next be asked to take the cell.
+	// moveRetryAt is when a larger box may next be asked to take the cell over.
 	moveRetryAt time.Time
 }
 
-// New returns the state of a process that has just started.
+// New returns the state of a process that has just started and announces itself as self.
 func New(s Settings, self claim.Member) *Core {
 	return &Core{
 		settings: s, self: self, authority: authority.New(s.Authority, self),
@@ -86,14 +93,16 @@
 	}
 }
 
-// SetSuspendOffset tells by how much the times that are told from now on are ahead of the time of day,
-// because the machine was suspended for so long.
-func (c *Core) SetSuspendOffset(suspended time.Duration) { c.suspendOffset = suspended }
+// SetSuspendOffset sets how far the times of the following events are ahead of the wall clock
+// because the machine was suspended.
+func (c *Core) SetSuspendOffset(offset time.Duration) { c.suspendOffset = offset }
 
-// unixMilli returns the time of day at now, in milliseconds since 1970.
+// unixMilli returns the wall clock time at now, in milliseconds since 1970.
 func (c *Core) unixMilli(now time.Time) int64 { return now.Add(-c.suspendOffset).UnixMilli() }
 
-// HoldsUntil returns the claim under which this process may give orders, and until when.
+// HoldsUntil returns the epoch of the claim under which this process may send orders to
+// workers, and when that authority expires. It returns zero values if this process does not
+// hold the cell.
 func (c *Core) HoldsUntil() (epoch int64, until time.Time) {
 	if c.holding == nil {
 		return 0, time.Time{}
@@ -101,24 +110,25 @@
 	return c.holding.epoch, c.authority.HoldsUntil()
 }
 
-// Config returns the configuration in force, or nil.
+// Config returns the configuration in force, or nil if none was read yet.
 func (c *Core) Config() *job.Config { return c.config }
 
 // Holder returns the claim in force.
 func (c *Core) Holder() claim.Claim { return c.authority.Current() }
 
-// IsServing says whether this process serves the cell's jobs at now.
+// IsServing reports whether this process holds the cell at now and has completed the
+// takeover, so that it accepts calls for jobs.
 func (c *Core) IsServing(now time.Time) bool {
 	return c.holding != nil && c.holding.phase == phaseActive && c.authority.Holds(now)
 }
 
-// IsLogReachable says whether the log answers this process.
+// IsLogReachable reports whether the log answers this process.
 func (c *Core) IsLogReachable() bool { return c.authority.Steady() }
 
-// LogReadAt returns when the log last answered a read of this process.
+// LogReadAt returns when the log last answered a read by this process.
 func (c *Core) LogReadAt() time.Time { return c.authority.ReadAt() }
 
-// Handle takes one event.
+// Handle applies one event. The effects it causes are returned by the next Decide.
 func (c *Core) Handle(now time.Time, e exchange.Event) {
 	switch e := e.(type) {
 	case exchange.Tick:
@@ -162,26 +172,26 @@
 	}
 }
 
-// Decide places what can be placed and returns all that is to be done. It is
-// called once after each group of events that came together.
+// Decide makes a plan if one is due, and returns all pending effects. It is called
+// once after each batch of events.
 func (c *Core) Decide(now time.Time) []exchange.Effect {
 	if h := c.holding; h != nil {
 		h.decide(now)
 	}
-	out := c.effects
+	effects := c.effects
 	c.effects = nil
-	return out
+	return effects
 }
 
-// handleDecided delays the next plan by what the last one took.
+// handleDecided delays the next plan according to how long the last one took.
 func (c *Core) handleDecided(now time.Time, took time.Duration) {
 	if h := c.holding; h != nil {
 		h.nextPlanAt = ordered.Later(h.nextPlanAt, now.Add(h.planBudget.RecordDuration(h.planTimes.Clamp(took))))
 	}
 }
 
-// WorkerAnswerTime returns the time within which most workers answer the holder at present, or
-// 0 if that is not known.
+// WorkerAnswerTime returns the upper quartile of the workers' recent response times, or 0 if
+// it is not known.
 func (c *Core) WorkerAnswerTime(now time.Time) time.Duration {
 	if c.holding == nil {
 		return 0
@@ -189,7 +199,7 @@
 	return c.holding.answerDelays.UpperQuartile(now)
 }
 
-// PlanCount returns how many plans were made under the present claim.
+// PlanCount returns how many plans this process has made under its current claim.
 func (c *Core) PlanCount() int {
 	if c.holding == nil {
 		return 0
@@ -197,23 +207,27 @@
 	return c.holding.planCount
 }
 
+// emit adds an effect to those that the next Decide returns.
 func (c *Core) emit(e exchange.Effect) { c.effects = append(c.effects, e) }
 
+// logEvent adds a line to the log of the process.
 func (c *Core) logEvent(message string, fields ...exchange.LogField) {
 	c.emit(exchange.LogEvent{Message: message, Fields: fields})
 }
 
-// logField returns a named value of a note.
+// logField returns a named value for logEvent.
 func logField(name string, value any) exchange.LogField {
 	return exchange.LogField{Name: name, Value: value}
 }
 
+// reply answers a caller's call.
 func (c *Core) reply(call exchange.CallID, a exchange.Answer) {
 	c.emit(exchange.Reply{Call: call, Answer: a})
 }
 
-// serveCall runs f if this process serves the cell's jobs and the caller may call. A holder that
-// was paused does not know what others have done meanwhile.
+// serveCall runs f if this process serves the cell's jobs and the caller is authorized;
+// otherwise it answers the call with the reason. The check is made for each call because
+// another box may have taken the cell over while this process was paused.
 func (c *Core) serveCall(now time.Time, id exchange.CallID, caller *workspace.Caller, f func(*holderState)) {
 	if !c.IsServing(now) {
 		c.replyElsewhere(id, "this box does not hold the cell")
@@ -226,16 +240,18 @@
 	f(c.holding)
 }
 
-// IsConfigCurrent says whether the configuration is known to be the newest, but for changes
-// that are not in force everywhere yet.
+// IsConfigCurrent reports whether the configuration is known to be the newest, apart from
+// changes so recent that they need not be in force everywhere yet.
 func (c *Core) IsConfigCurrent(now time.Time) bool { return now.Before(c.ConfigCurrentUntil()) }
 
-// ConfigCurrentUntil returns until when that holds if nothing more is read.
+// ConfigCurrentUntil returns until when IsConfigCurrent stays true if no further read of the
+// configurations completes.
 func (c *Core) ConfigCurrentUntil() time.Time {
 	return c.configReadAt.Add(c.settings.ConfigPropagation - configMargin)
 }
 
-// replyElsewhere answers that nothing was done here, and when to come back.
+// replyElsewhere answers that this box did nothing, which box holds the cell, and when to
+// retry.
 func (c *Core) replyElsewhere(id exchange.CallID, reason string) {
 	holder := c.Holder()
 	c.reply(id, exchange.Answer{
@@ -243,7 +259,7 @@
 	})
 }
 
-// tick acts on what falls due with time.
+// tick does all periodic work that is due.
 func (c *Core) tick(now time.Time) {
 	c.announce(now)
 	if c.announced && c.config != nil {
@@ -255,14 +271,15 @@
 	c.continueStop(now)
 }
 
-// announce tells the other boxes where this one is.
+// announce appends the record of this box to the stream of boxes, so that the other boxes
+// can find it.
 func (c *Core) announce(now time.Time) {
 	if c.announced || c.announcing || now.Before(c.announceRetryAt) {
 		return
 	}
 	value, err := json.Marshal(c.self)
 	if err != nil {
-		// A member has only plain fields.
+		// Marshal cannot fail: Member has only plain fields.
 		panic(err)
 	}
 	c.announcing = true
@@ -271,7 +288,7 @@
 	}})
 }
 
-// handleConfigRead puts a configuration in force if it is newer.
+// handleConfigRead puts a configuration in force if it is newer than the current one.
 func (c *Core) handleConfigRead(config job.Config) {
 	if c.config != nil && config.Version <= c.config.Version {
 		return
@@ -285,7 +302,7 @@
 	}
 }
 
-// handleAppendEnded takes the end of an append to whoever asked for it.
+// handleAppendEnded passes the result of an append to the part that requested it.
 func (c *Core) handleAppendEnded(now time.Time, e exchange.AppendEnded) {
 	switch e.Purpose {
 	case exchange.ForAnnounce:
--- a/services/dispatch/dispatch_test.go
+++ b/services/dispatch/dispatch_test.go
@@ -17,7 +17,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// newServingWorld returns a world in which a box serves the cell's jobs.
+// newServingWorld returns a simulated cell in which a box serves the jobs.
 func newServingWorld(t *testing.T, seed int64, boxes, workers int) *world {
 	t.Helper()
 	w := newWorld(t, seed, boxes, workers)
@@ -25,7 +25,7 @@
 	return w
 }
 
-// waitUntilServing waits until a box serves the cell's jobs.
+// waitUntilServing waits until a box holds the cell, and then a second until it serves the jobs.
 func (w *world) waitUntilServing() {
 	w.until(5*time.Second, "a box holds the cell", func() bool { return w.holder() != nil })
 	w.run(time.Second)
@@ -77,7 +77,7 @@
 	}
 }
 
-// reachedMaxFailures says whether some task of a job failed as often as it may.
+// reachedMaxFailures reports whether some task of a job has failed as often as its queue allows.
 func reachedMaxFailures(a *asked) bool {
 	for _, n := range a.failures {
 		if n >= config().Queues[a.sub.Queue].Attempts {
@@ -198,7 +198,7 @@
 	assert.Equal(t, len(w.starts), 0)
 	w.run(1600 * time.Millisecond)
 	assert.Equal(t, len(w.starts), 2)
-	// The next holder goes on with the instances that are left.
+	// The next holder must start the instances that are left.
 	w.holder().kill()
 	w.until(30*time.Second, "the job has ended", w.ended)
 	assert.Equal(t, a.state, job.Succeeded)
@@ -252,7 +252,7 @@
 	for _, b := range w.boxes {
 		b.post(exchange.ConfigRead{Config: w.config})
 	}
-	// The next holder has never read a configuration with the queue.
+	// The boxes restart, so the next holder has never read a configuration that has the queue.
 	for _, b := range w.boxes {
 		w.killBox(b, 500*time.Millisecond)
 	}
--- a/services/dispatch/driven_test.go
+++ b/services/dispatch/driven_test.go
@@ -19,19 +19,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// workerCapacity is the capacity of a worker in these tests.
+// workerCapacity is the capacity of the workers in these tests.
 var workerCapacity = resource.Vector{Processors: 64 * resource.Processor, Memory: 128 << 30}
 
-// harness is one reducer whose events a test chooses one by one.
+// harness drives a single dispatch.Core with events that a test chooses one by one.
 type harness struct {
 	t    *testing.T
 	core *dispatch.Core
 	now  time.Time
-	// next is the offset of the next record of the stream of claims.
+	// nextOffset is the offset of the next record of the stream of claims.
 	nextOffset int64
 }
 
-// newHarness returns a reducer that has its configuration and may claim the cell.
+// newHarness returns a harness whose core has its configuration and may claim the cell.
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	d := &harness{
@@ -45,20 +45,20 @@
 	return d
 }
 
-// handle gives the reducer an event a millisecond later and returns its effects.
+// handle advances the time by a millisecond, applies an event and returns its effects.
 func (d *harness) handle(e exchange.Event) []exchange.Effect {
 	d.now = d.now.Add(time.Millisecond)
 	d.core.Handle(d.now, e)
 	return d.core.Decide(d.now)
 }
 
-// advance lets time pass and returns what the next tick asks for.
+// advance advances the time, applies a tick and returns its effects.
 func (d *harness) advance(passed time.Duration) []exchange.Effect {
 	d.now = d.now.Add(passed)
 	return d.handle(exchange.Tick{})
 }
 
-// effectsOf returns the effects of one kind.
+// effectsOf returns the effects of type E.
 func effectsOf[E exchange.Effect](effects []exchange.Effect) []E {
 	var all []E
 	for _, e := range effects {
@@ -69,7 +69,7 @@
 	return all
 }
 
-// findAppend returns the append for a purpose among some effects, or nil.
+// findAppend returns the append that has a purpose among some effects, or nil.
 func findAppend(effects []exchange.Effect, p exchange.Purpose) *exchange.Append {
 	for _, a := range effectsOf[exchange.Append](effects) {
 		if a.Purpose == p {
@@ -79,19 +79,20 @@
 	return nil
 }
 
-// hasLoadJobs says whether the stream of jobs is read by some effects.
+// hasLoadJobs reports whether some effects include a read of the stream of jobs.
 func hasLoadJobs(effects []exchange.Effect) bool {
 	return len(effectsOf[exchange.LoadJobs](effects)) > 0
 }
 
-// claimCell lets the reducer claim and returns the append that fences.
+// claimCell advances the time until the core claims the cell, confirms the claim, and returns
+// the append that fences earlier holders.
 func (d *harness) claimCell(wait time.Duration) *exchange.Append {
 	d.t.Helper()
 	return d.confirmClaim(d.advance(wait))
 }
 
-// confirmClaim confirms the claim that is among some effects, and returns the append that
-// fences.
+// confirmClaim confirms the append of a claim that is among some effects, and returns the
+// append that fences earlier holders.
 func (d *harness) confirmClaim(effects []exchange.Effect) *exchange.Append {
 	d.t.Helper()
 	claiming := findAppend(effects, exchange.ForClaim)
@@ -103,7 +104,7 @@
 	return fence
 }
 
-// readClaim has the reducer read another box's claim, and returns what it asks for.
+// readClaim applies the claim of another box, as read from the log, and returns the effects.
 func (d *harness) readClaim(c claim.Claim) []exchange.Effect {
 	d.t.Helper()
 	value, err := json.Marshal(c)
@@ -112,15 +113,16 @@
 	return d.handle(exchange.ClaimsRead{Records: []stream.Record{{Key: "holder", Value: value}}, Next: d.nextOffset})
 }
 
-// confirmAppend ends the append to the stream of jobs that is among some effects.
+// confirmAppend confirms the append to the stream of jobs that must be among some effects, and
+// returns what follows.
 func (d *harness) confirmAppend(effects []exchange.Effect) []exchange.Effect {
 	d.t.Helper()
 	assert.Assert(d.t, findAppend(effects, exchange.ForJournal) != nil)
 	return d.confirmAnyAppend(effects)
 }
 
-// confirmAnyAppend ends the append to the stream of jobs that is among some effects, if one
-// is.
+// confirmAnyAppend confirms the append to the stream of jobs that is among some effects, if
+// there is one, and returns what follows.
 func (d *harness) confirmAnyAppend(effects []exchange.Effect) []exchange.Effect {
 	a := findAppend(effects, exchange.ForJournal)
 	if a == nil {
@@ -129,28 +131,28 @@
 	return d.handle(exchange.AppendEnded{Purpose: exchange.ForJournal, Number: a.Number})
 }
 
-// newHolder returns a reducer that holds the cell and has listed some workers, and
-// the look at each that is under way.
+// newHolder returns a harness whose core holds the cell with some listed workers, and the
+// pending renewal of each worker by name.
 func newHolder(t *testing.T, workers ...order.Worker) (*harness, map[string]exchange.Renew) {
 	t.Helper()
 	d := newHarness(t)
 	fence := d.claimCell(time.Second)
 	d.handle(exchange.AppendEnded{Purpose: exchange.ForJournal, Number: fence.Number})
 	d.handle(exchange.JobsLoaded{Epoch: 1})
-	looks := map[string]exchange.Renew{}
+	renewals := map[string]exchange.Renew{}
 	listed := d.handle(exchange.WorkersRead{Listing: order.Listing{Complete: true, Present: workers}})
 	var effects []exchange.Effect
 	for _, r := range effectsOf[exchange.Renew](listed) {
 		effects = append(effects, d.handle(renewAnswer(r))...)
 	}
 	for _, r := range effectsOf[exchange.Renew](effects) {
-		looks[r.Worker.Name] = r
+		renewals[r.Worker.Name] = r
 	}
 	d.confirmAppend(append(effects, d.advance(20*time.Millisecond)...))
-	return d, looks
+	return d, renewals
 }
 
-// renewAnswer is the answer to a look at a worker that runs some tasks.
+// renewAnswer returns the answer to a renewal from a worker that has some runs.
 func renewAnswer(r exchange.Renew, running ...order.Run) exchange.RenewEnded {
 	e := exchange.RenewEnded{
 		Worker: r.Worker, Epoch: r.Epoch, Renewal: r.Renewal, Answer: order.Answer{Outcome: order.CarriedOut}, Report: order.Report{Incarnation: r.Worker, Clock: 1000},
@@ -161,14 +163,16 @@
 	return e
 }
 
-// submitAndLog has a job accepted and returns what is asked for from then on.
+// submitAndLog submits a job, confirms its append to the log and returns the effects that
+// follow.
 func (d *harness) submitAndLog(s job.Submission) []exchange.Effect {
 	d.t.Helper()
 	d.now = d.now.Add(20 * time.Millisecond)
 	return append(d.confirmAppend(d.handle(exchange.Submitted{Call: 1, Submission: s})), d.advance(20*time.Millisecond)...)
 }
 
-// confirmClaimRenewal ends the renewal of the claim that is among some effects, if one is.
+// confirmClaimRenewal confirms the renewal of the claim that is among some effects, if there is
+// one.
 func (d *harness) confirmClaimRenewal(effects []exchange.Effect) {
 	if a := findAppend(effects, exchange.ForClaim); a != nil {
 		d.handle(exchange.AppendEnded{Purpose: exchange.ForClaim, Number: a.Number, Offset: d.nextOffset})
@@ -176,26 +180,26 @@
 	}
 }
 
-// submitAndCountStarts hands a job in and returns how many tasks are started within a second.
-func (d *harness) submitAndCountStarts(s job.Submission, call exchange.CallID, looks map[string]exchange.Renew) int {
+// submitAndCountStarts submits a job and returns how many tasks are started within a second.
+func (d *harness) submitAndCountStarts(s job.Submission, call exchange.CallID, renewals map[string]exchange.Renew) int {
 	d.t.Helper()
 	kept := d.confirmAnyAppend(d.handle(exchange.Submitted{Call: call, Submission: s}))
-	return len(effectsOf[exchange.StartRun](kept)) + d.answerRenewals(time.Second, looks)
+	return len(effectsOf[exchange.StartRun](kept)) + d.answerRenewals(time.Second, renewals)
 }
 
-// answerRenewals lets time pass in short steps; the claim is kept and each look at a
-// worker is answered.
-func (d *harness) answerRenewals(passed time.Duration, looks map[string]exchange.Renew) (starts int) {
+// answerRenewals advances the time in steps of 20 ms while the claim is renewed, appends are
+// confirmed and workers answer their renewals. It returns how many tasks are started.
+func (d *harness) answerRenewals(passed time.Duration, renewals map[string]exchange.Renew) (starts int) {
 	d.t.Helper()
 	for end := d.now.Add(passed); d.now.Before(end); {
 		effects := d.advance(20 * time.Millisecond)
 		d.confirmClaimRenewal(effects)
-		for _, r := range looks {
+		for _, r := range renewals {
 			effects = append(effects, d.handle(renewAnswer(r))...)
 		}
 		effects = append(effects, d.confirmAnyAppend(effects)...)
 		for _, r := range effectsOf[exchange.Renew](effects) {
-			looks[r.Worker.Name] = r
+			renewals[r.Worker.Name] = r
 		}
 		starts += len(effectsOf[exchange.StartRun](effects))
 	}
--- a/services/dispatch/ends.go
+++ b/services/dispatch/ends.go
@@ -14,15 +14,16 @@
 	"saddlevane/services/ends"
 )
 
-// excludeAfter is how many failed ends of different jobs in a row exclude a
-// worker, and excludeFor for how long: one job can fail by its own fault.
+// A worker on which excludeAfter different jobs fail in a row gets no tasks for
+// excludeFor. Failures of the same job in a row count once, since the job itself may be at fault.
 const (
 	excludeAfter = 3
 	excludeFor   = 4 * time.Second
 )
 
-// handleRunEnd takes one end from a worker's list.
-func (h *holderState) handleRunEnd(now time.Time, w *worker, end order.End, note *ends.Report[*worker]) {
+// handleRunEnd applies the end of a run that a worker has reported. The end is acknowledged
+// once the log has its effect, or at once if it has none.
+func (h *holderState) handleRunEnd(now time.Time, w *worker, end order.End, report *ends.Report[*worker]) {
 	a := w.attempts[end.Run]
 	s := h.findStep(end.Task.StepID)
 	if a != nil {
@@ -33,7 +34,7 @@
 		}
 	}
 	if s == nil || end.Task.Index >= len(s.tasks) {
-		note.MarkLogged()
+		report.MarkLogged()
 		return
 	}
 	t := &s.tasks[end.Task.Index]
@@ -53,14 +54,14 @@
 	h.applyRunEnd(now, w, s, end)
 	h.logRunEnd(s, w, end)
 	if s.job.endLogged {
-		note.MarkLogged()
+		report.MarkLogged()
 		return
 	}
-	s.job.unloggedEnds = append(s.job.unloggedEnds, note)
+	s.job.unloggedEnds = append(s.job.unloggedEnds, report)
 	h.markDirty(s.job)
 }
 
-// logRunEnd logs an end that is not a good one; good ones are told by step.
+// logRunEnd logs the end of a run that was not successful. Successes are logged per step.
 func (h *holderState) logRunEnd(s *step, w *worker, end order.End) {
 	if end.Status == order.Done {
 		return
@@ -69,7 +70,7 @@
 		logField("worker", w.Incarnation.String()), logField("outcome", string(end.Status)), logField("claim", h.epoch))
 }
 
-// applyRunEnd draws the consequences of one end.
+// applyRunEnd updates the step and its job after the end of a run.
 func (h *holderState) applyRunEnd(now time.Time, w *worker, s *step, end order.End) {
 	switch {
 	case s.job.state.IsFinal(), s.spec.Service:
@@ -87,10 +88,11 @@
 	}
 }
 
-// completeTask notes a task's good end. One of a gang counts for all its members.
+// completeTask records that a task has succeeded. The success of one member of a gang
+// counts for all members.
 func (h *holderState) completeTask(now time.Time, s *step, end order.End) {
 	if s.doneTasks == len(s.tasks) {
-		// The other members of a gang end well too.
+		// The other members of the gang succeed as well.
 		return
 	}
 	if s.spec.Gang {
@@ -108,8 +110,8 @@
 	}
 }
 
-// completeStep opens the steps that come after one of which the last task is done, or
-// ends its job.
+// completeStep is called when the last task of a step is done. It opens the steps that
+// depended on it, or ends the job if there are none left.
 func (h *holderState) completeStep(now time.Time, s *step, last int) {
 	s.open = false
 	s.doneAt, s.delaySum = now, s.tasks[last].runs.Delays(now, s.openedAt, h.usualTime(s), s.waitSum)
@@ -130,7 +132,7 @@
 	}
 }
 
-// markDone notes the good end of a task, which no longer waits for a place.
+// markDone marks a task as done, so that it no longer has to be placed.
 func (s *step) markDone(index int) {
 	t := &s.tasks[index]
 	if t.done {
@@ -143,8 +145,8 @@
 	}
 }
 
-// recordTaskFailure counts a failed end and gives the job up after too many. The first
-// task of a gang counts for all its members.
+// recordTaskFailure counts a failed run and fails the job when the task has reached its
+// maximum number of attempts. The failures of a gang are counted on its first task.
 func (h *holderState) recordTaskFailure(now time.Time, s *step, end order.End) {
 	t := &s.tasks[end.Task.Index]
 	if s.spec.Gang {
@@ -161,7 +163,8 @@
 	h.replanAfterEnd(s)
 }
 
-// restartGang ends what is left of a gang's run, so that it can begin anew.
+// restartGang stops all members of a gang that lost one, so that the gang can start again as
+// a whole. It does nothing for other steps or if the gang is done.
 func (h *holderState) restartGang(now time.Time, s *step) {
 	if !s.spec.Gang || s.doneTasks > 0 {
 		return
@@ -173,7 +176,7 @@
 	}
 }
 
-// replanAfterEnd has the step's remaining tasks placed again.
+// replanAfterEnd requests a plan, and frees the memory of an ended job after its last run.
 func (h *holderState) replanAfterEnd(s *step) {
 	h.planDue = true
 	if s.placedTasks == 0 && s.job.endLogged && s.job.state.IsFinal() {
@@ -181,8 +184,8 @@
 	}
 }
 
-// recordFailedWorker notes that a task of a step has failed on a worker, so that the next try is
-// made on another if there is one: whose fault it was is not known.
+// recordFailedWorker records that a task of the step has failed on a worker, so that the next
+// attempt prefers another worker: whether the task or the worker was at fault is not known.
 func (s *step) recordFailedWorker(w *worker) {
 	if s.failedOn == nil {
 		s.failedOn = map[*worker]bool{}
@@ -190,7 +193,8 @@
 	s.failedOn[w] = true
 }
 
-// excludeFailingWorker excludes a worker on which one job after another fails.
+// excludeFailingWorker counts the failure of a job on a worker, and excludes the worker from
+// new starts when excludeAfter different jobs have failed on it in a row.
 func (h *holderState) excludeFailingWorker(now time.Time, w *worker, id job.ID) {
 	if w.lastFailed == id || !h.isEnabled(mechanism.Exclusion) {
 		return
@@ -200,6 +204,7 @@
 	if w.failedJobs >= excludeAfter {
 		w.failedJobs = excludeAfter - 1
 		w.excludedUntil = now.Add(excludeFor)
-		h.core.logEvent("worker is left out because different jobs fail on it", logField("worker", w.Incarnation.String()), logField("until", w.excludedUntil.UTC()))
+		h.core.logEvent("worker is left out because different jobs fail on it",
+			logField("worker", w.Incarnation.String()), logField("until", w.excludedUntil.UTC()))
 	}
 }
--- a/services/dispatch/fuzz_test.go
+++ b/services/dispatch/fuzz_test.go
@@ -16,10 +16,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// FuzzSubmitted takes a caller's bytes through the checks into a reducer that holds the
-// cell, lets it start what it can and a worker crash under it, and reads what the log has
-// got of it into the next holder: a job that is accepted must not keep a box from coming
-// back.
+// FuzzSubmitted passes a caller's bytes through validation into a holder that starts the
+// tasks it can, lets the worker crash, and loads the resulting log records into the next
+// holder. An accepted job must not prevent a box from taking the cell over.
 func FuzzSubmitted(f *testing.F) {
 	for _, s := range []job.Submission{
 		oneStep("j", "quick", 2, false), oneStep("j", "wide", 3, true),
@@ -36,7 +35,7 @@
 			return
 		}
 		w := order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity}
-		d, looks := newHolder(t, w)
+		d, renewals := newHolder(t, w)
 		effects := append(d.handle(exchange.Submitted{Call: 1, Submission: s}), d.advance(20*time.Millisecond)...)
 		var records []stream.Record
 		take := func(effects []exchange.Effect) []exchange.Effect {
@@ -49,7 +48,7 @@
 		for _, start := range effectsOf[exchange.StartRun](effects) {
 			d.handle(exchange.StartEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut}})
 		}
-		gone := exchange.RenewEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Renewal: looks["w"].Renewal, Answer: order.Answer{Outcome: order.WrongIncarnation}}
+		gone := exchange.RenewEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Renewal: renewals["w"].Renewal, Answer: order.Answer{Outcome: order.WrongIncarnation}}
 		take(append(d.handle(gone), d.advance(20*time.Millisecond)...))
 		for i := range records {
 			records[i].Offset = int64(i)
@@ -60,6 +59,6 @@
 		next.handle(exchange.JobsLoaded{Epoch: 1, Records: records})
 		state := effectsOf[exchange.Reply](next.handle(exchange.StateAsked{Call: 9, Job: s.ID}))
 		assert.Equal(t, len(state), 1)
-		assert.Check(t, state[0].Answer.Outcome != exchange.NoJob, "%s was kept and is not known", s.ID)
+		assert.Check(t, state[0].Answer.Outcome != exchange.NoJob, "%s is in the log and unknown to the next holder", s.ID)
 	})
 }
--- a/services/dispatch/handover.go
+++ b/services/dispatch/handover.go
@@ -9,8 +9,8 @@
 	"saddlevane/models/exchange"
 )
 
-// beginStop gives the cell up, so that another box takes it over at once, and
-// goes on passing calls on for a while.
+// beginStop starts a planned stop: the cell is released so that another box takes it over at
+// once, and this process goes on forwarding calls for the grace period.
 func (c *Core) beginStop(now time.Time) {
 	if c.authority.Stopping() {
 		return
@@ -22,14 +22,17 @@
 	}
 }
 
-// continueStop hands the cell over once no caller waits for the log. What else waits is not
-// lost: workers tell of ends until the log has them. Waiting for that too, a holder under
-// load would never be done, and went on refusing callers for half of its grace.
+// continueStop releases the claim once no caller waits for the log, at the latest halfway
+// through the grace period, and reports the end of the stop after the grace period. Other
+// records need not be waited for: workers report ends until the log has them. A holder under
+// load that waited for these too was never done, and went on refusing callers for half of its
+// grace period.
 func (c *Core) continueStop(now time.Time) {
 	if !c.authority.Stopping() || c.stopped {
 		return
 	}
-	if h := c.holding; h != nil && !c.authority.Busy() && (!h.journal.hasWaitingCallers() || now.After(c.stopDeadline.Add(-c.settings.StopGrace/2))) {
+	if h := c.holding; h != nil && !c.authority.Busy() &&
+		(!h.journal.hasWaitingCallers() || now.After(c.stopDeadline.Add(-c.settings.StopGrace/2))) {
 		c.handOver(now)
 	}
 	if now.After(c.stopDeadline) {
@@ -38,7 +41,7 @@
 	}
 }
 
-// handOver releases the claim, so that another box need not wait for it to lapse.
+// handOver releases the claim, so that another box need not wait until it expires.
 func (c *Core) handOver(now time.Time) {
 	release := c.authority.Release(now)
 	if release == nil {
--- a/services/dispatch/holding.go
+++ b/services/dispatch/holding.go
@@ -22,108 +22,115 @@
 	"saddlevane/services/workspaces"
 )
 
-// phase is how far a takeover has come.
+// phase is the progress of a takeover of the cell.
 type phase string
 
 const (
-	// phaseFencing: the stream of jobs must refuse earlier holders first.
+	// phaseFencing lasts until the stream of jobs refuses appends of earlier holders.
 	phaseFencing phase = "fencing"
-	// phaseLoading: the stream of jobs is read.
+	// phaseLoading lasts until the stream of jobs is read.
 	phaseLoading phase = "loading"
-	// phaseActive: jobs are accepted and tasks are started.
+	// phaseActive means that jobs are accepted and tasks are started.
 	phaseActive phase = "active"
 )
 
-// holderState is what a box keeps while it holds the cell.
+// holderState is the state that a box keeps while it holds the cell.
 type holderState struct {
 	core      *Core
 	epoch     int64
 	phase     phase
 	startedAt time.Time
-	// yielding says that no new work is taken because the process stops.
+	// shuttingDown is set once a planned stop begins: no new work is accepted or started.
 	shuttingDown bool
-	// suspended says that another box was invited to take over, and may have.
+	// invitePending is set after another box was invited to take the cell over: it may have
+	// done so already.
 	invitePending bool
 
 	journal journal
 
 	jobs map[job.ID]*trackedJob
-	// open lists the steps that have tasks to place.
+	// openSteps are the steps whose dependencies are done and that may have tasks to place.
 	openSteps []*step
-	// repeating lists the jobs whose instances fall due with time.
+	// repeatingJobs are the jobs whose instances fall due at an interval.
 	repeatingJobs []*trackedJob
-	// endedJobs lists the jobs of which only the final state is kept, the first to
-	// end first.
+	// endedJobs are the jobs of which only the final state is kept, in the order in which
+	// they ended.
 	endedJobs []*trackedJob
 
-	// workers has the present life of each worker by its name, former what is remembered of
-	// workers that are gone.
+	// workers has the current incarnation of each worker by name; formerWorkers has what is
+	// kept about workers that are gone.
 	workers       map[string]*worker
 	formerWorkers presence.FormerWorkers
-	// sorted has the workers by their names, or is nil after a change.
+	// sortedWorkers caches the workers in the order of their names; it is nil after a change.
 	sortedWorkers []*worker
-	// early is the pass with which jobs that come at once are asked about.
+	// submitPass is the pass that is shared by early advice requests for jobs which are
+	// submitted at about the same time.
 	submitPass *pass
-	// reserved has the room that is reserved for gangs.
+	// reservations tracks the room that is reserved for gangs.
 	reservations *reservations.Tracker
-	// pools has the pools that configurations, or jobs, have named, foreign the entries that
-	// name no worker.
+	// knownPools has the pools that a configuration or a job has named; foreignEntries has
+	// the entries of the worker list that do not describe a worker.
 	knownPools     map[string]bool
 	foreignEntries presence.ForeignEntries
-	// looks counts the renewals asked for.
+	// renewalsSent counts the lease renewals sent to workers; it numbers them.
 	renewalsSent int64
-	// unsettled names workers of earlier holders that have not told what they
-	// run. Until it is empty, no task of an earlier holder's job starts.
+	// unreportedWorkers has the names of workers of earlier holders that have not reported
+	// to this holder what they run. Until it is empty, no task of a job that an earlier
+	// holder accepted is started, because the task may be running already.
 	unreportedWorkers map[string]bool
 
-	// advisers are the boxes through which calls for advice are made.
+	// advisers distributes calls to the advice service among the boxes.
 	advisers *advisers.Balancer[*adviceCall]
 	history  *learned.Estimates
-	// usage counts what the tasks of each workspace take, shares says which jobs are beyond
-	// a workspace's share, and left what may still run of jobs that had ended under earlier
-	// holders.
+	// usage sums up what the tasks of each workspace take, workspaceShares limits the rate of
+	// new jobs of each workspace, and leftoverUsage is what may still run of jobs that ended
+	// under earlier holders, by workspace.
 	usage           *workspaces.Usage
 	workspaceShares *workspaces.ShareLimiter
 	leftoverUsage   map[string]resource.Vector
-	// docket has what is held against tasks under which workers crashed.
+	// blame tracks which tasks are suspected of crashing their workers.
 	blame *blame.Tracker
-	// inheritedStarts are the tasks that earlier holders had started last on workers that have
-	// not told yet what they run.
+	// inheritedStarts are the latest starts that earlier holders ordered on workers which have
+	// not yet reported what they run.
 	inheritedStarts recent.LoggedStarts
-	// answers tells how late workers' answers are.
+	// answerDelays measures the workers' response times.
 	answerDelays lateness.ResponseTimes
 
-	// planDue says that something has changed since the last plan.
+	// planDue is set when something has changed since the last plan.
 	planDue bool
-	// passes counts the plans made.
+	// planCount counts the plans made.
 	planCount int
-	// budget bounds what plans may take, planned tells how long they took.
+	// planBudget limits the time that plans take; planTimes removes pauses of the process
+	// from the measured times.
 	planBudget planning.Budget
 	planTimes  planning.OutlierFilter
-	// hasAmpleRoom says whether much of the workers' room was free at the last sweep.
+	// hasAmpleRoom is set if a large share of the workers' capacity was free at the last sweep.
 	hasAmpleRoom bool
-	// hasUnplacedTasks says that some step found no room for all its tasks in the last plan.
+	// hasUnplacedTasks is set if some step found no room for all its tasks in the last plan.
 	hasUnplacedTasks bool
-	// capacity is what the workers that took tasks at the last sweep have.
+	// capacity is the total capacity of the workers that accepted tasks at the last sweep.
 	capacity resource.Vector
 	// nextPlanAt is when the next plan may be made.
 	nextPlanAt time.Time
-	// nextOverviewAt is when the state of the cell is next told.
+	// nextOverviewAt is when the summary of the cell is next logged.
 	nextOverviewAt time.Time
-	// nextRunTimesAt is when what is known of run times is next kept.
+	// nextRunTimesAt is when the learned run times are next written to the log.
 	nextRunTimesAt time.Time
-	// nextSweepAt is when all that falls due with time is next looked at.
+	// nextSweepAt is when the periodic work is next done.
 	nextSweepAt time.Time
 }
 
+// newHolderState returns the state of a holder that has just claimed the cell with an epoch.
 func newHolderState(c *Core, now time.Time, epoch int64) *holderState {
 	h := &holderState{
 		core: c, epoch: epoch, phase: phaseFencing, startedAt: now,
 		journal: journal{epoch: epoch}, jobs: map[job.ID]*trackedJob{},
 		workers: map[string]*worker{}, unreportedWorkers: map[string]bool{}, blame: blame.NewTracker(),
-		advisers: advisers.New[*adviceCall](c.self.Box), history: learned.NewEstimates(), planBudget: planning.New(), reservations: reservations.New(),
-		usage: workspaces.NewUsage(), workspaceShares: workspaces.NewShareLimiter(c.settings.ShareWindow), leftoverUsage: map[string]resource.Vector{},
-		knownPools: map[string]bool{},
+		advisers: advisers.New[*adviceCall](c.self.Box), history: learned.NewEstimates(), planBudget: planning.New(),
+		reservations: reservations.New(),
+		usage:        workspaces.NewUsage(), workspaceShares: workspaces.NewShareLimiter(c.settings.ShareWindow),
+		leftoverUsage: map[string]resource.Vector{},
+		knownPools:    map[string]bool{},
 	}
 	if c.config != nil {
 		h.addPools(*c.config)
@@ -131,7 +138,8 @@
 	return h
 }
 
-// begin fences earlier holders' appends and looks at the workers meanwhile.
+// begin fences off the appends of earlier holders, and starts to follow the list of workers
+// meanwhile.
 func (h *holderState) begin(now time.Time) {
 	h.core.logEvent("took the cell over", logField("claim", h.epoch))
 	h.core.emit(exchange.FollowWorkers{On: true})
@@ -139,7 +147,7 @@
 	h.flush(now)
 }
 
-// handle takes the events that only a holder needs.
+// handle applies the events that concern only the holder.
 func (h *holderState) handle(now time.Time, e exchange.Event) {
 	switch e := e.(type) {
 	case exchange.JobsLoaded:
@@ -159,7 +167,8 @@
 	}
 }
 
-// startLoading goes on once no earlier holder can append.
+// startLoading reads the stream of jobs. It is called once no earlier holder can append to
+// that stream.
 func (h *holderState) startLoading() {
 	if h.phase == phaseFencing {
 		h.phase = phaseLoading
@@ -168,13 +177,13 @@
 }
 
 const (
-	// planInterval is the least time between two plans, and planDelayPerStep is added for
-	// each open step, so that a backlog cannot take all of the processor.
+	// planInterval is the minimum time between two plans. planDelayPerStep is added for each
+	// open step, so that a backlog cannot use all of the processor.
 	planInterval     = 3 * time.Millisecond
 	planDelayPerStep = 50 * time.Microsecond
 )
 
-// tick acts on what falls due with time.
+// tick does all periodic work that is due.
 func (h *holderState) tick(now time.Time) {
 	h.refuseWhileFailing(now)
 	if now.Before(h.nextSweepAt) {
@@ -194,7 +203,7 @@
 	h.flush(now)
 }
 
-// decide flushes what has gathered and places what can be placed.
+// decide flushes the journal and, if a plan is due and allowed, places tasks.
 func (h *holderState) decide(now time.Time) {
 	h.flush(now)
 	if h.phase != phaseActive || h.shuttingDown || h.invitePending || !h.planDue || now.Before(h.nextPlanAt) || !h.core.authority.Holds(now) {
@@ -205,16 +214,17 @@
 	h.plan(now)
 }
 
-// replyUnsureToAll answers every caller who waits for the log.
-func (h *holderState) replyUnsureToAll(why string) {
-	a := exchange.Answer{Outcome: exchange.MaybeDone, Reason: why}
+// replyUnsureToAll answers every caller who waits for the log that the result of the call is
+// not known.
+func (h *holderState) replyUnsureToAll(reason string) {
+	a := exchange.Answer{Outcome: exchange.MaybeDone, Reason: reason}
 	for _, j := range ordered.Map(h.jobs) {
 		h.replyToCalls(j.acceptCalls, a)
 		h.replyToCalls(j.cancelCalls, a)
 	}
 }
 
-// replyToCalls tells several callers the same.
+// replyToCalls gives several calls the same answer.
 func (h *holderState) replyToCalls(calls []exchange.CallID, a exchange.Answer) {
 	for _, call := range calls {
 		h.core.reply(call, a)
--- a/services/dispatch/instances.go
+++ b/services/dispatch/instances.go
@@ -11,7 +11,8 @@
 	"saddlevane/services/ranking"
 )
 
-// createDueInstances creates the instances that have fallen due.
+// createDueInstances creates the instances of a job that are due, and opens them if the log
+// has the job.
 func (h *holderState) createDueInstances(now time.Time, j *trackedJob) {
 	if j.submission.Repeat.Times == 0 {
 		if j.instances[0] == nil {
@@ -25,7 +26,7 @@
 			return
 		}
 		if j.instances[j.nextDueInstance] != nil {
-			// An earlier holder's clock was ahead.
+			// An earlier holder whose clock was ahead has created it.
 			j.nextDueInstance++
 			continue
 		}
@@ -37,7 +38,7 @@
 	}
 }
 
-// addInstance creates one instance, which is wanted from due on.
+// addInstance creates one instance of a job, with its steps, that is due at a time.
 func (h *holderState) addInstance(j *trackedJob, number int, due time.Time) *instance {
 	in := &instance{dueAt: due}
 	for i := range j.submission.Steps {
@@ -52,7 +53,7 @@
 	return in
 }
 
-// updateCriticalPaths sets how much work follows each step.
+// updateCriticalPaths computes the critical path from and after each step of an instance.
 func (h *holderState) updateCriticalPaths(steps []*step) {
 	for i, after := range ranking.CriticalPathAfter(steps, h.expectedTime, (*step).dependencies) {
 		steps[i].criticalPathAfter = after
@@ -60,7 +61,7 @@
 	}
 }
 
-// criticalPath returns the longest chain of an instance's work.
+// criticalPath returns the expected time of the longest chain of dependent steps.
 func (in *instance) criticalPath() time.Duration {
 	longest := time.Duration(0)
 	for _, s := range in.steps {
@@ -69,14 +70,15 @@
 	return longest
 }
 
-// openInstances makes the tasks of a job that the log has ready to be placed.
+// openInstances opens the ready steps of all instances of a job that the log has, so that
+// their tasks can be placed.
 func (h *holderState) openInstances(now time.Time, j *trackedJob) {
 	for _, in := range ordered.Map(j.instances) {
 		h.openReadySteps(now, in)
 	}
 }
 
-// openReadySteps opens the steps whose earlier steps are done.
+// openReadySteps opens the steps of an instance whose dependencies are done.
 func (h *holderState) openReadySteps(now time.Time, in *instance) {
 	if in.openedAt.IsZero() {
 		in.openedAt = now
@@ -92,7 +94,7 @@
 	}
 }
 
-// isReady says whether all steps before a step are done.
+// isReady reports whether all dependencies of a step are done.
 func (in *instance) isReady(s *step) bool {
 	for _, before := range s.spec.After {
 		if b := in.steps[before]; b.doneTasks < len(b.tasks) {
@@ -102,15 +104,16 @@
 	return true
 }
 
-// createAllDueInstances opens instances of repeating jobs whose time has come.
+// createAllDueInstances creates the due instances of all repeating jobs, and forgets the
+// repeating jobs that have ended.
 func (h *holderState) createAllDueInstances(now time.Time) {
-	kept := h.repeatingJobs[:0]
+	unfinished := h.repeatingJobs[:0]
 	for _, j := range h.repeatingJobs {
 		if j.state.IsFinal() {
 			continue
 		}
 		h.createDueInstances(now, j)
-		kept = append(kept, j)
+		unfinished = append(unfinished, j)
 	}
-	h.repeatingJobs = kept
+	h.repeatingJobs = unfinished
 }
--- a/services/dispatch/jobs.go
+++ b/services/dispatch/jobs.go
@@ -15,52 +15,56 @@
 	"saddlevane/services/restarts"
 )
 
-// trackedJob is one job.
+// trackedJob is one submitted job with its progress.
 type trackedJob struct {
 	id    job.ID
 	queue string
-	// workspace is whose job it is, or empty; beyond says that it was more than its share.
+	// workspace is the workspace that owns the job, or empty. beyondShare is set if the job
+	// was more than the workspace's share.
 	workspace   string
 	beyondShare bool
-	// acceptedQueue is how the queue was treated when the job was accepted.
+	// acceptedQueue is the configuration of the queue at the time when the job was accepted.
 	acceptedQueue job.Queue
-	// submission is nil once the job's end is kept.
+	// submission is nil once the log has the job's end and none of its runs are left.
 	submission *job.Submission
-	// acceptedUnix is in milliseconds since 1970; acceptedAt is the same on the
-	// clock that the reducer is told.
+	// acceptedUnixMilli is when the job was accepted, in milliseconds since 1970; acceptedAt is
+	// the same time on the clock of the events that Core handles.
 	acceptedUnixMilli int64
 	acceptedAt        time.Time
 	instances         map[int]*instance
-	// nextDueInstance is the first one that has not fallen due.
+	// nextDueInstance is the number of the first instance that is not due yet.
 	nextDueInstance int
 	doneInstances   int
-	// state is what is believed; shown is what the log has and callers are told.
+	// state is the present state. reportedState is the state that callers get: the one in the
+	// log, or running once some task has run.
 	state, reportedState job.State
-	// accepted says that the log has the job.
+	// accepted is set once the log has the job.
 	accepted bool
-	// inherited says that an earlier holder accepted it.
+	// inherited is set if an earlier holder accepted the job.
 	inherited bool
-	// started says that some task is, or was, at work.
+	// started is set once some task is running or has run.
 	started bool
-	// why says why it has failed.
+	// failReason says why the job has failed.
 	failReason string
-	// ended is when it reached its final state, in milliseconds since 1970.
+	// endedUnixMilli is when the job reached its final state, in milliseconds since 1970.
 	endedUnixMilli int64
-	// dirty says that its progress waits for the journal.
+	// progressPending is set while the job's progress waits to be part of an append.
 	progressPending bool
-	// closed says that the log has the final state.
+	// endLogged is set once the log has the final state.
 	endLogged bool
-	// ends are those that wait for the next append of the job's progress.
+	// unloggedEnds are the reported ends of runs that wait for the next append of the job's
+	// progress; workers may forget them after that.
 	unloggedEnds []*ends.Report[*worker]
-	// acceptCalls and cancelCalls are callers who wait for the log.
+	// acceptCalls and cancelCalls are the submit and cancel calls that wait for the log.
 	acceptCalls []exchange.CallID
 	cancelCalls []exchange.CallID
 }
 
-// instance is one time that a job's steps run.
+// instance is one execution of a job's steps. A repeating job has several.
 type instance struct {
+	// dueAt is when the instance was due to start.
 	dueAt time.Time
-	// openedAt is when this holder could first start something of it.
+	// openedAt is when this holder could first start a task of the instance.
 	openedAt  time.Time
 	steps     []*step
 	doneSteps int
@@ -73,83 +77,88 @@
 	instance *instance
 	spec     *job.Step
 	tasks    []task
-	// waiting counts tasks with neither a place nor an end.
+	// unplacedTasks counts the tasks that are neither placed nor done.
 	unplacedTasks int
-	// done counts tasks with a good end, attempts those with a place.
+	// doneTasks counts the tasks that have succeeded, placedTasks the attempts that have room
+	// on a worker.
 	doneTasks   int
 	placedTasks int
-	// open says that all earlier steps are done and tasks may be left.
+	// open is set while all dependencies are done and tasks may be left.
 	open bool
 	// lastRun is the highest run number used for the step.
 	lastRun int64
-	// capped says that in the last plan its workspace could take no more, or not all.
+	// capReached is set if in the last plan the cap of the workspace did not allow all waiting
+	// tasks.
 	capReached bool
-	// explainedAt is when a line last said why it waits.
+	// explainedAt is when it was last logged why the step waits.
 	explainedAt time.Time
-	// openedAt is when it was opened.
+	// openedAt is when the step was opened.
 	openedAt time.Time
-	// nextWidenAt is when more workers may next be asked about for a gang.
+	// nextWidenAt is when advice on more workers may next be requested for a gang.
 	nextWidenAt time.Time
-	// preemptedAt is when tasks to stop for it were last looked for.
+	// preemptedAt is when a search for tasks to preempt for the step was last made.
 	preemptedAt time.Time
-	// failedOn has the workers on which a task of it has failed.
+	// failedOn has the workers on which a task of the step has failed.
 	failedOn map[*worker]bool
-	// notBefore delays a step whose last start was refused, or one of whose tasks is started
-	// too often.
+	// notBefore is the earliest time of the next start. It is set after a start was refused or
+	// when a task is started too often.
 	notBefore time.Time
 	advice    advice
-	// nextReserveAt delays the next look for room to reserve.
+	// nextReserveAt is the earliest time of the next search for room to reserve.
 	nextReserveAt time.Time
-	// reservation is room kept for a gang, or nil.
+	// reservation is the room that is reserved for a gang, or nil.
 	reservation *reservation
-	// took is how long the step's tasks took at most in whole runs, and interrupted
-	// says that not all ran whole.
+	// longestRun is the longest uninterrupted run of a task that succeeded; interrupted is set
+	// if not all tasks succeeded in one run.
 	longestRun  time.Duration
 	interrupted bool
-	// waits sums up what the step waited for before its first start, until waitSumUntil.
+	// waitSum is for how long the step waited for each cause before its first start, counted
+	// until waitSumUntil.
 	waitSum      delays.Totals
 	waitSumUntil time.Time
-	// doneAt is when the last task was done, delayed what it took besides its work.
+	// doneAt is when the last task was done; delaySum is the time that the step took in
+	// addition to its expected run time, by cause.
 	doneAt   time.Time
 	delaySum delays.Totals
-	// left is the longest chain of work from the step on, itself included, after what
-	// of it comes after the step.
+	// criticalPath is the expected time of the longest chain of steps that begins with this
+	// step; criticalPathAfter is the same without the step itself.
 	criticalPath, criticalPathAfter time.Duration
 }
 
 // task is one task of a step.
 type task struct {
 	done bool
-	// failed lists the runs that ended failed.
+	// failedRuns has the numbers of the runs that failed.
 	failedRuns []int64
-	// saved is the newest checkpoint, if any.
+	// checkpoint is the newest checkpoint, or empty.
 	checkpoint string
-	// lastRun is the highest run that was ordered or reported.
+	// lastRun is the highest run number that was ordered or reported.
 	lastRun int64
-	// attempt is the one under way, or nil.
+	// attempt is the current attempt, or nil.
 	attempt *attempt
-	// lost counts the runs that were lost with their workers under this claim.
+	// lostRuns counts the runs that were lost with their workers under this claim.
 	lostRuns int
-	// runs is when it was started under this claim, starts bounds how often that is.
+	// runs has the start times under this claim; startLimit limits the rate of starts.
 	runs       delays.StartTimes
 	startLimit restarts.Limiter
 }
 
-// delayStart delays the next start of a step.
+// delayStart prevents starts of the step's tasks before a time.
 func (s *step) delayStart(until time.Time) { s.notBefore = ordered.Later(s.notBefore, until) }
 
-// dependencies returns the steps of its instance that must be done before it.
+// dependencies returns the indexes of the steps of the instance that must be done before
+// this one.
 func (s *step) dependencies() []int { return s.spec.After }
 
-// addJob adds a job.
-func (h *holderState) addJob(now time.Time, sub job.Submission, acceptedUnix int64, in job.Queue) *trackedJob {
-	age := time.Duration(h.core.unixMilli(now)-acceptedUnix) * time.Millisecond
+// addJob adds a submitted job, and creates its instances that are due.
+func (h *holderState) addJob(now time.Time, sub job.Submission, acceptedUnixMilli int64, queue job.Queue) *trackedJob {
+	age := time.Duration(h.core.unixMilli(now)-acceptedUnixMilli) * time.Millisecond
 	j := &trackedJob{
-		id: sub.ID, queue: sub.Queue, workspace: sub.Workspace, acceptedQueue: in, submission: &sub, acceptedUnixMilli: acceptedUnix,
+		id: sub.ID, queue: sub.Queue, workspace: sub.Workspace, acceptedQueue: queue, submission: &sub, acceptedUnixMilli: acceptedUnixMilli,
 		acceptedAt: now.Add(-max(0, age)), instances: map[int]*instance{}, state: job.Queued, reportedState: job.Queued,
 	}
 	h.jobs[j.id] = j
-	h.knownPools[in.Pool] = true
+	h.knownPools[queue.Pool] = true
 	if sub.Repeat.Times > 0 {
 		h.repeatingJobs = append(h.repeatingJobs, j)
 	}
@@ -157,7 +166,7 @@
 	return j
 }
 
-// markDirty has the log take a job's progress.
+// markDirty schedules a job's progress to be written to the log.
 func (h *holderState) markDirty(j *trackedJob) {
 	if !j.progressPending {
 		j.progressPending = true
@@ -165,15 +174,16 @@
 	}
 }
 
-// finishJob gives a job its final state and ends what still runs of it.
-func (h *holderState) finishJob(now time.Time, j *trackedJob, state job.State, why string) {
+// finishJob gives a job its final state, and stops the runs that are left unless it has
+// succeeded.
+func (h *holderState) finishJob(now time.Time, j *trackedJob, state job.State, reason string) {
 	if j.state.IsFinal() {
 		return
 	}
 	j.state = state
 	j.endedUnixMilli = h.core.unixMilli(now)
 	if state == job.Failed {
-		j.failReason = why
+		j.failReason = reason
 	}
 	h.markDirty(j)
 	h.blame.ForgetJob(j.id)
@@ -188,10 +198,11 @@
 			}
 		}
 	}
-	h.logJobEnd(now, j, state, why)
+	h.logJobEnd(now, j, state, reason)
 }
 
-// closeJob drops all but the final state of a job.
+// closeJob is called once the log has the final state of a job. Everything else of the job
+// is dropped as soon as its last run has ended.
 func (h *holderState) closeJob(j *trackedJob) {
 	if j.endLogged {
 		return
@@ -201,10 +212,10 @@
 	j.releaseIfIdle()
 }
 
-// dropExpiredJobs forgets jobs whose final state was kept long enough.
+// dropExpiredJobs removes ended jobs whose retention time is over, also from the log.
 func (h *holderState) dropExpiredJobs(now time.Time) {
-	keep := h.core.settings.EndedRetention.Milliseconds()
-	for len(h.endedJobs) > 0 && h.core.unixMilli(now)-h.endedJobs[0].endedUnixMilli > keep {
+	retention := h.core.settings.EndedRetention.Milliseconds()
+	for len(h.endedJobs) > 0 && h.core.unixMilli(now)-h.endedJobs[0].endedUnixMilli > retention {
 		j := h.endedJobs[0]
 		h.endedJobs = h.endedJobs[1:]
 		delete(h.jobs, j.id)
@@ -212,12 +223,12 @@
 	}
 }
 
-// releaseIfIdle frees the memory of a job that has ended and has nothing running.
+// releaseIfIdle frees the memory of an ended job if it has no runs left.
 func (j *trackedJob) releaseIfIdle() {
 	for _, in := range ordered.Map(j.instances) {
 		for _, s := range in.steps {
 			if s.placedTasks > 0 {
-				// The last attempts' ends are still to come.
+				// The ends of the last attempts are not known yet.
 				return
 			}
 		}
--- a/services/dispatch/journal.go
+++ b/services/dispatch/journal.go
@@ -15,31 +15,32 @@
 	"saddlevane/services/recent"
 )
 
-// journal gathers what must last and appends it, one append at a time. Under one
-// claim each append has the next sequence number, so that an append whose answer
-// was lost can be sent again and takes effect once.
+// journal collects durable state and appends it to the stream of jobs, one append at a
+// time. The appends of a claim have consecutive sequence numbers, so that an append whose
+// answer was lost can be sent again and takes effect once.
 type journal struct {
 	epoch    int64
 	sequence int64
-	// extra are records that are not of jobs: the fence, workers, dropped keys.
+	// extraRecords are records that do not describe jobs: the fence, workers, deleted keys.
 	extraRecords []stream.Record
-	// recording names workers among the extra records.
+	// workerRecords has the worker records among extraRecords.
 	workerRecords []workerRecord
-	// accepts are jobs that the log does not have yet, dirty those whose progress
-	// it does not have.
+	// unloggedJobs are submitted jobs that the log does not have yet, dirtyJobs the jobs whose
+	// latest progress it does not have.
 	unloggedJobs []*trackedJob
 	dirtyJobs    []*trackedJob
-	// starts are the last ones, of which the log is told with what else there is.
+	// recentStarts are the latest start orders. They are mostly written with appends that are
+	// made for other reasons.
 	recentStarts recent.Buffer
-	// batch is the append under way, or nil.
+	// batch is the pending append, or nil.
 	batch *batch
 	// nextSendAt is when the next append may be sent.
 	nextSendAt time.Time
-	// failingSince is since when no append has succeeded, or zero.
+	// failingSince is when the first append after the last success failed, or zero.
 	failingSince time.Time
 }
 
-// batch is one append and what is true once it is in the log.
+// batch is one append, with the state changes that take effect once the log has it.
 type batch struct {
 	append          stream.Append
 	workerRecords   []workerRecord
@@ -50,14 +51,15 @@
 	sentAt time.Time
 }
 
-// workerRecord is the record of a worker that is to be in the log, and which one of it that is:
-// only the last counts.
+// workerRecord identifies a record of a worker that is to be appended. Records are numbered
+// per worker, and only the latest one counts.
 type workerRecord struct {
 	worker *worker
 	number int
 }
 
-// progressEntry is one job's progress in a batch.
+// progressEntry is the progress of one job in a batch: the state that is written, the ends
+// that can be acknowledged and the cancel calls that can be answered once the log has it.
 type progressEntry struct {
 	job         *trackedJob
 	state       job.State
@@ -65,18 +67,19 @@
 	cancelCalls []exchange.CallID
 }
 
-// maxBatchBytes bounds one append, in bytes, well below what the log takes.
+// maxBatchBytes is the size, in bytes, from which an append gets no more jobs. It is well
+// below the size limit of the log.
 const maxBatchBytes = 512 << 10
 
-// addRecord has a record in the next append.
+// addRecord adds a record to the next append.
 func (j *journal) addRecord(r stream.Record) { j.extraRecords = append(j.extraRecords, r) }
 
-// isIdle says whether nothing waits for the log.
+// isIdle reports whether no append is pending and nothing but recent starts waits for one.
 func (j *journal) isIdle() bool {
 	return j.batch == nil && len(j.extraRecords) == 0 && len(j.unloggedJobs) == 0 && len(j.dirtyJobs) == 0
 }
 
-// hasWaitingCallers says whether a caller's job or cancellation waits for the log.
+// hasWaitingCallers reports whether a submitted job or a cancellation waits for the log.
 func (j *journal) hasWaitingCallers() bool {
 	if len(j.unloggedJobs) > 0 || slices.ContainsFunc(j.dirtyJobs, func(s *trackedJob) bool { return len(s.cancelCalls) > 0 }) {
 		return true
@@ -85,7 +88,8 @@
 		slices.ContainsFunc(j.batch.progressEntries, func(p progressEntry) bool { return len(p.cancelCalls) > 0 }))
 }
 
-// isFailing says whether the log has not taken an append for a while.
+// isFailing reports whether appends have failed for longer than appendFailureLimit, or the
+// pending one is unanswered for longer than appendAnswerLimit.
 func (j *journal) isFailing(now time.Time) bool {
 	if !j.failingSince.IsZero() && now.Sub(j.failingSince) > appendFailureLimit {
 		return true
@@ -94,14 +98,14 @@
 }
 
 const (
-	// appendFailureLimit is how long appends may fail before callers are refused at once.
+	// appendFailureLimit is how long appends may fail before calls are refused immediately.
 	appendFailureLimit = 150 * time.Millisecond
-	// appendAnswerLimit is how long an append may go without an answer before callers are
-	// refused at once. A usual one takes 5 ms, one at a slow log 0.3 s.
+	// appendAnswerLimit is how long an append may be unanswered before calls are refused
+	// immediately. An append usually takes 5 ms, and 0.3 s if the log is slow.
 	appendAnswerLimit = 450 * time.Millisecond
 )
 
-// flush appends what has gathered, if no append is under way.
+// flush sends the next append if none is pending, or resends the pending one if it failed.
 func (h *holderState) flush(now time.Time) {
 	j := &h.journal
 	if j.batch != nil {
@@ -119,7 +123,7 @@
 	h.sendBatch(now)
 }
 
-// sendBatch appends the batch, for the first time or again.
+// sendBatch sends the batch, for the first time or as a retry.
 func (h *holderState) sendBatch(now time.Time) {
 	b := h.journal.batch
 	b.sent = true
@@ -130,7 +134,7 @@
 	h.core.emit(exchange.Append{Purpose: exchange.ForJournal, Number: b.append.Writer.Number(), Append: b.append})
 }
 
-// composeBatch builds the next append.
+// composeBatch builds the next append from all that waits for it.
 func (h *holderState) composeBatch(now time.Time) *batch {
 	j := &h.journal
 	if slot, starts := j.recentStarts.Take(now, h.needsStartRecord); len(starts) > 0 {
@@ -142,7 +146,7 @@
 	return b
 }
 
-// addNewJobs adds jobs to accept, as many as fit. It returns the size in
+// addNewJobs adds submitted jobs to a batch, as many as fit, and returns their size in
 // bytes.
 func (j *journal) addNewJobs(b *batch) int {
 	size := 0
@@ -155,15 +159,15 @@
 	return size
 }
 
-// addProgress adds the progress of accepted jobs to a batch of some size, in
-// bytes, as far as it fits; what does not waits for the next append.
+// addProgress adds the progress of dirty jobs that are accepted, or are accepted with this
+// batch, to a batch that has a size in bytes. What does not fit waits for the next append.
 func (h *holderState) addProgress(b *batch, size int) {
 	j := &h.journal
 	dirty := j.dirtyJobs
 	j.dirtyJobs = nil
 	for _, s := range dirty {
 		if h.jobs[s.id] != s {
-			// It was refused before it was in any append.
+			// The job was refused before it was part of any append.
 			s.progressPending = false
 			continue
 		}
@@ -181,7 +185,7 @@
 	}
 }
 
-// addRecord adds a record and returns its size in bytes.
+// addRecord adds a record to the batch and returns its size in bytes.
 func (b *batch) addRecord(r stream.Record) int {
 	b.append.Records = append(b.append.Records, r)
 	return len(r.Key) + len(r.Value)
--- a/services/dispatch/mechanism_test.go
+++ b/services/dispatch/mechanism_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestRandomWorldsWithoutEachMechanism holds that what is switched off to be measured is
-// policy only: no promise rests on it.
+// TestRandomWorldsWithoutEachMechanism checks that the mechanisms which can be switched off for
+// measurements affect policy only: all guarantees hold without any of them.
 func TestRandomWorldsWithoutEachMechanism(t *testing.T) {
 	for i, m := range mechanism.All() {
 		t.Run(string(m), func(t *testing.T) {
--- a/services/dispatch/progress.go
+++ b/services/dispatch/progress.go
@@ -11,7 +11,7 @@
 	"saddlevane/services/blame"
 )
 
-// restoreJob applies the log's progress to a job that has just been read.
+// restoreJob applies the progress that the log has to a job that was just read from it.
 func (h *holderState) restoreJob(now time.Time, j *trackedJob, p job.Progress) {
 	j.started = p.Started
 	if p.State != "" {
@@ -39,7 +39,7 @@
 	h.openInstances(now, j)
 }
 
-// restoreStep applies the log's progress to a step.
+// restoreStep applies the progress that the log has to a step.
 func (h *holderState) restoreStep(s *step, p job.StepProgress) {
 	for i := range s.tasks {
 		t := &s.tasks[i]
@@ -50,13 +50,14 @@
 		}
 		t.failedRuns = p.FailedRuns[i]
 		t.checkpoint = p.Checkpoints[i]
-		if b, held := p.Blame[i]; held {
+		if b, ok := p.Blame[i]; ok {
 			h.blame.Restore(s.blameUnit(i), b)
 		}
 	}
 }
 
-// countDone counts the steps that are done, and the instance if all are.
+// countDone counts the done steps of an instance, and counts the instance as done in its job
+// if all steps are.
 func (in *instance) countDone(j *trackedJob) {
 	for _, s := range in.steps {
 		if s.doneTasks == len(s.tasks) {
@@ -68,7 +69,7 @@
 	}
 }
 
-// progress returns what the log must keep of a job.
+// progress returns the progress of a job that is written to the log.
 func (j *trackedJob) progress(d *blame.Tracker) job.Progress {
 	p := job.Progress{State: j.state, Started: j.started, Queue: j.queue, Workspace: j.workspace, EndedUnixMilli: j.endedUnixMilli, FailureReason: j.failReason}
 	if j.state.IsFinal() {
@@ -77,7 +78,7 @@
 	}
 	for _, in := range ordered.Map(j.instances) {
 		for _, s := range in.steps {
-			if sp, any := s.progress(d); any {
+			if sp, ok := s.progress(d); ok {
 				p.Steps = append(p.Steps, sp)
 			}
 		}
@@ -85,8 +86,8 @@
 	return p
 }
 
-// progress returns what the log must keep of a step, and whether that is
-// anything.
+// progress returns the progress of a step that is written to the log, and whether there is
+// any.
 func (s *step) progress(d *blame.Tracker) (job.StepProgress, bool) {
 	sp := job.StepProgress{Instance: s.id.Instance, Step: s.id.Step}
 	for i := range s.tasks {
--- a/services/dispatch/remaining.go
+++ b/services/dispatch/remaining.go
@@ -9,13 +9,14 @@
 	"saddlevane/models/mechanism"
 )
 
-// minProgressForEstimate is the progress, in percent, from which a run's own speed tells better
-// than the usual time when it will end.
+// minProgressForEstimate is the progress, in percent, from which a run's own speed predicts its
+// end better than the usual run time does.
 const minProgressForEstimate = 10
 
-// remainingCriticalPath returns the longest chain of work from a step on at now: of a step that is
-// all at work only what remains of it. Counted whole, a step would be taken for late,
-// and give way to others, while it is about to end on time.
+// remainingCriticalPath returns the expected time from now to the end of the longest chain of
+// steps that begins with a step. If all tasks of the step that are not done are placed, only
+// their remaining run time counts: if the full run time counted, a step that is about to end
+// on time would be taken for late and be preempted.
 func (h *holderState) remainingCriticalPath(now time.Time, s *step) time.Duration {
 	if !h.isEnabled(mechanism.RemainingWork) || s.unplacedTasks > 0 || s.placedTasks == 0 || s.spec.Service {
 		return s.criticalPath
@@ -29,19 +30,19 @@
 	return s.criticalPathAfter + longest
 }
 
-// remainingRunTime returns how much longer a run should take: by its own progress if that
-// tells enough, else by what its like usually take.
+// remainingRunTime returns how much longer a run is expected to take, by its own speed if it
+// has made enough progress, else by the usual run time of such steps.
 func (h *holderState) remainingRunTime(now time.Time, a *attempt) time.Duration {
 	total, done := h.usualTime(a.step), float64(a.progress)/fullProgress
 	if a.state != attemptRunning {
 		return total
 	}
-	toldAt := a.stateSince
+	progressAt := a.stateSince
 	if !a.progressAt.IsZero() {
-		toldAt = a.progressAt
+		progressAt = a.progressAt
 	}
 	if a.progress >= minProgressForEstimate && !a.resumed && !a.adopted {
-		total = time.Duration(float64(toldAt.Sub(a.stateSince)) / done)
+		total = time.Duration(float64(progressAt.Sub(a.stateSince)) / done)
 	}
-	return max(0, time.Duration((1-done)*float64(total))-now.Sub(toldAt))
+	return max(0, time.Duration((1-done)*float64(total))-now.Sub(progressAt))
 }
--- a/services/dispatch/remaining_test.go
+++ b/services/dispatch/remaining_test.go
@@ -16,8 +16,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// wholeWorkerJob returns a job of one task that takes a worker whole, 4 s and 6.25 s at most
-// to be on time. It can resume.
+// wholeWorkerJob returns a job of one task that needs the whole capacity of a worker and is
+// estimated to run for 4 s. It is on time if it ends within 6.25 s, and it writes checkpoints.
 func wholeWorkerJob(id string) job.Submission {
 	s := oneStep(id, "quick", 1, false)
 	s.Steps[0].Need = workerCapacity
@@ -26,23 +26,24 @@
 	return s
 }
 
-// runningTask is a worker on which one task works.
+// runningTask is a harness with one worker on which one task runs.
 type runningTask struct {
 	*harness
 	renewal exchange.Renew
 	run     order.Run
 }
 
-// newRunningTask starts the task of a job on the only worker.
+// newRunningTask starts the task of a job on the only worker and confirms the start.
 func newRunningTask(t *testing.T, s job.Submission) *runningTask {
 	t.Helper()
-	d, looks := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	d, renewals := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	start := effectsOf[exchange.StartRun](d.submitAndLog(s))[0]
 	d.handle(exchange.StartEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut}})
-	return &runningTask{harness: d, renewal: looks["w"], run: start.Order.Run}
+	return &runningTask{harness: d, renewal: renewals["w"], run: start.Order.Run}
 }
 
-// advanceWithProgress lets time pass, after which a look tells the task's progress.
+// advanceWithProgress advances the time, after which the worker reports the task's progress in
+// percent, and returns the effects of the report.
 func (w *runningTask) advanceWithProgress(passed time.Duration, progress int) []exchange.Effect {
 	for end := w.now.Add(passed); w.now.Before(end); {
 		effects := w.advance(100 * time.Millisecond)
@@ -58,7 +59,7 @@
 	return effects
 }
 
-// submitCompetitor hands a job in that needs the whole worker and returns the stops ordered.
+// submitCompetitor submits another job that needs the whole worker and returns the stop orders.
 func (w *runningTask) submitCompetitor(id string) []exchange.StopRun {
 	effects := w.confirmAnyAppend(w.handle(exchange.Submitted{Call: 2, Submission: wholeWorkerJob(id)}))
 	for range 3 {
@@ -73,7 +74,7 @@
 	for i := range 8 {
 		w.advanceWithProgress(400*time.Millisecond, 10*(i+1))
 	}
-	// It has worked for 3.2 s: begun anew it would be late, but a fifth is left.
+	// After 3.2 s a fifth of the work is left. Started again, the task would be late.
 	assert.Equal(t, len(w.submitCompetitor("k")), 0)
 }
 
@@ -82,7 +83,7 @@
 	for i := range 8 {
 		w.advanceWithProgress(400*time.Millisecond, 3*(i+1))
 	}
-	// At this speed it ends 10 s from now.
+	// At this speed it ends in 10 s.
 	stops := w.submitCompetitor("k")
 	assert.Check(t, len(stops) > 0 && stops[0].Order.Run == w.run, "%v", stops)
 }
@@ -92,7 +93,7 @@
 	for i := range 24 {
 		w.advanceWithProgress(400*time.Millisecond, 4*(i+1))
 	}
-	// It is late, and ends within 0.4 s: a stop would free its room no sooner.
+	// It is late and ends within 0.4 s, so that a stop would not free its room any sooner.
 	assert.Equal(t, len(w.submitCompetitor("k")), 0)
 }
 
@@ -123,7 +124,7 @@
 	w := newRunningTask(t, wholeWorkerJob("j"))
 	var stops []exchange.StopRun
 	for i := range 30 {
-		// A percent takes 0.8 s, which is 80 s for all.
+		// One percent takes 0.8 s, so the whole run takes 80 s.
 		stops = append(stops, effectsOf[exchange.StopRun](w.advanceWithProgress(400*time.Millisecond, (i+1)/2))...)
 	}
 	assert.Equal(t, len(stops), 0)
--- a/services/dispatch/restarts_test.go
+++ b/services/dispatch/restarts_test.go
@@ -13,9 +13,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// A worker refuses each run of a task as one that has ended there, and tells no end.
+// A worker refuses each run of a task as one that has ended, and never reports the end. Without
+// a limit the holder would start the task in an endless loop.
 func TestRefusedStartsAreRateLimited(t *testing.T) {
-	d, looks := newHolder(t, workerEntry("w", 1000))
+	d, renewals := newHolder(t, workerEntry("w", 1000))
 	waiting := []exchange.StartRun{d.startOneTask()}
 	starts := 0
 	for end := d.now.Add(10 * time.Second); d.now.Before(end); {
@@ -26,7 +27,7 @@
 				Worker: s.Worker, Epoch: 1, Run: s.Order.Run, Answer: order.Answer{Outcome: order.Refused, Reason: order.StaleRun},
 			}))...)
 		}
-		waiting = append(next, d.startsWithin(20*time.Millisecond, looks)...)
+		waiting = append(next, d.startsWithin(20*time.Millisecond, renewals)...)
 	}
 	assert.Check(t, starts <= 15, "%d starts in 10 s", starts)
 }
--- a/services/dispatch/starts.go
+++ b/services/dispatch/starts.go
@@ -15,35 +15,41 @@
 	"saddlevane/services/recent"
 )
 
-// startTask orders a worker to run a task.
+// startTask assigns a task to a worker and orders the worker to start it.
 func (h *holderState) startTask(now time.Time, s *step, index int, run int64, w *worker, ticket string) {
-	a := &attempt{step: s, index: index, run: run, worker: w, state: attemptStarting, stateSince: now, renewalsSent: h.renewalsSent, pace: fullPace, firstOrderedAt: now}
+	a := &attempt{
+		step: s, index: index, run: run, worker: w, state: attemptStarting, stateSince: now, renewalsSent: h.renewalsSent,
+		pace: fullPace, firstOrderedAt: now,
+	}
 	h.assign(now, a)
 	a.task().runs.RecordStart(now)
 	h.limitStartRate(now, a)
-	saved := a.task().checkpoint
+	checkpoint := a.task().checkpoint
 	if s.spec.Gang {
-		saved = s.gangCheckpoint()
-	}
-	a.resumed = saved != ""
-	a.checkpoint, a.ticket = saved, ticket
-	h.journal.recentStarts.Add(now, recent.Start{Task: a.runID().Task, Run: run, Worker: w.Name, Born: w.BornUnixMilli, UnixMilli: h.core.unixMilli(now)})
+		checkpoint = s.gangCheckpoint()
+	}
+	a.resumed = checkpoint != ""
+	a.checkpoint, a.ticket = checkpoint, ticket
+	h.journal.recentStarts.Add(now, recent.Start{
+		Task: a.runID().Task, Run: run,
+		Worker: w.Name, Born: w.BornUnixMilli, UnixMilli: h.core.unixMilli(now),
+	})
 	if w.unansweredSince.IsZero() {
 		w.unansweredSince = now
 	}
 	h.sendStart(now, a)
 }
 
-// limitStartRate has a step wait one of whose tasks is started too often.
+// limitStartRate delays a step if one of its tasks is started too often.
 func (h *holderState) limitStartRate(now time.Time, a *attempt) {
 	if again, often := a.task().startLimit.RecordStart(now); often {
 		a.step.delayStart(again)
-		h.core.logEvent("a task is started too often and waits", logField("job", string(a.step.job.id)), logField("task", a.runID().Task.String()),
-			logField("run", a.run), logField("wait", again.Sub(now).String()))
+		h.core.logEvent("a task is started too often and waits", logField("job", string(a.step.job.id)),
+			logField("task", a.runID().Task.String()), logField("run", a.run), logField("wait", again.Sub(now).String()))
 	}
 }
 
-// sendStart sends the order to start an attempt, for the first time or again.
+// sendStart sends the order to start an attempt, for the first time or as a retry.
 func (h *holderState) sendStart(now time.Time, a *attempt) {
 	a.orderCount++
 	a.lastOrderedAt = now
@@ -54,12 +60,12 @@
 	}, Timeout: h.orderTimeout(now)})
 }
 
-// orderTimeout returns how long the answer to an order is waited for.
+// orderTimeout returns the timeout of an order to a worker at now.
 func (h *holderState) orderTimeout(now time.Time) time.Duration {
 	return h.adaptiveTimeout(now, h.core.settings.OrderTimeout)
 }
 
-// gangCheckpoint returns a checkpoint that all members of a gang can resume from.
+// gangCheckpoint returns a checkpoint from which all members of a gang can resume, or "".
 func (s *step) gangCheckpoint() string {
 	for i := range s.tasks {
 		if s.tasks[i].checkpoint != "" {
@@ -69,7 +75,7 @@
 	return ""
 }
 
-// handleStartEnded takes the end of a start's call.
+// handleStartEnded applies the answer to a start order, or that there was none.
 func (h *holderState) handleStartEnded(now time.Time, e exchange.StartEnded) {
 	w := h.currentWorker(e.Worker)
 	if w == nil || e.Epoch != h.epoch {
@@ -91,7 +97,7 @@
 	}
 	a.stopConfirmed = a.stopConfirmed && a.state == attemptStopping
 	if a.orderCount > 1 && e.Answer.Outcome != order.CarriedOut && !w.incarnations.IsFencedByLaterHolder(e.Answer, 0) {
-		// An earlier order may have been carried out, or may be yet.
+		// An earlier copy of the order may have been carried out, or may still be.
 		h.handleStartUnconfirmed(now, a, e.Answer)
 		return
 	}
@@ -106,27 +112,29 @@
 		h.handleStartRefused(now, a, e.Answer)
 	case order.NotDone:
 		w.excludedUntil = ordered.Later(w.excludedUntil, now.Add(notDoneExclusion))
-		h.loseAttempt(now, a, "the worker did nothing: "+e.Answer.Problem)
+		h.loseAttempt(now, a, "the worker did not carry out the start: "+e.Answer.Problem)
 	default:
 		h.handleStartUnconfirmed(now, a, e.Answer)
 	}
 }
 
-// maxStartTries is how often a start is sent that has no answer. Mostly the answer, or
-// the order alone, was lost, and a worker that has the run already says so.
+// maxStartTries is how often an unanswered start is sent in all. In most cases only the
+// order or its answer was lost, and a worker that has the run already reports that.
 const maxStartTries = 4
 
-// notDoneExclusion is how long a worker that did nothing gets no starts.
+// notDoneExclusion is how long a worker that did not carry out a start gets no more starts.
 const notDoneExclusion = 500 * time.Millisecond
 
-// canRetryStart says whether the order to start an attempt may be sent again. It sets
-// the worker's lease, which takes authority.
+// canRetryStart reports whether the order to start an attempt may be sent again. A start
+// order also extends the worker's lease, so the holder must be allowed to renew leases.
 func (h *holderState) canRetryStart(now time.Time, a *attempt) bool {
-	return h.isEnabled(mechanism.RepeatedStarts) && a.state == attemptStarting && a.orderCount < maxStartTries && !a.step.job.state.IsFinal() && h.mayRenew(now)
+	return h.isEnabled(mechanism.RepeatedStarts) && a.state == attemptStarting && a.orderCount < maxStartTries &&
+		!a.step.job.state.IsFinal() && h.mayRenew(now)
 }
 
-// handleStartUnconfirmed keeps the place of a start of which it is not known whether it was
-// carried out. The worker's next report tells.
+// handleStartUnconfirmed handles a start of which it is not known whether it was carried
+// out. It sends the order again if it may; else the attempt keeps its room until the
+// worker's next report shows whether the run exists.
 func (h *holderState) handleStartUnconfirmed(now time.Time, a *attempt, answer order.Answer) {
 	if h.canRetryStart(now, a) && answer.Outcome == order.Unknown {
 		h.sendStart(now, a)
@@ -143,7 +151,8 @@
 	h.restartGang(now, a.step)
 }
 
-// handleStartRefused acts on why a worker refused a start.
+// handleStartRefused drops an attempt whose start the worker refused, and does what the
+// reason of the refusal requires.
 func (h *holderState) handleStartRefused(now time.Time, a *attempt, answer order.Answer) {
 	h.core.logEvent("a start was refused", logField("job", string(a.step.job.id)), logField("task", a.runID().Task.String()),
 		logField("run", a.run), logField("worker", a.worker.Incarnation.String()), logField("reason", string(answer.Reason)))
@@ -157,18 +166,18 @@
 	case order.BadTicket:
 		a.step.advice.DropTicket(a.worker)
 	case order.StaleRun:
-		// The run has ended there; its end, if it is not known, is still to come.
+		// The run has ended on the worker. An end that is not known yet will be reported.
 	default:
 		a.step.delayStart(now.Add(refusedStartDelay))
 	}
 	h.loseAttempt(now, a, "refused: "+string(answer.Reason))
 }
 
-// refusedStartDelay delays a step after a start was refused for no reason that can be
-// mended at once.
+// refusedStartDelay is how long a step is delayed after a start was refused for a reason
+// that the holder cannot resolve at once.
 const refusedStartDelay = 50 * time.Millisecond
 
-// markStarted notes that some task of a job is, or was, at work.
+// markStarted records that some task of a job is running or has run.
 func (h *holderState) markStarted(a *attempt) {
 	j := a.step.job
 	j.started = true
--- a/services/dispatch/stops.go
+++ b/services/dispatch/stops.go
@@ -10,7 +10,7 @@
 	"saddlevane/models/order"
 )
 
-// stopAttempt orders the end of an attempt. Its room stays taken until it has ended.
+// stopAttempt orders a worker to stop an attempt. Its room stays taken until it has ended.
 func (h *holderState) stopAttempt(now time.Time, a *attempt) {
 	if a.state == attemptStopping {
 		return
@@ -22,12 +22,15 @@
 	h.sendStop(now, a.worker, a.runID())
 }
 
-// sendStop sends a worker the order to end a run.
+// sendStop sends a worker the order to stop a run.
 func (h *holderState) sendStop(now time.Time, w *worker, run order.Run) {
-	h.core.emit(exchange.StopRun{Worker: w.Incarnation, Address: w.Address, Epoch: h.epoch, Order: order.Stop{Run: run, Fence: h.fence(w)}, Timeout: h.orderTimeout(now)})
+	h.core.emit(exchange.StopRun{
+		Worker: w.Incarnation, Address: w.Address, Epoch: h.epoch,
+		Order: order.Stop{Run: run, Fence: h.fence(w)}, Timeout: h.orderTimeout(now),
+	})
 }
 
-// hasUnconfirmedStop says whether some stop was not confirmed.
+// hasUnconfirmedStop reports whether the worker has not confirmed some stop.
 func (w *worker) hasUnconfirmedStop() bool {
 	for _, a := range w.attempts {
 		if a.state == attemptStopping && !a.stopConfirmed {
@@ -37,7 +40,7 @@
 	return false
 }
 
-// resendStops sends stops again that had no answer.
+// resendStops sends the unanswered stops of a responding worker again.
 func (h *holderState) resendStops(now time.Time, w *worker) {
 	if w.failures > 0 || !w.hasUnconfirmedStop() {
 		return
@@ -50,8 +53,8 @@
 	}
 }
 
-// handleStopEnded takes the end of a stop's call. The place stays taken until a report
-// tells the end of the run.
+// handleStopEnded applies the answer to a stop order. The attempt keeps its room until a
+// report contains the end of the run.
 func (h *holderState) handleStopEnded(now time.Time, e exchange.StopEnded) {
 	w := h.currentWorker(e.Worker)
 	if w == nil || e.Epoch != h.epoch {
--- a/services/dispatch/turns_test.go
+++ b/services/dispatch/turns_test.go
@@ -14,9 +14,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// scarceAdviceConfig is a configuration with two queues that need advice: gangs rank higher
-// and ask for so long that all boxes together make two calls a second, and
-// sweeps are late soon.
+// scarceAdviceConfig returns a configuration with two queues that need advice. Gangs rank
+// higher, and their calls take so long that all boxes together make only two a second.
+// Sweeps become late soon.
 func scarceAdviceConfig(boxes int) job.Config {
 	c := config()
 	c.Queues = map[string]job.Queue{
@@ -32,7 +32,7 @@
 	return c
 }
 
-// gangJob returns a job of two tasks that take most of a worker each.
+// gangJob returns a gang job of two tasks, each of which needs most of a worker's capacity.
 func gangJob(id string) job.Submission {
 	s := oneStep(id, "gangs", 2, true)
 	s.Steps[0].Need = resource.Vector{Processors: 40 * resource.Processor, Memory: resource.GiB}
@@ -40,10 +40,10 @@
 	return s
 }
 
-// startsWithin says whether a job's first task starts within some time.
-func (w *world) startsWithin(most time.Duration, a *asked) bool {
+// startsWithin reports whether a job's first task starts within a time.
+func (w *world) startsWithin(limit time.Duration, a *asked) bool {
 	first := job.TaskID{StepID: job.StepID{Job: a.sub.ID}}
-	for end := w.now.Add(most); w.now.Before(end); {
+	for end := w.now.Add(limit); w.now.Before(end); {
 		if w.starts[first] > 0 {
 			return true
 		}
@@ -61,7 +61,7 @@
 			b.start()
 		}
 		w.waitUntilServing()
-		// More gangs than the boxes can ask about, and than the workers hold.
+		// These are more gangs than the boxes can get advice for, and than the workers have room for.
 		for i := range 80 {
 			w.after(time.Duration(i)*300*time.Millisecond, func() { w.submit(gangJob(fmt.Sprintf("gang%d", i))) })
 		}
@@ -70,7 +70,7 @@
 			a := w.submit(oneStep(fmt.Sprintf("sweep%d", i), "sweeps", 1, false))
 			assert.Check(t, w.startsWithin(5*time.Second, a), "boxes: %d: sweep %d has not started after 5 s", boxes, i)
 		}
-		// A takeover finds the backlog.
+		// The next holder has to work off the backlog.
 		w.killBox(w.holder(), time.Second)
 		w.untilEnded()
 	}
