--- a/services/dispatch/advice.go
+++ b/services/dispatch/advice.go
@@ -14,15 +14,16 @@
 	"saddlevane/services/tickets"
 )
 
-// advice is what is known of the workers that may run a step.
+// advice holds what is known about the workers that may run a step, and the pending calls to the
+// advice service.
 type advice struct {
 	tickets.Eligibility[*worker]
-	// calls are those whose answers the step waits for.
+	// calls are the calls whose answers the step waits for.
 	calls []*adviceCall
-	// prioritized says that room was kept for the step until now, so that it goes
-	// before all others in the next plan.
+	// prioritized is set if capacity was held for the step until its answer came. The step then
+	// goes before all others in the next plan.
 	prioritized bool
-	// retryAt delays the next call after one that failed.
+	// retryAt is the earliest time for the next call after a failed one.
 	retryAt time.Time
 }
 
@@ -32,48 +33,49 @@
 	step    *step
 	box     string
 	workers []*worker
-	// due is when the answer should come.
+	// due is when the answer is expected.
 	due time.Time
-	// promises is room kept on workers until it does.
+	// holds is capacity held on workers until the answer comes.
 	holds []capacityHold
 }
 
-// capacityHold is room kept on one worker for a step.
+// capacityHold is capacity held on one worker for a step.
 type capacityHold struct {
 	worker   *worker
 	capacity resource.Vector
 }
 
 const (
-	// adviceTimeoutMargin is added to the time that a call for advice should take before
-	// it is given up. The service goes on with calls that were given up, so that
-	// a short margin only makes its queue longer.
+	// adviceTimeoutMargin is added to the expected duration of an advice call to get its timeout.
+	// The service continues to process calls whose callers have given up, so a short margin would
+	// only make its queue longer.
 	adviceTimeoutMargin = 1500 * time.Millisecond
-	// adviceRetryDelay delays a call after one that failed.
+	// adviceRetryDelay is the wait after a failed call.
 	adviceRetryDelay = 100 * time.Millisecond
 )
 
-// hasCalls says whether the step waits for an answer.
+// hasCalls reports whether the step waits for an answer.
 func (a *advice) hasCalls() bool { return len(a.calls) > 0 }
 
-// knownCount counts the workers of which the service has told.
+// knownCount returns the number of workers for which the service has answered whether they may run
+// the step.
 func (a *advice) knownCount() int {
 	n, _ := a.KnownWorkers()
 	return n
 }
 
-// holdsCapacity says whether room is kept for the step until an answer comes.
+// holdsCapacity reports whether capacity is held for the step until an answer comes.
 func (a *advice) holdsCapacity() bool {
 	return slices.ContainsFunc(a.calls, func(c *adviceCall) bool { return len(c.holds) > 0 })
 }
 
-// addCall notes a call that names some workers.
+// addCall records a pending call.
 func (a *advice) addCall(c *adviceCall) {
 	a.calls = append(a.calls, c)
 	a.BeginCall(c.workers)
 }
 
-// removeCall notes that the answer to a call is not waited for any more.
+// removeCall records that the answer to a call is no longer awaited.
 func (a *advice) removeCall(c *adviceCall) {
 	if i := slices.Index(a.calls, c); i >= 0 {
 		a.calls = slices.Delete(a.calls, i, i+1)
@@ -81,24 +83,24 @@
 	}
 }
 
-// compareNames orders workers by their names: lives of one worker are equal.
+// compareNames orders workers by name; two lives of one worker compare equal.
 func compareNames(a, b *worker) int { return cmp.Compare(a.Name, b.Name) }
 
-// releaseHolds gives back the room that was kept until a call's answer.
+// releaseHolds releases the capacity that was held until the call's answer.
 func (c *adviceCall) releaseHolds() {
-	for _, p := range c.holds {
-		p.worker.committed = p.worker.committed.Minus(p.capacity)
+	for _, hold := range c.holds {
+		hold.worker.committed = hold.worker.committed.Minus(hold.capacity)
 	}
 	c.holds = nil
 }
 
-// endCall ends the step's wait for one call.
+// endCall ends the step's wait for a call and releases the capacity held for it.
 func (s *step) endCall(c *adviceCall) {
 	c.releaseHolds()
 	s.advice.removeCall(c)
 }
 
-// releaseCapacity gives back all room that was kept for a step.
+// releaseCapacity releases all capacity held or reserved for a step and ends its calls.
 func (h *holderState) releaseCapacity(now time.Time, s *step) {
 	h.releaseReservation(now, s, reservations.StepEnded)
 	for _, c := range s.advice.calls {
@@ -108,14 +110,14 @@
 	s.advice.EndAllCalls()
 }
 
-// holdCapacity keeps room for tasks of a step on a worker until a call's answer comes.
+// holdCapacity holds capacity for tasks of a step on a worker until the call's answer comes.
 func (c *adviceCall) holdCapacity(w *worker, tasks int) {
-	room := c.step.spec.Reserved().Times(tasks)
-	w.committed = w.committed.Plus(room)
-	c.holds = append(c.holds, capacityHold{worker: w, capacity: room})
+	capacity := c.step.spec.Reserved().Times(tasks)
+	w.committed = w.committed.Plus(capacity)
+	c.holds = append(c.holds, capacityHold{worker: w, capacity: capacity})
 }
 
-// expireAdvice has steps asked about anew whose answers are overdue.
+// expireAdvice ends the wait for overdue answers, so that the next plan can request advice again.
 func (h *holderState) expireAdvice(now time.Time) {
 	for c := range h.advisers.Overdue(now) {
 		if slices.Contains(c.step.advice.calls, c) {
@@ -125,7 +127,8 @@
 	}
 }
 
-// handleAdvised takes the end of a call. An answer that was given up still counts.
+// handleAdvised handles the end of an advice call. An answer that arrives after the step has
+// stopped waiting for it is still used.
 func (h *holderState) handleAdvised(now time.Time, e exchange.Advised) {
 	if e.Epoch != h.epoch {
 		return
@@ -148,7 +151,8 @@
 	h.recordAdvice(now, c, e)
 }
 
-// handleAdviceFailure delays the next call for a step and spares the box that failed.
+// handleAdviceFailure delays the next call for a step and records the refusal or failure of the box
+// that made the call.
 func (h *holderState) handleAdviceFailure(now time.Time, s *step, e exchange.Advised) {
 	s.advice.retryAt = now.Add(adviceRetryDelay)
 	if e.Busy {
@@ -159,38 +163,41 @@
 	h.core.logEvent("advice failed", logField("step", s.id.String()), logField("asked_from", e.Box), logField("problem", e.Failure))
 }
 
-// recordAdvice keeps which of the workers asked about suit a step, and their
-// tickets. How many suit is learned from those asked about for the first time.
+// recordAdvice records which of the workers in an answer are eligible for a step, and their
+// tickets. The share of suitable workers is learned only from workers that were asked about for the
+// first time.
 func (h *holderState) recordAdvice(now time.Time, c *adviceCall, e exchange.Advised) {
 	s := c.step
 	a := &s.advice
 	a.RecordAnswer()
-	fresh := map[*worker]bool{}
-	// An answer holds for the lives that were asked about.
+	firstAsked := map[*worker]bool{}
+	// The answer applies to the lives of the workers at the time of the call; a worker that has
+	// restarted since is skipped.
 	asked := map[string]*worker{}
 	for _, w := range c.workers {
 		if _, known := a.IsEligible(w); !known {
-			fresh[w] = true
+			firstAsked[w] = true
 		}
 		if h.currentWorker(w.Incarnation) == w {
-			// A worker that gets no ticket any more is not asked about again.
+			// A worker that no longer gets a ticket is marked as not eligible and not asked about
+			// again.
 			a.SetEligible(w, false, compareNames)
 			asked[w.Name] = w
 		}
 	}
-	good := 0
-	valid := time.Duration(0)
+	suitable := 0
+	validity := time.Duration(0)
 	if q := h.queueOf(s.job); q.Advice != nil {
-		valid = q.Advice.TicketLifetime
+		validity = q.Advice.TicketLifetime
 	}
 	for _, t := range e.Tickets {
 		if w := asked[t.Worker]; w != nil {
 			a.SetEligible(w, true, compareNames)
-			if fresh[w] {
-				good++
+			if firstAsked[w] {
+				suitable++
 			}
-			a.SetTicket(w, t.Ticket, now.Add(valid))
+			a.SetTicket(w, t.Ticket, now.Add(validity))
 		}
 	}
-	h.history.ObserveAdvice(s.job.queue, len(fresh), good)
+	h.history.ObserveAdvice(s.job.queue, len(firstAsked), suitable)
 }
--- a/services/dispatch/caps.go
+++ b/services/dispatch/caps.go
@@ -16,9 +16,9 @@
 	"saddlevane/services/workspaces"
 )
 
-// checkAdmission says whether a new job is within its workspace's share, or returns the answer by
-// which it is refused: its cap could never hold it, or it is beyond its share while the
-// workers have little room.
+// checkAdmission reports whether a new job is within its workspace's share. It returns a refusal if
+// a step could never fit within the workspace's cap, or if the workspace exceeds its share while
+// the workers have little free capacity.
 func (h *holderState) checkAdmission(now time.Time, sub *job.Submission) (within bool, refusal *exchange.Answer) {
 	if sub.Workspace == "" {
 		return true, nil
@@ -27,7 +27,7 @@
 	for i := range sub.Steps {
 		if need := sub.Steps[i].MinNeed(); !workspaces.FitsCap(ws, need) {
 			return false, &exchange.Answer{
-				Outcome: exchange.OverLimit, Reason: fmt.Sprintf("step %d needs %v at a time, and the workspace may have %v", i, need, ws.Cap),
+				Outcome: exchange.OverLimit, Reason: fmt.Sprintf("step %d needs %v at a time, which exceeds the workspace cap of %v", i, need, ws.Cap),
 			}
 		}
 	}
@@ -36,18 +36,18 @@
 	}
 	if !h.hasAmpleRoom && h.isEnabled(mechanism.RefusedShares) {
 		return false, &exchange.Answer{
-			Outcome: exchange.OverLimit, Reason: "the workspace has sent more than its share, and there is little room",
+			Outcome: exchange.OverLimit, Reason: "the workspace exceeds its share while the workers have little free capacity",
 			RetryAfter: job.Milliseconds(h.workspaceShares.TimeToToken(now, ws).Milliseconds()),
 		}
 	}
 	return false, nil
 }
 
-// placeable returns how many of the waiting tasks of a step may be placed that need not be
-// tried apart: no more than its workspace may take.
+// placeable returns how many of a step's waiting tasks that are not suspects may be placed under
+// the workspace's cap.
 func (h *holderState) placeable(s *step) int { return min(h.unsuspectedWaiting(s), h.slotsUnderCap(s)) }
 
-// slotsUnderCap returns how many more tasks of a step its workspace may take.
+// slotsUnderCap returns how many more tasks of a step fit under its workspace's cap.
 func (h *holderState) slotsUnderCap(s *step) int {
 	if s.job.workspace == "" {
 		return job.MaxTasks
@@ -55,22 +55,23 @@
 	return h.usage.Remaining(h.workspaceOf(s.job)).FitCount(s.spec.Need, job.MaxTasks)
 }
 
-// workspaceOf returns the workspace of a job as it is in force.
+// workspaceOf returns the job's workspace in the current configuration.
 func (h *holderState) workspaceOf(j *trackedJob) workspace.Workspace {
 	return h.core.config.Workspace(j.workspace)
 }
 
-// placedNeed returns what the tasks of a job take that have a place, unplaced what those would
-// that are neither done nor known to have one.
+// placedNeed returns the resources of a job's placed tasks.
 func (j *trackedJob) placedNeed() resource.Vector {
 	return j.sumNeeds(func(s *step) int { return s.placedTasks })
 }
 
+// waitingNeed returns the resources of a job's tasks that are neither done nor known to be placed.
 func (j *trackedJob) waitingNeed() resource.Vector {
 	return j.sumNeeds(func(s *step) int { return s.unplacedTasks })
 }
 
-// sumNeeds returns what some tasks of each step of a job need together.
+// sumNeeds returns the total resources of a job, with the number of tasks of each step given by a
+// function.
 func (j *trackedJob) sumNeeds(tasks func(*step) int) resource.Vector {
 	var all resource.Vector
 	for _, in := range j.instances {
@@ -81,47 +82,49 @@
 	return all
 }
 
-// recordLeftover notes what tasks may still run of a job that ended under an earlier holder.
+// recordLeftover counts the tasks that may still be running of a job that ended under an earlier
+// holder.
 func (h *holderState) recordLeftover(now time.Time, p job.Progress) {
 	if p.Workspace != "" && h.core.unixMilli(now)-p.EndedUnixMilli < leftoverLifetime.Milliseconds() {
 		h.leftoverUsage[p.Workspace] = h.leftoverUsage[p.Workspace].Plus(p.LeftoverUsage)
 	}
 }
 
-// leftoverLifetime is how long after the end of its job a task may run of which nothing was heard: as
-// long as the longest lease that platforms grant, and a takeover.
+// leftoverLifetime is how long after the end of its job a task may still run on a worker that has
+// not reported: the longest lease that platforms grant, plus a takeover.
 const leftoverLifetime = 30 * time.Second
 
-// setUnreportedUsage tells the usage what tasks of each workspace may run on workers that have not
-// told what they run: no more than there is room for, and no more than the tasks of which it
-// is not known where they are.
+// setUnreportedUsage sets, for each workspace, the resources of tasks that may run on workers whose running
+// tasks are not all known. The total is bounded by the capacity of these workers, and by the tasks
+// whose location is unknown.
 func (h *holderState) setUnreportedUsage() {
-	var room resource.Vector
+	var capacity resource.Vector
 	for _, w := range h.workersByName() {
 		switch {
 		case h.unreportedWorkers[w.Name]:
-			room = room.Plus(w.Capacity)
+			capacity = capacity.Plus(w.Capacity)
 		case len(w.orphans) > 0:
-			room = room.Plus(w.free)
+			capacity = capacity.Plus(w.free)
 		}
 	}
-	if room.IsZero() {
+	if capacity.IsZero() {
 		h.usage.SetUnreported(nil)
 		return
 	}
-	unheard := map[string]resource.Vector{}
+	unreported := map[string]resource.Vector{}
 	for name, v := range ordered.Map(h.leftoverUsage) {
-		unheard[name] = v
+		unreported[name] = v
 	}
 	for _, j := range h.jobs {
 		if j.inherited && j.workspace != "" {
-			unheard[j.workspace] = unheard[j.workspace].Plus(j.waitingNeed())
+			unreported[j.workspace] = unreported[j.workspace].Plus(j.waitingNeed())
 		}
 	}
-	h.usage.SetUnreportedWithin(unheard, room)
+	h.usage.SetUnreportedWithin(unreported, capacity)
 }
 
-// workspaceStatus says what the tasks of each workspace take and which of its jobs wait.
+// workspaceStatus returns the resource usage of each workspace and how many of its steps wait, in
+// all and for its cap.
 func (h *holderState) workspaceStatus() []job.WorkspaceStatus {
 	waiting, capped := map[string]int{}, map[string]int{}
 	for _, s := range h.openSteps {
--- a/services/dispatch/caps_test.go
+++ b/services/dispatch/caps_test.go
@@ -19,14 +19,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// On a deployment whose configuration names workspaces with caps, nobody counted what a
-// workspace had running: on each day 6 to 12 starts brought one above its cap, such as
+// In a deployment with workspace caps, the resources that a workspace was using were not counted: 6
+// to 12 starts a day brought a workspace above its cap, such as
 //
 //	tenant semi341 has [1073900, 1657168, 0] running; it may have [1227076, 1502109, 0]
 //
-// in which it is the memory that is over, not the processors. The same worlds as for all
-// other promises are played, with jobs of workspaces whose caps change; workers check at
-// each start what runs of the workspace on all of them.
+// where the memory is above the cap, not the processors. The test runs random worlds whose jobs
+// belong to workspaces with changing caps. At each start, the worker checks what is running of the
+// workspace on all workers.
 func TestWorkspacesStayWithinCaps(t *testing.T) {
 	for seed := range seeds() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -38,41 +38,42 @@
 			for range 4 {
 				w.after(time.Duration(w.rng.Intn(15000))*time.Millisecond, w.changeCaps)
 			}
-			// Without bounds at the end, every job fits.
+			// Remove all caps at the end, so that every job fits.
 			w.after(18*time.Second, func() { w.publishCaps(0) })
 			w.plays()
 		})
 	}
 }
 
-// testCaps returns the caps of a drawn configuration: of processors, of memory, or none.
-func testCaps(least int64) []workspace.Workspace {
+// testCaps returns workspaces with a cap on processors, with a cap on memory, and without a cap.
+// The argument is the processor cap.
+func testCaps(processors int64) []workspace.Workspace {
 	cores := func(n int64) resource.Millis { return resource.Millis(n) * resource.Processor }
 	return []workspace.Workspace{
-		{Name: "small", Weight: 100, Cap: resource.Vector{Processors: cores(least)}},
-		{Name: "narrow", Weight: 100, Cap: resource.Vector{Memory: resource.Bytes(least/12) * resource.GiB}},
+		{Name: "small", Weight: 100, Cap: resource.Vector{Processors: cores(processors)}},
+		{Name: "narrow", Weight: 100, Cap: resource.Vector{Memory: resource.Bytes(processors/12) * resource.GiB}},
 		{Name: "free", Weight: 100},
 	}
 }
 
-// minCap is enough for the largest gang of random jobs, in processors.
+// minCap is the number of processors that the largest gang of the random jobs needs.
 const minCap = 6 * 21
 
-// useWorkspaces gives the jobs of a world workspaces, and their caps.
+// useWorkspaces assigns the world's jobs to workspaces and publishes their caps.
 func (w *world) useWorkspaces() {
 	w.workspaces = []string{"small", "narrow", "free", ""}
 	w.publishCaps(minCap)
 }
 
-// changeCaps moves the caps up or down.
+// changeCaps publishes random caps between one and three times minCap.
 func (w *world) changeCaps() { w.publishCaps(int64(minCap + w.rng.Intn(2*minCap))) }
 
-// publishCaps has all boxes read a configuration with other caps; 0 is no bound.
-func (w *world) publishCaps(least int64) {
+// publishCaps sends a configuration with the given processor cap to all boxes; 0 removes all caps.
+func (w *world) publishCaps(processors int64) {
 	next := w.config
 	next.Version++
-	all := testCaps(least)
-	if least == 0 {
+	all := testCaps(processors)
+	if processors == 0 {
 		for i := range all {
 			all[i].Cap = resource.Vector{}
 		}
@@ -89,25 +90,26 @@
 	}
 }
 
-// formerCaps are caps that were in force until some time.
+// formerCaps are caps that were in force until the given time.
 type formerCaps struct {
 	until time.Time
 	caps  map[string]workspace.Workspace
 }
 
-// maxOrderDelay is how long after its sending an order may be carried out in these worlds.
+// maxOrderDelay is how long after it was sent a delayed order may still be carried out in these
+// worlds.
 const maxOrderDelay = 13 * time.Second
 
-// maxCap returns the highest cap under which a start may have been ordered that is carried
-// out now: part by part, where 0 is none.
+// maxCap returns the highest cap under which a start that is carried out now may have been ordered,
+// for each resource separately. 0 means that there is no cap.
 func (w *world) maxCap(name string) resource.Vector {
 	most := w.config.Workspaces[name].Cap
-	within := time.Second
+	window := time.Second
 	if w.lateShare > 0 {
-		within = maxOrderDelay
+		window = maxOrderDelay
 	}
 	for _, f := range w.formerCaps {
-		if w.now.Sub(f.until) > within {
+		if w.now.Sub(f.until) > window {
 			continue
 		}
 		former := f.caps[name].Cap
@@ -122,7 +124,7 @@
 	return most
 }
 
-// checkCap notes a start that brings a workspace above its cap.
+// checkCap reports a violation if a start brings a workspace above its cap.
 func (w *world) checkCap(s order.Start) {
 	name := w.jobs[s.Task.Job].sub.Workspace
 	if name == "" {
@@ -138,12 +140,12 @@
 	}
 	most := w.maxCap(name)
 	if most.Processors > 0 && running.Processors > most.Processors || most.Memory > 0 && running.Memory > most.Memory {
-		w.breaks("%v starts: workspace %s has %v running, and may have %v", s.Task, name, running, most)
+		w.breaks("start of %v exceeds a cap: workspace %s has %v running, its cap is %v", s.Task, name, running, most)
 	}
 }
 
-// A gang that its workspace's cap can never hold waited until its caller gave up; it is
-// known when it is handed in.
+// A gang larger than its workspace's cap can never start. It is refused at submission, instead of
+// waiting until its caller gives up.
 func TestGangLargerThanWorkspaceCapIsRefused(t *testing.T) {
 	w := newWorld(t, 1, 1, 8)
 	w.useWorkspaces()
@@ -153,13 +155,13 @@
 	got := w.callHolder(exchange.Submitted{Submission: s})
 	assert.Equal(t, got.Outcome, exchange.OverLimit)
 	assert.Equal(t, got.RetryAfter, job.Milliseconds(0))
-	assert.Check(t, strings.Contains(got.Reason, "the workspace may have {126 0B 0}"), got.Reason)
-	// Its tasks one by one are not too much.
+	assert.Check(t, strings.Contains(got.Reason, "exceeds the workspace cap of {126 0B 0}"), got.Reason)
+	// The same tasks without a gang can run one after another.
 	s.Steps[0].Gang = false
 	assert.Equal(t, w.callHolder(exchange.Submitted{Submission: s}).Outcome, exchange.OK)
 }
 
-// A workspace that waits for its cap is told so.
+// The explanation of a step that waits for its workspace's cap must say so.
 func TestExplanationNamesWorkspaceCap(t *testing.T) {
 	w := newWorld(t, 1, 1, 8)
 	w.useWorkspaces()
@@ -170,10 +172,10 @@
 	w.run(300 * time.Millisecond)
 	got := w.callHolder(exchange.ExplanationAsked{Job: "j"})
 	assert.Equal(t, got.Explanation.Workspace, "small")
-	assert.Check(t, strings.Contains(got.Explanation.Steps[0].Reason, `tasks of workspace "small" take or may take`), got.Explanation.Steps[0].Reason)
+	assert.Check(t, strings.Contains(got.Explanation.Steps[0].Reason, `tasks of workspace "small" use or may use`), got.Explanation.Steps[0].Reason)
 }
 
-// callHolder makes a call at the holder and waits for its answer.
+// callHolder makes a call at the holder and waits for the answer.
 func (w *world) callHolder(e exchange.Event) (got exchange.Answer) {
 	w.t.Helper()
 	answered := false
@@ -195,7 +197,7 @@
 			e.Call = id
 			return e
 		default:
-			w.t.Fatalf("no call: %T", e)
+			w.t.Fatalf("event %T is not a call", e)
 			return nil
 		}
 	}, func(a exchange.Answer) { got, answered = a, true })
@@ -203,9 +205,9 @@
 	return got
 }
 
-// Each key was served, whatever the configuration said of it: on each day 20 to 75 jobs ran
-// under keys that were never in force, and up to 593 calls under keys that had been taken
-// away. What another workspace's key gets for a job must not tell that there is one.
+// API keys were not checked against the configuration: on each day 20 to 75 jobs ran under keys
+// that were never in force, and up to 593 calls were served under revoked keys. The answer to a key
+// of another workspace must not reveal whether a job exists.
 func TestKeyAccessesOnlyJobsOfItsWorkspace(t *testing.T) {
 	w := newWorld(t, 1, 1, 8)
 	w.useWorkspaces()
@@ -220,7 +222,7 @@
 	assert.DeepEqual(t, w.callHolder(exchange.StateAsked{Caller: as("free"), Job: "j"}), w.callHolder(exchange.StateAsked{Caller: as("free"), Job: "none"}))
 	assert.DeepEqual(t, w.callHolder(exchange.CancelAsked{Caller: as("free"), Job: "j"}), w.callHolder(exchange.CancelAsked{Caller: as("free"), Job: "none"}))
 	assert.Check(t, w.callHolder(exchange.Submitted{Caller: as("free"), Submission: s}).Outcome.HasNoEffect())
-	// The next holder knows whose job it is, also once it has ended.
+	// The next holder knows the job's workspace, also after the job has ended.
 	for range 2 {
 		w.killBox(w.holder(), 500*time.Millisecond)
 		w.until(10*time.Second, "a holder serves", func() bool { return w.holder() != nil })
@@ -231,9 +233,9 @@
 	assert.Equal(t, w.callHolder(exchange.StateAsked{Caller: as("small"), Job: "j"}).State, job.Succeeded)
 }
 
-// A box that had been turned away by the log let keys in that were taken away meanwhile, for
-// as long as it was. The holder, which has read the newer configuration, is right; where
-// neither knew its own to be the newest, nobody can say.
+// A box that could not reach the log accepted keys that had been revoked in the meantime. The
+// holder decides if it has the newer configuration. If neither knows that its configuration is
+// current, the call is answered as unavailable.
 func TestNewerConfigurationDecidesKeyValidity(t *testing.T) {
 	w := newWorld(t, 1, 1, 8)
 	w.useWorkspaces()
@@ -249,12 +251,12 @@
 		boxIsCurrent    bool
 		want            exchange.Outcome
 	}{
-		{"taken away, and the holder knows", false, true, 1, false, exchange.Denied},
-		{"taken away, and the holder has read that some time ago", false, false, 1, false, exchange.Unavailable},
-		{"taken away, and only the box knew its older version to be the newest", false, false, 1, true, exchange.Denied},
-		{"in force, and the holder knows", true, true, 1, false, exchange.NoJob},
-		{"just given, and the box knows a newer version", false, true, 1000, true, exchange.NoJob},
-		{"just given, and the box is not sure either", false, true, 1000, false, exchange.Unavailable},
+		{"revoked, and the holder is current", false, true, 1, false, exchange.Denied},
+		{"revoked, and the holder read the change some time ago", false, false, 1, false, exchange.Unavailable},
+		{"revoked, and only the box knew its older version to be current", false, false, 1, true, exchange.Denied},
+		{"in force, and the holder is current", true, true, 1, false, exchange.NoJob},
+		{"newly issued, and the box is current with a newer version", false, true, 1000, true, exchange.NoJob},
+		{"newly issued, and the box is not current either", false, true, 1000, false, exchange.Unavailable},
 	} {
 		next := w.config
 		next.Version++
@@ -275,9 +277,10 @@
 	}
 }
 
-// After a takeover the next holder does not know what runs on a worker that it cannot reach:
-// a task whose job has ended is named nowhere in the log, and one whose job goes on may be
-// there or wait. Both may run there until its lease is over, and count as if they did.
+// After a takeover the new holder does not know what runs on a worker that it cannot reach. The log
+// does not name a task whose job has ended, and a task whose job continues may be running there or
+// waiting. Both kinds may run there until the worker's lease expires, so both count towards the
+// cap.
 func TestTasksOnUnreachableWorkersCountTowardsCapAfterTakeover(t *testing.T) {
 	for name, ends := range map[string]bool{"whose job goes on": false, "whose job has ended": true} {
 		t.Run(name, func(t *testing.T) {
@@ -304,7 +307,7 @@
 			next.Workspace = "small"
 			next.Steps[0].Need.Processors = minCap * resource.Processor / 4
 			w.submit(next)
-			w.until(10*time.Second, "all of it has begun", func() bool {
+			w.until(10*time.Second, "all its tasks have started", func() bool {
 				w.check()
 				return w.jobs["next"].accepted && w.runningCount("next")+len(w.jobs["next"].done) == 4
 			})
@@ -312,7 +315,7 @@
 	}
 }
 
-// runningCount counts the runs of a job on workers that live.
+// runningCount returns the number of runs of a job on live workers.
 func (w *world) runningCount(id job.ID) int {
 	n := 0
 	for _, f := range w.workers {
--- a/services/dispatch/choice.go
+++ b/services/dispatch/choice.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// gangCandidateFactor is for how many times its tasks a gang is to know workers, so that
-	// it need not wait for particular ones, and gangCandidateGrowth how much that is
-	// more for each second for which it has waited.
+	// gangCandidateFactor times its tasks is the number of slots for which a gang should know
+	// eligible workers, so that it does not have to wait for particular ones. The factor grows by
+	// gangCandidateGrowth for each second that the gang has waited.
 	gangCandidateFactor = 2
 	gangCandidateGrowth = 0.5
-	// maxGangCandidateFactor bounds gangCandidateFactor as it grows, maxAmpleRoomCandidateFactor while much of the
-	// workers' room is free: nobody else needs the advice then.
+	// maxGangCandidateFactor limits the grown factor, and maxAmpleRoomCandidateFactor does so while
+	// much of the workers' capacity is free: no other step needs the advice calls then.
 	maxGangCandidateFactor      = 3.5
 	maxAmpleRoomCandidateFactor = 12
-	// widenInterval is the time between two looks whether a gang knows enough workers.
+	// widenInterval is the minimum time between two checks whether a gang knows enough workers.
 	widenInterval = 200 * time.Millisecond
 )
 
-// slotsWhenEmpty returns how many tasks of a step an empty worker takes.
+// slotsWhenEmpty returns how many tasks of a step fit on an empty worker of the given capacity.
 func (s *step) slotsWhenEmpty(capacity resource.Vector) int {
 	n := capacity.FitCount(s.spec.Reserved(), job.MaxTasks)
 	if s.spec.PerWorker > 0 {
@@ -35,57 +35,57 @@
 	return n
 }
 
-// largestCapacity returns the capacity of the worker with most processors.
+// largestCapacity returns the capacity of the worker with the most processors.
 func (h *holderState) largestCapacity() resource.Vector {
-	most := resource.Vector{}
+	largest := resource.Vector{}
 	for _, w := range h.workersByName() {
-		if w.Capacity.Processors > most.Processors {
-			most = w.Capacity
+		if w.Capacity.Processors > largest.Processors {
+			largest = w.Capacity
 		}
 	}
-	return most
+	return largest
 }
 
-// wantedSlots returns for how many tasks a gang is to know room on workers.
-func (s *step) wantedSlots(now time.Time, roomy bool) float64 {
-	times := float64(gangCandidateFactor)
+// wantedSlots returns the number of task slots for which a gang should know eligible workers.
+func (s *step) wantedSlots(now time.Time, ampleRoom bool) float64 {
+	factor := float64(gangCandidateFactor)
 	if !s.openedAt.IsZero() {
-		times += gangCandidateGrowth * max(0, now.Sub(s.openedAt).Seconds())
+		factor += gangCandidateGrowth * max(0, now.Sub(s.openedAt).Seconds())
 	}
-	most := maxGangCandidateFactor
-	if roomy {
-		most = maxAmpleRoomCandidateFactor
+	maxFactor := maxGangCandidateFactor
+	if ampleRoom {
+		maxFactor = maxAmpleRoomCandidateFactor
 	}
-	return min(times, most) * float64(len(s.tasks))
+	return min(factor, maxFactor) * float64(len(s.tasks))
 }
 
-// missingSlots returns for how many of some tasks there is no room yet on candidates that
-// are known to suit, if they were empty, or are asked about now, of which a share
-// should be good.
-func (s *step) missingSlots(tasks float64, candidates []*worker, good float64) float64 {
+// missingSlots returns how many of the wanted slots are not covered by the candidates yet. A
+// candidate known to be eligible counts with all slots it has when empty, one whose answer is
+// pending with the share of them that is expected to be suitable.
+func (s *step) missingSlots(tasks float64, candidates []*worker, suitableShare float64) float64 {
 	for _, w := range candidates {
 		slots := float64(s.slotsWhenEmpty(w.Capacity))
-		switch suits, known := s.advice.IsEligible(w); {
-		case known && suits:
+		switch eligible, known := s.advice.IsEligible(w); {
+		case known && eligible:
 			tasks -= slots
 		case !known && s.advice.IsPending(w):
-			tasks -= slots * good
+			tasks -= slots * suitableShare
 		}
 	}
 	return tasks
 }
 
-// widenCandidates asks about more workers for a gang until those known to suit, and
-// those that will be by the answers under way, could hold its tasks a few times
-// over. A gang that has waited asks for a wider choice.
-func (h *holderState) widenCandidates(now time.Time, r rankedStep, candidates []*worker, roomy bool) {
+// widenCandidates requests advice on more workers for a gang until the workers known to be
+// eligible, and those expected to be by pending answers, have the slots that wantedSlots returns.
+// The longer a gang has waited, the more workers it asks about.
+func (h *holderState) widenCandidates(now time.Time, r rankedStep, candidates []*worker, ampleRoom bool) {
 	s := r.step
 	if now.Before(s.nextWidenAt) {
 		return
 	}
 	s.nextWidenAt = now.Add(widenInterval)
-	good := h.history.SuitableShare(r.queue.Name)
-	missing := s.missingSlots(s.wantedSlots(now, roomy), candidates, good)
+	suitableShare := h.history.SuitableShare(r.queue.Name)
+	missing := s.missingSlots(s.wantedSlots(now, ampleRoom), candidates, suitableShare)
 	if missing <= 0 {
 		return
 	}
@@ -93,8 +93,8 @@
 		h.requestAdviceForRoom(now, r, candidates)
 		return
 	}
-	each := float64(max(1, s.slotsWhenEmpty(h.largestCapacity()))) * good
-	unknown := s.unaskedByRoom(candidates)
-	wanted := max(advisers.MinWorkersPerCall(r.queue.Advice), int(math.Ceil(missing/each)))
-	h.requestAdviceOn(now, r, unknown[:min(len(unknown), wanted)])
+	slotsPerWorker := float64(max(1, s.slotsWhenEmpty(h.largestCapacity()))) * suitableShare
+	unasked := s.unaskedByRoom(candidates)
+	wanted := max(advisers.MinWorkersPerCall(r.queue.Advice), int(math.Ceil(missing/slotsPerWorker)))
+	h.requestAdviceOn(now, r, unasked[:min(len(unasked), wanted)])
 }
--- a/services/dispatch/delay.go
+++ b/services/dispatch/delay.go
@@ -14,18 +14,19 @@
 	"saddlevane/services/ranking"
 )
 
-// recordWait notes what a step waits for at now.
-func (s *step) recordWait(now time.Time, why delays.Cause) {
+// recordWait adds the time since the last call, or since the step was opened, to what the step has
+// waited for the given cause. Only time before the first start counts.
+func (s *step) recordWait(now time.Time, cause delays.Cause) {
 	if since := ordered.Later(s.waitSumUntil, s.openedAt); s.doneTasks+s.placedTasks == 0 && !since.IsZero() {
 		if s.waitSum == nil {
 			s.waitSum = delays.Totals{}
 		}
-		s.waitSum[why] += now.Sub(since)
+		s.waitSum[cause] += now.Sub(since)
 	}
 	s.waitSumUntil = now
 }
 
-// waitCause returns what a step waits for that has found no place in a plan.
+// waitCause returns why a step was not fully placed in a plan.
 func (s *step) waitCause() delays.Cause {
 	if s.advice.hasCalls() {
 		return delays.Advice
@@ -36,7 +37,8 @@
 	return delays.NoRoom
 }
 
-// last.
+// delaysOf returns what delayed an instance, by cause. It adds the time until the instance was
+// opened and the delays along the chain of steps that finished last.
 func (j *trackedJob) delaysOf(in *instance) delays.Totals {
 	d := delays.Totals{}
 	opened := in.openedAt
@@ -46,8 +48,8 @@
 		d.Add(delays.Log, opened.Sub(in.dueAt))
 	}
 	for s := in.lastDone(nil); s != nil; s = in.lastDone(s.spec.After) {
-		for why, took := range s.delaySum {
-			d[why] += took
+		for cause, delay := range s.delaySum {
+			d[cause] += delay
 		}
 		if len(s.spec.After) == 0 {
 			break
@@ -56,11 +58,12 @@
 	return d
 }
 
-// lastDone returns the step that was done last among some, or among all.
-func (in *instance) lastDone(among []int) *step {
+// lastDone returns the step that was done last, among the steps with the given indexes or, if
+// indexes is nil, among all.
+func (in *instance) lastDone(indexes []int) *step {
 	var last *step
 	for i, s := range in.steps {
-		if among != nil && !slices.Contains(among, i) {
+		if indexes != nil && !slices.Contains(indexes, i) {
 			continue
 		}
 		if last == nil || s.doneAt.After(last.doneAt) {
@@ -70,8 +73,8 @@
 	return last
 }
 
-// usualObjective returns the time within which an instance was wanted whose steps
-// had taken what they usually take.
+// usualObjective returns the objective that an instance would have if each of its steps took its
+// usual time.
 func (h *holderState) usualObjective(in *instance, q job.Queue) time.Duration {
 	longest := time.Duration(0)
 	for i, after := range ranking.CriticalPathAfter(in.steps, h.usualTime, (*step).dependencies) {
@@ -80,15 +83,18 @@
 	return time.Duration(q.Stretch*float64(longest)) + q.Latency
 }
 
-// logJobEnd says how a job ended, against when it was wanted, and what delayed it.
-func (h *holderState) logJobEnd(now time.Time, j *trackedJob, state job.State, why string) {
+// logJobEnd logs how a job ended. For a successful job with one instance and without services it
+// adds the objective, whether it was late and what delayed it.
+func (h *holderState) logJobEnd(now time.Time, j *trackedJob, state job.State, reason string) {
 	fields := []exchange.LogField{
-		logField("job", string(j.id)), logField("queue", j.queue), logField("workspace", j.workspace), logField("outcome", string(state)), logField("reason", why),
+		logField("job", string(j.id)), logField("queue", j.queue), logField("workspace", j.workspace),
+		logField("outcome", string(state)), logField("reason", reason),
 		logField("age", now.Sub(j.acceptedAt).String()), logField("claim", h.epoch),
 	}
 	if in := j.instances[0]; in != nil && state == job.Succeeded && j.submission.Instances() == 1 && !in.steps[0].spec.Service {
-		most := h.usualObjective(in, h.queueOf(j))
-		fields = append(fields, logField("objective", most.String()), logField("late", now.Sub(in.dueAt) > most), logField("delays", j.delaysOf(in)))
+		limit := h.usualObjective(in, h.queueOf(j))
+		fields = append(fields, logField("objective", limit.String()), logField("late", now.Sub(in.dueAt) > limit),
+			logField("delays", j.delaysOf(in)))
 	}
 	h.core.logEvent("job ended", fields...)
 }
--- a/services/dispatch/fit.go
+++ b/services/dispatch/fit.go
@@ -13,52 +13,53 @@
 	"saddlevane/services/slots"
 )
 
-// allocation is how many tasks of a step a worker has room for, or gets.
+// allocation is the number of tasks of a step that a worker has room for, or is given.
 type allocation = slots.Allocation[*worker]
 
-// candidate is a worker with room for some tasks of a step, and what speaks
-// against it, in this order.
+// candidate is a worker with room for some tasks of a step, and its sort key. The fields are in the
+// order in which they are compared; lower values are better.
 type candidate struct {
 	allocation
 	// failed is 1 if a task of the step has failed on the worker.
 	failed int
-	// far is 1 if the worker is not near the step's data.
+	// offRack is 1 if the worker is not in the rack of the step's data.
 	offRack int
-	// slowness is how slow the worker is, as far as that matters to the step.
+	// slowness is how slow the worker is; it is reset to normal where that does not matter for the
+	// step.
 	slowness learned.Slowness
-	// kept is 1 if the last pass kept its room for another step, unticketed if a
-	// start there has to wait for a ticket.
+	// heldForOther is 1 if the previous pass held capacity on the worker for another step.
+	// unticketed is 1 if a start there has to wait for a ticket.
 	heldForOther, unticketed int
-	// left is what is free of its processors.
+	// freeProcessors is the worker's available processor capacity.
 	freeProcessors resource.Millis
 }
 
-// fit chooses workers for a step's waiting tasks, and returns for how many of them
-// they have room: those on which none of its tasks has failed first, then those near
-// its data, then those that are not slow, then those whose room no step of higher rank
-// waits for, then those whose tickets are valid, then the fullest that have room, so
-// that large holes stay whole.
-func (h *holderState) fit(now time.Time, s *step, suited []*worker) ([]allocation, int) {
-	open := h.candidates(now, s, suited)
-	slices.SortFunc(open, candidate.compare)
-	shares := make([]allocation, len(open))
-	for i, c := range open {
-		shares[i] = c.allocation
+// fit allocates a step's waiting tasks to workers, and returns the allocations and how many tasks
+// they hold. It prefers, in this order: workers on which no task of the step has failed, workers in
+// the rack of its data, workers that are not slow, workers whose capacity was not held for another
+// step in the previous pass, workers with a valid ticket, and the fullest workers that still have
+// room, so that large free capacity is preserved for large tasks.
+func (h *holderState) fit(now time.Time, s *step, eligible []*worker) ([]allocation, int) {
+	candidates := h.candidates(now, s, eligible)
+	slices.SortFunc(candidates, candidate.compare)
+	allocations := make([]allocation, len(candidates))
+	for i, c := range candidates {
+		allocations[i] = c.allocation
 	}
 	if s.spec.OneRack && s.spec.Gang {
-		if together, ok := slots.FillInOneGroup(shares, s.unplacedTasks, func(w *worker) string { return w.Rack }); ok {
-			return together, s.unplacedTasks
+		if inOneRack, ok := slots.FillInOneGroup(allocations, s.unplacedTasks, func(w *worker) string { return w.Rack }); ok {
+			return inOneRack, s.unplacedTasks
 		}
 	}
-	return slots.FillInOrder(shares, h.placeable(s))
+	return slots.FillInOrder(allocations, h.placeable(s))
 }
 
-// candidates returns the workers that have room for a step. Avoided ones take no
-// gang; to a step that is not short, slow ones are as good as others.
-func (h *holderState) candidates(now time.Time, s *step, suited []*worker) []candidate {
-	open := make([]candidate, 0, len(suited))
+// candidates returns the workers that have room for a step. Avoided workers get no gang members.
+// For steps that are not short, slow workers rank the same as others.
+func (h *holderState) candidates(now time.Time, s *step, eligible []*worker) []candidate {
+	candidates := make([]candidate, 0, len(eligible))
 	short := h.expectedTime(s) <= maxShortStep
-	for _, w := range suited {
+	for _, w := range eligible {
 		if !h.canUse(w, s, short) {
 			continue
 		}
@@ -74,18 +75,18 @@
 		if c.slowness == learned.Slow && !short {
 			c.slowness = learned.Normal
 		}
-		open = append(open, c)
+		candidates = append(candidates, c)
 	}
-	return open
+	return candidates
 }
 
-// canUse says whether a step may use a worker: one that is drained for a gang takes
-// short steps only besides, and one with a suspect no suspected gang.
+// canUse reports whether a step may use a worker. A worker that is drained for another step takes
+// only short steps, and a worker that runs a suspect takes no suspected gang.
 func (h *holderState) canUse(w *worker, s *step, short bool) bool {
 	return (w.drainedFor == nil || w.drainedFor == s || short) && !(w.suspectAttempts > 0 && h.isSuspectedGang(s))
 }
 
-// candidate returns what speaks against a worker that has room for n tasks.
+// candidate returns the sort key of a worker that has room for n tasks, without its slowness.
 func (s *step) candidate(now time.Time, w *worker, n int) candidate {
 	c := candidate{allocation: allocation{Worker: w, Tasks: n}, offRack: s.offRack(w), freeProcessors: w.available().Processors}
 	if s.failedOn[w] {
@@ -100,16 +101,17 @@
 	return c
 }
 
-// compare orders candidates by what speaks against them. The names come last, so
-// that the same candidates always have the same order.
+// compare orders candidates by their fields. The worker name is the last criterion, so that the
+// order is deterministic.
 func (c candidate) compare(o candidate) int {
 	return cmp.Or(
-		cmp.Compare(c.failed, o.failed), cmp.Compare(c.offRack, o.offRack), cmp.Compare(c.slowness, o.slowness), cmp.Compare(c.heldForOther, o.heldForOther),
+		cmp.Compare(c.failed, o.failed), cmp.Compare(c.offRack, o.offRack), cmp.Compare(c.slowness, o.slowness),
+		cmp.Compare(c.heldForOther, o.heldForOther),
 		cmp.Compare(c.unticketed, o.unticketed), cmp.Compare(c.freeProcessors, o.freeProcessors), cmp.Compare(c.Worker.Name, o.Worker.Name),
 	)
 }
 
-// offRack returns 1 if the worker is not near the step's data.
+// offRack returns 1 if the step prefers another rack than the worker's, otherwise 0.
 func (s *step) offRack(w *worker) int {
 	if s.spec.NearRack == "" || s.spec.NearRack == w.Rack {
 		return 0
--- a/services/dispatch/gangs_test.go
+++ b/services/dispatch/gangs_test.go
@@ -19,8 +19,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// gangConfig is a configuration with gangs whose calls for advice take most of the time
-// for which a ticket holds, and small jobs that need none.
+// gangConfig returns a configuration in which gangs need advice calls that take most of a ticket's
+// validity, while sweeps and small jobs need no advice.
 func gangConfig() job.Config {
 	c := config()
 	c.Queues = map[string]job.Queue{
@@ -34,7 +34,7 @@
 	return c
 }
 
-// sweepJob returns a job of tasks that may give way to gangs.
+// sweepJob returns a job whose tasks may be preempted for gangs.
 func sweepJob(id string, tasks int) job.Submission {
 	s := oneStep(id, "sweeps", tasks, false)
 	s.Steps[0].Need = resource.Vector{Processors: 11 * resource.Processor, Memory: resource.GiB}
@@ -43,7 +43,7 @@
 	return s
 }
 
-// threePerWorkerGang returns a job of tasks of which three fit a worker.
+// threePerWorkerGang returns a gang of which three tasks fit on one worker.
 func threePerWorkerGang(id string, tasks int) job.Submission {
 	s := oneStep(id, "gangs", tasks, true)
 	s.Steps[0].Need = resource.Vector{Processors: 18 * resource.Processor, Memory: resource.GiB}
@@ -51,7 +51,7 @@
 	return s
 }
 
-// endedWithPrefix says whether all jobs have ended whose names begin so.
+// endedWithPrefix reports whether all jobs whose IDs have the prefix have ended.
 func (w *world) endedWithPrefix(prefix string) bool {
 	w.states()
 	for id, a := range w.jobs {
@@ -62,7 +62,7 @@
 	return true
 }
 
-// countLines returns how many lines of the reducers have a message.
+// countLines returns how many log lines of the reducers contain a message.
 func (w *world) countLines(message string) int {
 	count := 0
 	for _, line := range w.trace {
@@ -73,7 +73,7 @@
 	return count
 }
 
-// newGangWorld has 24 boxes, 90 workers and the queues of gangConfig.
+// newGangWorld returns a world with 24 boxes, 90 workers and the queues of gangConfig.
 func newGangWorld(t *testing.T, seed int64) *world {
 	w := newWorld(t, seed, 24, 90)
 	w.config = gangConfig()
@@ -86,7 +86,8 @@
 	return w
 }
 
-// onePerWorkerGang returns a gang of tasks that take nearly half a worker each, one on each worker.
+// onePerWorkerGang returns a gang whose tasks take nearly half a worker each and must run on
+// different workers.
 func onePerWorkerGang(id string, tasks int) job.Submission {
 	s := threePerWorkerGang(id, tasks)
 	s.Steps[0].Need.Processors = 30 * resource.Processor
@@ -94,25 +95,26 @@
 	return s
 }
 
-// runFor lets time pass while the claim is kept and workers go on answering.
-func (d *harness) runFor(span time.Duration, looks map[string]exchange.Renew, running map[string][]order.Run) []exchange.Effect {
+// runFor advances the time while the claim is renewed and the workers keep answering their
+// renewals.
+func (d *harness) runFor(duration time.Duration, renewals map[string]exchange.Renew, running map[string][]order.Run) []exchange.Effect {
 	d.t.Helper()
 	var all []exchange.Effect
-	for end := d.now.Add(span); d.now.Before(end); {
+	for end := d.now.Add(duration); d.now.Before(end); {
 		effects := d.advance(20 * time.Millisecond)
 		d.confirmClaimRenewal(effects)
-		for _, r := range looks {
+		for _, r := range renewals {
 			effects = append(effects, d.handle(renewAnswer(r, running[r.Worker.Name]...))...)
 		}
 		for _, r := range effectsOf[exchange.Renew](effects) {
-			looks[r.Worker.Name] = r
+			renewals[r.Worker.Name] = r
 		}
 		all = append(all, effects...)
 	}
 	return all
 }
 
-// answerAdvice answers a call for advice: all workers that it names suit.
+// answerAdvice answers an advice call: all workers it names are eligible.
 func (d *harness) answerAdvice(a exchange.Advise) []exchange.Effect {
 	e := exchange.Advised{Step: a.Step, Box: a.Box, Epoch: a.Epoch, Number: a.Number}
 	for _, w := range a.Workers {
@@ -121,15 +123,16 @@
 	return d.handle(e)
 }
 
-// newHolderWithBusyWorker has some workers, of which one runs a task of a sweep that takes some time, and
-// the queues of gangConfig.
-func newHolderWithBusyWorker(t *testing.T, takes job.Milliseconds, workers ...string) (*harness, map[string]exchange.Renew, map[string][]order.Run) {
+// newHolderWithBusyWorker returns a holder with the queues of gangConfig and the given workers, one of
+// which runs a task of a sweep with the given run time. It also returns the pending renewal of each
+// worker and the runs on the busy one.
+func newHolderWithBusyWorker(t *testing.T, runTime job.Milliseconds, workers ...string) (*harness, map[string]exchange.Renew, map[string][]order.Run) {
 	t.Helper()
 	var all []order.Worker
 	for _, id := range workers {
 		all = append(all, order.Worker{Incarnation: order.Incarnation{Name: id}, Address: id, Pool: pool, Capacity: workerCapacity})
 	}
-	d, looks := newHolder(t, all...)
+	d, renewals := newHolder(t, all...)
 	c := gangConfig()
 	c.Version = 2
 	d.handle(exchange.ConfigRead{Config: c})
@@ -140,42 +143,44 @@
 	d.handle(exchange.MembersRead{Members: boxes})
 	sweep := sweepJob("sweep", 1)
 	sweep.Steps[0].Need.Processors = 30 * resource.Processor
-	sweep.Steps[0].Estimate = takes
-	// A short one that cannot resume is not stopped.
-	sweep.Steps[0].Checkpoints = takes > 2000
+	sweep.Steps[0].Estimate = runTime
+	// A short task without checkpoints is not preempted.
+	sweep.Steps[0].Checkpoints = runTime > 2000
 	effects := d.submitAndLog(sweep)
 	d.confirmClaimRenewal(effects)
 	start := effectsOf[exchange.StartRun](effects)[0]
 	d.handle(exchange.StartEnded{Worker: start.Worker, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut}})
-	return d, looks, map[string][]order.Run{start.Worker.Name: {start.Order.Run}}
+	return d, renewals, map[string][]order.Run{start.Worker.Name: {start.Order.Run}}
 }
 
-// The story is that of TestGangsDoNotDeadlock; this is its part on room.
+// This test covers the reservation part of the failure that TestGangsDoNotDeadlock describes: a
+// gang starts in its reserved capacity whatever a later gang on the same workers waits for.
 func TestGangStartsInItsEarlierReservation(t *testing.T) {
-	d, looks, running := newHolderWithBusyWorker(t, 20_000, "w0", "w1")
+	d, renewals, running := newHolderWithBusyWorker(t, 20_000, "w0", "w1")
 	d.core.Handle(d.now, exchange.Submitted{Call: 10, Submission: onePerWorkerGang("first", 2)})
-	kept := d.handle(exchange.Submitted{Call: 11, Submission: onePerWorkerGang("second", 2)})
-	for _, a := range effectsOf[exchange.Advise](kept) {
+	effects := d.handle(exchange.Submitted{Call: 11, Submission: onePerWorkerGang("second", 2)})
+	for _, a := range effectsOf[exchange.Advise](effects) {
 		d.answerAdvice(a)
 	}
-	// The tickets have run out by the time that the log has the jobs.
-	kept = append(kept, d.runFor(1500*time.Millisecond, looks, running)...)
+	// The tickets have expired by the time the log has the jobs.
+	effects = append(effects, d.runFor(1500*time.Millisecond, renewals, running)...)
 	calls := map[job.ID][]exchange.Advise{}
-	opened := append(d.confirmAnyAppend(kept), d.runFor(60*time.Millisecond, looks, running)...)
+	opened := append(d.confirmAnyAppend(effects), d.runFor(60*time.Millisecond, renewals, running)...)
 	for _, a := range effectsOf[exchange.Advise](opened) {
 		calls[a.Step.Job] = append(calls[a.Step.Job], a)
 	}
 	assert.Equal(t, len(calls["first"]), 1)
-	assert.Equal(t, len(calls["second"]), 1, "it reserves the room of the sweep's task, which works on")
+	assert.Equal(t, len(calls["second"]), 1, "it reserves the capacity of the sweep's task, which keeps running")
 	assert.Equal(t, len(effectsOf[exchange.StopRun](opened)), 0)
-	starts := effectsOf[exchange.StartRun](append(d.answerAdvice(calls["first"][0]), d.runFor(20*time.Millisecond, looks, running)...))
-	assert.Equal(t, len(starts), 2, "its room is free, whatever the second waits for")
+	starts := effectsOf[exchange.StartRun](append(d.answerAdvice(calls["first"][0]), d.runFor(20*time.Millisecond, renewals, running)...))
+	assert.Equal(t, len(starts), 2, "its capacity is free, whatever the second gang waits for")
 }
 
-// The story is that of TestGangsDoNotDeadlock; this is its part on tickets.
+// This test covers the ticket part of the failure that TestGangsDoNotDeadlock describes: a gang
+// requests all tickets that would expire before its call is answered.
 func TestGangRenewsAllTicketsThatWouldExpire(t *testing.T) {
-	d, looks, running := newHolderWithBusyWorker(t, 1500, "w0", "w1")
-	// 40 of 64 processors do not fit beside the sweep's task.
+	d, renewals, running := newHolderWithBusyWorker(t, 1500, "w0", "w1")
+	// A task with 40 of 64 processors does not fit beside the sweep's task.
 	gang := onePerWorkerGang("gang", 4)
 	gang.Steps[0].Need.Processors = 40 * resource.Processor
 	effects := d.handle(exchange.Submitted{Call: 10, Submission: gang})
@@ -187,48 +192,50 @@
 		{Incarnation: order.Incarnation{Name: "w2"}, Address: "w2", Pool: pool, Capacity: workerCapacity}, {Incarnation: order.Incarnation{Name: "w3"}, Address: "w3", Pool: pool, Capacity: workerCapacity},
 	}}})
 	for _, r := range effectsOf[exchange.Renew](listed) {
-		looks[r.Worker.Name] = r
+		renewals[r.Worker.Name] = r
 	}
 	// Two more workers are asked about 0.9 s later.
-	effects = d.runFor(800*time.Millisecond, looks, running)
+	effects = d.runFor(800*time.Millisecond, renewals, running)
 	for range 3 {
-		effects = append(d.confirmAnyAppend(effects), d.runFor(100*time.Millisecond, looks, running)...)
+		effects = append(d.confirmAnyAppend(effects), d.runFor(100*time.Millisecond, renewals, running)...)
 		for _, a := range effectsOf[exchange.Advise](effects) {
 			d.answerAdvice(a)
 		}
 	}
-	// When the sweep's task has ended the first tickets have run out, and the others will
-	// have when a call is answered that is made now.
-	d.runFor(900*time.Millisecond, looks, running)
+	// When the sweep's task ends, the first tickets have expired, and the others will have expired
+	// by the time a call made now is answered.
+	d.runFor(900*time.Millisecond, renewals, running)
 	busy := ""
 	for id := range running {
 		busy = id
 	}
-	effects = d.handle(doneAnswer(looks[busy], running[busy][0]))
+	effects = d.handle(doneAnswer(renewals[busy], running[busy][0]))
 	clear(running)
-	effects = append(effects, d.runFor(40*time.Millisecond, looks, running)...)
-	var named []string
+	effects = append(effects, d.runFor(40*time.Millisecond, renewals, running)...)
+	var askedWorkers []string
 	for _, a := range effectsOf[exchange.Advise](effects) {
-		named = append(named, a.Workers...)
+		askedWorkers = append(askedWorkers, a.Workers...)
 	}
-	assert.DeepEqual(t, slices.Sorted(slices.Values(named)), []string{"w0", "w1", "w2", "w3"})
+	assert.DeepEqual(t, slices.Sorted(slices.Values(askedWorkers)), []string{"w0", "w1", "w2", "w3"})
 }
 
-// Symptom: at the end of a day two thirds of the processors were free, and nearly all of
-// them promised to 46 gangs, none of which started; jobs that were accepted never ran.
+// Symptom: two thirds of the processors were free, and nearly all of these were reserved for 46
+// gangs, none of which started. Jobs that had been accepted never ran.
 //
-// Sequence: gangs that find no room reserve some and ask for tickets, which takes 0.6 s
-// and more and of which each holds for 1.4 s. A gang asks anew for the tickets that have
-// run out; until they come others of its tickets have. After 3 s it gives the room back
-// and begins again, as do all others. Meanwhile the room that one gang has on a worker
-// counts as taken until the tasks that give way to another gang there have ended.
+// Sequence: gangs without room reserve capacity and request tickets, which takes at least 0.6 s;
+// each ticket is valid for 1.4 s. A gang requests expired tickets again, but other tickets of it
+// expire before the answer comes. After 3 s it releases its reservation and starts over, as do all
+// other gangs. Meanwhile the capacity that one gang has reserved on a worker counts as used until
+// the tasks preempted there for another gang have ended.
 //
-// Cause: a call for tickets left out those that would not outlast it, and a gang's room
-// was free only when all room promised on its workers was: each waited for the other.
+// Cause: a ticket request left out the tickets that would expire before its answer, and the
+// capacity of a gang counted as free only when all capacity reserved on its workers was free, so
+// the gangs waited for each other.
 //
-// What settled it: the line `a gang gives room back` on a play of 1,100 workers: nearly
-// all for want of tickets, for 1 to 53 of their 7 to 68 workers, nothing left to stop;
-// in 2 s such reservations kept 61,800 processor-seconds idle, started ones 7,600.
+// Evidence: the log line `a gang gives room back` in a run with 1,100 workers. Nearly all
+// reservations were released for lack of tickets, for 1 to 53 of their 7 to 68 workers, with no
+// task left to stop. In 2 s such reservations kept 61,800 processor-seconds idle, while those of
+// gangs that started kept 7,600 idle.
 func TestGangsDoNotDeadlock(t *testing.T) {
 	for seed := int64(500); seed < 503; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -248,10 +255,10 @@
 			w.until(30*time.Second, "all gangs have ended", func() bool { return w.endedWithPrefix("gang") })
 			t.Logf("all gangs had ended after %v", w.now.Sub(began))
 			w.until(60*time.Second, "all jobs have ended", w.ended)
-			t.Logf("all had ended after %v", w.now.Sub(began))
+			t.Logf("all jobs had ended after %v", w.now.Sub(began))
 			w.check()
 			assert.Equal(t, w.alone, 0)
-			t.Logf("%d times a gang gave room back", w.countLines("a gang gives room back"))
+			t.Logf("gangs released %d reservations without starting", w.countLines("a gang gives room back"))
 		})
 	}
 }
--- a/services/dispatch/keep.go
+++ b/services/dispatch/keep.go
@@ -16,65 +16,67 @@
 )
 
 const (
-	// workersPerDrained is one over the share of workers that may be kept until they are
-	// empty, unless they are for one gang: their room is idle meanwhile.
+	// workersPerDrained limits draining to one in this many workers, because drained capacity is
+	// idle meanwhile. A single gang may exceed the limit.
 	workersPerDrained = 8
-	// maxShortStep is how long a step takes at most that may use them.
+	// maxShortStep is the expected run time up to which a step counts as short. Short steps may use
+	// drained workers.
 	maxShortStep = time.Second
 )
 
-// usableWorkers returns the workers that a step may use and that are not drained for
-// another.
+// usableWorkers returns the eligible workers that a step may use. Gangs get no avoided workers.
 func (h *holderState) usableWorkers(p *pass, r rankedStep) []*worker {
 	short := h.expectedTime(r.step) <= maxShortStep
-	var open []*worker
+	var workers []*worker
 	for _, w := range r.eligible(h.workersFor(p, r.step, r.queue.Pool)) {
 		if h.canUse(w, r.step, short) && (!r.step.spec.Gang || h.slownessOf(p.now, w) != learned.Avoided) {
-			open = append(open, w)
+			workers = append(workers, w)
 		}
 	}
-	return open
+	return workers
 }
 
-// drainForGang keeps long tasks of lower rank off the workers that could hold a gang once
-// they are empty, if not too many are kept like that already.
-func (h *holderState) drainForGang(p *pass, s *step, open []*worker) {
-	kept, ok := chooseWorkersToDrain(s, open)
-	if !ok || !h.isEnabled(mechanism.Draining) || p.drained+len(kept) > max(len(kept), len(h.workers)/workersPerDrained) || p.drained > 0 && len(h.workers) < workersPerDrained {
+// drainForGang drains workers that can hold a gang once they are empty: long tasks of lower rank
+// are kept off them. It does nothing if too many workers would be drained.
+func (h *holderState) drainForGang(p *pass, s *step, workers []*worker) {
+	chosen, ok := chooseWorkersToDrain(s, workers)
+	if !ok || !h.isEnabled(mechanism.Draining) || p.drained+len(chosen) > max(len(chosen), len(h.workers)/workersPerDrained) ||
+		p.drained > 0 && len(h.workers) < workersPerDrained {
 		return
 	}
-	p.drained += len(kept)
-	for _, w := range kept {
+	p.drained += len(chosen)
+	for _, w := range chosen {
 		w.drainedFor = s
 	}
 }
 
-// largeTaskSlots is one over the share of the largest worker from which a task is large:
-// two of them do not fit one worker.
+// largeTaskSlots is the number of slots below which a task is large: two large tasks do not fit on
+// the largest worker.
 const largeTaskSlots = 2
 
-// isLarge says whether a worker has room for only one of a step's tasks at a time, so
-// that they find none while smaller tasks come and go.
+// isLarge reports whether each worker of the set has room for at most one of a step's tasks at a time.
+// Such tasks find no room while smaller tasks come and go.
 func (set *workerSet) isLarge(s *step) bool {
 	return set.maxCapacity.FitCount(s.spec.Reserved(), job.MaxTasks) < largeTaskSlots
 }
 
-// drainForLargeTasks keeps other tasks off the workers that will be empty first, one for each
-// waiting task of a step, if not too many are kept already.
+// drainForLargeTasks drains the workers that will be empty first, one for each waiting task of a
+// step, as long as not too many workers are drained. Workers that were drained for the step in the
+// previous pass are preferred.
 func (h *holderState) drainForLargeTasks(p *pass, r rankedStep) {
 	if !h.isEnabled(mechanism.Draining) {
 		return
 	}
 	s := r.step
-	open := h.usableWorkers(p, r)
-	emptyIn := make(map[*worker]time.Duration, len(open))
-	for _, w := range open {
+	workers := h.usableWorkers(p, r)
+	emptyIn := make(map[*worker]time.Duration, len(workers))
+	for _, w := range workers {
 		emptyIn[w] = h.timeUntilEmpty(p.now, w)
 	}
-	slices.SortStableFunc(open, func(a, b *worker) int {
+	slices.SortStableFunc(workers, func(a, b *worker) int {
 		return cmp.Or(ordered.TrueFirst(a.prevDrainedFor == s, b.prevDrainedFor == s), cmp.Compare(emptyIn[a], emptyIn[b]))
 	})
-	for _, w := range open[:min(s.unplacedTasks, len(open))] {
+	for _, w := range workers[:min(s.unplacedTasks, len(workers))] {
 		if p.drained >= max(1, len(h.workers)/workersPerDrained) {
 			return
 		}
@@ -85,7 +87,7 @@
 	}
 }
 
-// timeUntilEmpty returns how long the tasks on a worker will be at work.
+// timeUntilEmpty returns when the last task on a worker is expected to end, counted from now.
 func (h *holderState) timeUntilEmpty(now time.Time, w *worker) time.Duration {
 	longest := time.Duration(0)
 	for _, a := range w.attempts {
@@ -97,23 +99,23 @@
 	return longest
 }
 
-// unbounded is how long a service takes.
+// unbounded is the remaining run time of a service, which has no end.
 const unbounded = time.Duration(math.MaxInt64)
 
-// chooseWorkersToDrain chooses the workers with most room among those that could hold a
-// gang if they were empty.
-func chooseWorkersToDrain(s *step, open []*worker) ([]*worker, bool) {
-	slices.SortStableFunc(open, func(a, b *worker) int {
+// chooseWorkersToDrain returns the workers with the most available capacity that, once empty, can
+// hold all tasks of a gang. It returns false if all of them together cannot.
+func chooseWorkersToDrain(s *step, workers []*worker) ([]*worker, bool) {
+	slices.SortStableFunc(workers, func(a, b *worker) int {
 		return cmp.Compare(b.slots(s, b.available()), a.slots(s, a.available()))
 	})
-	placed := 0
-	var kept []*worker
-	for _, w := range open {
-		if placed >= len(s.tasks) {
+	slots := 0
+	var chosen []*worker
+	for _, w := range workers {
+		if slots >= len(s.tasks) {
 			break
 		}
-		placed += w.slots(s, w.Capacity)
-		kept = append(kept, w)
+		slots += w.slots(s, w.Capacity)
+		chosen = append(chosen, w)
 	}
-	return kept, placed >= len(s.tasks)
+	return chosen, slots >= len(s.tasks)
 }
--- a/services/dispatch/load.go
+++ b/services/dispatch/load.go
@@ -12,7 +12,8 @@
 	"saddlevane/services/kept"
 )
 
-// handleJobsLoaded takes the whole stream of jobs and begins to serve them.
+// handleJobsLoaded restores the state from the stream of jobs and starts serving them. A failed
+// read is repeated.
 func (h *holderState) handleJobsLoaded(now time.Time, e exchange.JobsLoaded) {
 	if e.Epoch != h.epoch || h.phase != phaseLoading {
 		return
@@ -31,7 +32,8 @@
 	h.renewAll(now)
 }
 
-// restoreState builds the jobs from the newest record of each key.
+// restoreState rebuilds jobs, workers and learned values from the newest record of each key.
+// Records that cannot be read are logged and skipped.
 func (h *holderState) restoreState(now time.Time, records []stream.Record) {
 	state := kept.Decode(records)
 	for _, u := range state.Unread {
@@ -52,7 +54,10 @@
 	}
 	for _, e := range state.Ended {
 		p := e.Progress
-		j := &trackedJob{id: e.ID, queue: p.Queue, workspace: p.Workspace, state: p.State, reportedState: p.State, accepted: true, endedUnixMilli: p.EndedUnixMilli, failReason: p.FailureReason}
+		j := &trackedJob{
+			id: e.ID, queue: p.Queue, workspace: p.Workspace, state: p.State, reportedState: p.State, accepted: true,
+			endedUnixMilli: p.EndedUnixMilli, failReason: p.FailureReason,
+		}
 		h.jobs[e.ID] = j
 		h.endedJobs = append(h.endedJobs, j)
 		h.recordLeftover(now, p)
@@ -62,8 +67,7 @@
 	}
 }
 
-// restoreRecordedWorker takes over a worker on which an earlier holder may have started
-// tasks.
+// restoreRecordedWorker restores a worker on which an earlier holder may have started tasks.
 func (h *holderState) restoreRecordedWorker(now time.Time, k kept.KnownWorker) {
 	o := k.Worker
 	w := h.restoreIncarnation(now, o)
@@ -72,7 +76,7 @@
 		return
 	}
 	w.recorded = true
-	// An earlier holder may have renewed its lease until just now.
+	// An earlier holder may have renewed the worker's lease until just now.
 	w.leaseExpiresBy = ordered.Later(w.leaseExpiresBy, now.Add(h.maxLeaseDuration()))
 	if !w.reported {
 		h.unreportedWorkers[o.Name] = true
--- a/services/dispatch/move.go
+++ b/services/dispatch/move.go
@@ -11,14 +11,15 @@
 	"saddlevane/services/authority"
 )
 
-// moveInterval is the least time between two tries to move the cell to a larger box.
+// moveInterval is the minimum time between two attempts to move the cell to a larger box.
 const moveInterval = 2 * time.Second
 
-// moveToLarger asks the other boxes who could take the cell over, if there are much
-// larger ones: a small box cannot keep up with many workers.
+// moveToLarger asks the other boxes whether they can take over the cell, if this box is small and
+// there is a larger one: a small box cannot keep up with many workers.
 func (c *Core) moveToLarger(now time.Time) {
 	h := c.holding
-	if h == nil || h.phase != phaseActive || h.invitePending || h.shuttingDown || c.awaitingPledges || !c.authority.Small() || now.Before(c.moveRetryAt) {
+	if h == nil || h.phase != phaseActive || h.invitePending || h.shuttingDown || c.awaitingPledges || !c.authority.Small() ||
+		now.Before(c.moveRetryAt) {
 		return
 	}
 	c.moveRetryAt = now.Add(moveInterval)
@@ -29,27 +30,28 @@
 	c.emit(exchange.AskPledges{Epoch: h.epoch, Addresses: c.members.Others(c.self)})
 }
 
-// inviteLargest invites the largest of the boxes that the log answers to take the cell
-// over, if the log does not answer this one or if that one is much larger.
-func (c *Core) inviteLargest(steady []string) {
+// inviteLargest invites the largest of the given boxes, which can reach the log, to take over the
+// cell if this box cannot reach the log or is much smaller.
+func (c *Core) inviteLargest(reachable []string) {
 	h := c.holding
-	best := c.members.LargestAt(steady)
+	largest := c.members.LargestAt(reachable)
 	reason := "it is larger"
 	switch {
-	case best.Box == "" || h.invitePending || h.shuttingDown:
+	case largest.Box == "" || h.invitePending || h.shuttingDown:
 		return
 	case !c.authority.Steady():
 		reason = "the log answers it and not this box"
-	case !authority.MuchLarger(best, c.self):
+	case !authority.MuchLarger(largest, c.self):
 		return
 	}
 	h.invitePending = true
-	c.logEvent("invites another box to take the cell over", logField("claim", h.epoch), logField("box", best.Box), logField("address", best.Address),
-		logField("reason", reason), logField("size", c.self.Size), logField("its_size", best.Size), logField("could", len(steady)))
-	c.emit(exchange.Invite{Epoch: h.epoch, Address: best.Address})
+	c.logEvent("invites another box to take the cell over", logField("claim", h.epoch), logField("box", largest.Box),
+		logField("address", largest.Address),
+		logField("reason", reason), logField("size", c.self.Size), logField("its_size", largest.Size), logField("could", len(reachable)))
+	c.emit(exchange.Invite{Epoch: h.epoch, Address: largest.Address})
 }
 
-// handleInviteAsked answers a holder that wants this box to claim the cell.
+// handleInviteAsked answers a holder that asks this box to claim the cell.
 func (c *Core) handleInviteAsked(now time.Time, e exchange.InviteAsked) {
 	a := exchange.Answer{Outcome: exchange.Unavailable}
 	if c.config != nil && c.announced && c.authority.Invite(e.Epoch) {
@@ -59,7 +61,8 @@
 	c.updateClaim(now)
 }
 
-// handleInvited ends the holding unless the other box has surely refused.
+// handleInvited steps down unless the invited box has definitely refused, because it may already
+// have claimed the cell.
 func (c *Core) handleInvited(e exchange.Invited) {
 	h := c.holding
 	if h == nil || h.epoch != e.Epoch {
@@ -72,18 +75,19 @@
 	c.stepDown("another box was invited to take over")
 }
 
-// handleMembersRead notes the other boxes. One that has a new life can no longer act
-// under a claim of its earlier one.
+// handleMembersRead updates the known boxes. A box that has restarted can no longer act under a
+// claim of its earlier process.
 func (c *Core) handleMembersRead(now time.Time, members []claim.Member) {
 	defer func() { c.authority.SetLargest(c.members.Largest(c.self).Size) }()
 	for _, m := range members {
 		if m.Box == c.self.Box && m.Incarnation != c.self.Incarnation && c.announced {
-			// An append of an earlier life of this box has come late.
+			// A delayed append of an earlier process of this box has replaced its entry, so the box
+			// announces itself again.
 			c.announced, c.announceRetryAt = false, now
 		}
-		former, known := c.members[m.Box]
+		previous, known := c.members[m.Box]
 		c.members[m.Box] = m
-		if known && former.Incarnation == c.authority.Current().Incarnation && m.Incarnation != former.Incarnation {
+		if known && previous.Incarnation == c.authority.Current().Incarnation && m.Incarnation != previous.Incarnation {
 			c.authority.MemberRestarted(now, m)
 		}
 	}
--- a/services/dispatch/overview.go
+++ b/services/dispatch/overview.go
@@ -12,10 +12,11 @@
 	"saddlevane/services/ranking"
 )
 
-// overviewInterval is the time between two lines that sum the cell up.
+// overviewInterval is the minimum time between two log lines with the state of the cell.
 const overviewInterval = 2 * time.Second
 
-// answeringByRack counts the workers of each rack that answer: what is down cannot crash.
+// answeringByRack counts the answering workers of each rack. Workers that do not answer are left
+// out because they cannot crash.
 func (h *holderState) answeringByRack() map[string]int {
 	n := map[string]int{}
 	for _, w := range h.workersByName() {
@@ -26,27 +27,27 @@
 	return n
 }
 
-// logOverview says how full the workers are and what waits, so that a late job can
-// be seen in its surroundings.
+// logOverview logs how full the workers are and what waits, so that a late job can be related to
+// the load at that time.
 func (h *holderState) logOverview(now time.Time) {
 	if now.Before(h.nextOverviewAt) {
 		return
 	}
 	h.nextOverviewAt = now.Add(overviewInterval)
 	h.blame.ObserveWorkers(now, h.answeringByRack())
-	var capacity, free, promised, stopping resource.Vector
-	taking, kept := 0, 0
+	var capacity, free, committed, stopping resource.Vector
+	schedulable, held := 0, 0
 	for _, w := range h.workersByName() {
 		if !h.isSchedulable(now, w) {
 			continue
 		}
-		taking++
+		schedulable++
 		capacity = capacity.Plus(w.Capacity)
 		free = free.Plus(w.free)
-		promised = promised.Plus(w.committed)
+		committed = committed.Plus(w.committed)
 		stopping = stopping.Plus(w.availableAfterStops().Minus(w.available()))
 		if w.prevHeldFor != nil {
-			kept++
+			held++
 		}
 	}
 	tiers := map[ranking.Tier]int{}
@@ -59,16 +60,19 @@
 	h.core.emit(exchange.WorkspaceUsage{All: all})
 	for _, ws := range all {
 		if ws.Capped > 0 {
-			h.core.logEvent("a workspace waits for its cap", logField("workspace", ws.Name), logField("steps", ws.Capped), logField("used", ws.Used), logField("cap", ws.Cap))
+			h.core.logEvent("a workspace waits for its cap", logField("workspace", ws.Name), logField("steps", ws.Capped),
+				logField("used", ws.Used), logField("cap", ws.Cap))
 		}
 	}
-	h.core.logEvent("state of the cell", logField("claim", h.epoch), logField("workers", len(h.workers)), logField("taking", taking),
+	h.core.logEvent("state of the cell", logField("claim", h.epoch), logField("workers", len(h.workers)), logField("taking", schedulable),
 		logField("processors", capacity.Processors.String()), logField("free", free.Processors.String()),
-		logField("accelerators", capacity.Accelerators), logField("free_accelerators", free.Accelerators), logField("promised_accelerators", promised.Accelerators),
-		logField("promised", promised.Processors.String()), logField("stopping", stopping.Processors.String()),
-		logField("workers_kept", kept), logField("steps_on_time", tiers[ranking.OnTime]), logField("steps_late", tiers[ranking.Late]),
+		logField("accelerators", capacity.Accelerators), logField("free_accelerators", free.Accelerators),
+		logField("promised_accelerators", committed.Accelerators),
+		logField("promised", committed.Processors.String()), logField("stopping", stopping.Processors.String()),
+		logField("workers_kept", held), logField("steps_on_time", tiers[ranking.OnTime]), logField("steps_late", tiers[ranking.Late]),
 		logField("steps_hopeless", tiers[ranking.Hopeless]), logField("unsettled", len(h.unreportedWorkers)), logField("plans", h.planCount),
 		logField("advice_time", fmt.Sprint(h.advisers.CallTimeByQueue)), logField("stop_time", h.history.StopTime().String()),
-		logField("answers_take", h.answerDelays.UpperQuartile(now).String()), logField("gangs_reserving", h.reservations.Len()), logField("reserved", h.reservations.Processors().String()), logField("reservations_ended", fmt.Sprint(h.reservations.TakeTotals())))
+		logField("answers_take", h.answerDelays.UpperQuartile(now).String()), logField("gangs_reserving", h.reservations.Len()),
+		logField("reserved", h.reservations.Processors().String()), logField("reservations_ended", fmt.Sprint(h.reservations.TakeTotals())))
 	clear(h.advisers.CallTimeByQueue)
 }
--- a/services/dispatch/placement.go
+++ b/services/dispatch/placement.go
@@ -9,8 +9,8 @@
 	"saddlevane/services/slots"
 )
 
-// placeStep starts what it can of a step, or asks for the advice that this
-// needs. It returns false if tasks are left for want of room.
+// placeStep starts as many waiting tasks of a step as possible, or requests the advice that this
+// needs. It returns false if tasks remain unplaced for lack of capacity.
 func (h *holderState) placeStep(p *pass, r rankedStep) bool {
 	s := r.step
 	defer func() { s.advice.prioritized = false }()
@@ -32,29 +32,30 @@
 		}
 	}
 	if s.advice.hasCalls() || r.queue.Advice != nil && set.isLarge(s) && h.requestAdviceForRoom(p.now, r, set.workers) {
-		// Which workers suit large tasks must be known before one of them is empty, so
-		// that it is kept for them.
+		// The workers that are eligible for large tasks must be known before one of them is empty,
+		// so that it can be drained for such a task.
 		return true
 	}
 	if !s.spec.Reserved().Fits(set.maxAvailable) {
 		return false
 	}
-	shares, placed := h.fit(p.now, s, r.eligible(set))
+	allocations, placed := h.fit(p.now, s, r.eligible(set))
 	if r.queue.Advice != nil {
 		if placed == 0 && h.requestMoreAdvice(p.now, r, set.workers) {
 			return true
 		}
 		var stale []allocation
-		shares, stale = s.splitByTicket(p.now, shares)
+		allocations, stale = s.splitByTicket(p.now, allocations)
 		h.refreshTickets(p.now, r, stale)
 	}
-	if len(shares) > 0 {
-		h.startTasks(p.now, s, shares)
+	if len(allocations) > 0 {
+		h.startTasks(p.now, s, allocations)
 	}
 	return placed > 0 && placed == wanted || s.advice.hasCalls()
 }
 
-// placeGang starts a gang whole, or not at all.
+// placeGang starts all tasks of a gang or none of them. It returns false if the gang could not
+// start for lack of capacity or valid tickets.
 func (h *holderState) placeGang(p *pass, r rankedStep, set *workerSet) bool {
 	s := r.step
 	if h.isSuspectedGang(s) && !h.canTry(p.now, s, 0) {
@@ -73,21 +74,21 @@
 	if !s.spec.Reserved().Fits(set.maxAvailable) {
 		return false
 	}
-	shares, placed := h.fit(p.now, s, r.eligible(set))
+	allocations, placed := h.fit(p.now, s, r.eligible(set))
 	if placed < len(s.tasks) {
 		return false
 	}
 	if r.queue.Advice != nil {
-		if _, stale := s.splitByTicket(p.now, shares); len(stale) > 0 {
+		if _, stale := s.splitByTicket(p.now, allocations); len(stale) > 0 {
 			return false
 		}
 	}
-	h.startTasks(p.now, s, shares)
+	h.startTasks(p.now, s, allocations)
 	return true
 }
 
-// eligible returns the workers of a set that may run the step: all, if its queue needs no
-// advice, else those that the advice service named.
+// eligible returns the workers of a set that may run the step: all of them if its queue needs no
+// advice, otherwise those that the advice service named.
 func (r rankedStep) eligible(set *workerSet) []*worker {
 	if r.queue.Advice == nil {
 		return set.workers
@@ -101,21 +102,23 @@
 	return all
 }
 
-// startTasks starts a step's waiting tasks on the workers chosen.
-func (h *holderState) startTasks(now time.Time, s *step, shares []allocation) {
+// startTasks starts waiting tasks of a step on the allocated workers. Suspect tasks are skipped,
+// because startSuspects starts them.
+func (h *holderState) startTasks(now time.Time, s *step, allocations []allocation) {
 	next := 0
 	run := h.nextRunNumber(s)
-	for _, sh := range shares {
-		ticket, _ := s.advice.TicketFor(now, sh.Worker)
-		for range sh.Tasks {
+	for _, al := range allocations {
+		ticket, _ := s.advice.TicketFor(now, al.Worker)
+		for range al.Tasks {
 			for s.tasks[next].done || s.tasks[next].attempt != nil || h.isWaitingSuspect(s, next) {
 				next++
 			}
-			h.startTask(now, s, next, run, sh.Worker, ticket)
+			h.startTask(now, s, next, run, al.Worker, ticket)
 		}
 	}
 	h.core.logEvent("tasks started", logField("job", string(s.job.id)), logField("step", s.id.String()), logField("run", run),
-		logField("workers", slots.Format(shares, func(w *worker) string { return w.Name })), logField("still_waiting", s.unplacedTasks), logField("advised", s.advice.knownCount()),
+		logField("workers", slots.Format(allocations, func(w *worker) string { return w.Name })),
+		logField("still_waiting", s.unplacedTasks), logField("advised", s.advice.knownCount()),
 		logField("claim", h.epoch), logField("config", h.core.config.Version), logField("age", now.Sub(s.instance.dueAt).String()),
 		logField("slack", h.slack(now, s).String()))
 }
--- a/services/dispatch/plan.go
+++ b/services/dispatch/plan.go
@@ -10,34 +10,36 @@
 	"saddlevane/services/ranking"
 )
 
-// pass is one run of the plan over all open steps.
+// pass is one run of the planner over all open steps.
 type pass struct {
 	now  time.Time
 	sets map[workerSetKey]*workerSet
-	// misses counts the steps that found no room for all their tasks.
+	// misses counts the steps whose tasks could not all be placed for lack of capacity.
 	misses int
-	// roomy says that much of the workers' room is free, so that tasks which are
-	// stopped find another place at once.
+	// ampleRoom is set if much of the workers' capacity is free, so that preempted tasks are placed
+	// again at once.
 	ampleRoom bool
-	// drained counts the workers that are kept until they are empty.
+	// drained counts the workers that are being drained, that is kept free of other tasks until
+	// they are empty.
 	drained int
-	// ranks has the steps whose tasks may give way, as they rank in this pass: one step's
-	// tasks are on many workers.
+	// victimRanks caches the ranks of the steps whose tasks may be preempted, because the tasks of
+	// one step are on many workers.
 	victimRanks map[*step]victimRank
 }
 
-// victimRank is how a step ranks whose tasks are at work.
+// victimRank is the rank and slack of a step whose running tasks may be preempted.
 type victimRank struct {
 	rankedStep
 	slack time.Duration
 }
 
-// newPass returns a pass that has looked at no worker yet.
+// newPass returns a pass with empty caches.
 func newPass(now time.Time) *pass {
 	return &pass{now: now, sets: map[workerSetKey]*workerSet{}, victimRanks: map[*step]victimRank{}}
 }
 
-// victimRankOf returns how a step ranks in a pass.
+// victimRankOf returns the rank and slack of a step whose tasks may be preempted, from the cache of
+// the pass if it is there.
 func (h *holderState) victimRankOf(p *pass, s *step) victimRank {
 	r, ok := p.victimRanks[s]
 	if !ok {
@@ -47,7 +49,8 @@
 	return r
 }
 
-// plan places the tasks of open steps, the first in rank first.
+// plan places the tasks of the open steps in rank order. Once the number of steps without room
+// reaches the miss limit it stops early, unless a full plan is due.
 func (h *holderState) plan(now time.Time) {
 	h.planCount++
 	ranked := h.rankOpenSteps(now)
@@ -76,10 +79,12 @@
 	}
 }
 
-// ampleRoomShare is the share of the processors that is free where room is plenty.
+// ampleRoomShare is the share of the schedulable workers' processors that must be free for
+// h.hasAmpleRoom to be set.
 const ampleRoomShare = 0.4
 
-// updateCapacity says whether much of the workers' room is free, and notes how much there is of it.
+// updateCapacity recomputes the total capacity of the schedulable workers and reports whether more
+// than ampleRoomShare of their processors is free.
 func (h *holderState) updateCapacity(now time.Time) bool {
 	var free resource.Vector
 	h.capacity = resource.Vector{}
@@ -92,9 +97,9 @@
 	return float64(free.Processors) > ampleRoomShare*float64(h.capacity.Processors)
 }
 
-// handleUnplaced has a gang that found no room reserve some, if not too many gangs do, and
-// any other step stop what may give way to it. Where that does not do, workers are
-// kept free for tasks that share theirs with few others.
+// handleUnplaced makes room for a step whose tasks could not all be placed. A gang reserves
+// capacity unless too many gangs already do. Any other step preempts tasks of lower rank; if that
+// is not enough and its tasks are large, workers are drained for it.
 func (h *holderState) handleUnplaced(p *pass, r rankedStep) {
 	if !r.step.spec.Gang {
 		if !h.preemptFor(p, r) && r.Tier == ranking.OnTime && h.workersFor(p, r.step, r.queue.Pool).isLarge(r.step) {
@@ -110,23 +115,24 @@
 	}
 }
 
-// maxExplained is of how many waiting steps a pass says why they wait.
+// maxExplained limits how many of the steps without room, in rank order, may log in one pass why
+// they wait.
 const maxExplained = 20
 
-// explainInterval is the least time between two lines about a gang that waits.
+// explainInterval is the minimum time between two log lines about the same waiting gang.
 const explainInterval = 2 * time.Second
 
-// logGangWait says why a gang does not start.
+// logGangWait logs why a gang does not start, at most once per explainInterval.
 func (h *holderState) logGangWait(p *pass, r rankedStep) {
 	s := r.step
 	if p.now.Sub(s.explainedAt) < explainInterval {
 		return
 	}
 	s.explainedAt = p.now
-	suited := r.eligible(h.workersFor(p, s, r.queue.Pool))
-	_, placed := h.fit(p.now, s, suited)
+	eligible := r.eligible(h.workersFor(p, s, r.queue.Pool))
+	_, placed := h.fit(p.now, s, eligible)
 	h.core.logEvent("gang waits for room", logField("job", string(s.job.id)), logField("step", s.id.String()), logField("tasks", len(s.tasks)),
 		logField("need", s.spec.Need.Processors.String()), logField("room_for", placed), logField("workers_asked", s.advice.knownCount()),
-		logField("workers_suited", len(suited)), logField("gangs_reserving", h.reservations.Len()), logField("tier", int(r.Tier)),
+		logField("workers_suited", len(eligible)), logField("gangs_reserving", h.reservations.Len()), logField("tier", int(r.Tier)),
 		logField("slack", h.slack(p.now, s).String()))
 }
--- a/services/dispatch/preempt.go
+++ b/services/dispatch/preempt.go
@@ -15,72 +15,73 @@
 )
 
 const (
-	// minVictimSlack is how much later than now a task that can resume must be able
-	// to start again and be on time, to be stopped: a stop, its way through the
-	// queue and the work since the last checkpoint take that long.
+	// minVictimSlack is the slack that a step must have for one of its resumable tasks to be
+	// preempted. A stop, the wait to be placed again and repeating the work since the last
+	// checkpoint take that long.
 	minVictimSlack = 2 * time.Second
-	// maxRestartableAge is how long a task that cannot resume may have run to be stopped.
+	// maxRestartableAge is how long a task without checkpoints may have run and still be preempted.
 	maxRestartableAge = time.Second
-	// minPreemptableTime is how long a task takes at most that ends by itself nearly as soon
-	// as it could be stopped.
+	// minPreemptableTime is the expected run time that a step without checkpoints needs for its
+	// tasks to be preempted. Shorter tasks end by themselves nearly as soon as they could be
+	// stopped.
 	minPreemptableTime = 2 * time.Second
-	// preemptInterval is the least time between two searches for tasks to stop for one
+	// preemptInterval is the minimum time between two searches for tasks to preempt for the same
 	// step.
 	preemptInterval = 300 * time.Millisecond
-	// minResumedTime is how long a task that has resumed works at least before it may be
-	// stopped again: else what it does between two stops is no more than they lose.
+	// minResumedTime is how long a resumed task runs at least before it may be preempted again.
+	// Otherwise the work done between two stops would be no more than what the stops lose.
 	minResumedTime = 2 * time.Second
-	// endsSoonMargin is how much later than a stop would free its room a task may end by
-	// itself and be left alone.
+	// endsSoonMargin is added to the usual stop time: a task expected to end by itself within that
+	// time is not preempted.
 	endsSoonMargin = 500 * time.Millisecond
-	// maxResumeLoss is the work that a task loses which resumes: that since its last
-	// checkpoint, and the time to begin again.
+	// maxResumeLoss is the work that a preempted task with checkpoints loses at most: the work
+	// since its last checkpoint and the time to resume.
 	maxResumeLoss = time.Second
 )
 
-// preemption is room for some more tasks of a step on one worker, and the attempts that have to be
-// stopped for it.
+// preemption is capacity for some more tasks of a step on one worker, and the attempts that have to
+// be stopped for it. It has no victims if the capacity is free or about to become free.
 type preemption = slots.Preemption[*worker, *attempt]
 
-// preemptFor stops tasks that may give way to a step which is no gang, as many as its
-// waiting tasks need, if they end soon enough for it to be on time. It returns
-// whether that gives room for all of them.
+// preemptFor preempts as many tasks as the waiting tasks of a step that is not a gang need, if they
+// stop soon enough for the step to be on time. It reports whether there is room for all of its
+// waiting tasks then.
 func (h *holderState) preemptFor(p *pass, r rankedStep) bool {
 	s := r.step
 	if r.Tier != ranking.OnTime || h.slack(p.now, s) < h.history.StopTime() {
 		return false
 	}
-	open := h.usableWorkers(p, r)
+	workers := h.usableWorkers(p, r)
 	wanted := min(s.unplacedTasks, h.slotsUnderCap(s))
-	gains := h.preemptionsFor(p, r, open, wanted, true)
-	h.applyPreemptions(p, r, slots.Cheapest(gains, wanted, compareNames), wanted)
-	return slots.TotalTasks(gains) >= wanted
+	preemptions := h.preemptionsFor(p, r, workers, wanted, true)
+	h.applyPreemptions(p, r, slots.Cheapest(preemptions, wanted, compareNames), wanted)
+	return slots.TotalTasks(preemptions) >= wanted
 }
 
-// preemptionsFor returns what a step could have on some workers: what is free or ending
-// there and, if that is not room for the tasks wanted and it may have tasks
-// stopped, what can be gained by that.
-func (h *holderState) preemptionsFor(p *pass, r rankedStep, open []*worker, wanted int, mayStop bool) []preemption {
+// preemptionsFor returns how a step can get room for the wanted tasks on the given workers:
+// capacity that is free or about to become free and, if that is not enough and mayStop is set,
+// capacity of tasks that can be preempted.
+func (h *holderState) preemptionsFor(p *pass, r rankedStep, workers []*worker, wanted int, mayStop bool) []preemption {
 	s := r.step
-	all := s.capacityWithoutStops(p.now, open)
+	all := s.capacityWithoutStops(p.now, workers)
 	if slots.TotalTasks(all) >= wanted || !mayStop || p.now.Sub(s.preemptedAt) < preemptInterval {
 		return all
 	}
 	s.preemptedAt = p.now
-	for _, w := range open {
+	for _, w := range workers {
 		all = append(all, h.preemptionsOn(p, r, w)...)
 	}
 	return all
 }
 
-// applyPreemptions stops what the chosen gains need, and holds their room for a step until the
-// pass ends.
+// applyPreemptions stops the victims of the chosen preemptions and holds the capacity for the step
+// until the pass ends.
 func (h *holderState) applyPreemptions(p *pass, r rankedStep, chosen []preemption, wanted int) {
 	stopped := 0
-	for _, g := range chosen {
-		g.Worker.hold(r.step, min(wanted, g.Tasks))
-		wanted -= g.Tasks
-		for _, a := range g.Victims {
+	for _, c := range chosen {
+		c.Worker.hold(r.step, min(wanted, c.Tasks))
+		wanted -= c.Tasks
+		for _, a := range c.Victims {
 			h.stopAttempt(p.now, a)
 			stopped++
 		}
@@ -88,7 +89,7 @@
 	h.logPreemption(p, r.step, stopped, len(chosen))
 }
 
-// logPreemption says that tasks are stopped for a step.
+// logPreemption logs how many tasks are stopped for a step, if any.
 func (h *holderState) logPreemption(p *pass, s *step, stopped, workers int) {
 	if stopped > 0 {
 		h.core.logEvent("tasks are stopped for a step", logField("job", string(s.job.id)), logField("step", s.id.String()),
@@ -96,44 +97,44 @@
 	}
 }
 
-// capacityWithoutStops returns the room that a step has on workers once what is being stopped
-// has ended.
-func (s *step) capacityWithoutStops(now time.Time, open []*worker) []preemption {
+// capacityWithoutStops returns the room that a step has on workers, without further stops, once all
+// attempts that are being stopped have ended.
+func (s *step) capacityWithoutStops(now time.Time, workers []*worker) []preemption {
 	var all []preemption
-	for _, w := range open {
+	for _, w := range workers {
 		if n := w.slots(s, w.availableAfterStops()); n > 0 {
-			_, ticketed := s.advice.TicketFor(now, w)
-			all = append(all, preemption{Allocation: allocation{Worker: w, Tasks: n}, HasTicket: ticketed || s.advice.IsPending(w)})
+			_, hasTicket := s.advice.TicketFor(now, w)
+			all = append(all, preemption{Allocation: allocation{Worker: w, Tasks: n}, HasTicket: hasTicket || s.advice.IsPending(w)})
 		}
 	}
 	return all
 }
 
-// preemptionsOn returns what can be gained on a worker by stopping more and more of its
-// tasks. Costs rise along them.
+// preemptionsOn returns what a step gains on a worker by stopping more and more of its tasks. The
+// cost for each task gained does not decrease from one entry to the next.
 func (h *holderState) preemptionsOn(p *pass, r rankedStep, w *worker) []preemption {
-	room := w.availableAfterStops()
-	have := w.slots(r.step, room)
+	capacity := w.availableAfterStops()
+	fitting := w.slots(r.step, capacity)
 	var all []preemption
 	next := preemption{Allocation: allocation{Worker: w}}
-	least := 0.0
+	minCost := 0.0
 	for _, a := range h.victims(p, r, w) {
-		room = room.Plus(a.step.spec.Reserved())
+		capacity = capacity.Plus(a.step.spec.Reserved())
 		next.Victims = append(next.Victims, a)
 		next.Cost += a.lostWork(p.now)
-		if n := w.slots(r.step, room); n > have {
-			next.Tasks = n - have
-			next.Cost = max(least, next.Cost/float64(next.Tasks))
-			least = next.Cost
+		if n := w.slots(r.step, capacity); n > fitting {
+			next.Tasks = n - fitting
+			next.Cost = max(minCost, next.Cost/float64(next.Tasks))
+			minCost = next.Cost
 			all = append(all, next)
-			have = n
+			fitting = n
 			next = preemption{Allocation: allocation{Worker: w}}
 		}
 	}
 	return all
 }
 
-// lostWork returns the work that stopping a task loses, in processor seconds.
+// lostWork returns the work that is lost when an attempt is stopped, in processor seconds.
 func (a *attempt) lostWork(now time.Time) float64 {
 	ran := now.Sub(a.stateSince)
 	if a.step.spec.Checkpoints {
@@ -142,8 +143,8 @@
 	return ran.Seconds() * float64(a.step.spec.Need.Processors) / float64(resource.Processor)
 }
 
-// victims returns the tasks on a worker that may be stopped for a step, those that
-// lose least for their size first.
+// victims returns the attempts on a worker that may be preempted for a step: those with the most
+// processors first, and among equals those that lose the least work.
 func (h *holderState) victims(p *pass, r rankedStep, w *worker) []*attempt {
 	var all []*attempt
 	for _, a := range w.sortedAttempts() {
@@ -160,11 +161,12 @@
 	return all
 }
 
-// canPreempt says whether a task may be stopped for a step: it is of less use, or can
-// start again and still be on time.
+// canPreempt reports whether an attempt may be preempted for a step: its step is in a worse tier,
+// or has lower priority and enough slack to start again and still be on time.
 func (h *holderState) canPreempt(p *pass, r rankedStep, a *attempt) bool {
 	s := a.step
-	if !h.isEnabled(mechanism.Preemption) || a.state != attemptRunning || a.markedForStop || a.isolated || s.spec.Gang || s.spec.Service || s.job.state.IsFinal() {
+	if !h.isEnabled(mechanism.Preemption) || a.state != attemptRunning || a.markedForStop || a.isolated || s.spec.Gang ||
+		s.spec.Service || s.job.state.IsFinal() {
 		return false
 	}
 	if !s.spec.Checkpoints && (p.now.Sub(a.stateSince) > maxRestartableAge || h.expectedTime(s) < minPreemptableTime) {
@@ -177,8 +179,9 @@
 	return v.Tier > r.Tier || v.queue.Priority > r.queue.Priority && (v.slack > minVictimSlack || p.ampleRoom)
 }
 
-// isSpared says whether a task is left alone because a stop would gain little. Not for a gang:
-// it needs much room at once, and what it marks works on until its tickets come.
+// isSpared reports whether an attempt is not preempted because a stop would gain little. This does
+// not apply to preemption for gangs, which need much capacity at once and let their victims run
+// until the tickets are about to arrive.
 func (h *holderState) isSpared(now time.Time, r rankedStep, a *attempt) bool {
 	if r.step.spec.Gang || !h.isEnabled(mechanism.SparedTasks) {
 		return false
--- a/services/dispatch/rank.go
+++ b/services/dispatch/rank.go
@@ -14,8 +14,8 @@
 	"saddlevane/services/ranking"
 )
 
-// queueOf returns how the configuration treats a job. Jobs of a queue that is
-// gone are treated as when they were accepted.
+// queueOf returns the queue settings that apply to a job: those of the current configuration or, if
+// it no longer has the queue, those in force when the job was accepted.
 func (h *holderState) queueOf(j *trackedJob) job.Queue {
 	if q, ok := h.core.config.Queues[j.queue]; ok {
 		return q
@@ -23,29 +23,31 @@
 	return j.acceptedQueue
 }
 
-// objective returns the time within which an instance is wanted.
+// objective returns the time, counted from the instance's due time, within which the instance
+// should finish.
 func objective(in *instance, q job.Queue) time.Duration {
 	return time.Duration(q.Stretch*float64(in.criticalPath())) + q.Latency
 }
 
-// slack returns how much later than now a step may start and be on time.
+// slack returns by how much the start of a step can be delayed from now so that its instance still
+// finishes within its objective. It is negative if the instance will be late.
 func (h *holderState) slack(now time.Time, s *step) time.Duration {
-	wanted := s.instance.dueAt.Add(objective(s.instance, h.queueOf(s.job)))
-	return wanted.Sub(now) - h.remainingCriticalPath(now, s)
+	deadline := s.instance.dueAt.Add(objective(s.instance, h.queueOf(s.job)))
+	return deadline.Sub(now) - h.remainingCriticalPath(now, s)
 }
 
-// rankedStep is a step with what orders it.
+// rankedStep is a step with its sort key and queue settings.
 type rankedStep struct {
 	ranking.Rank
 	step  *step
 	queue job.Queue
 }
 
-// rank says what orders a step. A service has no end, so it is never late.
+// rank returns the sort key of a step. A service never ends, so it always counts as on time.
 func (h *holderState) rank(now time.Time, s *step) rankedStep {
 	q := h.queueOf(s.job)
-	left := h.remainingCriticalPath(now, s)
-	t := ranking.Times{DueAt: s.instance.dueAt, Objective: objective(s.instance, q), Finish: now.Add(left)}
+	remaining := h.remainingCriticalPath(now, s)
+	t := ranking.Times{DueAt: s.instance.dueAt, Objective: objective(s.instance, q), Finish: now.Add(remaining)}
 	r := rankedStep{step: s, queue: q, Rank: ranking.Rank{
 		AdviceExpiring: s.advice.prioritized, Tier: t.Tier(now), OverShare: s.job.beyondShare && h.isEnabled(mechanism.SharedOrder),
 		Priority: q.Priority, Deadline: t.Deadline(), Step: s.id,
@@ -54,21 +56,23 @@
 		r.Tier = ranking.OnTime
 	}
 	if !t.IsOverdue(now) {
-		r.Work = s.spec.Need.Times(s.unplacedTasks).DominantShare(h.capacity) * left.Seconds()
+		r.Work = s.spec.Need.Times(s.unplacedTasks).DominantShare(h.capacity) * remaining.Seconds()
 	}
 	return r
 }
 
-// rankOpenSteps returns the steps that have tasks to place, in order.
+// rankOpenSteps returns the open steps that have tasks to place, highest rank first, and drops
+// closed steps from h.openSteps. Steps of inherited jobs are left out until all workers of earlier
+// holders have reported, because their tasks may still be running there.
 func (h *holderState) rankOpenSteps(now time.Time) []rankedStep {
-	kept := h.openSteps[:0]
+	stillOpen := h.openSteps[:0]
 	var all []rankedStep
 	var waiting resource.Vector
 	for _, s := range h.openSteps {
 		if !s.open || s.job.state.IsFinal() {
 			continue
 		}
-		kept = append(kept, s)
+		stillOpen = append(stillOpen, s)
 		if s.unplacedTasks == 0 || now.Before(s.notBefore) || s.spec.Gang && s.placedTasks > 0 {
 			continue
 		}
@@ -79,8 +83,8 @@
 		all = append(all, h.rank(now, s))
 		waiting = waiting.Plus(s.spec.Need.Times(s.unplacedTasks))
 	}
-	clear(h.openSteps[len(kept):])
-	h.openSteps = kept
+	clear(h.openSteps[len(stillOpen):])
+	h.openSteps = stillOpen
 	backlog := h.isEnabled(mechanism.LeastWork) && ranking.IsBacklog(waiting, h.capacity)
 	slices.SortFunc(all, func(a, b rankedStep) int { return a.Compare(b.Rank, backlog) })
 	return all
--- a/services/dispatch/reserve.go
+++ b/services/dispatch/reserve.go
@@ -16,121 +16,122 @@
 	"saddlevane/services/tickets"
 )
 
-// reservation is room kept for a gang that cannot start at once: until its tickets
-// have come, and until what is in its place has ended.
+// reservation is capacity reserved for a gang that cannot start at once, because it waits for
+// tickets or for tasks on that capacity to end.
 type reservation struct {
-	// shares say where the room is.
+	// allocations are the workers and how many tasks of the gang each is to run.
 	allocations []allocation
-	// victims are tasks that are still to be stopped for it. They work on as long
-	// as the tickets are not about to come.
+	// victims are the tasks still to be stopped for the gang. They keep running until the gang's
+	// tickets are about to arrive.
 	victims []*attempt
-	// since is when the room was reserved.
+	// since is when the capacity was reserved.
 	since time.Time
 }
 
 const (
-	// baseReservingGangs is how many gangs may reserve room at a time, and one more may
-	// for each workersPerReservingGang workers: most of that room is idle.
+	// baseReservingGangs is how many gangs may hold reservations at the same time, plus one for
+	// each workersPerReservingGang workers. The limit exists because most reserved capacity is
+	// idle.
 	baseReservingGangs      = 3
 	workersPerReservingGang = 25
-	// maxReservationTime is how long room is reserved for one gang: two calls for
-	// advice and what a stop takes.
+	// maxReservationTime is how long a gang may hold a reservation: enough for two advice calls and
+	// for tasks to stop.
 	maxReservationTime = 3 * time.Second
-	// reserveRetryDelay delays the next reservation of a gang whose last one came to
-	// nothing.
+	// reserveRetryDelay is how long a gang waits after a failed reservation before its next start
+	// or reservation.
 	reserveRetryDelay = 300 * time.Millisecond
-	// reserveSearchDelay is the least time between two looks for room to reserve for one gang: each
-	// goes through all workers that suit.
+	// reserveSearchDelay is the minimum time between two searches for capacity to reserve for the
+	// same gang, because each goes through all eligible workers.
 	reserveSearchDelay = 100 * time.Millisecond
-	// stopLead is how much earlier tasks are stopped than their room is needed,
-	// besides the time that stops usually take.
+	// stopLead is how much earlier than strictly necessary victims are stopped, in addition to the
+	// time that stops usually take.
 	stopLead = 100 * time.Millisecond
 )
 
-// canReserve says whether one more gang may reserve room.
+// canReserve reports whether one more gang may reserve capacity.
 func (h *holderState) canReserve() bool {
 	return h.reservations.Len() < baseReservingGangs+len(h.workers)/workersPerReservingGang
 }
 
-// reserve keeps room for a waiting gang: what is free, what is ending and, where
-// that is not enough, what tasks take that may give way to it. If all of that would
-// not do, workers are drained for it.
+// reserve reserves capacity for a waiting gang: capacity that is free, capacity that is about to
+// become free and, if that is not enough, capacity of tasks that may be preempted. If all of that
+// is still not enough, workers are drained for the gang.
 func (h *holderState) reserve(p *pass, r rankedStep) {
 	s := r.step
 	if p.now.Before(s.nextReserveAt) {
 		return
 	}
-	open := h.usableWorkers(p, r)
-	gains := h.preemptionsFor(p, r, open, len(s.tasks), r.Tier != ranking.Hopeless || p.ampleRoom)
-	if slots.TotalTasks(gains) < len(s.tasks) {
+	workers := h.usableWorkers(p, r)
+	preemptions := h.preemptionsFor(p, r, workers, len(s.tasks), r.Tier != ranking.Hopeless || p.ampleRoom)
+	if slots.TotalTasks(preemptions) < len(s.tasks) {
 		s.nextReserveAt = p.now.Add(reserveSearchDelay)
-		h.drainForGang(p, s, open)
+		h.drainForGang(p, s, workers)
 		return
 	}
-	s.reservation = newReservation(p.now, s, slots.Cheapest(gains, len(s.tasks), compareNames))
+	s.reservation = newReservation(p.now, s, slots.Cheapest(preemptions, len(s.tasks), compareNames))
 	h.usage.Add(s.job.workspace, s.spec.Need.Times(len(s.tasks)))
 	h.reservations.Begin(p.now, s.id, s.spec.Reserved().Times(len(s.tasks)).Processors)
 	h.advanceReservation(p, r)
 }
 
-// newReservation keeps the room that gains give for all tasks of a gang, and marks
+// newReservation reserves the capacity of the given preemptions for all tasks of a gang and marks
 // the tasks that are to be stopped for it.
-func newReservation(now time.Time, s *step, gains []preemption) *reservation {
+func newReservation(now time.Time, s *step, preemptions []preemption) *reservation {
 	res := &reservation{since: now}
 	wanted := len(s.tasks)
-	for _, g := range gains {
-		res.addTasks(g.Worker, min(wanted, g.Tasks))
-		wanted -= g.Tasks
-		for _, a := range g.Victims {
+	for _, p := range preemptions {
+		res.addTasks(p.Worker, min(wanted, p.Tasks))
+		wanted -= p.Tasks
+		for _, a := range p.Victims {
 			a.markedForStop = true
 			res.victims = append(res.victims, a)
 		}
 	}
-	for _, sh := range res.allocations {
-		room := s.spec.Reserved().Times(sh.Tasks)
-		sh.Worker.committed = sh.Worker.committed.Plus(room)
-		sh.Worker.gangReservations = append(sh.Worker.gangReservations, gangReservation{step: s, capacity: room})
+	for _, al := range res.allocations {
+		capacity := s.spec.Reserved().Times(al.Tasks)
+		al.Worker.committed = al.Worker.committed.Plus(capacity)
+		al.Worker.gangReservations = append(al.Worker.gangReservations, gangReservation{step: s, capacity: capacity})
 	}
 	return res
 }
 
-// addTasks reserves room for some more tasks on a worker.
+// addTasks adds tasks on a worker to the allocations of a reservation.
 func (res *reservation) addTasks(w *worker, tasks int) {
-	if i := slices.IndexFunc(res.allocations, func(sh allocation) bool { return sh.Worker == w }); i >= 0 {
+	if i := slices.IndexFunc(res.allocations, func(al allocation) bool { return al.Worker == w }); i >= 0 {
 		res.allocations[i].Tasks += tasks
 		return
 	}
 	res.allocations = append(res.allocations, allocation{Worker: w, Tasks: tasks})
 }
 
-// releaseReservation gives back the room reserved for a step, if any is.
-func (h *holderState) releaseReservation(now time.Time, s *step, o reservations.Outcome) {
+// releaseReservation releases the capacity reserved for a step, if any, and counts the outcome.
+func (h *holderState) releaseReservation(now time.Time, s *step, outcome reservations.Outcome) {
 	res := s.reservation
 	if res == nil {
 		return
 	}
-	for _, sh := range res.allocations {
-		sh.Worker.committed = sh.Worker.committed.Minus(s.spec.Reserved().Times(sh.Tasks))
-		sh.Worker.gangReservations = slices.DeleteFunc(sh.Worker.gangReservations, func(k gangReservation) bool { return k.step == s })
+	for _, al := range res.allocations {
+		al.Worker.committed = al.Worker.committed.Minus(s.spec.Reserved().Times(al.Tasks))
+		al.Worker.gangReservations = slices.DeleteFunc(al.Worker.gangReservations, func(g gangReservation) bool { return g.step == s })
 	}
 	for _, a := range res.victims {
 		a.markedForStop = false
 	}
 	s.reservation = nil
 	h.usage.Subtract(s.job.workspace, s.spec.Need.Times(len(s.tasks)))
-	h.reservations.End(now, s.id, o)
+	h.reservations.End(now, s.id, outcome)
 	h.planDue = true
 }
 
-// advanceReservation brings a gang with reserved room nearer to its start: it asks for
-// tickets, stops what is in the way once they are about to come, and starts the
-// gang when both are there.
+// advanceReservation moves a gang with a reservation towards its start: it requests the tickets,
+// stops the victims once the tickets are about to arrive, and starts the gang when it has all
+// tickets and the capacity is free. A failed reservation is released.
 func (h *holderState) advanceReservation(p *pass, r rankedStep) {
 	s := r.step
 	res := s.reservation
-	if failed := h.reservationFailure(p.now, s); failed != "" {
-		h.logReservationFailure(p.now, s, failed)
-		h.releaseReservation(p.now, s, failed)
+	if failure := h.reservationFailure(p.now, s); failure != "" {
+		h.logReservationFailure(p.now, s, failure)
+		h.releaseReservation(p.now, s, failure)
 		s.delayStart(p.now.Add(reserveRetryDelay))
 		return
 	}
@@ -141,14 +142,14 @@
 	if ready && len(res.victims) == 0 && h.isReservationFree(s) {
 		h.releaseReservation(p.now, s, reservations.Started)
 		if s.capReached = h.slotsUnderCap(s) < len(s.tasks); s.capReached {
-			// The cap has fallen since.
+			// The workspace's cap was lowered after the reservation was made.
 			return
 		}
 		h.startTasks(p.now, s, res.allocations)
 	}
 }
 
-// reservationFailure returns why the reservation of a step comes to nothing, or "".
+// reservationFailure returns why the reservation of a step has failed, or "" if it has not.
 func (h *holderState) reservationFailure(now time.Time, s *step) reservations.Outcome {
 	if !h.isReservationUsable(now, s.reservation, s.spec.Reserved()) {
 		return reservations.WorkerUnusable
@@ -167,58 +168,61 @@
 	}
 }
 
-// logReservationFailure says why a gang gives room back without having started.
-func (h *holderState) logReservationFailure(now time.Time, s *step, why reservations.Outcome) {
+// logReservationFailure logs why a gang releases its reservation without having started.
+func (h *holderState) logReservationFailure(now time.Time, s *step, outcome reservations.Outcome) {
 	_, stale := s.splitByTicket(now, s.reservation.allocations)
 	due := now
 	for _, c := range s.advice.calls {
 		due = ordered.Later(due, c.due)
 	}
-	h.core.logEvent("a gang gives room back", logField("job", string(s.job.id)), logField("step", s.id.String()), logField("reason", string(why)),
+	h.core.logEvent("a gang gives room back", logField("job", string(s.job.id)), logField("step", s.id.String()),
+		logField("reason", string(outcome)),
 		logField("tasks", len(s.tasks)), logField("workers", len(s.reservation.allocations)), logField("without_ticket", len(stale)),
 		logField("calls", len(s.advice.calls)), logField("tickets_due_in", due.Sub(now).String()), logField("to_stop", len(s.reservation.victims)),
 		logField("held_for", now.Sub(s.reservation.since).String()), logField("claim", h.epoch))
 }
 
-// isReservationUsable says whether all workers of a reservation still take tasks, and could hold those
-// that need some room each: room may shrink.
+// isReservationUsable reports whether all workers of a reservation are still schedulable and large
+// enough for the tasks allocated to them, which need the given capacity each. A worker's capacity
+// may shrink.
 func (h *holderState) isReservationUsable(now time.Time, res *reservation, need resource.Vector) bool {
-	return !slices.ContainsFunc(res.allocations, func(sh allocation) bool {
-		return h.workers[sh.Worker.Name] != sh.Worker || !h.isSchedulable(now, sh.Worker) || !need.Times(sh.Tasks).Fits(sh.Worker.Capacity)
+	return !slices.ContainsFunc(res.allocations, func(al allocation) bool {
+		return h.workers[al.Worker.Name] != al.Worker || !h.isSchedulable(now, al.Worker) || !need.Times(al.Tasks).Fits(al.Worker.Capacity)
 	})
 }
 
-// isReservationFree says whether all room reserved for a step is there. Room that was reserved
-// later on the same worker takes nothing from it: the later gang waits for tasks that it
-// has stopped, and each could wait for the other.
+// isReservationFree reports whether all capacity reserved for a step is free. Capacity that other
+// gangs reserved later on the same workers is not subtracted: a later gang waits there for tasks
+// that it has stopped, and if both counted, each gang could wait for the other.
 func (h *holderState) isReservationFree(s *step) bool {
-	return !slices.ContainsFunc(s.reservation.allocations, func(sh allocation) bool {
-		room := sh.Worker.free.Minus(sh.Worker.committed)
-		for _, later := range sh.Worker.reservedAfter(s) {
-			room = room.Plus(later)
+	return !slices.ContainsFunc(s.reservation.allocations, func(al allocation) bool {
+		free := al.Worker.free.Minus(al.Worker.committed)
+		for _, reserved := range al.Worker.reservedAfter(s) {
+			free = free.Plus(reserved)
 		}
-		return room.IsNegative()
+		return free.IsNegative()
 	})
 }
 
-// reservedAfter returns what is reserved on a worker for gangs later than for a step.
+// reservedAfter returns the capacities that gangs have reserved on a worker later than the given
+// step did.
 func (w *worker) reservedAfter(s *step) []resource.Vector {
 	var all []resource.Vector
-	first := slices.IndexFunc(w.gangReservations, func(k gangReservation) bool { return k.step == s })
-	for _, k := range w.gangReservations[first+1:] {
-		all = append(all, k.capacity)
+	first := slices.IndexFunc(w.gangReservations, func(g gangReservation) bool { return g.step == s })
+	for _, g := range w.gangReservations[first+1:] {
+		all = append(all, g.capacity)
 	}
 	return all
 }
 
-// gangReservation is room on a worker that is reserved for a gang.
+// gangReservation is the capacity reserved for a gang on one worker.
 type gangReservation struct {
 	step     *step
 	capacity resource.Vector
 }
 
-// requestTickets says whether a gang with reserved room has all its tickets, or when
-// those should come that are being asked for.
+// requestTickets reports whether a gang with a reservation has all its tickets. If not, it requests
+// those that are not being requested yet and returns when the last answer is due.
 func (h *holderState) requestTickets(now time.Time, r rankedStep) (ready bool, due time.Time) {
 	s := r.step
 	if r.queue.Advice == nil {
@@ -237,24 +241,25 @@
 	return false, due
 }
 
-// unrequestedWorkers returns the workers of a reservation whose tickets are not being asked for
-// and would have run out when the answers about some workers come: all tickets of a gang
-// must hold at one time, and a call takes about as long as one holds.
-func (h *holderState) unrequestedWorkers(now time.Time, r rankedStep, asked int) []*worker {
+// unrequestedWorkers returns the workers of a reservation whose tickets are not being requested and
+// would have expired when an answer about the given number of workers arrives. All tickets of a
+// gang must be valid at the same time, and a call takes about as long as a ticket is valid.
+func (h *holderState) unrequestedWorkers(now time.Time, r rankedStep, askedWorkers int) []*worker {
 	s := r.step
-	takes := r.queue.Advice.BaseTime + time.Duration(min(asked, advisers.MaxWorkersPerCall))*r.queue.Advice.TimePerWorker
-	_, stale := s.splitByTicket(now.Add(takes+advisers.MaxQueueTime+tickets.StartMargin), s.reservation.allocations)
+	callTime := r.queue.Advice.BaseTime + time.Duration(min(askedWorkers, advisers.MaxWorkersPerCall))*r.queue.Advice.TimePerWorker
+	_, stale := s.splitByTicket(now.Add(callTime+advisers.MaxQueueTime+tickets.StartMargin), s.reservation.allocations)
 	var missing []*worker
-	for _, sh := range stale {
-		if !s.advice.IsPending(sh.Worker) {
-			missing = append(missing, sh.Worker)
+	for _, al := range stale {
+		if !s.advice.IsPending(al.Worker) {
+			missing = append(missing, al.Worker)
 		}
 	}
 	return missing
 }
 
-// requestTicketsInEqualCalls calls for tickets in as many calls of one size as it takes, so that their
-// answers come at about the same time. It returns false if not all could be made.
+// requestTicketsInEqualCalls requests tickets in as few calls as possible, all of about the same
+// size, so that their answers arrive at about the same time. It returns false if a call could not
+// be made.
 func (h *holderState) requestTicketsInEqualCalls(now time.Time, r rankedStep, workers []*worker) bool {
 	if now.Before(r.step.advice.retryAt) {
 		return true
@@ -268,7 +273,7 @@
 	return true
 }
 
-// stopVictims stops the tasks that are in the place of a gang.
+// stopVictims stops the tasks that run on capacity reserved for a gang.
 func (h *holderState) stopVictims(p *pass, s *step) {
 	res := s.reservation
 	if len(res.victims) == 0 {
--- a/services/dispatch/room.go
+++ b/services/dispatch/room.go
@@ -10,19 +10,22 @@
 	"saddlevane/models/resource"
 )
 
-// workerSetKey is what decides which workers a step may use, advice aside.
+// workerSetKey identifies the workers that a step may use, without regard to advice.
 type workerSetKey struct{ pool, label string }
 
-// workerSet is the workers for one key, as they were when the pass began.
+// workerSet holds the schedulable workers for one key, as they were when the pass first needed
+// them.
 type workerSet struct {
 	workers []*worker
-	// at has each of them at its place in the order of all workers.
+	// byIndex holds each worker of the set at its nameIndex; other entries are nil.
 	byIndex []*worker
-	// most bounds the room of each of them in each resource, largest their capacity.
+	// maxAvailable and maxCapacity are the maxima of the workers' available and total capacity, for
+	// each resource separately.
 	maxAvailable, maxCapacity resource.Vector
 }
 
-// workersFor returns the workers that may run a step, advice aside.
+// workersFor returns the schedulable workers of a pool that have the step's label, without regard
+// to advice.
 func (h *holderState) workersFor(p *pass, s *step, pool string) *workerSet {
 	key := workerSetKey{pool, s.spec.Label}
 	if set := p.sets[key]; set != nil {
@@ -43,42 +46,44 @@
 	return set
 }
 
-// contains says whether a worker is one of the set.
+// contains reports whether a worker is in the set.
 func (set *workerSet) contains(w *worker) bool {
 	return w.nameIndex < len(set.byIndex) && set.byIndex[w.nameIndex] == w
 }
 
-// available returns what is free on a worker and neither promised nor held.
+// available returns a worker's free capacity that is neither committed to calls and reservations
+// nor held in this pass.
 func (w *worker) available() resource.Vector { return w.free.Minus(w.committed).Minus(w.heldInPass) }
 
-// availableAfterStops returns what is free on a worker once all that is being stopped has ended.
+// availableAfterStops returns a worker's available capacity once all attempts that are being
+// stopped have ended.
 func (w *worker) availableAfterStops() resource.Vector {
-	room := w.available()
+	capacity := w.available()
 	for _, a := range w.attempts {
 		if a.state == attemptStopping {
-			room = room.Plus(a.step.spec.Reserved())
+			capacity = capacity.Plus(a.step.spec.Reserved())
 		}
 	}
-	return room
+	return capacity
 }
 
-// hold keeps room for tasks of a step until the pass ends.
+// hold sets aside capacity for tasks of a step until the pass ends.
 func (w *worker) hold(s *step, tasks int) {
 	w.heldInPass = w.heldInPass.Plus(s.spec.Reserved().Times(tasks))
 	w.heldFor = s
 }
 
-// slots returns how many more tasks of a step a worker has room for.
-func (w *worker) slots(s *step, room resource.Vector) int {
-	n := room.FitCount(s.spec.Reserved(), job.MaxTasks)
+// slots returns how many more tasks of a step fit on a worker with the given available capacity.
+func (w *worker) slots(s *step, available resource.Vector) int {
+	n := available.FitCount(s.spec.Reserved(), job.MaxTasks)
 	if s.spec.PerWorker > 0 {
-		held := 0
+		running := 0
 		for _, a := range w.attempts {
 			if a.step == s {
-				held++
+				running++
 			}
 		}
-		n = min(n, s.spec.PerWorker-held)
+		n = min(n, s.spec.PerWorker-running)
 	}
 	return max(0, n)
 }
--- a/services/dispatch/runtimes.go
+++ b/services/dispatch/runtimes.go
@@ -10,10 +10,10 @@
 	"saddlevane/services/kept"
 )
 
-// saveRunTimesInterval is the time between two records of what is known of run times.
+// saveRunTimesInterval is the minimum time between two records of the learned run times.
 const saveRunTimesInterval = 3 * time.Second
 
-// saveRunTimes has the log keep what is known of run times, if there is more of it.
+// saveRunTimes appends the learned run times to the log if they have changed since the last record.
 func (h *holderState) saveRunTimes(now time.Time) {
 	if now.Before(h.nextRunTimesAt) || h.phase != phaseActive || !h.history.HasChanged() || h.journal.isFailing(now) {
 		return
@@ -22,8 +22,8 @@
 	h.journal.addRecord(kept.RunTimesRecord(h.history.TakeRunTimes()))
 }
 
-// expectedTime returns how long a step takes: what it took if it is done, else what
-// steps of its queue with its estimate should take.
+// expectedTime returns the run time of a step: the actual one if the step is done, otherwise the
+// usual one.
 func (h *holderState) expectedTime(s *step) time.Duration {
 	if s.longestRun > 0 && s.doneTasks == len(s.tasks) {
 		return s.longestRun
@@ -31,7 +31,8 @@
 	return h.usualTime(s)
 }
 
-// usualTime returns what steps of a step's queue with its estimate usually take.
+// usualTime returns the usual run time of steps of the same queue with the same estimate. If
+// learned times are disabled, it is the estimate.
 func (h *holderState) usualTime(s *step) time.Duration {
 	if !h.isEnabled(mechanism.LearnedTimes) {
 		return s.spec.Estimate.Duration()
@@ -39,8 +40,8 @@
 	return h.history.ExpectedRunTime(s.job.queue, s.spec.Estimate.Duration())
 }
 
-// recordRunTime notes that a task of a step ends well at now. Only whole runs show
-// how long a step takes.
+// recordRunTime records that a task of a step succeeds at now. Only uninterrupted runs that this
+// holder started and saw running show how long a step takes.
 func (s *step) recordRunTime(now time.Time, a *attempt) {
 	if a == nil || a.adopted || a.resumed || a.state != attemptRunning {
 		s.interrupted = true
@@ -49,8 +50,8 @@
 	s.longestRun = max(s.longestRun, now.Sub(a.stateSince))
 }
 
-// learnRunTime takes how long a step took that is done, and sets anew how much work
-// follows the steps of its instance.
+// learnRunTime updates the learned run times with a step that is done, and recomputes the critical
+// paths of its instance.
 func (h *holderState) learnRunTime(s *step) {
 	if s.interrupted || s.longestRun == 0 {
 		s.longestRun = 0
--- a/services/dispatch/speed.go
+++ b/services/dispatch/speed.go
@@ -10,7 +10,7 @@
 	"saddlevane/services/learned"
 )
 
-// slownessOf returns how slow a worker is among all.
+// slownessOf returns how slow a worker is compared with the whole fleet.
 func (h *holderState) slownessOf(now time.Time, w *worker) learned.Slowness {
 	if !h.isEnabled(mechanism.SlowWorkers) {
 		return learned.Normal
@@ -18,8 +18,8 @@
 	return w.speed.Slowness(now, h.history.FleetSpeed())
 }
 
-// learnSpeed takes how long a task took on its worker. Members of a gang end
-// together, so they tell nothing of one worker.
+// learnSpeed updates the learned speed of a worker with the run time of a task that ended there.
+// Members of a gang end together, so their run times say nothing about a single worker.
 func (h *holderState) learnSpeed(now time.Time, a *attempt) {
 	s := a.step
 	if s.spec.Gang || s.spec.Service || a.adopted || a.resumed || a.state != attemptRunning {
--- a/services/dispatch/speed_test.go
+++ b/services/dispatch/speed_test.go
@@ -13,7 +13,7 @@
 
 func TestSlowWorkerGetsFewTasksAndIsRetried(t *testing.T) {
 	w := newServingWorld(t, 21, 1, 4)
-	few := func(name string, jobs int) (slow, all int) {
+	countStarts := func(name string, jobs int) (slow, all int) {
 		before := w.workers[0].begun
 		for i := range jobs {
 			w.submit(oneStep(fmt.Sprintf("%s%d", name, i), "quick", 2, false))
@@ -22,13 +22,13 @@
 		return w.workers[0].begun - before, 2 * jobs
 	}
 	w.workers[0].slowBy = 6
-	few("warm", 60)
-	slow, all := few("slow", 60)
+	countStarts("warm", 60)
+	slow, all := countStarts("slow", 60)
 	assert.Check(t, slow < all/10, "%d of %d tasks were started on the slow worker", slow, all)
 
 	w.workers[0].slowBy = 1
 	w.run(11 * time.Second)
-	slow, all = few("usual", 100)
-	assert.Check(t, slow > all/10, "%d of %d tasks were started on the worker that is slow no more", slow, all)
+	slow, all = countStarts("usual", 100)
+	assert.Check(t, slow > all/10, "%d of %d tasks were started on the worker that is no longer slow", slow, all)
 	w.check()
 }
--- a/services/dispatch/stall.go
+++ b/services/dispatch/stall.go
@@ -13,13 +13,13 @@
 	"saddlevane/services/lateness"
 )
 
-// A worker may answer and list its runs as running although they stand still. What a
-// look tells of their progress shows it.
+// A worker can keep answering and report a run as running although the run is stalled. Stalled runs
+// are detected by the progress in the worker's reports.
 
 // fullProgress is the progress of a run that is about to end, in percent.
 const fullProgress = 100
 
-// observe takes what a look tells of a run at work.
+// observe records a worker's report of a running attempt.
 func (a *attempt) observe(now time.Time, r order.Running) {
 	a.figure, a.reportedAt = r.Measurement, now
 	if r.Progress > a.progress {
@@ -27,8 +27,8 @@
 	}
 }
 
-// isStalled says whether a run has come no further for longer than it should take.
-// Services make no progress once they have started.
+// isStalled reports whether a run has made no progress for longer than it should take. Services
+// make no progress once they have started.
 func (h *holderState) isStalled(a *attempt) bool {
 	if a.state != attemptRunning || a.step.spec.Service || a.step.spec.Filler || a.progress >= fullProgress {
 		return false
@@ -36,7 +36,7 @@
 	return a.reportedAt.Sub(ordered.Later(a.stateSince, a.progressAt)) > h.stallTimeout(a)
 }
 
-// stallTimeout returns how long a run may show no further progress.
+// stallTimeout returns how long a run may go without progress.
 func (h *holderState) stallTimeout(a *attempt) time.Duration {
 	return lateness.StallTimeout(lateness.RunProgress{
 		UsualTime: max(h.usualTime(a.step), a.step.spec.Estimate.Duration()), Progress: a.progress, ProgressTime: a.progressAt.Sub(a.stateSince),
@@ -44,9 +44,8 @@
 	})
 }
 
-// moveStalled stops the runs on a worker that stand still, so that their tasks start
-// elsewhere, and leaves the worker out. A gang is stopped if all its members stand
-// still.
+// moveStalled stops the stalled runs on a worker, so that their tasks start elsewhere, and excludes
+// the worker for a while. A gang is stopped only if all its members are stalled.
 func (h *holderState) moveStalled(now time.Time, w *worker) {
 	if !h.isEnabled(mechanism.MovedRuns) {
 		return
@@ -56,7 +55,8 @@
 			continue
 		}
 		h.core.logEvent("a run stands still and is moved", logField("job", string(a.step.job.id)), logField("task", a.runID().Task.String()),
-			logField("run", a.run), logField("worker", w.Incarnation.String()), logField("progress", a.progress), logField("ran", now.Sub(a.stateSince).String()),
+			logField("run", a.run), logField("worker", w.Incarnation.String()), logField("progress", a.progress),
+			logField("ran", now.Sub(a.stateSince).String()),
 			logField("usual", h.usualTime(a.step).String()))
 		w.excludedUntil = ordered.Later(w.excludedUntil, now.Add(excludeFor))
 		a.task().runs.RecordInterruption(delays.RunStalled)
@@ -68,7 +68,7 @@
 	}
 }
 
-// isGangStalled says whether all members of a gang stand still.
+// isGangStalled reports whether all members of a gang are stalled.
 func (h *holderState) isGangStalled(s *step) bool {
 	for i := range s.tasks {
 		if a := s.tasks[i].attempt; a == nil || !h.isStalled(a) {
--- a/services/dispatch/status.go
+++ b/services/dispatch/status.go
@@ -14,7 +14,7 @@
 	"saddlevane/modules/ordered"
 )
 
-// Status returns what this process knows of the cell.
+// Status returns what this process knows about the cell.
 func (c *Core) Status(now time.Time) job.CellStatus {
 	s := job.CellStatus{
 		Box: c.self.Box, Holder: c.Holder().Box, Claim: c.Holder().Epoch, Holds: c.IsServing(now), LogAnswers: c.IsLogReachable(),
@@ -51,7 +51,7 @@
 	s.Processors, s.ProcessorsUsed = capacity.Processors.String(), used.Processors.String()
 }
 
-// explainJob answers why a job is as it is.
+// explainJob replies with the state of a job, its slack and the reasons why its tasks wait.
 func (h *holderState) explainJob(now time.Time, e exchange.ExplanationAsked) {
 	j := h.jobs[e.Job]
 	if j == nil {
@@ -68,7 +68,7 @@
 	h.core.reply(e.Call, exchange.Answer{Outcome: exchange.OK, State: j.reportedState, Explanation: &x})
 }
 
-// explainStep says what became of the tasks of a step, and why some wait.
+// explainStep returns the task counts of a step and why tasks of it wait.
 func (h *holderState) explainStep(now time.Time, s *step) job.StepExplanation {
 	x := job.StepExplanation{Step: s.id.String(), Tasks: len(s.tasks), Done: s.doneTasks, Placed: s.placedTasks, Waiting: s.unplacedTasks}
 	switch {
@@ -81,7 +81,7 @@
 	return x
 }
 
-// waitReason says in one sentence what a step's waiting tasks wait for.
+// waitReason explains in one sentence what a step's waiting tasks wait for.
 func (h *holderState) waitReason(now time.Time, s *step) string {
 	q := h.queueOf(s.job)
 	set := h.workersFor(newPass(now), s, q.Pool)
@@ -91,28 +91,28 @@
 	case !s.job.accepted:
 		return "the log has not confirmed the job yet"
 	case !s.instance.isReady(s):
-		return fmt.Sprintf("it comes after steps %v, which are not done", s.spec.After)
+		return fmt.Sprintf("it depends on steps %v, which are not all done", s.spec.After)
 	case q.Pool == "":
 		return "the configuration no longer names a pool of workers for the queue"
 	case s.job.inherited && len(h.unreportedWorkers) > 0:
-		return fmt.Sprintf("%d workers of an earlier holder have not told yet what they run", len(h.unreportedWorkers))
+		return fmt.Sprintf("%d workers of an earlier holder have not reported their running tasks yet", len(h.unreportedWorkers))
 	case s.spec.Gang && s.placedTasks > 0:
 		return fmt.Sprintf("%d members of the gang's last run have not ended yet", s.placedTasks)
 	case h.placeable(s) == 0 || s.spec.Gang && h.slotsUnderCap(s) < len(s.tasks):
-		return fmt.Sprintf("%d tasks need %v each; tasks of workspace %q take or may take %v, and it may have %v",
+		return fmt.Sprintf("%d tasks need %v each; tasks of workspace %q use or may use %v of its cap of %v",
 			s.unplacedTasks, s.spec.Need, s.job.workspace, h.usage.Of(s.job.workspace), h.workspaceOf(s.job).Cap)
 	case len(set.workers) == 0:
-		return "no worker of the pool takes new tasks at present"
+		return "no worker of the pool accepts new tasks at present"
 	case !slices.ContainsFunc(set.workers, func(w *worker) bool { return s.spec.Reserved().Fits(w.Capacity) }):
 		return fmt.Sprintf("no worker is large enough for %v", s.spec.Need)
 	case s.advice.hasCalls():
 		return "the advice service has not answered yet"
 	case q.Advice != nil && s.advice.knownCount() == 0:
-		return "no worker has been asked about yet"
+		return "the advice service has not been asked about any worker yet"
 	case len(rankedStep{step: s, queue: q}.eligible(set)) == 0:
-		return fmt.Sprintf("none of the %d workers asked about may run it", s.advice.knownCount())
+		return fmt.Sprintf("the advice service allows none of the %d workers it was asked about", s.advice.knownCount())
 	default:
 		_, placed := h.fit(now, s, rankedStep{step: s, queue: q}.eligible(set))
-		return fmt.Sprintf("%d tasks need %v each, and there is room for %d", s.unplacedTasks, s.spec.Need, placed)
+		return fmt.Sprintf("%d tasks need %v each, and the workers have room for %d", s.unplacedTasks, s.spec.Need, placed)
 	}
 }
--- a/services/dispatch/suspects.go
+++ b/services/dispatch/suspects.go
@@ -15,20 +15,22 @@
 	"saddlevane/services/kept"
 )
 
-// Tasks under which workers have crashed are suspects: what is held against each is
-// judged by package blame and kept in the log. They are tried apart from each other.
+// Tasks under which workers have crashed are suspects. Package blame computes how likely each is to
+// be guilty, and the log keeps its blame record. Suspects are started on workers apart from each
+// other, as trials.
 
 const (
-	// trialQuietTime is for how long a worker starts nothing before a likely suspect begins
-	// there, and trialDuration for how long after it.
+	// trialQuietTime is how long before the start of a likely suspect its worker starts nothing
+	// else, and trialDuration is how long it starts nothing else afterwards.
 	trialQuietTime = time.Second
 	trialDuration  = 2 * time.Second
-	// maxTrialPreparation is how long a worker is kept for a likely suspect that has not begun.
+	// maxTrialPreparation is how long a worker is kept free for a likely suspect that does not
+	// start.
 	maxTrialPreparation = 3 * time.Second
 )
 
-// blameUnit returns the task that stands for another in what is held against it: the members
-// of a gang run together, and the first stands for all.
+// blameUnit returns the task under which the blame of a task is recorded. The members of a gang run
+// together, so the first member stands for all of them.
 func (s *step) blameUnit(index int) job.TaskID {
 	if s.spec.Gang {
 		index = 0
@@ -36,21 +38,22 @@
 	return job.TaskID{StepID: s.id, Index: index}
 }
 
-// blameOf returns what is held against a task.
+// blameOf returns the blame record of a task.
 func (h *holderState) blameOf(s *step, index int) job.Blame { return h.blame.Blame(s.blameUnit(index)) }
 
-// isSuspectedGang says whether a step is a gang that is to be kept apart from other suspects.
+// isSuspectedGang reports whether a step is a gang that must be kept apart from other suspects.
 func (h *holderState) isSuspectedGang(s *step) bool {
 	return s.spec.Gang && h.blame.SuspectCount(s.id) > 0
 }
 
-// isWaitingSuspect says whether a task waits for a place that is to be tried apart.
+// isWaitingSuspect reports whether a waiting task is a suspect that must be tried apart. Gangs are
+// handled as a whole by isSuspectedGang.
 func (h *holderState) isWaitingSuspect(s *step, index int) bool {
 	t := &s.tasks[index]
 	return !s.spec.Gang && !t.done && t.attempt == nil && h.blame.SuspectCount(s.id) > 0 && blame.IsSuspect(h.blameOf(s, index))
 }
 
-// unsuspectedWaiting counts the waiting tasks that need not be tried apart.
+// unsuspectedWaiting counts the waiting tasks of a step that are not suspects.
 func (h *holderState) unsuspectedWaiting(s *step) int {
 	n := s.unplacedTasks
 	if h.blame.SuspectCount(s.id) == 0 {
@@ -64,81 +67,91 @@
 	return n
 }
 
-// tasksAtCrash returns the tasks on a worker that stopped answering at a time.
+// tasksAtCrash returns the tasks that may have run on a worker when it stopped answering.
 func (h *holderState) tasksAtCrash(w *worker, at time.Time) []blame.RunningTask {
 	var all []blame.RunningTask
 	for _, a := range w.sortedAttempts() {
 		if a.step.job.state.IsFinal() {
 			continue
 		}
-		on := blame.RunningTask{
+		t := blame.RunningTask{
 			Task: a.step.blameUnit(a.index), Run: a.run, Gang: a.step.spec.Gang, Alone: a.ranAlone(at), Workers: a.step.workerCount(),
 		}
 		worked, known := a.workTime(at)
-		if on.Worked, on.Late = worked, w.detectionDelay(); !known {
-			on.Worked, on.Time, on.Late = h.minRunTime(a, at), job.AtLeast, 0
+		if t.Worked, t.Late = worked, w.detectionDelay(); !known {
+			t.Worked, t.Time, t.Late = h.minRunTime(a, at), job.AtLeast, 0
 		}
-		all = append(all, on)
+		all = append(all, t)
 	}
 	return append(all, h.startedOn(w, at)...)
 }
 
-// runsUnit says whether a worker runs the task, or a member of the gang for which it stands.
+// runsUnit reports whether a worker runs the task with the given blame unit, or a member of the
+// gang that it stands for.
 func (w *worker) runsUnit(unit job.TaskID) bool {
 	return slices.ContainsFunc(w.sortedAttempts(), func(a *attempt) bool { return a.step.blameUnit(a.index) == unit })
 }
 
-// workerCount counts the workers on which a task of the step is at work, or the whole gang.
+// workerCount returns the number of workers that one blame unit of the step uses: 1, or those of
+// all members of a gang.
 func (s *step) workerCount() int {
 	if !s.spec.Gang {
 		return 1
 	}
-	on := map[*worker]bool{}
+	workers := map[*worker]bool{}
 	for i := range s.tasks {
 		if a := s.tasks[i].attempt; a != nil {
-			on[a.worker] = true
+			workers[a.worker] = true
 		}
 	}
-	return len(on)
+	return len(workers)
 }
 
-// ranAlone says whether no task but those of its unit had begun on its worker shortly
-// before an attempt, or since, when the worker fell silent at a time.
+// ranAlone reports whether no task of another blame unit was started on the attempt's worker from
+// trialQuietTime before the attempt until the worker stopped answering at the given time. It
+// returns false if the attempt's own run time is not known.
 func (a *attempt) ranAlone(at time.Time) bool {
 	worked, known := a.workTime(at)
 	for _, o := range a.worker.attempts {
 		if o.step.blameUnit(o.index) == a.step.blameUnit(a.index) {
 			continue
 		}
-		if others, known := o.workTime(at); known && others < worked+trialQuietTime {
+		if otherWorked, known := o.workTime(at); known && otherWorked < worked+trialQuietTime {
 			return false
 		}
 	}
 	return known
 }
 
-// minRunTime returns for how long an attempt that an earlier holder began has been at
-// work at a time, or longer: as long as this holder knows it and a lease lasts, or so it is
-// taken. Little is held against it.
+// minRunTime returns a lower bound for how long an attempt that an earlier holder started had run
+// at the given time: the time for which this holder has known it, plus one lease. The bound is an
+// assumption, so a crash adds little to the task's blame.
 func (h *holderState) minRunTime(a *attempt, at time.Time) time.Duration {
 	return max(0, at.Sub(a.stateSince)) + h.core.settings.Lease
 }
 
-// recordCrash tells what the crash of a worker says of the tasks that were on it.
-func (h *holderState) recordCrash(now time.Time, w *worker, on []blame.RunningTask) {
+// recordCrash updates the blame records of the tasks that ran on a worker when it crashed, and the
+// learned crash rate.
+func (h *holderState) recordCrash(now time.Time, w *worker, tasks []blame.RunningTask) {
 	at := w.presence.SilentSince()
-	c := blame.Crash{Life: w.Incarnation, Rack: w.Rack, At: at, UnixMilli: h.core.unixMilli(at), TasksKnown: w.reported || w.unresponsive.written, Tasks: on}
+	c := blame.Crash{
+		Life: w.Incarnation, Rack: w.Rack, At: at, UnixMilli: h.core.unixMilli(at),
+		TasksKnown: w.reported || w.unresponsive.written, Tasks: tasks,
+	}
 	for _, f := range h.blame.RecordCrash(now, c) {
-		h.core.logEvent("a worker crashed under a task", logField("job", string(f.Task.Job)), logField("task", f.Task.String()), logField("worker", w.Incarnation.String()),
-			logField("crashes", f.Blame.Crashes), logField("guilty", fmt.Sprintf("%.3g", blame.Probability(f.Blame))), logField("worked_most", f.Worked.String()),
-			logField("time", string(f.Time)), logField("late", f.Late.String()), logField("alone", f.Alone), logField("odds", fmt.Sprintf("%.3g", f.Blame.Odds)),
+		h.core.logEvent("a worker crashed under a task", logField("job", string(f.Task.Job)), logField("task", f.Task.String()),
+			logField("worker", w.Incarnation.String()),
+			logField("crashes", f.Blame.Crashes), logField("guilty", fmt.Sprintf("%.3g", blame.Probability(f.Blame))),
+			logField("worked_most", f.Worked.String()),
+			logField("time", string(f.Time)), logField("late", f.Late.String()), logField("alone", f.Alone),
+			logField("odds", fmt.Sprintf("%.3g", f.Blame.Odds)),
 			logField("crashes_otherwise_every", fmt.Sprintf("%.3gs", 1/f.BackgroundHazard)))
 		h.markDirty(h.jobs[f.Task.Job])
 	}
 	h.journal.addRecord(kept.CrashRateRecord(h.blame.LearnedRate()))
 }
 
-// giveUpGuiltyJobs gives up the jobs of tasks that are found guilty.
+// giveUpGuiltyJobs fails the jobs whose tasks have been found guilty of crashing workers.
 func (h *holderState) giveUpGuiltyJobs(now time.Time) {
 	for _, t := range h.blame.GiveUpsDue(now) {
 		j, b := h.jobs[t.Job], h.blame.Blame(t)
@@ -150,8 +163,8 @@
 	}
 }
 
-// clearBlame drops what is held against a task: a run of it has ended well, or has been at
-// work for long. The crashes that were put down to it have had other causes.
+// clearBlame drops the blame record of a task after one of its runs has succeeded or has been
+// running for long. The crashes attributed to it had other causes.
 func (h *holderState) clearBlame(s *step, index int) {
 	if !h.blame.Clear(s.blameUnit(index)) {
 		return
@@ -166,7 +179,8 @@
 	}
 }
 
-// confirmRunning takes that an attempt is at work on a worker that lives.
+// confirmRunning updates the blame of an attempt that is running on a live worker: it clears the
+// task if the run has lasted long enough, and ends the isolation of the worker after trialDuration.
 func (h *holderState) confirmRunning(now time.Time, a *attempt) {
 	worked := now.Sub(a.stateSince)
 	if b := h.blameOf(a.step, a.index); b.Crashes > 0 && blame.IsClearedBy(b, min(worked, a.provenRunTime())) {
@@ -177,8 +191,8 @@
 	}
 }
 
-// recordTrial has the log tell that a suspect is tried on a worker from now on. It returns false
-// if nothing is held against the task.
+// recordTrial records in the log that a suspect is tried on a worker from now on. It returns false
+// if the task has no blame record.
 func (h *holderState) recordTrial(now time.Time, s *step, index int, w *worker) bool {
 	if !h.blame.RecordStart(s.blameUnit(index), w.Incarnation, h.core.unixMilli(now)) {
 		return false
@@ -187,25 +201,26 @@
 	return true
 }
 
-// provenRunTime returns for how long all members of an attempt's gang have surely been at work: those
-// that are left wait for a member that has crashed its worker, and are named as running.
+// provenRunTime returns how long all members of an attempt's gang are known to have been running.
+// When a member has crashed its worker, the remaining members only wait for it but are still
+// reported as running, so their own run time proves nothing.
 func (a *attempt) provenRunTime() time.Duration {
-	least := a.worker.aliveAt.Sub(a.stateSince)
+	shortest := a.worker.aliveAt.Sub(a.stateSince)
 	if !a.step.spec.Gang {
-		return least
+		return shortest
 	}
 	for i := range a.step.tasks {
 		m := a.step.tasks[i].attempt
 		if m == nil || m.state != attemptRunning {
 			return 0
 		}
-		least = min(least, m.worker.aliveAt.Sub(m.stateSince))
+		shortest = min(shortest, m.worker.aliveAt.Sub(m.stateSince))
 	}
-	return least
+	return shortest
 }
 
-// trackSuspect notes on its worker, and for the next holder, that an attempt is of a
-// suspect.
+// trackSuspect updates the counters of the worker if an attempt is of a suspect, and records the
+// trial for the next holder.
 func (h *holderState) trackSuspect(now time.Time, a *attempt) {
 	if !h.recordTrial(now, a.step, a.index, a.worker) {
 		return
@@ -226,7 +241,7 @@
 	a.worker.prepared = nil
 }
 
-// untrackSuspect takes back what trackSuspect noted.
+// untrackSuspect reverts the changes that trackSuspect made to the worker's counters.
 func (a *attempt) untrackSuspect() {
 	if a.crashRisk == 0 {
 		return
@@ -236,7 +251,7 @@
 	a.endIsolation()
 }
 
-// endIsolation lets the worker of a likely suspect take other tasks.
+// endIsolation lets the worker of a likely suspect take other tasks again.
 func (a *attempt) endIsolation() {
 	if a.isolated {
 		a.isolated = false
@@ -244,8 +259,9 @@
 	}
 }
 
-// startSuspects starts the waiting suspects of a step that may be tried now, each on a worker
-// without another. It is told which workers suit the step.
+// startSuspects starts the waiting suspects of a step that may be tried now, each on an eligible
+// worker without another suspect. Likely suspects get a worker that starts nothing else at the same
+// time.
 func (h *holderState) startSuspects(p *pass, r rankedStep, set *workerSet) {
 	s := r.step
 	for i := range s.tasks {
@@ -272,36 +288,41 @@
 			return
 		}
 		if alone && (h.journal.hasPendingProgress(s.job) || !w.isQuiet(p.now)) {
-			// What is told with the start is lost with a holder that is lost just after it, and
-			// the crash with it.
+			// The blame record and the trial must be in the log before the start. If they were
+			// appended together with the start and the holder was lost right after it, the crash
+			// would be lost too.
 			continue
 		}
 		h.startTask(p.now, s, i, h.nextRunNumber(s), w, ticket)
-		h.core.logEvent("a suspected task is tried", logField("job", string(s.job.id)), logField("task", s.blameUnit(i).String()), logField("run", s.lastRun),
-			logField("worker", w.Incarnation.String()), logField("beside", len(w.attempts)-1), logField("crashes", h.blameOf(s, i).Crashes), logField("claim", h.epoch))
+		h.core.logEvent("a suspected task is tried", logField("job", string(s.job.id)), logField("task", s.blameUnit(i).String()),
+			logField("run", s.lastRun),
+			logField("worker", w.Incarnation.String()), logField("beside", len(w.attempts)-1), logField("crashes", h.blameOf(s, i).Crashes),
+			logField("claim", h.epoch))
 	}
 }
 
-// canPrepareTrial says whether a worker is kept for a suspect, or may be: few are at a time.
+// canPrepareTrial reports whether a worker is kept free for a suspect or may be. Only few workers
+// are at a time.
 func (h *holderState) canPrepareTrial(s *step, index int) bool {
-	kept := 0
+	dedicated := 0
 	for _, w := range h.workersByName() {
 		if w.prepared != nil || w.isolatedAttempts > 0 {
-			kept++
+			dedicated++
 		}
 	}
-	return blame.MayDedicateWorker(kept, len(h.workers), h.hasAmpleRoom && !h.hasUnplacedTasks) || h.preparedWorker(s, index) != nil
+	return blame.MayDedicateWorker(dedicated, len(h.workers), h.hasAmpleRoom && !h.hasUnplacedTasks) || h.preparedWorker(s, index) != nil
 }
 
-// trialWorker returns a worker for a suspect, or nil: one without another suspect. For one
-// that is to be alone it is the emptiest, which from then on gets nothing else.
+// trialWorker returns a worker without another suspect for the trial of a task, or nil. If the
+// suspect is to run alone, the worker with the fewest attempts is chosen and gets no other tasks
+// from then on.
 func (h *holderState) trialWorker(p *pass, r rankedStep, set *workerSet, index int, alone bool) *worker {
 	s := r.step
 	if w := h.preparedWorker(s, index); alone && w != nil {
 		if w.slots(s, w.available()) > 0 {
 			return w
 		}
-		// Its room has shrunk, or is taken by what started late.
+		// The worker's capacity has shrunk, or is used by a task that started late.
 		w.prepared = nil
 	}
 	var best *candidate
@@ -320,19 +341,19 @@
 	return best.Worker
 }
 
-// trialPreparation is a worker's being kept for a likely suspect.
+// trialPreparation records that a worker is kept free for a likely suspect.
 type trialPreparation struct {
 	step  *step
 	index int
 	since time.Time
 }
 
-// matches says whether a worker is kept for an attempt.
+// matches reports whether the worker is kept free for the task of an attempt.
 func (pr *trialPreparation) matches(a *attempt) bool {
 	return pr != nil && pr.step == a.step && pr.index == a.index
 }
 
-// preparedWorker returns the worker that is kept for a suspect, or nil.
+// preparedWorker returns the worker that is kept free for a suspect, or nil.
 func (h *holderState) preparedWorker(s *step, index int) *worker {
 	for _, w := range h.workersByName() {
 		if w.prepared != nil && w.prepared.step == s && w.prepared.index == index {
@@ -342,21 +363,23 @@
 	return nil
 }
 
-// expireTrialPreparation lets a worker take other tasks again whose suspect does not come.
+// expireTrialPreparation lets a worker take other tasks again if its suspect has not started in
+// time, no longer waits, or can no longer start there.
 func (h *holderState) expireTrialPreparation(now time.Time, w *worker) {
-	if pr := w.prepared; pr != nil && (now.Sub(pr.since) > maxTrialPreparation || !pr.step.open || !h.isWaitingSuspect(pr.step, pr.index) || !h.isHealthy(now, w)) {
+	if pr := w.prepared; pr != nil && (now.Sub(pr.since) > maxTrialPreparation || !pr.step.open ||
+		!h.isWaitingSuspect(pr.step, pr.index) || !h.isHealthy(now, w)) {
 		w.prepared = nil
 		h.planDue = true
 	}
 }
 
-// isQuiet says whether nothing was started on a worker lately.
+// isQuiet reports whether nothing was started on a worker within trialQuietTime.
 func (w *worker) isQuiet(now time.Time) bool {
 	return !slices.ContainsFunc(w.sortedAttempts(), func(a *attempt) bool { return now.Sub(a.firstOrderedAt) < trialQuietTime })
 }
 
-// canTry says whether a suspect may be tried now: what is held against it is in the log
-// if it is likely to be guilty, and not too many workers are at risk.
+// canTry reports whether a suspect may be started now: its retry delay is over, the blame record of
+// a likely suspect is in the log, and not too many workers are at risk.
 func (h *holderState) canTry(now time.Time, s *step, index int) bool {
 	b := h.blameOf(s, index)
 	if h.blame.MustWait(now, s.blameUnit(index)) || blame.IsLikely(b) && h.journal.hasPendingProgress(s.job) {
@@ -367,8 +390,8 @@
 	return blame.MayTry(risk, all, ofJob, len(h.workers))
 }
 
-// expectedCrashes returns how many workers are expected to crash under the suspects on them, all
-// and those of a job.
+// expectedCrashes returns how many workers are expected to crash because of the suspects running on
+// them, over all jobs and for the given job.
 func (h *holderState) expectedCrashes(j *trackedJob) (all, ofJob float64) {
 	for _, w := range h.workersByName() {
 		if w.suspectAttempts == 0 {
@@ -384,7 +407,7 @@
 	return all, ofJob
 }
 
-// crashRisk returns how likely it is that one of the suspects on the worker crashes it.
+// crashRisk returns the probability that one of the suspects on a worker crashes it.
 func (w *worker) crashRisk() float64 {
 	risk := 0.0
 	for _, a := range w.attempts {
@@ -393,7 +416,8 @@
 	return min(1, risk)
 }
 
-// isBetterForTrial says whether a candidate is better than another for trying a suspect.
+// isBetterForTrial reports whether a candidate is a better worker for the trial of a suspect than
+// another.
 func (c candidate) isBetterForTrial(o candidate, alone bool) bool {
 	beside := 0
 	if alone {
@@ -402,12 +426,13 @@
 	return cmp.Or(cmp.Compare(c.unticketed, o.unticketed), beside, c.compare(o)) < 0
 }
 
-// hasPendingProgress says whether the log does not have the last progress of a job yet.
+// hasPendingProgress reports whether the log does not have the latest progress of a job yet.
 func (j *journal) hasPendingProgress(s *trackedJob) bool {
 	return s.progressPending || j.batch != nil && slices.ContainsFunc(j.batch.progressEntries, func(b progressEntry) bool { return b.job == s })
 }
 
-// suspectReason says why the suspects of a step wait, or "".
+// suspectReason explains why a suspect of the step waits, or returns "" if the step has no
+// suspects.
 func (h *holderState) suspectReason(s *step) string {
 	for i := range s.tasks {
 		if b := h.blameOf(s, i); blame.IsSuspect(b) {
--- a/services/dispatch/throttle.go
+++ b/services/dispatch/throttle.go
@@ -11,64 +11,65 @@
 	"saddlevane/services/pace"
 )
 
-// Fillers live on processors that others leave idle, and disturb the tasks that
-// serve beside them by amounts that nobody knows beforehand. Where a serving task's
-// tail comes near its target, the fillers of its worker are throttled; where all
-// tails are well below, they may work faster again.
+// Filler tasks run on processors that other tasks leave idle, and slow down the serving tasks on
+// the same worker by an amount that is not known beforehand. When the tail latency of a serving
+// task comes near its target, the fillers on its worker are throttled; when all tail latencies are
+// well below their targets, the fillers are sped up again.
 
 const (
-	// fullPace is the percentage of its speed at which a run begins.
+	// fullPace is the pace at which a run starts, in percent of full speed.
 	fullPace = pace.Full
 	// unknownPace is the pace of a run that an earlier holder started.
 	unknownPace = -1
-	// throttleSettleTime is the time after which a change shows in the figures: half a
-	// second that they cover, and 100 ms until it takes effect (the users' protocol).
+	// throttleSettleTime is the time after which a change of pace shows in the reported tail
+	// latencies: they cover the last half second, and a change takes 100 ms to take effect (the
+	// users' protocol).
 	throttleSettleTime = 650 * time.Millisecond
-	// maxServingWait is how long a look waits at a worker on which tasks serve beside
-	// fillers, so that a tail over its target is seen in time.
+	// maxServingWait limits how long a renewal waits at a worker that runs serving tasks and
+	// fillers, so that a tail latency above its target is seen in time.
 	maxServingWait = 400 * time.Millisecond
 )
 
-// tailBesideFillers says whether tasks serve beside fillers on a worker, and which share
-// of its target the worst tail has reached.
-func (w *worker) tailBesideFillers() (worst float64, shared bool) {
+// tailBesideFillers reports whether a worker runs both serving tasks and fillers, and the highest
+// tail latency of the serving tasks as a fraction of its target.
+func (w *worker) tailBesideFillers() (worstTail float64, shared bool) {
 	fillers := false
 	for _, a := range w.attempts {
 		spec := a.step.spec
 		fillers = fillers || spec.Filler
 		if spec.TailTarget > 0 {
 			shared = true
-			worst = max(worst, float64(a.figure)/float64(spec.TailTarget))
+			worstTail = max(worstTail, float64(a.figure)/float64(spec.TailTarget))
 		}
 	}
-	return worst, shared && fillers
+	return worstTail, shared && fillers
 }
 
-// throttleFillers sets the pace of a worker's fillers by the tails of what serves beside
-// them.
+// throttleFillers adjusts the pace of a worker's fillers to the tail latencies of the serving tasks
+// on it.
 func (h *holderState) throttleFillers(now time.Time, w *worker) {
-	worst, shared := w.tailBesideFillers()
+	worstTail, shared := w.tailBesideFillers()
 	if !shared {
 		w.fillPace = fullPace
 	} else if now.Sub(w.throttledAt) >= throttleSettleTime {
-		h.updatePace(now, w, worst)
+		h.updatePace(now, w, worstTail)
 	}
 	h.sendPace(now, w)
 }
 
-// updatePace sets the pace of a worker's fillers by the worst tail beside them, as a
-// share of its target.
-func (h *holderState) updatePace(now time.Time, w *worker, worst float64) {
-	next := pace.Next(w.fillPace, worst)
+// updatePace computes the new pace of a worker's fillers from the highest tail latency, given as a
+// fraction of its target.
+func (h *holderState) updatePace(now time.Time, w *worker, worstTail float64) {
+	next := pace.Next(w.fillPace, worstTail)
 	if next == w.fillPace {
 		return
 	}
 	h.core.logEvent("fillers change their pace", logField("worker", w.Incarnation.String()), logField("percent", next), logField("before", w.fillPace),
-		logField("tail_of_target", worst), logField("claim", h.epoch))
+		logField("tail_of_target", worstTail), logField("claim", h.epoch))
 	w.fillPace, w.throttledAt = next, now
 }
 
-// sendPace orders the pace of a worker's fillers where they work at another.
+// sendPace orders the worker's pace for each of its fillers that runs at another pace.
 func (h *holderState) sendPace(now time.Time, w *worker) {
 	for _, a := range w.sortedAttempts() {
 		if a.step.spec.Filler && a.state == attemptRunning && a.pace != w.fillPace && !a.paceOrdered {
@@ -80,8 +81,8 @@
 	}
 }
 
-// handleThrottleEnded takes the end of an order of a pace. One that may not have been
-// carried out is given again at the next look.
+// handleThrottleEnded handles the answer to a pace order. An order that may not have been carried
+// out is repeated after the next renewal.
 func (h *holderState) handleThrottleEnded(e exchange.ThrottleEnded) {
 	w := h.currentWorker(e.Worker)
 	if w == nil || e.Epoch != h.epoch {
--- a/services/dispatch/throttle_test.go
+++ b/services/dispatch/throttle_test.go
@@ -14,7 +14,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// sharedWorker is a worker on which a task serves and another fills.
+// sharedWorker is a worker that runs a serving task and a filler.
 type sharedWorker struct {
 	*harness
 	renewal         exchange.Renew
@@ -22,7 +22,7 @@
 	dropOrders      bool
 }
 
-// newSharedWorker starts both tasks.
+// newSharedWorker returns a worker on which both tasks have started.
 func newSharedWorker(t *testing.T) *sharedWorker {
 	t.Helper()
 	d, looks := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
@@ -41,8 +41,8 @@
 	return w
 }
 
-// reportTail has the worker answer a look with a tail of the serving task, and returns
-// the paces that are then ordered.
+// reportTail has the worker report a tail latency of the serving task and returns the paces that
+// the holder then orders.
 func (w *sharedWorker) reportTail(tail int64) []int {
 	w.t.Helper()
 	w.now = w.now.Add(700 * time.Millisecond)
@@ -67,23 +67,23 @@
 
 func TestFillersAreThrottledByServingTail(t *testing.T) {
 	w := newSharedWorker(t)
-	assert.Equal(t, len(w.reportTail(50)), 0, "the tail is well below its target")
+	assert.Equal(t, len(w.reportTail(50)), 0, "the tail latency is well below its target")
 	assert.DeepEqual(t, w.reportTail(90), []int{60})
 	assert.DeepEqual(t, w.reportTail(130), []int{12})
 	assert.DeepEqual(t, w.reportTail(130), []int{0})
-	assert.Equal(t, len(w.reportTail(70)), 0, "near its target nothing changes")
+	assert.Equal(t, len(w.reportTail(70)), 0, "near its target the pace is kept")
 	assert.DeepEqual(t, w.reportTail(40), []int{10})
 	assert.DeepEqual(t, w.reportTail(40), []int{20})
-	// An order without an answer is given again.
+	// An order without an answer is repeated.
 	w.dropOrders = true
 	assert.DeepEqual(t, w.reportTail(40), []int{30})
 	w.dropOrders = false
 	assert.DeepEqual(t, w.reportTail(70), []int{30})
-	assert.Equal(t, len(w.reportTail(70)), 0, "an order that was carried out is not")
+	assert.Equal(t, len(w.reportTail(70)), 0, "an order that was carried out is not repeated")
 }
 
 func TestWorkersWithServingTasksBesideFillersArePolledOften(t *testing.T) {
 	w := newSharedWorker(t)
 	w.reportTail(50)
-	assert.Check(t, w.renewal.Order.MaxWait <= 400, "a look waits %d ms", w.renewal.Order.MaxWait)
+	assert.Check(t, w.renewal.Order.MaxWait <= 400, "a renewal waits %d ms", w.renewal.Order.MaxWait)
 }
