--- a/services/blame/background.go
+++ b/services/blame/background.go
@@ -14,56 +14,57 @@
 )
 
 const (
-	// priorRate is how often a worker is believed to crash that no task crashes, a
-	// second, before anything was seen, and priorSeconds how many seconds of one worker
-	// that belief counts for: with 600 s the 24 workers of a cell that each crashed every
-	// 29 s were still taken to crash every 60 s after half a minute.
+	// priorRate is the crash rate of a worker, per second, assumed before anything was observed,
+	// and priorSeconds the number of worker-seconds for which that assumption counts. With 600 s,
+	// 24 workers that each crashed every 29 s were still estimated to crash every 60 s after half a
+	// minute.
 	priorRate    = 1.0 / 3600
 	priorSeconds = 100.0
-	// rackPriorSeconds is how many seconds of one worker the rate of all counts for in that of
-	// a rack.
+	// rackPriorSeconds is the number of worker-seconds for which the overall rate counts in the
+	// rate of a rack.
 	rackPriorSeconds = 600.0
-	// decayTime is the time after which what was seen counts for a third, recentDecayTime
-	// the same where only the last crashes count: a cell that was calm for long and in which
-	// workers begin to crash is seen within some seconds.
+	// decayTime is the time in which the weight of an observation falls to 1/e. recentDecayTime is
+	// the same for the recent rate, with which a rise of the rate after a long calm is detected
+	// within seconds.
 	decayTime       = 10 * time.Minute
 	recentDecayTime = 20 * time.Second
-	// commonCauseWindow is how far apart two workers may stop to answer that have one cause, atOnce
-	// how far where both are seen at once: a look that waits at a worker breaks off at once,
-	// others run out of their time. As many are taken to be seen at once as are not.
+	// commonCauseWindow is the longest time between the silences of two workers that have a common
+	// cause. simultaneousWindow is the same if both crashes are detected at once: a pending lease
+	// renewal fails at once, while others run into their timeout. simultaneousShare is the share of
+	// common-cause crashes that is assumed to be detected at once.
 	commonCauseWindow  = 1500 * time.Millisecond
 	simultaneousWindow = 150 * time.Millisecond
 	simultaneousShare  = 0.5
 )
 
-// Background is how often workers crash that no task crashes: over all, by rack, and
-// together with others. The zero value knows nothing yet.
+// Background estimates how often workers crash for reasons other than their tasks: overall, by
+// rack, and together with other workers. The zero value has observed nothing.
 type Background struct {
 	all, recent exposure
 	racks       map[string]*exposure
-	// workers counts the workers by rack, total them all, at observedAt.
+	// workers holds the number of workers by rack at observedAt, and total their sum.
 	workers    map[string]int
 	total      int
 	observedAt time.Time
-	// silent has the workers that stopped answering lately, the first first.
+	// silentWorkers holds the workers that stopped answering recently, the earliest first.
 	silentWorkers []silentWorker
 }
 
-// exposure is how many crashes there were in how many seconds of one worker.
+// exposure is a number of crashes within a number of worker-seconds. Both decay over time.
 type exposure struct {
 	Crashes float64 `json:"crashes"`
 	Seconds float64 `json:"seconds"`
 }
 
-// LearnedRate is how often workers crash by themselves, as the log keeps it for the next holder:
-// without it three crashes within 10 s of two takeovers, of workers that crashed every 60 s,
-// gave up a job that crashes nothing.
+// LearnedRate holds the overall crash rate as it is logged for the next holder. Without it, three
+// crashes within 10 s of two takeovers, of workers that crashed every 60 s, gave up a job that
+// crashes nothing.
 type LearnedRate struct {
 	All    exposure `json:"all"`
 	Recent exposure `json:"lately"`
 }
 
-// UnmarshalJSON reads what was kept, and refuses what makes no sense.
+// UnmarshalJSON reads a stored exposure and rejects negative values.
 func (e *exposure) UnmarshalJSON(data []byte) error {
 	type plain exposure
 	var p plain
@@ -71,23 +72,24 @@
 		return err
 	}
 	if p.Crashes < 0 || p.Seconds < 0 {
-		return fmt.Errorf("blame: %v crashes in %v s make no sense", p.Crashes, p.Seconds)
+		return fmt.Errorf("blame: invalid exposure: %v crashes in %v worker-seconds", p.Crashes, p.Seconds)
 	}
 	*e = exposure(p)
 	return nil
 }
 
-// LearnedRate returns how often workers crash by themselves.
+// LearnedRate returns the overall crash rate to be logged.
 func (b *Background) LearnedRate() LearnedRate { return LearnedRate{All: b.all, Recent: b.recent} }
 
-// RestoreRate takes over what an earlier holder had learned, from the log.
-func (b *Background) RestoreRate(kept []byte) error {
-	if len(kept) == 0 {
+// RestoreRate sets the overall crash rate to what an earlier holder has logged. It does nothing if
+// logged is empty.
+func (b *Background) RestoreRate(logged []byte) error {
+	if len(logged) == 0 {
 		return nil
 	}
 	var l LearnedRate
-	if err := json.Unmarshal(kept, &l); err != nil {
-		return fmt.Errorf("kept rate of crashes: %w", err)
+	if err := json.Unmarshal(logged, &l); err != nil {
+		return fmt.Errorf("logged crash rate: %w", err)
 	}
 	b.all, b.recent = l.All, l.Recent
 	return nil
@@ -98,12 +100,12 @@
 	at   time.Time
 	life order.Incarnation
 	rack string
-	// weight is the probability that none of its tasks made it crash.
+	// weight is the probability that none of its tasks caused the silence.
 	weight float64
 }
 
-// ObserveWorkers tells how many workers of each rack there are at now. It is called every second
-// or so.
+// ObserveWorkers records the number of workers of each rack at now. It is called about once a
+// second.
 func (b *Background) ObserveWorkers(now time.Time, workers map[string]int) {
 	if b.racks == nil {
 		b.racks = map[string]*exposure{}
@@ -120,7 +122,7 @@
 	}
 }
 
-// advance lets time pass for the workers seen last.
+// advance adds the time passed since the last observation to the exposures and decays them.
 func (b *Background) advance(passed time.Duration) {
 	keep := math.Exp(-passed.Seconds() / decayTime.Seconds())
 	b.all.advance(keep, passed, b.total)
@@ -150,70 +152,75 @@
 	return b.racks[name]
 }
 
-// AddCrash takes a crash of a worker of some rack that no task caused with some probability.
+// AddCrash adds a crash of a worker in a rack. unexplained is the probability that no task caused
+// it.
 func (b *Background) AddCrash(rack string, unexplained float64) {
 	for _, e := range []*exposure{&b.all, &b.recent, b.rackExposure(rack)} {
 		e.Crashes += unexplained
 	}
 }
 
-// RemoveCrashes takes back that some crashes were by no fault of a task. Some of them may be
-// forgotten. Those of its rack are left: they hardly weigh there.
+// RemoveCrashes removes crashes that a task turned out to have caused. Part of them may have
+// decayed already. They stay in the rate of their rack, where they hardly matter.
 func (b *Background) RemoveCrashes(crashes float64) {
 	for _, e := range []*exposure{&b.all, &b.recent} {
 		e.Crashes = max(0, e.Crashes-crashes)
 	}
 }
 
-// RecordSilence takes that a life of a worker has stopped answering, to which its suspects have brought
-// it with some probability.
+// RecordSilence records that a worker has stopped answering. risk is the probability that its
+// suspects caused that.
 func (b *Background) RecordSilence(now time.Time, life order.Incarnation, rack string, risk float64) {
 	b.silentWorkers = append(b.silentWorkers, silentWorker{at: now, life: life, rack: rack, weight: 1 - risk})
 }
 
-// RecordAnswer takes that a worker has answered again: it had not crashed.
+// RecordAnswer records that a worker has answered again, so it had not crashed.
 func (b *Background) RecordAnswer(life order.Incarnation) {
 	b.silentWorkers = slices.DeleteFunc(b.silentWorkers, func(s silentWorker) bool { return s.life == life })
 }
 
-// rate returns how often a worker crashes by no fault of its tasks, a second, over all: as
-// often as lately, if that is more.
+// rate returns the overall rate at which a worker crashes for reasons other than its tasks, per
+// second: the recent rate if that is higher.
 func (b *Background) rate() float64 { return max(b.all.rate(), b.recent.rate()) }
 
-// rate returns how often a worker crashes, a second.
+// rate returns the rate at which a worker crashes, per second.
 func (e exposure) rate() float64 {
 	return (e.Crashes + priorRate*priorSeconds) / (e.Seconds + priorSeconds)
 }
 
-// Hazard returns how likely a worker was to crash at a time by no fault of its tasks, a
-// second: as often as workers of its rack crash, and more if others stopped answering at
-// the same time.
+// Hazard returns the hazard, per second, of a crash of a worker at a time for reasons other than
+// its tasks. It follows from the rate of its rack and rises if other workers stopped answering at
+// about the same time.
 func (b *Background) Hazard(at time.Time, life order.Incarnation, rack string) float64 {
-	alone, atOnce, about := b.hazards(at, life, rack)
-	return alone + atOnce + about
+	alone, simultaneous, nearby := b.hazards(at, life, rack)
+	return alone + simultaneous + nearby
 }
 
-// IndependentProbability returns the probability that a crash which no task caused has no cause in common
-// with others that were seen at once. Only such a one tells how often workers crash: a rack
-// that loses power is one event, and not as many as it has workers.
+// IndependentProbability returns the probability that a crash which no task caused has no common
+// cause with other crashes that were detected at once. Only independent crashes count towards the
+// rate: a rack that loses power is one event, however many workers it has.
 func (b *Background) IndependentProbability(at time.Time, life order.Incarnation, rack string) float64 {
-	alone, atOnce, _ := b.hazards(at, life, rack)
-	return alone / (alone + atOnce)
+	alone, simultaneous, _ := b.hazards(at, life, rack)
+	return alone / (alone + simultaneous)
 }
 
-// hazards returns the hazards, a second, of a crash of a worker by itself, and of one whose
-// cause is that of others which were seen at once, or about then.
-func (b *Background) hazards(at time.Time, life order.Incarnation, rack string) (alone, once, about float64) {
+// hazards returns the hazards, per second, of a crash of a worker: by itself (alone), by a common
+// cause with crashes that are detected at once (simultaneous), and by a common cause with crashes
+// that are detected at about the same time (nearby).
+func (b *Background) hazards(at time.Time, life order.Incarnation, rack string) (alone, simultaneous, nearby float64) {
 	all := b.rate()
 	r := b.rackExposure(rack)
 	alone = (r.Crashes + all*rackPriorSeconds) / (r.Seconds + rackPriorSeconds)
 	ofAll, ofRack := peerGroup{life: life, workers: b.total, rate: all}, peerGroup{life: life, rack: rack, workers: b.workers[rack], rate: alone}
-	once = simultaneousShare * max(b.commonCauseHazard(at, simultaneousWindow, ofAll), b.commonCauseHazard(at, simultaneousWindow, ofRack))
-	about = (1 - simultaneousShare) * max(b.commonCauseHazard(at, commonCauseWindow, ofAll), b.commonCauseHazard(at, commonCauseWindow, ofRack))
-	return alone, once, about
+	simultaneous = simultaneousShare * max(b.commonCauseHazard(at, simultaneousWindow, ofAll),
+		b.commonCauseHazard(at, simultaneousWindow, ofRack))
+	nearby = (1 - simultaneousShare) * max(b.commonCauseHazard(at, commonCauseWindow, ofAll),
+		b.commonCauseHazard(at, commonCauseWindow, ofRack))
+	return alone, simultaneous, nearby
 }
 
-// peerGroup are the workers of a rack, or all, beside one, and how often each crashes, a second.
+// peerGroup describes the workers of a rack, or all workers if rack is empty, to which a worker
+// belongs. rate is how often each crashes, per second.
 type peerGroup struct {
 	life    order.Incarnation
 	rack    string
@@ -221,9 +228,9 @@
 	rate    float64
 }
 
-// commonCauseHazard returns how much likelier a worker was to crash at a time, a second, because others
-// stopped answering within some time of it. One that did is no sign of a common cause, and
-// neither are as many as the rate explains.
+// commonCauseHazard returns the additional hazard, per second, of a crash of a worker because
+// others of its group stopped answering within some time of it. A single other one is no sign of a
+// common cause, and neither are as many as the rate explains.
 func (b *Background) commonCauseHazard(at time.Time, within time.Duration, of peerGroup) float64 {
 	n := 0.0
 	for _, s := range b.silentWorkers {
--- a/services/blame/bench_test.go
+++ b/services/blame/bench_test.go
@@ -11,20 +11,20 @@
 	"saddlevane/services/blame"
 )
 
-// BenchmarkRackCrash measures what a holder takes to judge the crash of 48 workers with
-// 40 tasks each, under which nothing has crashed before.
+// BenchmarkRackCrash measures how long a holder takes to assess the crash of 48 workers with 40
+// tasks each, under which no worker has crashed before.
 func BenchmarkRackCrash(b *testing.B) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for b.Loop() {
-		d := blame.NewTracker()
-		d.ObserveWorkers(now, map[string]int{"r": 48})
+		tr := blame.NewTracker()
+		tr.ObserveWorkers(now, map[string]int{"r": 48})
 		for worker := range 48 {
-			var on []blame.RunningTask
+			var tasks []blame.RunningTask
 			for i := range 40 {
 				task := job.TaskID{StepID: job.StepID{Job: "j", Step: worker}, Index: i}
-				on = append(on, blame.RunningTask{Task: task, Run: 1, Worked: time.Duration(i) * 100 * time.Millisecond})
+				tasks = append(tasks, blame.RunningTask{Task: task, Run: 1, Worked: time.Duration(i) * 100 * time.Millisecond})
 			}
-			d.RecordCrash(now, blame.Crash{Life: life("w"), Rack: "r", At: now, TasksKnown: true, Tasks: on})
+			tr.RecordCrash(now, blame.Crash{Life: life("w"), Rack: "r", At: now, TasksKnown: true, Tasks: tasks})
 		}
 	}
 }
--- a/services/blame/blame_test.go
+++ b/services/blame/blame_test.go
@@ -15,24 +15,24 @@
 	"gotest.tools/v3/assert"
 )
 
-// rareCrashHazard is the hazard, a second, of a crash by itself where workers seldom crash.
+// rareCrashHazard is the background hazard, per second, where workers rarely crash.
 const rareCrashHazard = 1.0 / 3600
 
 func TestLastStartedTaskIsMostSuspected(t *testing.T) {
-	on := []blame.Suspect{{Worked: 15 * time.Millisecond}, {Worked: 2 * time.Second}, {Worked: time.Minute}}
-	judged := blame.Assess(on, rareCrashHazard)
-	assert.Check(t, blame.IsLikely(judged[0]), "%+v", judged[0])
-	assert.Check(t, blame.IsSuspect(judged[1]) && !blame.IsLikely(judged[1]), "%+v", judged[1])
-	assert.Check(t, !blame.IsSuspect(judged[2]), "%+v", judged[2])
+	suspects := []blame.Suspect{{Worked: 15 * time.Millisecond}, {Worked: 2 * time.Second}, {Worked: time.Minute}}
+	assessed := blame.Assess(suspects, rareCrashHazard)
+	assert.Check(t, blame.IsLikely(assessed[0]), "%+v", assessed[0])
+	assert.Check(t, blame.IsSuspect(assessed[1]) && !blame.IsLikely(assessed[1]), "%+v", assessed[1])
+	assert.Check(t, !blame.IsSuspect(assessed[2]), "%+v", assessed[2])
 }
 
-// assessRepeatedly judges the same task after several crashes, each with others beside it that had
-// been at work for long.
+// assessRepeatedly assesses the same task after several crashes, each beside other tasks that had
+// been running for long.
 func assessRepeatedly(times int, alone bool, worked time.Duration, background float64) job.Blame {
 	var b job.Blame
 	for range times {
-		on := []blame.Suspect{{Prior: b, Worked: worked, Alone: alone}, {Worked: 3 * time.Second}, {Worked: 5 * time.Second}}
-		b = blame.Assess(on, background)[0]
+		suspects := []blame.Suspect{{Prior: b, Worked: worked, Alone: alone}, {Worked: 3 * time.Second}, {Worked: 5 * time.Second}}
+		b = blame.Assess(suspects, background)[0]
 	}
 	return b
 }
@@ -46,21 +46,22 @@
 		background float64
 		guilty     bool
 	}{
-		{"one is never enough", 1, true, 10 * time.Millisecond, rareCrashHazard, false},
-		{"two are, alone and at once, where workers seldom crash", 2, true, 10 * time.Millisecond, rareCrashHazard, true},
-		{"two among tasks that had just begun are not", 2, false, 10 * time.Millisecond, rareCrashHazard, false},
-		{"three are after half a second", 3, true, 500 * time.Millisecond, rareCrashHazard, true},
-		{"three late ones are not where workers crash every ten seconds", 3, true, 5 * time.Second, 0.1, false},
-		{"five late ones are not where workers crash every ten seconds", 5, true, 20 * time.Second, 0.1, false},
-		{"four are, beside others", 4, false, 10 * time.Millisecond, 0.01, true},
+		{"one crash is never enough", 1, true, 10 * time.Millisecond, rareCrashHazard, false},
+		{"two early crashes are enough, alone, where workers rarely crash", 2, true, 10 * time.Millisecond, rareCrashHazard, true},
+		{"two crashes beside tasks that had just started are not enough", 2, false, 10 * time.Millisecond, rareCrashHazard, false},
+		{"three crashes after half a second are enough", 3, true, 500 * time.Millisecond, rareCrashHazard, true},
+		{"three late crashes are not enough where workers crash every ten seconds", 3, true, 5 * time.Second, 0.1, false},
+		{"five late crashes are not enough where workers crash every ten seconds", 5, true, 20 * time.Second, 0.1, false},
+		{"four crashes beside others are enough", 4, false, 10 * time.Millisecond, 0.01, true},
 	} {
 		b := assessRepeatedly(c.crashes, c.alone, c.worked, c.background)
 		assert.Check(t, blame.IsGuilty(b) == c.guilty, "%s: %+v", c.name, b)
 	}
 }
 
-// A guilty task came to odds of 86,800 at its fifth crash, and was started a sixth time: after
-// four crashes 10,000 were enough where workers crash often, after five it took 100,000.
+// Guards against thresholds that rise with the number of crashes: a guilty task had odds of 86,800
+// after its fifth crash and was started a sixth time, because odds of 10,000 were enough after four
+// crashes where workers crash often, but 100,000 were required after five.
 func TestMoreCrashesNeverNeedHigherOdds(t *testing.T) {
 	for _, odds := range []float64{300, 1e3, 1e4, 5e4, 86_800} {
 		guilty := false
@@ -72,15 +73,15 @@
 	}
 }
 
-// A job that crashes nothing was given up after six crashes, beside workers that each crash every
-// 29 s, after long calm:
+// A job that crashes nothing was given up after six crashes, beside workers that each crashed every
+// 29 s, after a long calm:
 //
 //	26.745 a worker crashed under a task job=job54 crashes=5 odds=23       crashes_otherwise_every=31.1s
 //	32.143 a worker crashed under a task job=job54 crashes=6 odds=3.62e+03 crashes_otherwise_every=51.7s
 //	33.240 job ended reason="6 workers crashed under task job54.0.0.0"
 //
-// The cause: from the fifth crash on 300 were enough where workers seemed to crash less often than
-// every 40 s, and with few seconds of one worker between them that changes from crash to crash.
+// From the fifth crash on, odds of 300 were enough where workers seemed to crash less often than
+// every 40 s, and with few worker-seconds observed that estimate changes from crash to crash.
 func TestManyCrashesWithLowOddsAreNotGuilty(t *testing.T) {
 	assert.Check(t, !blame.IsGuilty(job.Blame{Crashes: 6, Alone: 2, Odds: 3_620}))
 	assert.Check(t, blame.IsGuilty(job.Blame{Crashes: 6, Alone: 2, Odds: 10_000}))
@@ -101,9 +102,9 @@
 
 func TestKnownSuspectLowersSuspicionOfOthers(t *testing.T) {
 	known := assessRepeatedly(2, true, 10*time.Millisecond, rareCrashHazard)
-	judged := blame.Assess([]blame.Suspect{{Prior: known, Worked: 10 * time.Millisecond}, {Worked: 200 * time.Millisecond}}, rareCrashHazard)
-	assert.Check(t, !blame.IsSuspect(judged[1]), "%+v", judged[1])
-	assert.Check(t, blame.UnexplainedProbability(judged) < 0.01)
+	assessed := blame.Assess([]blame.Suspect{{Prior: known, Worked: 10 * time.Millisecond}, {Worked: 200 * time.Millisecond}}, rareCrashHazard)
+	assert.Check(t, !blame.IsSuspect(assessed[1]), "%+v", assessed[1])
+	assert.Check(t, blame.UnexplainedProbability(assessed) < 0.01)
 	assert.Equal(t, blame.UnexplainedProbability(nil), 1.0, "an empty worker crashed by itself")
 }
 
@@ -123,15 +124,15 @@
 	b.ObserveWorkers(now, map[string]int{"r1": 4, "r2": 20})
 	calm := b.Hazard(now, life("a"), "r1")
 	b.RecordSilence(now, life("b"), "r2", 0)
-	assert.Equal(t, b.Hazard(now, life("a"), "r1"), calm, "one more is no sign of a common cause")
+	assert.Equal(t, b.Hazard(now, life("a"), "r1"), calm, "a single other crash is no sign of a common cause")
 	b.RecordSilence(now, life("c"), "r1", 0)
 	b.RecordSilence(now, life("d"), "r1", 0)
 	together := b.Hazard(now, life("a"), "r1")
 	assert.Check(t, together > 100*calm, "%v, %v", together, calm)
-	assert.Check(t, b.Hazard(now, life("e"), "r2") < together, "it struck one rack")
+	assert.Check(t, b.Hazard(now, life("e"), "r2") < together, "the common cause affects one rack")
 	b.RecordAnswer(life("c"))
 	b.RecordAnswer(life("d"))
-	assert.Equal(t, b.Hazard(now, life("a"), "r1"), calm, "they had not crashed")
+	assert.Equal(t, b.Hazard(now, life("a"), "r1"), calm, "the other workers had not crashed")
 }
 
 func TestCrashRateIsLearnedPerRack(t *testing.T) {
@@ -145,7 +146,7 @@
 		b.AddCrash("bad", 1)
 	}
 	bad, good := b.Hazard(now, life("x"), "bad"), b.Hazard(now, life("y"), "good")
-	assert.Check(t, bad > 0.004 && bad < 0.01, "%v; six in 600 seconds of one worker are 0.01", bad)
+	assert.Check(t, bad > 0.004 && bad < 0.01, "%v; 6 crashes in 600 worker-seconds are 0.01", bad)
 	assert.Check(t, good < 0.001, "%v", good)
 }
 
@@ -161,10 +162,11 @@
 	}
 }
 
-// While no look waits at a worker its crash is seen by the next, up to 0.5 s later. Taken for
-// exact, a crash at 0.6 s that was seen at 1 s spoke for a run that had worked on beyond its
-// point, as if the task crashed its workers at another each time: beside workers that crash
-// every 29 s 14 of 300 worlds had a sixth start before, 3 since, under the same seeds.
+// While no lease renewal is pending at a worker, its crash is detected by the next one, up to 0.5 s
+// later. When the detection time was taken as exact, a crash at 0.6 s detected at 1 s counted in
+// favour of the task, as if a run had worked on beyond the point of the earlier crashes. Beside
+// workers that crash every 29 s, a guilty task was started a sixth time in 14 of 300 simulated
+// cells then, and in 3 with the delay taken into account, with the same seeds.
 func TestLateDetectedCrashDoesNotLowerOdds(t *testing.T) {
 	var exact, late job.Blame
 	for _, worked := range []time.Duration{610 * time.Millisecond, time.Second, 605 * time.Millisecond, 608 * time.Millisecond} {
@@ -197,16 +199,16 @@
 
 func TestAttributedCrashesLeaveBackgroundRate(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	d := blame.NewTracker()
-	d.ObserveWorkers(now, map[string]int{"r": 24})
+	tr := blame.NewTracker()
+	tr.ObserveWorkers(now, map[string]int{"r": 24})
 	task := job.TaskID{StepID: job.StepID{Job: "j"}}
 	for n := range 3 {
 		now = now.Add(5 * time.Second)
-		d.ObserveWorkers(now, map[string]int{"r": 24})
-		d.RecordCrash(now, blame.Crash{Life: life("w"), Rack: "r", At: now, TasksKnown: true, Tasks: []blame.RunningTask{{Task: task, Run: int64(n), Worked: 12 * time.Millisecond, Alone: true}}})
+		tr.ObserveWorkers(now, map[string]int{"r": 24})
+		tr.RecordCrash(now, blame.Crash{Life: life("w"), Rack: "r", At: now, TasksKnown: true, Tasks: []blame.RunningTask{{Task: task, Run: int64(n), Worked: 12 * time.Millisecond, Alone: true}}})
 	}
-	assert.Check(t, blame.IsGuilty(d.Blame(task)), "%+v", d.Blame(task))
-	assert.Equal(t, d.LearnedRate().All.Crashes, 0.0, "all three were the task's")
+	assert.Check(t, blame.IsGuilty(tr.Blame(task)), "%+v", tr.Blame(task))
+	assert.Equal(t, tr.LearnedRate().All.Crashes, 0.0, "all three crashes are attributed to the task")
 }
 
 func TestStoredCrashesAreValidatedOnUnmarshal(t *testing.T) {
@@ -226,20 +228,20 @@
 	assert.Check(t, json.Unmarshal([]byte(`{"all":{"crashes":-1,"seconds":5}}`), &learned) != nil)
 }
 
-// An earlier holder meant to try a task on two workers. One has told that it does not run it, so
-// that its crash says nothing of the task.
+// An earlier holder had meant to try a task on a worker. If the worker reports that it does not run
+// the task, its crash must not count against the task.
 func TestTrialThatDidNotStartIsNotBlamed(t *testing.T) {
 	task := job.TaskID{StepID: job.StepID{Job: "j"}}
 	for _, runs := range []bool{false, true} {
-		d := blame.NewTracker()
+		tr := blame.NewTracker()
 		before := assessRepeatedly(1, true, time.Second, rareCrashHazard)
 		before.LastStartWorkers, before.LastStartUnixMilli = []string{"w"}, 1_000
-		d.Restore(task, before)
-		d.RecordReport(life("w"), func(job.TaskID) bool { return runs })
-		found := d.RecordCrash(time.Unix(5, 0), blame.Crash{Life: life("w"), At: time.Unix(5, 0), UnixMilli: 5_000, TasksKnown: true})
-		assert.Equal(t, len(found) == 1, runs)
+		tr.Restore(task, before)
+		tr.RecordReport(life("w"), func(job.TaskID) bool { return runs })
+		findings := tr.RecordCrash(time.Unix(5, 0), blame.Crash{Life: life("w"), At: time.Unix(5, 0), UnixMilli: 5_000, TasksKnown: true})
+		assert.Equal(t, len(findings) == 1, runs)
 	}
 }
 
-// life names a life of a worker.
+// life returns a life of the named worker.
 func life(name string) order.Incarnation { return order.Incarnation{Name: name} }
--- a/services/blame/docket.go
+++ b/services/blame/docket.go
@@ -13,101 +13,102 @@
 )
 
 const (
-	// giveUpDelay is how long after a crash a task is given up for it: about as long as it
-	// takes until other workers that crashed at the same time are seen.
+	// giveUpDelay is the time between the crash that makes a task guilty and the giving up of its
+	// job. It is about the time in which simultaneous crashes of other workers are detected.
 	giveUpDelay = time.Second
-	// unreportedTasksHazard is the hazard, a second, of a crash by tasks that are not known: those
-	// on a worker that a new holder has not heard yet, about a dozen.
+	// unreportedTasksHazard is the hazard, per second, of a crash caused by unknown tasks: those on
+	// a worker that has not yet reported to a new holder, about a dozen.
 	unreportedTasksHazard = 0.01
 )
 
-// Tracker has what is held against tasks. One task of a gang stands for all its members.
+// Tracker holds the blame of tasks. A gang is tracked as one task, which stands for all members.
 type Tracker struct {
-	// Background is how often workers crash by no fault of their tasks.
+	// Background is the rate at which workers crash for reasons other than their tasks.
 	Background
 
 	tasks map[job.TaskID]*taskRecord
-	// suspects counts the suspected tasks of a step.
+	// suspectCounts holds the number of suspects by step.
 	suspectCounts map[job.StepID]int
-	// earlierStarts has the tasks that earlier holders had started, by the worker's life.
+	// earlierStarts holds the tasks that earlier holders had started, by the worker's life
+	// (order.Life.String).
 	earlierStarts map[string][]job.TaskID
-	// accused are the tasks that are to be given up, the first due first.
+	// pendingGiveUps holds the tasks whose jobs are about to be given up, the earliest due first.
 	pendingGiveUps []pendingGiveUp
 }
 
-// taskRecord is what is held against one task.
+// taskRecord holds the blame of one task.
 type taskRecord struct {
 	blame job.Blame
-	// run is the one under which a worker crashed last, retryAt when the task may be tried
-	// again.
+	// run is the run under which a worker crashed last. The task may not be started before retryAt.
 	run     int64
 	retryAt time.Time
-	// accused says that the task is about to be given up.
+	// giveUpPending is set while the task is in Tracker.pendingGiveUps.
 	giveUpPending bool
 }
 
-// NewTracker returns a docket without a charge.
+// NewTracker returns a tracker in which no task is blamed.
 func NewTracker() *Tracker {
 	return &Tracker{tasks: map[job.TaskID]*taskRecord{}, suspectCounts: map[job.StepID]int{}, earlierStarts: map[string][]job.TaskID{}}
 }
 
-// Blame returns what is held against a task.
-func (d *Tracker) Blame(t job.TaskID) job.Blame {
-	if c := d.tasks[t]; c != nil {
-		return c.blame
+// Blame returns the blame of a task, or the zero value if no worker has crashed under it.
+func (tr *Tracker) Blame(t job.TaskID) job.Blame {
+	if r := tr.tasks[t]; r != nil {
+		return r.blame
 	}
 	return job.Blame{}
 }
 
-// SuspectCount counts the tasks of a step that are to be kept apart from other suspects.
-func (d *Tracker) SuspectCount(s job.StepID) int { return d.suspectCounts[s] }
+// SuspectCount returns the number of tasks of a step that have to be kept apart from other
+// suspects.
+func (tr *Tracker) SuspectCount(s job.StepID) int { return tr.suspectCounts[s] }
 
-// MustWait says whether a task may not be tried yet.
-func (d *Tracker) MustWait(now time.Time, t job.TaskID) bool {
-	c := d.tasks[t]
-	return c != nil && (c.giveUpPending || now.Before(c.retryAt))
+// MustWait reports whether a task must not be started yet.
+func (tr *Tracker) MustWait(now time.Time, t job.TaskID) bool {
+	r := tr.tasks[t]
+	return r != nil && (r.giveUpPending || now.Before(r.retryAt))
 }
 
-// setBlame notes what is held against a task from now on.
-func (d *Tracker) setBlame(t job.TaskID, b job.Blame) *taskRecord {
-	c := d.tasks[t]
-	if c == nil {
-		c = &taskRecord{}
-		d.tasks[t] = c
+// setBlame replaces the blame of a task.
+func (tr *Tracker) setBlame(t job.TaskID, b job.Blame) *taskRecord {
+	r := tr.tasks[t]
+	if r == nil {
+		r = &taskRecord{}
+		tr.tasks[t] = r
 	}
-	d.countSuspect(t.StepID, c.blame, -1)
-	c.blame = b
-	d.countSuspect(t.StepID, b, 1)
-	return c
+	tr.countSuspect(t.StepID, r.blame, -1)
+	r.blame = b
+	tr.countSuspect(t.StepID, b, 1)
+	return r
 }
 
-// countSuspect counts a task among the suspects of its step, or no more.
-func (d *Tracker) countSuspect(s job.StepID, b job.Blame, by int) {
+// countSuspect adds by to the suspects of a step if b makes its task a suspect.
+func (tr *Tracker) countSuspect(s job.StepID, b job.Blame, by int) {
 	if !IsSuspect(b) {
 		return
 	}
-	if d.suspectCounts[s] += by; d.suspectCounts[s] == 0 {
-		delete(d.suspectCounts, s)
+	if tr.suspectCounts[s] += by; tr.suspectCounts[s] == 0 {
+		delete(tr.suspectCounts, s)
 	}
 }
 
-// Restore takes over what an earlier holder held against a task.
-func (d *Tracker) Restore(t job.TaskID, b job.Blame) {
-	c := d.setBlame(t, b)
+// Restore sets the blame of a task to what an earlier holder had recorded.
+func (tr *Tracker) Restore(t job.TaskID, b job.Blame) {
+	r := tr.setBlame(t, b)
 	for _, worker := range b.LastStartWorkers {
-		d.earlierStarts[worker] = append(d.earlierStarts[worker], t)
+		tr.earlierStarts[worker] = append(tr.earlierStarts[worker], t)
 	}
 	if IsGuilty(b) {
-		// That holder was lost before it gave the job up.
-		c.giveUpPending = true
-		d.pendingGiveUps = append(d.pendingGiveUps, pendingGiveUp{task: t})
+		// The earlier holder lost the cell before it gave the job up.
+		r.giveUpPending = true
+		tr.pendingGiveUps = append(tr.pendingGiveUps, pendingGiveUp{task: t})
 	}
 }
 
-// RecordStart notes that a task was started on a worker at a time, in milliseconds since 1970. It
-// returns whether anything is held against the task, so that the log is to know.
-func (d *Tracker) RecordStart(t job.TaskID, life order.Incarnation, unixMilli int64) bool {
-	b := d.Blame(t)
+// RecordStart records that a task was started on a worker at a time, in milliseconds since 1970. It
+// reports whether the task is blamed, in which case the start has to be logged.
+func (tr *Tracker) RecordStart(t job.TaskID, life order.Incarnation, unixMilli int64) bool {
+	b := tr.Blame(t)
 	if b.Crashes == 0 {
 		return false
 	}
@@ -115,51 +116,51 @@
 		b.LastStartWorkers, b.LastStartUnixMilli = nil, unixMilli
 	}
 	b.LastStartWorkers = append(slices.Clone(b.LastStartWorkers), life.String())
-	d.setBlame(t, b)
+	tr.setBlame(t, b)
 	return true
 }
 
-// RecordReport takes that a worker has told what it runs: a task that an earlier holder had meant to
-// try there, and that is not among it, will not crash it.
-func (d *Tracker) RecordReport(life order.Incarnation, runs func(job.TaskID) bool) {
+// RecordReport drops the starts by earlier holders on a worker that has reported its tasks, if the
+// task is not among them: it cannot crash the worker.
+func (tr *Tracker) RecordReport(life order.Incarnation, runs func(job.TaskID) bool) {
 	worker := life.String()
-	tried := slices.DeleteFunc(d.earlierStarts[worker], func(t job.TaskID) bool { return !runs(t) })
-	if d.earlierStarts[worker] = tried; len(tried) == 0 {
-		delete(d.earlierStarts, worker)
+	tried := slices.DeleteFunc(tr.earlierStarts[worker], func(t job.TaskID) bool { return !runs(t) })
+	if tr.earlierStarts[worker] = tried; len(tried) == 0 {
+		delete(tr.earlierStarts, worker)
 	}
 }
 
-// Clear drops what is held against a task: a run of it has ended well, or has been at
-// work for long. It returns whether anything was.
-func (d *Tracker) Clear(t job.TaskID) bool {
-	if d.tasks[t] == nil {
+// Clear removes the blame of a task, after a run of it has ended well or has been running for long.
+// It reports whether the task was blamed.
+func (tr *Tracker) Clear(t job.TaskID) bool {
+	if tr.tasks[t] == nil {
 		return false
 	}
-	d.setBlame(t, job.Blame{})
-	delete(d.tasks, t)
+	tr.setBlame(t, job.Blame{})
+	delete(tr.tasks, t)
 	return true
 }
 
-// ForgetJob forgets the tasks of a job.
-func (d *Tracker) ForgetJob(id job.ID) {
-	for t := range d.tasks {
+// ForgetJob removes the blame of all tasks of a job.
+func (tr *Tracker) ForgetJob(id job.ID) {
+	for t := range tr.tasks {
 		if t.Job == id {
-			d.Clear(t)
+			tr.Clear(t)
 		}
 	}
-	maps.DeleteFunc(d.earlierStarts, func(_ string, tasks []job.TaskID) bool {
-		return !slices.ContainsFunc(tasks, func(t job.TaskID) bool { return d.tasks[t] != nil })
+	maps.DeleteFunc(tr.earlierStarts, func(_ string, tasks []job.TaskID) bool {
+		return !slices.ContainsFunc(tasks, func(t job.TaskID) bool { return tr.tasks[t] != nil })
 	})
 }
 
-// RunningTask is a task that was on a worker when it crashed.
+// RunningTask is a task that was on a worker when the worker crashed.
 type RunningTask struct {
 	Task job.TaskID
 	Run  int64
-	// Gang says that it stands for a gang, whose run ends with the first crash: workers
-	// that crash together have one cause.
+	// Gang is set if the task stands for a gang. The run of a gang ends with the first crash, so
+	// further crashes under the same run have the same cause and do not count.
 	Gang bool
-	// Worked, Time, Late, Alone and Workers are those of Suspect.
+	// Worked, Time, Late, Alone and Workers are as in Suspect.
 	Worked  time.Duration
 	Time    job.TimeBound
 	Late    time.Duration
@@ -167,111 +168,114 @@
 	Workers int
 }
 
-// Crash is the crash of a worker, as it was seen.
+// Crash is the crash of a worker as the holder has detected it.
 type Crash struct {
 	Life order.Incarnation
 	Rack string
-	// At is when it stopped answering, UnixMilli the same as a time of day.
+	// At is when the worker stopped answering, and UnixMilli the same time as milliseconds since
+	// 1970.
 	At        time.Time
 	UnixMilli int64
-	// Heard says that what ran on the worker is known: it had told this holder, or an
-	// earlier one the log.
+	// TasksKnown is set if the tasks on the worker are known: the worker had reported them to this
+	// holder, or an earlier holder had logged them.
 	TasksKnown bool
 	Tasks      []RunningTask
 }
 
-// Finding is what is held against a task after a crash.
+// Finding is the blame of a task after a crash.
 type Finding struct {
 	RunningTask
 	Blame job.Blame
-	// Otherwise is the hazard, a second, of a crash that none of the worker's tasks
-	// caused, by which it was judged.
+	// BackgroundHazard is the hazard, per second, of a crash that none of the worker's tasks
+	// caused, with which the crash was assessed.
 	BackgroundHazard float64
 }
 
-// assessment is a crash and what was held against the tasks before it.
+// assessment is a crash together with the blame of the tasks before it.
 type assessment struct {
 	crash    Crash
 	suspects []Suspect
-	// counted is the weight with which the crash counts among those by themselves.
+	// backgroundWeight is the weight with which the crash was added to the background rate.
 	backgroundWeight float64
 }
 
-// backgroundHazard returns the hazard, a second, of a crash that none of the tasks caused, by what
-// is known of other workers now.
-func (j *assessment) backgroundHazard(b *Background) float64 {
-	hazard := b.Hazard(j.crash.At, j.crash.Life, j.crash.Rack)
-	if !j.crash.TasksKnown {
+// backgroundHazard returns the hazard, per second, of a crash that none of the tasks caused, from
+// what is now known of other workers.
+func (a *assessment) backgroundHazard(b *Background) float64 {
+	hazard := b.Hazard(a.crash.At, a.crash.Life, a.crash.Rack)
+	if !a.crash.TasksKnown {
 		hazard += unreportedTasksHazard
 	}
 	return hazard
 }
 
-// reassess returns what the crash says of the tasks by what is known of other workers now.
-func (j *assessment) reassess(b *Background) []job.Blame {
-	return Assess(j.suspects, j.backgroundHazard(b))
+// reassess returns the blame of the tasks after the crash, from what is now known of other workers.
+func (a *assessment) reassess(b *Background) []job.Blame {
+	return Assess(a.suspects, a.backgroundHazard(b))
 }
 
-// RecordCrash judges the tasks that were on a worker that has crashed.
-func (d *Tracker) RecordCrash(now time.Time, c Crash) []Finding {
-	j := &assessment{crash: c}
-	j.crash.Tasks = d.tasksOn(c)
-	for _, on := range j.crash.Tasks {
-		j.suspects = append(j.suspects, Suspect{Prior: d.Blame(on.Task), Worked: on.Worked, Time: on.Time, Late: on.Late, Alone: on.Alone, Workers: on.Workers})
+// RecordCrash assesses the tasks that were on a crashed worker, records their blame and updates the
+// background rate.
+func (tr *Tracker) RecordCrash(now time.Time, c Crash) []Finding {
+	a := &assessment{crash: c}
+	a.crash.Tasks = tr.tasksOn(c)
+	for _, t := range a.crash.Tasks {
+		a.suspects = append(a.suspects, Suspect{Prior: tr.Blame(t.Task), Worked: t.Worked, Time: t.Time, Late: t.Late, Alone: t.Alone, Workers: t.Workers})
 	}
-	otherwise := j.backgroundHazard(&d.Background)
-	judged := Assess(j.suspects, otherwise)
-	if UnexplainedProbability(judged) > 1-attributionThreshold {
-		j.backgroundWeight = d.Background.IndependentProbability(c.At, c.Life, c.Rack)
+	background := a.backgroundHazard(&tr.Background)
+	assessed := Assess(a.suspects, background)
+	if UnexplainedProbability(assessed) > 1-attributionThreshold {
+		a.backgroundWeight = tr.Background.IndependentProbability(c.At, c.Life, c.Rack)
 	}
-	d.Background.AddCrash(c.Rack, j.backgroundWeight)
-	found := make([]Finding, len(judged))
-	for i, b := range judged {
-		b = d.recordBlame(now, j, i, b)
-		found[i] = Finding{RunningTask: j.crash.Tasks[i], Blame: b, BackgroundHazard: otherwise}
+	tr.Background.AddCrash(c.Rack, a.backgroundWeight)
+	findings := make([]Finding, len(assessed))
+	for i, b := range assessed {
+		b = tr.recordBlame(now, a, i, b)
+		findings[i] = Finding{RunningTask: a.crash.Tasks[i], Blame: b, BackgroundHazard: background}
 	}
-	return found
+	return findings
 }
 
-// recordBlame holds a crash against a task, and returns what is held against it from now on. One
-// that is found guilty is judged again shortly.
-func (d *Tracker) recordBlame(now time.Time, j *assessment, place int, b job.Blame) job.Blame {
-	b.RecentCrashes[len(b.RecentCrashes)-1].BackgroundWeight = j.backgroundWeight
-	b = d.attributeCrashes(Reassess(b, d.Background.rate()))
-	on := j.crash.Tasks[place]
-	c := d.setBlame(on.Task, b)
-	c.run, c.retryAt = on.Run, now.Add(RetryDelay(b))
+// recordBlame records b as the blame of the task at index in a, and returns the blame as recorded.
+// If the task is guilty, its job becomes due to be given up after giveUpDelay.
+func (tr *Tracker) recordBlame(now time.Time, a *assessment, index int, b job.Blame) job.Blame {
+	b.RecentCrashes[len(b.RecentCrashes)-1].BackgroundWeight = a.backgroundWeight
+	b = tr.attributeCrashes(Reassess(b, tr.Background.rate()))
+	t := a.crash.Tasks[index]
+	r := tr.setBlame(t.Task, b)
+	r.run, r.retryAt = t.Run, now.Add(RetryDelay(b))
 	if IsGuilty(b) {
-		c.giveUpPending = true
-		d.pendingGiveUps = append(d.pendingGiveUps, pendingGiveUp{task: on.Task, assessment: j, index: place, due: now.Add(giveUpDelay)})
+		r.giveUpPending = true
+		tr.pendingGiveUps = append(tr.pendingGiveUps, pendingGiveUp{task: t.Task, assessment: a, index: index, due: now.Add(giveUpDelay)})
 	}
 	return b
 }
 
-// attributionThreshold is the probability from which on a task is taken for the cause of its crashes.
+// attributionThreshold is the probability of guilt from which the crashes under a task are
+// attributed to it and no longer count as background crashes.
 const attributionThreshold = 0.9
 
-// attributeCrashes takes the crashes under a task back from those by themselves once it is as good
-// as sure that the task has caused them: else three guilty tasks make workers seem to crash
-// every 30 s, and little is held against any of them.
-func (d *Tracker) attributeCrashes(b job.Blame) job.Blame {
+// attributeCrashes removes the crashes under a task from the background rate once the task is
+// almost certain to have caused them. Otherwise three guilty tasks would make workers seem to crash
+// every 30 s by themselves, and the odds of all three would stay low.
+func (tr *Tracker) attributeCrashes(b job.Blame) job.Blame {
 	if Probability(b) < attributionThreshold {
 		return b
 	}
 	b.RecentCrashes = slices.Clone(b.RecentCrashes)
 	for i := range b.RecentCrashes {
-		d.Background.RemoveCrashes(b.RecentCrashes[i].BackgroundWeight)
+		tr.Background.RemoveCrashes(b.RecentCrashes[i].BackgroundWeight)
 		b.RecentCrashes[i].BackgroundWeight = 0
 	}
-	return Reassess(b, d.Background.rate())
+	return Reassess(b, tr.Background.rate())
 }
 
-// tasksOn returns the tasks that were on a worker, each once, with those that an earlier holder
-// had started there.
-func (d *Tracker) tasksOn(c Crash) []RunningTask {
+// tasksOn returns the tasks that were on a worker, each once, including those that an earlier
+// holder had started there.
+func (tr *Tracker) tasksOn(c Crash) []RunningTask {
 	var all []RunningTask
 	add := func(next RunningTask) {
-		if known := d.tasks[next.Task]; next.Gang && next.Run != 0 && known != nil && known.run == next.Run {
+		if known := tr.tasks[next.Task]; next.Gang && next.Run != 0 && known != nil && known.run == next.Run {
 			return
 		}
 		if i := slices.IndexFunc(all, func(o RunningTask) bool { return o.Task == next.Task }); i >= 0 {
@@ -280,35 +284,36 @@
 		}
 		all = append(all, next)
 	}
-	for _, on := range c.Tasks {
-		add(on)
+	for _, t := range c.Tasks {
+		add(t)
 	}
 	life := c.Life.String()
-	for _, t := range d.earlierStarts[life] {
-		if b := d.Blame(t); slices.Contains(b.LastStartWorkers, life) {
+	for _, t := range tr.earlierStarts[life] {
+		if b := tr.Blame(t); slices.Contains(b.LastStartWorkers, life) {
 			add(StartedByEarlierHolder(t, b.LastStartUnixMilli, c.UnixMilli, len(b.LastStartWorkers)))
 		}
 	}
-	delete(d.earlierStarts, life)
+	delete(tr.earlierStarts, life)
 	return all
 }
 
-// elapsedAfterClockStep is taken for the time at work where the clocks of two boxes say that a task
-// was tried after its worker crashed: little is held against it.
+// elapsedAfterClockStep is taken as the time at work if, by the clocks of two boxes, a task was
+// started after its worker crashed. It is long enough that the task gets little blame.
 const elapsedAfterClockStep = 10 * time.Second
 
-// StartedByEarlierHolder returns a task that an earlier holder had started at a time, on a worker which
-// crashed at another, both in milliseconds since 1970. A gang was started on several workers.
+// StartedByEarlierHolder returns a task that an earlier holder had started at startedAt on a worker
+// that crashed at crashedAt, both in milliseconds since 1970. workers is the number of workers on
+// which it was started, more than one for a gang.
 func StartedByEarlierHolder(t job.TaskID, startedAt, crashedAt int64, workers int) RunningTask {
-	on := RunningTask{Task: t, Worked: time.Duration(crashedAt-startedAt) * time.Millisecond, Time: job.AtMost, Workers: workers}
-	if on.Worked < 0 {
-		on.Worked, on.Time = elapsedAfterClockStep, job.AtLeast
+	r := RunningTask{Task: t, Worked: time.Duration(crashedAt-startedAt) * time.Millisecond, Time: job.AtMost, Workers: workers}
+	if r.Worked < 0 {
+		r.Worked, r.Time = elapsedAfterClockStep, job.AtLeast
 	}
-	return on
+	return r
 }
 
-// merge takes what else is known of the same task on the same worker: of a gang, or of a run
-// that the log tells of and whose worker is known to have had it.
+// merge adds what next says of the same task on the same worker: next is another member of the
+// gang, or the start of a run in the log that the worker is known to have had.
 func (o *RunningTask) merge(next RunningTask) {
 	o.Alone = o.Alone && (next.Alone || next.Time == job.AtMost)
 	if o.Time == job.AtLeast {
@@ -320,38 +325,39 @@
 	}
 }
 
-// pendingGiveUp is a task that is to be given up, unless more is known of the crash by then:
-// when the first of several workers that crash together is seen, the others are not.
+// pendingGiveUp is a task whose job is to be given up at due, unless the task turns out not to be
+// guilty by then. When the first of several simultaneous crashes is detected, the others are not
+// known yet, and they make a common cause more likely.
 type pendingGiveUp struct {
 	task job.TaskID
-	// judgement is what it is accused by, and its place there, or nil under an earlier
-	// holder.
+	// assessment is the assessment of the crash and index the task's place in it. assessment is nil
+	// if an earlier holder findings the task guilty.
 	assessment *assessment
 	index      int
 	due        time.Time
 }
 
-// GiveUpsDue returns the accused tasks whose time has come, after all that is known now.
-// Those that are guilty still are to be given up.
-func (d *Tracker) GiveUpsDue(now time.Time) []job.TaskID {
+// GiveUpsDue returns the tasks whose giving up is due at now, after reassessing their last crash.
+// The caller gives up the jobs of those that are still guilty (IsGuilty).
+func (tr *Tracker) GiveUpsDue(now time.Time) []job.TaskID {
 	var due []job.TaskID
-	for len(d.pendingGiveUps) > 0 && !now.Before(d.pendingGiveUps[0].due) {
-		a := d.pendingGiveUps[0]
-		d.pendingGiveUps = d.pendingGiveUps[1:]
-		c := d.tasks[a.task]
-		if c == nil {
+	for len(tr.pendingGiveUps) > 0 && !now.Before(tr.pendingGiveUps[0].due) {
+		a := tr.pendingGiveUps[0]
+		tr.pendingGiveUps = tr.pendingGiveUps[1:]
+		r := tr.tasks[a.task]
+		if r == nil {
 			continue
 		}
-		c.giveUpPending = false
+		r.giveUpPending = false
 		if a.assessment != nil {
-			b := a.assessment.reassess(&d.Background)[a.index]
-			if c.blame.Crashes != b.Crashes {
+			b := a.assessment.reassess(&tr.Background)[a.index]
+			if r.blame.Crashes != b.Crashes {
 				continue
 			}
 			for i := range b.RecentCrashes {
-				b.RecentCrashes[i].BackgroundWeight = c.blame.RecentCrashes[i].BackgroundWeight
+				b.RecentCrashes[i].BackgroundWeight = r.blame.RecentCrashes[i].BackgroundWeight
 			}
-			d.setBlame(a.task, Reassess(b, d.Background.rate()))
+			tr.setBlame(a.task, Reassess(b, tr.Background.rate()))
 		}
 		due = append(due, a.task)
 	}
--- a/services/blame/trials.go
+++ b/services/blame/trials.go
@@ -4,32 +4,32 @@
 package blame
 
 const (
-	// riskDivisor is one over the share of the workers that may be expected to crash at a
-	// time under suspects, and minRiskLimit how many may be in a small cell, and under the
-	// tasks of one job: those that were beside each other when a worker crashed can be
-	// tried at once, since one of them at most is guilty of it.
+	// The suspects that are tried at a time may be expected to crash at most 1/riskDivisor of the
+	// workers. minRiskLimit is that limit, in expected crashes, for small cells and for the tasks
+	// of one job. Tasks that were on the same worker when it crashed may be tried at the same time,
+	// since at most one of them is guilty of that crash.
 	riskDivisor  = 16
 	minRiskLimit = 1.0
-	// trialDivisor is one over the share of the workers that get nothing else for a trial at a
-	// time: without the bound tasks beside a guilty one, each a little likely, took six of
-	// six workers for it, and jobs waited for room for 9 s.
+	// At most 1/trialDivisor of the workers are dedicated to trials at a time. Without the bound,
+	// the tasks beside a guilty one, each slightly suspect, occupied all six workers of a cell, and
+	// jobs waited 9 s for room.
 	trialDivisor = 12
-	// idleTrialDivisor is the same while much of the workers' room is free and nothing waits for
-	// room: trials keep nobody else waiting then, and those who wait for their turn are mostly
-	// guilty of nothing.
+	// idleTrialDivisor replaces trialDivisor while much of the workers' capacity is free and no
+	// task waits for room: trials then delay nobody else, and most suspects that wait for a trial
+	// are innocent.
 	idleTrialDivisor = 2
 )
 
-// MayTry says whether a suspect may be tried that crashes its worker with some probability,
-// beside those that are being tried: so many workers are expected to crash under all of them,
-// and under those of its job.
+// MayTry reports whether a suspect that crashes its worker with probability risk may be tried
+// beside the suspects under trial. all and ofJob are the expected numbers of crashes under all
+// suspects under trial and under those of its job.
 func MayTry(risk, all, ofJob float64, workers int) bool {
 	most := max(minRiskLimit, float64(workers)/riskDivisor)
 	return (all == 0 || all+risk <= most) && (ofJob == 0 || ofJob+risk <= minRiskLimit)
 }
 
-// MayDedicateWorker says whether one more worker may be kept for a trial where some are. Roomy says that
-// much of the workers' room is free, and nothing waits for it.
+// MayDedicateWorker reports whether one more worker may be dedicated to a trial while kept ones
+// are. roomy says that much of the workers' capacity is free and that no task waits for room.
 func MayDedicateWorker(kept, workers int, roomy bool) bool {
 	if roomy {
 		return kept < max(1, workers/idleTrialDivisor)
--- a/services/learned/lessons.go
+++ b/services/learned/lessons.go
@@ -10,107 +10,109 @@
 )
 
 const (
-	// defaultSuitableShare is believed of a queue of which nothing is known.
+	// defaultSuitableShare is assumed for a queue without any advice so far.
 	defaultSuitableShare = 0.4
-	// minSuitableShare bounds how many workers are asked about at once.
+	// minSuitableShare is a lower bound, which limits how many workers are asked about at once.
 	minSuitableShare = 0.1
-	// smoothingFactor is the weight of one answer among those before.
+	// smoothingFactor is the weight of one observation in an exponential moving average.
 	smoothingFactor = 0.05
-	// defaultStopTime is believed of stops as long as none was seen.
+	// defaultStopTime is assumed until the first stop was observed.
 	defaultStopTime = 200 * time.Millisecond
 )
 
-// Estimates are what ends and answers have shown.
+// Estimates holds what was learned from the ends of tasks and from advice.
 type Estimates struct {
-	// good is the share of workers that suited a queue's steps.
+	// suitableShares holds, by queue, the share of workers that suited its steps.
 	suitableShares map[string]float64
-	// stopTime is how long it usually takes until a task that is to end has ended.
+	// stopTime is the average time from the order to stop a task until its end is reported.
 	stopTime time.Duration
-	// fleetSpeed is the mean over all workers of what Speed.mean is of one.
+	// fleetSpeed is the mean over all workers of what Speed.meanLogRatio is for one.
 	fleetSpeed float64
-	// times is what is known of the run times of each queue's steps.
+	// runTimes holds what is known of the run times of the steps, by queue.
 	runTimes map[string]*RunTimes
-	// changed says that times were learned that the log does not have.
+	// changed is set if run times were observed that have not been logged.
 	changed bool
 }
 
-// NewEstimates returns what is believed before anything was seen.
+// NewEstimates returns estimates without observations.
 func NewEstimates() *Estimates {
 	return &Estimates{suitableShares: map[string]float64{}, runTimes: map[string]*RunTimes{}, stopTime: defaultStopTime}
 }
 
-// ObserveAdvice takes how many of the workers asked about suited a step of a queue.
-func (l *Estimates) ObserveAdvice(queue string, asked, good int) {
+// ObserveAdvice records that of the workers asked about for a step of a queue, suitable were suitable.
+func (e *Estimates) ObserveAdvice(queue string, asked, suitable int) {
 	if asked == 0 {
 		return
 	}
-	l.suitableShares[queue] = l.SuitableShare(queue)*(1-smoothingFactor) + smoothingFactor*float64(good)/float64(asked)
+	e.suitableShares[queue] = e.SuitableShare(queue)*(1-smoothingFactor) + smoothingFactor*float64(suitable)/float64(asked)
 }
 
-// SuitableShare returns the share of workers that are expected to suit.
-func (l *Estimates) SuitableShare(queue string) float64 {
-	if share, ok := l.suitableShares[queue]; ok {
+// SuitableShare returns the share of workers that are expected to be suitable for the steps of a
+// queue.
+func (e *Estimates) SuitableShare(queue string) float64 {
+	if share, ok := e.suitableShares[queue]; ok {
 		return max(minSuitableShare, share)
 	}
 	return defaultSuitableShare
 }
 
-// ObserveStop takes how long a stop took from its order until its end was told.
-func (l *Estimates) ObserveStop(took time.Duration) {
-	l.stopTime += time.Duration(smoothingFactor * float64(took-l.stopTime))
+// ObserveStop records the time from the order to stop a task until its end was reported.
+func (e *Estimates) ObserveStop(took time.Duration) {
+	e.stopTime += time.Duration(smoothingFactor * float64(took-e.stopTime))
 }
 
-// StopTime returns how long it usually takes until a task that is to end has ended.
-func (l *Estimates) StopTime() time.Duration { return l.stopTime }
+// StopTime returns the average time from the order to stop a task until its end is reported.
+func (e *Estimates) StopTime() time.Duration { return e.stopTime }
 
-// FleetSpeed returns how slow workers are on average.
-func (l *Estimates) FleetSpeed() float64 { return l.fleetSpeed }
+// FleetSpeed returns the mean over all workers of the logarithm of actual by expected run time.
+func (e *Estimates) FleetSpeed() float64 { return e.fleetSpeed }
 
-// ObserveSpeed takes how long a task took on some worker, against what it should have.
-func (l *Estimates) ObserveSpeed(ratio float64) { l.fleetSpeed = UpdateFleetMean(l.fleetSpeed, ratio) }
+// ObserveSpeed records the ratio of actual to expected run time of a task on any worker.
+func (e *Estimates) ObserveSpeed(ratio float64) { e.fleetSpeed = UpdateFleetMean(e.fleetSpeed, ratio) }
 
-// ExpectedRunTime returns how long a queue's steps take that are estimated at some time.
-func (l *Estimates) ExpectedRunTime(queue string, estimate time.Duration) time.Duration {
-	return l.runTimesOf(queue).Expected(estimate)
+// ExpectedRunTime returns how long a step of a queue with the given estimate is expected to take.
+func (e *Estimates) ExpectedRunTime(queue string, estimate time.Duration) time.Duration {
+	return e.runTimesOf(queue).Expected(estimate)
 }
 
-// ObserveRunTime takes how long a step of a queue took that was estimated at some time.
-func (l *Estimates) ObserveRunTime(queue string, estimate, took time.Duration) {
-	l.runTimesOf(queue).Observe(estimate, took)
-	l.changed = true
+// ObserveRunTime records how long a step of a queue with the given estimate took.
+func (e *Estimates) ObserveRunTime(queue string, estimate, took time.Duration) {
+	e.runTimesOf(queue).Observe(estimate, took)
+	e.changed = true
 }
 
-// runTimesOf returns what is known of a queue's run times.
-func (l *Estimates) runTimesOf(queue string) *RunTimes {
-	r := l.runTimes[queue]
+// runTimesOf returns the run times of a queue, which it adds if there are none.
+func (e *Estimates) runTimesOf(queue string) *RunTimes {
+	r := e.runTimes[queue]
 	if r == nil {
 		r = &RunTimes{}
-		l.runTimes[queue] = r
+		e.runTimes[queue] = r
 	}
 	return r
 }
 
-// HasChanged says whether there is more for the log to keep than when Times was called last.
-func (l *Estimates) HasChanged() bool { return l.changed }
+// HasChanged reports whether run times were observed since the last call of TakeRunTimes.
+func (e *Estimates) HasChanged() bool { return e.changed }
 
-// TakeRunTimes returns what the log is to keep of run times.
-func (l *Estimates) TakeRunTimes() map[string]*RunTimes {
-	l.changed = false
-	return l.runTimes
+// TakeRunTimes returns the run times to be logged, by queue, and resets HasChanged.
+func (e *Estimates) TakeRunTimes() map[string]*RunTimes {
+	e.changed = false
+	return e.runTimes
 }
 
-// Restore takes over what an earlier holder knew of run times.
-func (l *Estimates) Restore(kept []byte) error {
-	if len(kept) == 0 {
+// Restore sets the run times to what an earlier holder has logged. It does nothing if logged is
+// empty.
+func (e *Estimates) Restore(logged []byte) error {
+	if len(logged) == 0 {
 		return nil
 	}
 	times := map[string]*RunTimes{}
-	if err := json.Unmarshal(kept, &times); err != nil {
-		return fmt.Errorf("kept run times: %w", err)
+	if err := json.Unmarshal(logged, &times); err != nil {
+		return fmt.Errorf("logged run times: %w", err)
 	}
 	for queue, r := range times {
 		if r != nil {
-			l.runTimes[queue] = r
+			e.runTimes[queue] = r
 		}
 	}
 	return nil
--- a/services/placement/index.go
+++ b/services/placement/index.go
@@ -1,10 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package placement finds room for tasks on workers. Workers stand in a grid by
-// how much of their processors and memory is free, so that a search looks only
-// at workers that are nearly sure to fit, tightest first, and its cost does not
-// grow with their number.
+// Package placement finds workers with room for tasks. It keeps the workers in a grid by their free
+// processors and memory, so that a search considers only workers that almost certainly have room,
+// tightest first, and its cost does not grow with the number of workers.
 package placement
 
 import (
@@ -14,24 +13,24 @@
 	"saddlevane/models/resource"
 )
 
-// The steps of each side of the grid: three for each doubling from 1/128 of the
-// largest worker on, and one for less. Most workers of a full shard have little
-// free, so that is where the steps have to be fine.
+// Each side of the grid has three buckets for each doubling from 1/128 of the largest worker on,
+// and one for less. Most workers of a full shard have little free, so the buckets have to be narrow
+// there.
 const (
 	bucketsPerDoubling = 3
 	doublings          = 7
 	gridSize           = bucketsPerDoubling*doublings + 1
 )
 
-// The bounds of one search.
+// The limits of one search.
 const (
-	// maxCandidates is how many fitting workers are compared.
+	// maxCandidates is the number of workers with room after which the search stops.
 	maxCandidates = 12
-	// maxCellScan is how many workers of one cell are looked at.
+	// maxCellScan is the maximum number of workers considered in one grid cell.
 	maxCellScan = 48
 )
 
-// Node is a worker as placement sees it.
+// Node is a worker with its capacity and free resources.
 type Node struct {
 	name     string
 	rack     string
@@ -42,7 +41,7 @@
 	pos      int
 }
 
-// NewNode returns a worker that is in no index.
+// NewNode returns a worker that is in no index and has all its capacity free.
 func NewNode(name, rack string, capacity resource.Vector) *Node {
 	return &Node{name: name, rack: rack, capacity: capacity, free: capacity}
 }
@@ -53,13 +52,13 @@
 // Rack returns the name of the worker's rack.
 func (n *Node) Rack() string { return n.rack }
 
-// Capacity returns what the worker has.
+// Capacity returns all resources of the worker.
 func (n *Node) Capacity() resource.Vector { return n.capacity }
 
-// Free returns what is not reserved.
+// Free returns the resources that are not reserved.
 func (n *Node) Free() resource.Vector { return n.free }
 
-// SetCapacity changes what the worker has; what is reserved stays reserved.
+// SetCapacity changes the capacity of the worker. What is reserved stays reserved.
 func (n *Node) SetCapacity(capacity resource.Vector) {
 	if capacity == n.capacity {
 		return
@@ -69,13 +68,13 @@
 	n.setFree(capacity.Minus(reserved))
 }
 
-// Reserve takes amount from what is free.
+// Reserve subtracts amount from the free resources.
 func (n *Node) Reserve(amount resource.Vector) { n.setFree(n.free.Minus(amount)) }
 
-// Release gives amount back.
+// Release adds amount to the free resources.
 func (n *Node) Release(amount resource.Vector) { n.setFree(n.free.Plus(amount)) }
 
-// Clear gives back all that is reserved.
+// Clear releases all reserved resources.
 func (n *Node) Clear() { n.setFree(n.capacity) }
 
 func (n *Node) setFree(free resource.Vector) {
@@ -89,19 +88,19 @@
 	}
 }
 
-// Index is a set of workers that may be given tasks.
+// Index is a set of workers on which tasks may be placed.
 type Index struct {
-	// largest is the most that any worker ever added had.
+	// largest is the elementwise maximum of the capacities of all workers ever added.
 	largest    resource.Vector
 	cells      [gridSize * gridSize][]*Node
 	size       int
 	scanOffset int
 }
 
-// Len returns how many workers the index has.
+// Len returns the number of workers in the index.
 func (x *Index) Len() int { return x.size }
 
-// Add puts a worker in; one that is in already stays.
+// Add adds a worker. A worker that is in an index stays there.
 func (x *Index) Add(n *Node) {
 	if n.index != nil {
 		return
@@ -112,7 +111,7 @@
 	x.link(n, x.cellOf(n.free))
 }
 
-// Remove takes a worker out.
+// Remove removes a worker. It does nothing if the worker is not in this index.
 func (x *Index) Remove(n *Node) {
 	if n.index != x {
 		return
@@ -122,7 +121,7 @@
 	x.size--
 }
 
-// enlarge stretches the grid over larger workers.
+// enlarge grows the grid to the given capacity, and moves the workers to their new cells.
 func (x *Index) enlarge(capacity resource.Vector) {
 	if capacity.Processors <= x.largest.Processors && capacity.Memory <= x.largest.Memory {
 		return
@@ -143,7 +142,7 @@
 	return bucketOf(int64(v.Processors), int64(x.largest.Processors))*gridSize + bucketOf(int64(v.Memory), int64(x.largest.Memory))
 }
 
-// bucketBounds holds where the steps begin, in parts of the largest worker.
+// bucketBounds holds the lower bounds of the buckets, as fractions of the largest worker.
 var bucketBounds = makeBucketBounds()
 
 func makeBucketBounds() [gridSize]float64 {
@@ -154,7 +153,7 @@
 	return all
 }
 
-// bucketOf returns which of the grid's steps part falls in.
+// bucketOf returns the bucket of the fraction part/whole.
 func bucketOf(part, whole int64) int {
 	if part <= 0 || whole <= 0 {
 		return 0
@@ -186,10 +185,10 @@
 	x.cells[n.cell] = cell[:last]
 }
 
-// offsetsByDistance lists cell offsets by how far they are from the tightest fit.
+// offsetsByDistance holds the offsets of grid cells by their distance from the tightest fit.
 var offsetsByDistance = makeOffsetsByDistance()
 
-// offset is a distance in the grid.
+// offset is a distance in the grid, in buckets.
 type offset struct{ processors, memory int }
 
 func makeOffsetsByDistance() []offset {
@@ -203,9 +202,9 @@
 	return all
 }
 
-// Best returns the worker with room for need that scores lowest, or nil if no
-// worker has room. It compares a bounded number of workers, tightest first; only
-// if none of those fits does it look at all that might.
+// Best returns the worker with room for need and the lowest score, or nil if no worker has room. It
+// compares a bounded number of workers, tightest first. Only if none of those has room does it
+// consider all workers that might.
 func (x *Index) Best(need resource.Vector, score func(*Node) float64) *Node {
 	if n := x.search(need, score, maxCellScan); n != nil {
 		return n
--- a/services/placement/score.go
+++ b/services/placement/score.go
@@ -5,18 +5,20 @@
 
 import "saddlevane/models/resource"
 
-// Weights say what a placement prefers. Lower scores are better.
+// Weights hold the preferences of a placement. Lower scores are better.
 type Weights struct {
-	// Tight prefers workers that the task nearly fills.
+	// Tight is the weight of the resources that stay free: it prefers workers that the task nearly
+	// fills.
 	Tight float64
-	// Balance prefers workers whose processors and memory then run out together.
+	// Balance is the weight of the imbalance that remains: it prefers workers whose processors and
+	// memory are then used in equal proportions.
 	Balance float64
 }
 
-// DefaultWeights are the weights that `make bench-decisions` favours.
+// DefaultWeights returns the weights that give the best results in `make bench-decisions`.
 func DefaultWeights() Weights { return Weights{Tight: 1, Balance: 4} }
 
-// Score rates placing need on n; lower is better.
+// Score rates the placement of need on n. Lower is better.
 func (w Weights) Score(n *Node, need resource.Vector) float64 {
 	left := n.free.Minus(need)
 	processors := fraction(int64(left.Processors), int64(n.capacity.Processors))
--- a/services/presence/former.go
+++ b/services/presence/former.go
@@ -5,21 +5,22 @@
 
 import "time"
 
-// formerRetention is for how long the lives of a worker that is gone are remembered: longer than an
-// order may be on its way.
+// formerRetention is how long the lives of a worker that is gone are kept. It is longer than an
+// order may be in transit.
 const formerRetention = time.Minute
 
-// FormerWorkers remembers the lives of workers that are gone, by name: one may come back under its
-// name. The zero value knows none.
+// FormerWorkers holds the lives of workers that are gone, by name, since a worker may come back
+// under its name. The zero value holds none.
 type FormerWorkers struct{ workers map[string]formerWorker }
 
-// formerWorker are the lives of a worker that is gone since some time.
+// formerWorker holds the lives of a worker that has been gone since some time.
 type formerWorker struct {
 	lives *Lives
 	since time.Time
 }
 
-// Take returns the lives under a name for a worker that is listed.
+// Take removes and returns the lives kept under the name of a worker that is listed, or returns new
+// ones if there are none.
 func (f *FormerWorkers) Take(name string) *Lives {
 	known, ok := f.workers[name]
 	if !ok {
@@ -29,7 +30,7 @@
 	return known.lives
 }
 
-// Add remembers the lives of a worker.
+// Add keeps the lives of a worker that is gone.
 func (f *FormerWorkers) Add(now time.Time, name string, lives *Lives) {
 	if f.workers == nil {
 		f.workers = map[string]formerWorker{}
@@ -37,7 +38,7 @@
 	f.workers[name] = formerWorker{lives: lives, since: now}
 }
 
-// Expire forgets those that are gone for long.
+// Expire drops the workers that have been gone for more than formerRetention.
 func (f *FormerWorkers) Expire(now time.Time) {
 	for name, known := range f.workers {
 		if now.Sub(known.since) > formerRetention {
--- a/services/presence/lives.go
+++ b/services/presence/lives.go
@@ -9,48 +9,54 @@
 	"saddlevane/models/order"
 )
 
-// maxPastLives is how many lives that are over are remembered of a worker: the list may be read
-// late, or again.
+// maxPastLives bounds the ended lives that are kept of a worker. They are needed because the worker
+// list may be read late, or again.
 const maxPastLives = 16
 
-// Lives tells which life is the present one of those that a worker has had under its name.
-// What the worker answers decides: the life that answers a call began after all that were
-// known when the call was made. An entry of another life may be older or newer than the one
-// that is known, so it is a reason to ask, and to start nothing meanwhile.
+// Lives determines which of the lives (incarnations) that a worker has had under its name is the
+// current one. The answers of the worker decide: a life that answers a call began after all lives
+// that were known when the call was made. A list entry of another life may be older or newer than
+// the known one. It only makes that life a candidate, so the worker is called, and nothing is
+// started on it until it has answered.
+//
+// Calls are numbered by the caller in the order in which they are made.
 type Lives struct {
-	// next is the entry of another life that none has answered for yet, or nil, candidateReadAfter how
-	// many calls had been made to workers when it was read.
+	// candidate is the entry of another life that has not been confirmed or refuted by an answer,
+	// or nil. candidateReadAfter is the number of the last call made before it was read.
 	candidate          *order.Worker
 	candidateReadAfter int64
-	// past has lives that are over, the last one last.
+	// past holds lives that have ended, the latest last.
 	past []order.Incarnation
-	// raised counts how often the worker was to hear a higher fence number. fenceRaisedAfter is how
-	// many calls had been made when it last was for the life that is known, or 0.
+	// fenceRaises counts how often the fence number of the worker was raised. fenceRaisedAfter is
+	// the number of the last call made before it was last raised for the current life, or 0.
 	fenceRaises      int64
 	fenceRaisedAfter int64
 }
 
-// HasCandidate says whether an entry of another life was read for which no answer has come yet.
+// HasCandidate reports whether an entry of another life was read that no answer has confirmed or
+// refuted yet.
 func (l *Lives) HasCandidate() bool { return l.candidate != nil }
 
-// fencesPerClaim bounds how often the fence number of a worker rises under one claim, so that
-// those of a later claim are higher.
+// fencesPerClaim bounds how often the fence number of a worker is raised under one claim, so that
+// the numbers of a later claim are higher.
 const fencesPerClaim = 1_000_000
 
-// Fence returns the fence number of orders to the worker under a claim. A later life refuses
-// what is on its way to an earlier one once it has seen a higher number.
+// Fence returns the fence number of orders to the worker under a claim. Once a worker has received
+// a higher number, it refuses orders with a lower one, such as those still in transit to an earlier
+// life.
 func (l *Lives) Fence(claim int64) int64 { return claim*fencesPerClaim + l.fenceRaises }
 
-// RaiseFence has the worker refuse what is on its way to it, once it has got a call that is made
-// later than some number of calls.
+// RaiseFence raises the fence number of the worker. Once the worker has received a call with a
+// number above calls, it refuses the orders that were in transit to it.
 func (l *Lives) RaiseFence(calls int64) {
 	l.fenceRaises++
 	l.fenceRaisedAfter = calls
 }
 
-// IsFencedByLaterHolder says whether an order was refused because of a later holder, and not because the
-// fence number has risen since. Call is the number of the call, or 0 if it has none: the next
-// one that has tells then.
+// IsFencedByLaterHolder reports whether an order was refused because of a later holder, rather than
+// because this holder has raised the fence number since. call is the number of the call, or 0 if it
+// has none; if the fence was raised for the current life, such a refusal is inconclusive, the
+// result is false, and the next numbered call decides.
 func (l *Lives) IsFencedByLaterHolder(a order.Answer, call int64) bool {
 	return a.Outcome == order.Refused && a.Reason == order.Fenced && (l.fenceRaisedAfter == 0 || call > l.fenceRaisedAfter)
 }
@@ -63,8 +69,8 @@
 	return *l.candidate, true
 }
 
-// RecordEntry takes an entry that was read after some number of calls. It returns whether the entry
-// is that of the life that is known.
+// RecordEntry records a list entry of the worker that was read after the given number of calls. It
+// reports whether the entry is that of the known life.
 func (l *Lives) RecordEntry(known order.Incarnation, entry order.Worker, calls int64) bool {
 	switch {
 	case !known.DiffersFrom(entry.Incarnation):
@@ -80,17 +86,17 @@
 	return false
 }
 
-// RecordEntryRemoved takes that no entry has the worker's name any more.
+// RecordEntryRemoved records that no list entry has the worker's name any more.
 func (l *Lives) RecordEntryRemoved() { l.candidate = nil }
 
-// PrecedesCandidate says whether a call of some number was made before the entry of another life was
-// read: it may have been made to a life that had ended.
+// PrecedesCandidate reports whether a call was made before the entry of another life was read, so
+// that a life that has ended since may have answered it.
 func (l *Lives) PrecedesCandidate(call int64) bool {
 	return l.candidate != nil && call <= l.candidateReadAfter
 }
 
-// RecordAnswer takes that a life has answered a call of some number, made since the known one was
-// known. It returns whether the known one is over.
+// RecordAnswer records that the life by has answered a call. The call was made after the known life
+// became known. It reports whether the known life has ended.
 func (l *Lives) RecordAnswer(known, by order.Incarnation, call int64) bool {
 	if known.DiffersFrom(by) {
 		l.End(known)
@@ -103,8 +109,8 @@
 	return false
 }
 
-// Successor returns what is known of a life that has taken the place of another, and whether
-// its entry was read.
+// Successor returns the worker whose life by has replaced that of former, and whether its own list
+// entry was read. Otherwise the result has the address and resources of former.
 func (l *Lives) Successor(former order.Worker, by order.Incarnation) (o order.Worker, listed bool) {
 	if l.candidate == nil {
 		former.Incarnation = by
@@ -116,14 +122,14 @@
 	return o, listed
 }
 
-// End notes that the life that was known is over.
+// End records that the known life has ended, and raises the fence number for the next one.
 func (l *Lives) End(known order.Incarnation) {
 	l.addPast(known)
 	l.fenceRaises++
 	l.fenceRaisedAfter = 0
 }
 
-// addPast notes that a life is not the present one.
+// addPast adds a life to those that are not the current one.
 func (l *Lives) addPast(life order.Incarnation) {
 	l.past = append(l.past, life)
 	if len(l.past) > maxPastLives {
--- a/services/presence/lives_test.go
+++ b/services/presence/lives_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// life is a life of one worker; clocks step back, so the number tells nothing of the order.
+// life returns a life of one worker. Clocks may step back, so a larger number need not be later.
 func life(born int64) order.Incarnation { return order.Incarnation{Name: "w", BornUnixMilli: born} }
 
 func entry(born int64) order.Worker { return order.Worker{Incarnation: life(born), Address: "a"} }
@@ -21,17 +21,17 @@
 	var l presence.Lives
 	known := life(500)
 	assert.Check(t, l.RecordEntry(known, entry(500), 1))
-	assert.Check(t, !l.RecordEntry(known, entry(900), 7), "it may be of an earlier life")
+	assert.Check(t, !l.RecordEntry(known, entry(900), 7), "the entry may be of an earlier life")
 	assert.Check(t, l.HasCandidate())
 	assert.Check(t, !l.RecordAnswer(known, known, 7), "this call was made before the entry was read")
 	assert.Check(t, l.HasCandidate())
 	assert.Check(t, !l.RecordAnswer(known, known, 8))
 	assert.Check(t, !l.HasCandidate(), "the entry was old")
 	assert.Check(t, !l.RecordEntry(known, entry(900), 9))
-	assert.Check(t, !l.HasCandidate(), "it is known to be old")
+	assert.Check(t, !l.HasCandidate(), "the entry is known to be old")
 	assert.Check(t, l.RecordAnswer(known, life(100), 10), "a smaller number may be the later life")
 	assert.Equal(t, l.Fence(3), int64(3_000_001))
-	assert.Check(t, !l.RecordEntry(life(100), entry(500), 11) && !l.HasCandidate(), "the list is late")
+	assert.Check(t, !l.RecordEntry(life(100), entry(500), 11) && !l.HasCandidate(), "the list is outdated")
 }
 
 func TestSuccessorUsesEntryIfRead(t *testing.T) {
@@ -63,7 +63,7 @@
 	}
 	assert.Equal(t, l.Fence(1), int64(1_000_999))
 	l.RecordEntry(life(1000), entry(999), 0)
-	assert.Check(t, !l.HasCandidate(), "the last ones are")
+	assert.Check(t, !l.HasCandidate(), "the latest lives are kept")
 	l.RecordEntry(life(1000), entry(1), 0)
-	assert.Check(t, l.HasCandidate(), "the worker is asked again")
+	assert.Check(t, l.HasCandidate(), "the oldest life is forgotten, so the worker is called again")
 }
--- a/services/presence/presence.go
+++ b/services/presence/presence.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package presence tells of one worker's life whether the platform lists it and whether it
-// answers, and, once it does neither, how the life has ended.
+// Package presence tracks the workers of the cell: whether the platform lists a worker and whether
+// the worker answers, how its life ended once it does neither, and which of its lives is the
+// current one.
 package presence
 
 import (
@@ -11,29 +12,30 @@
 	"saddlevane/models/exchange"
 )
 
-// Presence is what was seen of a worker's life. The zero value was never listed.
+// Presence holds what was observed of one life of a worker. The zero value was never listed.
 type Presence struct {
-	// listed says that the platform lists it. An entry that is missing since missingSince
-	// may have lapsed with the log.
+	// listed is set while the platform lists the worker. If missingSince is set, the entry is
+	// missing since then but may come back: it may have lapsed because of an outage of the log.
 	listed       bool
 	missingSince time.Time
 	leaving      bool
-	// silentSince is when the first call was not answered of those that were not since the
-	// last answer, and wasHealthy says that it was listed then and not leaving.
+	// silentSince is when the first call without an answer since the last answer failed. wasHealthy
+	// is set if the worker was listed then and not leaving.
 	silentSince time.Time
 	wasHealthy  bool
 }
 
-// IsListed says whether the platform lists the worker, or may again.
+// IsListed reports whether the platform lists the worker, or may list it again.
 func (p *Presence) IsListed() bool { return p.listed }
 
-// RecordEntry takes that an entry names the worker.
+// RecordEntry records that a list entry names the worker, and whether the entry says that the
+// worker is leaving.
 func (p *Presence) RecordEntry(leaving bool) {
 	p.listed, p.missingSince, p.leaving = true, time.Time{}, leaving
 }
 
-// RecordMissing takes that no entry names the worker any more. It stays listed while its entry
-// may be back.
+// RecordMissing records that no list entry names the worker any more. The worker stays listed as
+// long as mayBeBack is set, which means that its entry may come back.
 func (p *Presence) RecordMissing(now time.Time, mayBeBack bool) {
 	if !p.listed {
 		return
@@ -44,34 +46,36 @@
 	p.listed = mayBeBack
 }
 
-// UnlistMissing takes that an entry which is missing will not be back. It returns whether the
+// UnlistMissing marks the worker as not listed if its entry is missing. It reports whether the
 // worker was listed until now.
 func (p *Presence) UnlistMissing() bool {
-	given := p.listed && !p.missingSince.IsZero()
-	p.listed = p.listed && !given
-	return given
+	unlisted := p.listed && !p.missingSince.IsZero()
+	p.listed = p.listed && !unlisted
+	return unlisted
 }
 
-// RecordSilence takes that the worker does not answer from now on. A crash is found by the next
-// call, within some time: its entry goes after it. The entry of a worker that leaves goes
-// long before it stops to answer.
-func (p *Presence) RecordSilence(now time.Time, found time.Duration) {
-	gone := !p.missingSince.IsZero() && now.Sub(p.missingSince) > found
+// RecordSilence records that the worker stopped answering at now. A crash is detected by the next
+// call, within detectionTime, and the entry of a crashed worker is removed only after the crash. An
+// entry that has been missing for longer belongs to a worker that left: its entry is removed long
+// before it stops answering.
+func (p *Presence) RecordSilence(now time.Time, detectionTime time.Duration) {
+	gone := !p.missingSince.IsZero() && now.Sub(p.missingSince) > detectionTime
 	p.silentSince, p.wasHealthy = now, !gone && !p.leaving
 }
 
-// RecordAnswer takes an answer. It returns whether the worker had been silent.
+// RecordAnswer records an answer and reports whether the worker had been silent.
 func (p *Presence) RecordAnswer() bool {
 	silent := !p.silentSince.IsZero()
 	p.silentSince = time.Time{}
 	return silent
 }
 
-// SilentSince returns since when the worker does not answer, or zero.
+// SilentSince returns the time since which the worker has not answered, or the zero time if it
+// answers.
 func (p *Presence) SilentSince() time.Time { return p.silentSince }
 
-// Ending tells how the life has ended of a worker that is silent. It is sure that the life
-// is over, or that its lease has run out.
+// Ending returns how the life of a silent worker ended. over is set if the life is known to have
+// ended; otherwise only its lease is known to have run out.
 func (p *Presence) Ending(over bool) exchange.Ending {
 	switch {
 	case !p.wasHealthy:
--- a/services/presence/presence_test.go
+++ b/services/presence/presence_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// detectionTime is within which time a crash is found.
+// detectionTime is the time within which a crash is detected.
 const detectionTime = time.Second
 
 func TestEndingOfLife(t *testing.T) {
@@ -25,24 +25,24 @@
 		want exchange.Ending
 	}{
 		{"another life answers at its address", func(p *presence.Presence) { p.RecordSilence(now, detectionTime) }, true, exchange.Crashed},
-		{"it is silent, and its entry goes", func(p *presence.Presence) {
+		{"its entry is removed after it fell silent", func(p *presence.Presence) {
 			p.RecordSilence(now, detectionTime)
 			p.RecordMissing(now.Add(time.Second), false)
 		}, false, exchange.Crashed},
-		{"its entry goes just before its silence is found", func(p *presence.Presence) {
+		{"its entry is removed just before its silence is detected", func(p *presence.Presence) {
 			p.RecordMissing(now, false)
 			p.RecordSilence(now.Add(detectionTime/2), detectionTime)
 		}, false, exchange.Crashed},
-		{"it is silent, and listed", func(p *presence.Presence) { p.RecordSilence(now, detectionTime) }, false, exchange.CutOff},
+		{"it is silent and still listed", func(p *presence.Presence) { p.RecordSilence(now, detectionTime) }, false, exchange.CutOff},
 		{"it was leaving", func(p *presence.Presence) {
 			p.RecordEntry(true)
 			p.RecordSilence(now, detectionTime)
 		}, true, exchange.Left},
-		{"its entry went while it answered", func(p *presence.Presence) {
+		{"its entry was removed while it answered", func(p *presence.Presence) {
 			p.RecordMissing(now, false)
 			p.RecordSilence(now.Add(3*time.Second), detectionTime)
 		}, true, exchange.Left},
-		{"its entry was back before", func(p *presence.Presence) {
+		{"its entry was missing but came back before the silence", func(p *presence.Presence) {
 			p.RecordMissing(now, true)
 			p.RecordEntry(false)
 			p.RecordSilence(now.Add(3*time.Second), detectionTime)
@@ -60,7 +60,7 @@
 	var p presence.Presence
 	assert.Check(t, !p.IsListed())
 	p.RecordEntry(false)
-	assert.Check(t, !p.UnlistMissing(), "it is not missing")
+	assert.Check(t, !p.UnlistMissing(), "its entry is not missing")
 	p.RecordMissing(now, true)
 	assert.Check(t, p.IsListed())
 	assert.Check(t, p.UnlistMissing() && !p.IsListed() && !p.UnlistMissing())
--- a/services/ranking/ranking.go
+++ b/services/ranking/ranking.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package ranking orders the steps that wait for workers. It answers two load patterns. While
-// nearly all can be done in time, the step goes first that is wanted first. In a backlog that
-// order serves those that are just about lost, and each comes just late; there the step with
-// the least work left goes first, so that most jobs are in time (shortest remaining processing
-// time, Schrage 1968).
+// Package ranking orders the steps that wait for workers, by one of two rules. While nearly all
+// jobs can be done in time, the step with the earliest deadline goes first. In a backlog that order
+// serves the steps that are about to miss their deadlines, and each finishes slightly late. There
+// the step with the least remaining work goes first, so that most jobs are in time (shortest
+// remaining processing time, Schrage 1968).
 package ranking
 
 import (
@@ -17,41 +17,42 @@
 	"saddlevane/modules/ordered"
 )
 
-// Tier orders steps before anything else does.
+// Tier groups steps by what their results are still worth. It decides before all other criteria
+// except Rank.AdviceExpiring.
 type Tier int
 
-// The tiers. What is late gives way to what is on time, and what is hopeless to both.
+// The tiers, in order: steps on time go before late ones, and both before hopeless ones.
 const (
-	// OnTime: the job can still be done within its objective.
+	// OnTime means that the job can still be done within its objective.
 	OnTime Tier = iota
-	// Late: it cannot, but its result is still of use to the caller.
+	// Late means that it cannot, but its result is still of use to the caller.
 	Late
-	// Hopeless: its result will be of no use any more.
+	// Hopeless means that its result will no longer be of use.
 	Hopeless
 )
 
 const (
 	// MaxLateFactor is how many times its objective a job may take and still be of use to its
-	// caller (the users' rules).
+	// caller, as the users have defined.
 	MaxLateFactor = 3
-	// overdueAfter is how long a job that is of no use any more gives way to all others
-	// before it counts as late again: every job that was accepted is to be done.
+	// overdueAfter is how long a job whose result is no longer of use gives way to all others
+	// before its steps count as late again, so that every accepted job is done eventually.
 	overdueAfter = 12 * time.Second
 )
 
-// Times are those of a step: when its job fell due, within what time it is wanted, and when it
-// would be finished if the step began now.
+// Times holds the times of a step: when its job fell due, the objective within which the job is to
+// be done after that, and when the job would finish if the step started now.
 type Times struct {
 	DueAt     time.Time
 	Objective time.Duration
 	Finish    time.Time
 }
 
-// Deadline returns when the job is to be done.
+// Deadline returns the time by which the job is to be done.
 func (t Times) Deadline() time.Time { return t.DueAt.Add(t.Objective) }
 
-// IsOverdue says whether the job has been of no use for so long that it goes before all others
-// that are late: the bound to which the order may hold any step back.
+// IsOverdue reports whether the result of the job has been of no use for overdueAfter. Its steps
+// then go before all other late ones, which bounds how long the order can hold a step back.
 func (t Times) IsOverdue(now time.Time) bool {
 	return now.Sub(t.DueAt) > MaxLateFactor*t.Objective+overdueAfter
 }
@@ -64,70 +65,73 @@
 	case !t.Finish.After(t.DueAt.Add(MaxLateFactor * t.Objective)):
 		return Late
 	case t.IsOverdue(now):
-		// It has to be done some time.
+		// Every accepted job has to be done eventually.
 		return Late
 	default:
 		return Hopeless
 	}
 }
 
-// Rank is what orders a step.
+// Rank holds the criteria by which a step is ordered.
 type Rank struct {
-	// First is set if an answer that was asked for the step holds for a moment only.
+	// AdviceExpiring is set if advice obtained for the step is valid only for the current plan.
 	AdviceExpiring bool
 	Tier           Tier
-	// Beyond says that its job is more than its workspace's share.
+	// OverShare is set if the job exceeds its workspace's share.
 	OverShare bool
-	// Priority is that of its queue; 0 goes first.
+	// Priority is that of the queue: 0 goes first, then higher values.
 	Priority int
 	Deadline time.Time
-	// Work is what its waiting tasks take of all workers, as a share, times the time for
-	// which they do, in seconds. That of an overdue step is 0.
+	// Work is the dominant share of all workers that the waiting tasks take, times how long they
+	// take it, in seconds. It is 0 for an overdue step.
 	Work float64
 	Step job.StepID
 }
 
-// Compare orders steps for a plan. Nothing is earned any more by what is hopeless, so there
-// the one that has waited longest goes first also in a backlog: with the least work first, a
-// job waited 10.3 s for room in a full cell of 6 workers. The names come last, so that the same steps always have the same order.
-func (r Rank) Compare(o Rank, backlog bool) int {
+// Compare orders steps for a plan; the result is negative if r goes before other. Hopeless steps
+// are ordered by deadline in a backlog as well, since finishing one of them sooner gains nothing:
+// with the least work first, a job waited 10.3 s for room in a full cell of 6 workers. The names
+// come last, so that the order is always the same.
+func (r Rank) Compare(other Rank, backlog bool) int {
 	byWork := 0
 	if backlog && r.Tier != Hopeless {
-		byWork = cmp.Compare(r.Work, o.Work)
+		byWork = cmp.Compare(r.Work, other.Work)
 	}
 	return cmp.Or(
-		ordered.TrueFirst(r.AdviceExpiring, o.AdviceExpiring),
-		cmp.Compare(r.Tier, o.Tier),
-		ordered.TrueFirst(o.OverShare, r.OverShare),
-		cmp.Compare(r.Priority, o.Priority),
+		ordered.TrueFirst(r.AdviceExpiring, other.AdviceExpiring),
+		cmp.Compare(r.Tier, other.Tier),
+		ordered.TrueFirst(other.OverShare, r.OverShare),
+		cmp.Compare(r.Priority, other.Priority),
 		byWork,
-		r.Deadline.Compare(o.Deadline),
-		cmp.Compare(r.Step.Job, o.Step.Job),
-		cmp.Compare(r.Step.Instance, o.Step.Instance),
-		cmp.Compare(r.Step.Step, o.Step.Step),
+		r.Deadline.Compare(other.Deadline),
+		cmp.Compare(r.Step.Job, other.Step.Job),
+		cmp.Compare(r.Step.Instance, other.Step.Instance),
+		cmp.Compare(r.Step.Step, other.Step.Step),
 	)
 }
 
-// backlogShare is the share of the workers' room that waiting tasks need from which on there
-// is a backlog. On drawn loads of 350 workers, with gangs that come in bursts, jobs earned
-// 0.749 with 0, 0.748 with 0.1 and 0.745 with 0.3 in place of 0.721 at 1.2 times the usual
-// load, and 0.886, 0.885 and 0.885 in place of 0.888 at the usual one (8 loads each).
+// backlogShare is the dominant share of the workers' capacity above which the waiting tasks are a
+// backlog. In simulations of 350 workers with bursts of gangs, at 1.2 times the usual load, jobs
+// earned 0.749 of their value with a share of 0, 0.748 with 0.1 and 0.745 with 0.3, and 0.721
+// without a backlog rule. At the usual load these were 0.886, 0.885 and 0.885, and 0.888 without it
+// (8 random loads each).
 const backlogShare = 0.3
 
-// IsBacklog says whether more waits than can begin soon, by what the waiting tasks need and
-// what all workers have.
+// IsBacklog reports whether more tasks wait than can start soon, given the resources that the
+// waiting tasks need and those of all workers.
 func IsBacklog(waiting, all resource.Vector) bool {
 	return waiting.DominantShare(all) > backlogShare
 }
 
-// CriticalPathAfter returns the longest chain of work after each of some steps, if each takes some time
-// and comes after earlier ones.
-func CriticalPathAfter[S any](steps []S, takes func(S) time.Duration, comesAfter func(S) []int) []time.Duration {
+// CriticalPathAfter returns, for each step, the longest chain of work that follows it. duration
+// returns how long a step takes, and dependencies the indices of the earlier steps that it depends
+// on.
+func CriticalPathAfter[S any](steps []S, duration func(S) time.Duration, dependencies func(S) []int) []time.Duration {
 	after := make([]time.Duration, len(steps))
 	for i := len(steps) - 1; i >= 0; i-- {
-		work := after[i] + takes(steps[i])
-		for _, before := range comesAfter(steps[i]) {
-			after[before] = max(after[before], work)
+		work := after[i] + duration(steps[i])
+		for _, earlier := range dependencies(steps[i]) {
+			after[earlier] = max(after[earlier], work)
 		}
 	}
 	return after
--- a/services/ranking/ranking_test.go
+++ b/services/ranking/ranking_test.go
@@ -22,11 +22,11 @@
 		now, left time.Duration
 		want      ranking.Tier
 	}{
-		{"it can still be in time", 6 * time.Second, 4 * time.Second, ranking.OnTime},
+		{"it can still finish in time", 6 * time.Second, 4 * time.Second, ranking.OnTime},
 		{"it will be late", 6 * time.Second, 5 * time.Second, ranking.Late},
 		{"it will be of no use", 20 * time.Second, 11 * time.Second, ranking.Hopeless},
-		{"it has been of no use for some time", 41 * time.Second, 11 * time.Second, ranking.Hopeless},
-		{"it has to be done some time", 43 * time.Second, 11 * time.Second, ranking.Late},
+		{"it has been of no use for a while", 41 * time.Second, 11 * time.Second, ranking.Hopeless},
+		{"it is overdue and has to be done eventually", 43 * time.Second, 11 * time.Second, ranking.Late},
 	} {
 		now := due.Add(c.now)
 		got := ranking.Times{DueAt: due, Objective: 10 * time.Second, Finish: now.Add(c.left)}.Tier(now)
@@ -34,9 +34,10 @@
 	}
 }
 
-// Of the jobs of one kind, large and small by turns, that have gathered while there was no
-// room, the one wanted first was always placed next, and all were just late: jobs of a drawn
-// load earned 0.721, and 0.745 with the least work first.
+// Guards against ordering a backlog by deadline. When large and small jobs of one kind had gathered
+// while there was no room, the one with the earliest deadline was always placed next, and all of
+// them finished slightly late: the jobs of a random load earned 0.721 of their value, and 0.745
+// with the least work first.
 func TestBacklogOrdersByLeastWork(t *testing.T) {
 	wanted := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	rank := func(id job.ID, after time.Duration, work float64) ranking.Rank {
@@ -64,10 +65,11 @@
 	assert.Check(t, !ranking.IsBacklog(resource.Vector{Processors: 1000}, resource.Vector{}))
 }
 
-// A backlog of 60 steps had built up while connections were silent, and the cell of 6 workers
-// was full for 10 s after. A job that had become of no use waited there for room for 10.3 s,
-// since smaller ones go before it although nothing is earned by either, and had not ended
-// 10.45 s after the last silence, which is promised.
+// Guards against a hopeless job waiting behind smaller hopeless ones. A backlog of 60 steps had
+// built up while connections were silent, and the cell of 6 workers was full for 10 s afterwards. A
+// job whose result was no longer of use waited 10.3 s for room, because smaller ones went before it
+// although none of them gained anything. It had not ended 10.45 s after the last silence, the
+// guaranteed time.
 //
 //	03:34:09 state of the cell free=1 processors=80 steps_late=28 steps_hopeless=11
 //	03:34:14 job ended job=job212 age=12.51s delays=map[room:10.3s takeover:1.45s]
--- a/services/recent/recent.go
+++ b/services/recent/recent.go
@@ -1,14 +1,14 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package recent has the log tell which tasks were started last, and on which workers. If a
-// worker crashes while no box holds the cell, nobody sees what ran there, and a task that
-// crashes its workers would be started as if nothing had happened: the next holder puts the
-// crash to the tasks that were started there last.
+// Package recent records in the log which tasks were started last, and on which workers. If a
+// worker crashes while no box holds the cell, nobody sees what ran there, and a task that crashes
+// its workers would be started again as if nothing had happened. With the records, the next holder
+// attributes the crash to the tasks that were started there last.
 //
-// The starts go into appends that are made anyway, or into one of their own after a while,
-// under a few keys in turn, so that what the log keeps of them is bounded. No start waits for
-// them.
+// The starts are added to appends that are made anyway, or are appended on their own after
+// FlushAfter. They are stored under a fixed number of keys in turn, so that the size of the log is
+// bounded. No start waits for its record.
 package recent
 
 import (
@@ -24,15 +24,16 @@
 )
 
 const (
-	// MinInterval is the least time between two records of starts.
+	// MinInterval is the minimum time between two records.
 	MinInterval = 25 * time.Millisecond
-	// FlushAfter is after how long starts get an append of their own: in a cell in which nothing
-	// else happens a task that crashes its worker after half a second is known by then.
+	// FlushAfter is how long starts wait for another append before they get one of their own. In an
+	// idle cell, a task that crashes its worker after half a second is thus recorded before the
+	// crash.
 	FlushAfter = 100 * time.Millisecond
-	// Slots is how many records the log keeps: those of the last 3 s or more.
+	// Slots is the number of records that the log keeps, which cover the last 3 s or more.
 	Slots = 128
-	// maxStarts bounds the starts of a record: at 4,000 starts/s all are told, beyond that a
-	// part, so that a record of about 60 bytes a start stays under 6 kB.
+	// maxStarts bounds the starts in a record. At 4,000 starts/s all of them are recorded, at
+	// higher rates a part, so that a record, at about 60 bytes per start, stays under 6 kB.
 	maxStarts = 100
 )
 
@@ -41,79 +42,81 @@
 	Task   job.TaskID `json:"t"`
 	Run    int64      `json:"n"`
 	Worker string     `json:"w"`
-	// Born tells the worker's lives apart, as in order.Life.
+	// Born distinguishes the lives of the worker; see order.Life.
 	Born int64 `json:"b,omitempty"`
-	// UnixMilli is when it was ordered, in milliseconds since 1970.
+	// UnixMilli is when the start was ordered, in milliseconds since 1970.
 	UnixMilli int64 `json:"m"`
 }
 
-// life returns the life on which it was started.
+// life returns the life of the worker on which the task was started.
 func (s Start) life() order.Incarnation {
 	return order.Incarnation{Name: s.Worker, BornUnixMilli: s.Born}
 }
 
-// validate says what makes no sense in a start that was kept.
+// validate returns an error if a stored start is invalid.
 func (s Start) validate() error {
 	if s.Worker == "" || s.Task.Job == "" || s.Run <= 0 || s.UnixMilli <= 0 || s.Born < 0 {
-		return fmt.Errorf("recent: start %+v makes no sense", s)
+		return fmt.Errorf("recent: invalid start %+v", s)
 	}
 	return nil
 }
 
-// Buffer gathers what the log is to be told next.
+// Buffer collects the starts that have not been recorded yet.
 type Buffer struct {
 	pending []Start
-	// since is when the first of them was added, writtenAt when the log was last told, slot the
-	// next key.
+	// pendingSince is when the first pending start was added, writtenAt when the last record was
+	// taken, and slot the slot of the next record.
 	pendingSince, writtenAt time.Time
 	slot                    int
 }
 
-// Add takes a start.
-func (s *Buffer) Add(now time.Time, start Start) {
-	if len(s.pending) == 0 {
-		s.pendingSince = now
+// Add adds a start. It is dropped if a full record is already pending.
+func (b *Buffer) Add(now time.Time, start Start) {
+	if len(b.pending) == 0 {
+		b.pendingSince = now
 	}
-	if len(s.pending) < maxStarts {
-		s.pending = append(s.pending, start)
+	if len(b.pending) < maxStarts {
+		b.pending = append(b.pending, start)
 	}
 }
 
-// Due says whether the starts that wait get an append of their own.
-func (s *Buffer) Due(now time.Time) bool {
-	return len(s.pending) > 0 && now.Sub(s.pendingSince) >= FlushAfter
+// Due reports whether the pending starts should get an append of their own.
+func (b *Buffer) Due(now time.Time) bool {
+	return len(b.pending) > 0 && now.Sub(b.pendingSince) >= FlushAfter
 }
 
-// Take returns the starts for an append that is made now, and the slot to keep them in, or
-// none: those that have ended well since need not be told.
-func (s *Buffer) Take(now time.Time, matters func(Start) bool) (slot int, starts []Start) {
-	if len(s.pending) == 0 || now.Sub(s.writtenAt) < MinInterval {
+// Take returns the pending starts to be recorded in an append that is made at now, and the slot
+// under which to store them. It returns none if the last record is less than MinInterval old.
+// Starts for which matters returns false, such as those that have ended well, are left out.
+func (b *Buffer) Take(now time.Time, matters func(Start) bool) (slot int, starts []Start) {
+	if len(b.pending) == 0 || now.Sub(b.writtenAt) < MinInterval {
 		return 0, nil
 	}
-	for _, start := range s.pending {
+	for _, start := range b.pending {
 		if matters(start) {
 			starts = append(starts, start)
 		}
 	}
-	s.pending = nil
+	b.pending = nil
 	if len(starts) == 0 {
 		return 0, nil
 	}
-	slot, s.slot, s.writtenAt = s.slot, (s.slot+1)%Slots, now
+	slot, b.slot, b.writtenAt = b.slot, (b.slot+1)%Slots, now
 	return slot, starts
 }
 
-// LoggedStarts are the starts of which the log told, by the worker's life.
+// LoggedStarts holds the starts that were recorded in the log, by the worker's life.
 type LoggedStarts struct{ byLife map[order.Incarnation][]Start }
 
-// Read returns the last start of each task. Records that could not be read are returned too.
+// Read returns the last start of each task in the records, and an error for each record that could
+// not be decoded.
 func Read(records [][]byte) (LoggedStarts, []error) {
 	last := map[job.TaskID]Start{}
-	var unread []error
+	var errs []error
 	for _, r := range records {
 		starts, err := decode(r)
 		if err != nil {
-			unread = append(unread, err)
+			errs = append(errs, err)
 			continue
 		}
 		for _, s := range starts {
@@ -122,17 +125,17 @@
 			}
 		}
 	}
-	told := LoggedStarts{byLife: map[order.Incarnation][]Start{}}
+	logged := LoggedStarts{byLife: map[order.Incarnation][]Start{}}
 	for _, s := range slices.SortedFunc(maps.Values(last), Start.compare) {
-		told.byLife[s.life()] = append(told.byLife[s.life()], s)
+		logged.byLife[s.life()] = append(logged.byLife[s.life()], s)
 	}
-	return told, unread
+	return logged, errs
 }
 
 func decode(record []byte) ([]Start, error) {
 	var starts []Start
 	if err := json.Unmarshal(record, &starts); err != nil {
-		return nil, fmt.Errorf("recent: %w", err)
+		return nil, fmt.Errorf("recent: decode record: %w", err)
 	}
 	for _, s := range starts {
 		if err := s.validate(); err != nil {
@@ -142,27 +145,28 @@
 	return starts, nil
 }
 
-func (s Start) compare(o Start) int {
-	return cmp.Or(cmp.Compare(s.Task.Job, o.Task.Job), cmp.Compare(s.Task.Instance, o.Task.Instance),
-		cmp.Compare(s.Task.Step, o.Task.Step), cmp.Compare(s.Task.Index, o.Task.Index))
+func (s Start) compare(other Start) int {
+	return cmp.Or(cmp.Compare(s.Task.Job, other.Task.Job), cmp.Compare(s.Task.Instance, other.Task.Instance),
+		cmp.Compare(s.Task.Step, other.Task.Step), cmp.Compare(s.Task.Index, other.Task.Index))
 }
 
-// StartedOn returns the tasks that were started last on a life of a worker.
-func (t LoggedStarts) StartedOn(life order.Incarnation) []Start {
+// StartedOn returns the last starts of the tasks that were started last on a life of a worker.
+func (l LoggedStarts) StartedOn(life order.Incarnation) []Start {
 	if life.BornUnixMilli == 0 {
-		return t.byLife[life]
+		return l.byLife[life]
 	}
-	// An earlier release told names only.
-	return slices.Concat(t.byLife[life], t.byLife[order.Incarnation{Name: life.Name}])
+	// Records of an earlier release have the worker's name only.
+	return slices.Concat(l.byLife[life], l.byLife[order.Incarnation{Name: life.Name}])
 }
 
-// WorkerCount counts the workers on which a task of a step was started, or its gang.
-func (t LoggedStarts) WorkerCount(step job.StepID, gang bool) int {
+// WorkerCount returns the number of workers on which a gang was started, given its step, and 1 for
+// a task that is not of a gang.
+func (l LoggedStarts) WorkerCount(step job.StepID, gang bool) int {
 	if !gang {
 		return 1
 	}
 	n := 0
-	for _, starts := range t.byLife {
+	for _, starts := range l.byLife {
 		if slices.ContainsFunc(starts, func(s Start) bool { return s.Task.StepID == step }) {
 			n++
 		}
@@ -170,8 +174,8 @@
 	return n
 }
 
-// Forget drops what was started on a life of a worker: it has told itself what it runs.
-func (t LoggedStarts) Forget(life order.Incarnation) {
-	delete(t.byLife, life)
-	delete(t.byLife, order.Incarnation{Name: life.Name})
+// Forget drops the starts on a life of a worker, once the worker itself has reported what it runs.
+func (l LoggedStarts) Forget(life order.Incarnation) {
+	delete(l.byLife, life)
+	delete(l.byLife, order.Incarnation{Name: life.Name})
 }
--- a/services/recent/recent_test.go
+++ b/services/recent/recent_test.go
@@ -23,23 +23,23 @@
 
 func TestStartsAreWrittenInSlotOrderAndRateLimited(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	var s recent.Buffer
-	_, none := s.Take(now, all)
+	var b recent.Buffer
+	_, none := b.Take(now, all)
 	assert.Equal(t, len(none), 0)
-	s.Add(now, start("a", 1, "w"))
-	assert.Check(t, !s.Due(now))
-	assert.Check(t, s.Due(now.Add(recent.FlushAfter)))
-	slot, starts := s.Take(now, all)
+	b.Add(now, start("a", 1, "w"))
+	assert.Check(t, !b.Due(now))
+	assert.Check(t, b.Due(now.Add(recent.FlushAfter)))
+	slot, starts := b.Take(now, all)
 	assert.Equal(t, slot, 0)
 	assert.DeepEqual(t, starts, []recent.Start{start("a", 1, "w")})
-	s.Add(now, start("b", 1, "w"))
-	_, none = s.Take(now.Add(recent.MinInterval/2), all)
-	assert.Equal(t, len(none), 0, "that would be too often")
-	s.Add(now, start("ended", 1, "w"))
-	slot, starts = s.Take(now.Add(recent.MinInterval), func(s recent.Start) bool { return s.Task.Job != "ended" })
+	b.Add(now, start("b", 1, "w"))
+	_, none = b.Take(now.Add(recent.MinInterval/2), all)
+	assert.Equal(t, len(none), 0, "the last record is less than MinInterval old")
+	b.Add(now, start("ended", 1, "w"))
+	slot, starts = b.Take(now.Add(recent.MinInterval), func(s recent.Start) bool { return s.Task.Job != "ended" })
 	assert.Equal(t, slot, 1)
 	assert.DeepEqual(t, starts, []recent.Start{start("b", 1, "w")})
-	assert.Check(t, !s.Due(now.Add(time.Hour)))
+	assert.Check(t, !b.Due(now.Add(time.Hour)))
 }
 
 func TestReadKeepsLastStartOfEachTask(t *testing.T) {
@@ -48,15 +48,15 @@
 		assert.NilError(t, err)
 		return data
 	}
-	told, unread := recent.Read([][]byte{
+	logged, errs := recent.Read([][]byte{
 		record(start("a", 7, "w2"), start("b", 3, "w1")), record(start("a", 5, "w1")), []byte(`{`), []byte(`[{"t":"a.0.0.1","n":9,"w":"","m":1}]`),
 	})
-	assert.Equal(t, len(unread), 2)
-	assert.DeepEqual(t, told.StartedOn(order.Incarnation{Name: "w1"}), []recent.Start{start("b", 3, "w1")})
-	assert.DeepEqual(t, told.StartedOn(order.Incarnation{Name: "w2"}), []recent.Start{start("a", 7, "w2")})
-	assert.Equal(t, told.WorkerCount(job.StepID{Job: "a"}, true), 1)
-	told.Forget(order.Incarnation{Name: "w2"})
-	assert.Equal(t, len(told.StartedOn(order.Incarnation{Name: "w2"})), 0)
+	assert.Equal(t, len(errs), 2)
+	assert.DeepEqual(t, logged.StartedOn(order.Incarnation{Name: "w1"}), []recent.Start{start("b", 3, "w1")})
+	assert.DeepEqual(t, logged.StartedOn(order.Incarnation{Name: "w2"}), []recent.Start{start("a", 7, "w2")})
+	assert.Equal(t, logged.WorkerCount(job.StepID{Job: "a"}, true), 1)
+	logged.Forget(order.Incarnation{Name: "w2"})
+	assert.Equal(t, len(logged.StartedOn(order.Incarnation{Name: "w2"})), 0)
 }
 
 func TestStartsAreGroupedByWorkerLife(t *testing.T) {
@@ -64,10 +64,10 @@
 	first.Born, later.Born = 500, 400
 	data, err := json.Marshal([]recent.Start{first, later, before})
 	assert.NilError(t, err)
-	told, unread := recent.Read([][]byte{data})
-	assert.Equal(t, len(unread), 0)
+	logged, errs := recent.Read([][]byte{data})
+	assert.Equal(t, len(errs), 0)
 	life := order.Incarnation{Name: "w", BornUnixMilli: 400}
-	assert.DeepEqual(t, told.StartedOn(life), []recent.Start{later, before})
-	told.Forget(life)
-	assert.DeepEqual(t, told.StartedOn(order.Incarnation{Name: "w", BornUnixMilli: 500}), []recent.Start{first})
+	assert.DeepEqual(t, logged.StartedOn(life), []recent.Start{later, before})
+	logged.Forget(life)
+	assert.DeepEqual(t, logged.StartedOn(order.Incarnation{Name: "w", BornUnixMilli: 500}), []recent.Start{first})
 }
--- a/services/workspaces/caps.go
+++ b/services/workspaces/caps.go
@@ -10,28 +10,29 @@
 	"saddlevane/models/workspace"
 )
 
-// Usage counts what the tasks of each workspace take, with the events that change it, so
-// that a start costs the same in a cell of any size. Tasks count from the order to start
-// them until their end is known: while they are being stopped, while it is not known whether
-// they have begun, and while their worker is out of reach.
+// Usage tracks the resources that the tasks of each workspace take. It is updated by each event
+// that changes it, so that the cost of a start does not depend on the size of the cell. A task
+// counts from the order to start it until its end is known, including while it is being stopped,
+// while it is not known whether it has started, and while its worker is out of reach.
 type Usage struct {
 	used map[string]resource.Vector
-	// unheard is what tasks may take of which it is not known whether they run: after a
-	// takeover, on workers that have not told.
+	// unreported holds the resources that tasks may take of which it is not known whether they run:
+	// after a takeover, those on workers that have not reported yet.
 	unreported map[string]resource.Vector
 }
 
 // NewUsage returns the usage of a cell in which nothing runs.
 func NewUsage() *Usage { return &Usage{used: map[string]resource.Vector{}} }
 
-// Add counts what a task takes from now on, or what is promised to one.
+// Add adds the resources of a task of the named workspace that takes them from now on, or to which
+// they are promised. Tasks without a workspace are not counted.
 func (u *Usage) Add(name string, v resource.Vector) {
 	if name != "" {
 		u.used[name] = u.used[name].Plus(v)
 	}
 }
 
-// Subtract counts it no more.
+// Subtract removes the resources that Add has added.
 func (u *Usage) Subtract(name string, v resource.Vector) {
 	if name == "" {
 		return
@@ -41,10 +42,12 @@
 	}
 }
 
-// SetUnreported tells what tasks of each workspace may take that have not been heard of.
+// SetUnreported sets, by workspace, the resources that tasks may take of which it is not known
+// whether they run.
 func (u *Usage) SetUnreported(by map[string]resource.Vector) { u.unreported = by }
 
-// SetUnreportedWithin tells the same of what is no more than some room.
+// SetUnreportedWithin is like SetUnreported, with the resources of each workspace limited to room.
+// It changes the values of by.
 func (u *Usage) SetUnreportedWithin(by map[string]resource.Vector, room resource.Vector) {
 	for name, v := range by {
 		by[name] = v.Min(room)
@@ -52,15 +55,15 @@
 	u.SetUnreported(by)
 }
 
-// Of returns what the tasks of a workspace take, or may.
+// Of returns the resources that the tasks of a workspace take or may take.
 func (u *Usage) Of(name string) resource.Vector { return u.used[name].Plus(u.unreported[name]) }
 
-// unlimited is what is left where there is no bound.
+// unlimited is the remaining amount of a resource without a cap.
 const unlimited = math.MaxInt64 / 4
 
-// Remaining returns what the tasks of a workspace may take more. Where a cap has fallen below what
-// runs, that is nothing: what is under way would have to be done again later, so nothing is
-// stopped, and nothing starts until enough has ended.
+// Remaining returns the resources that the tasks of a workspace may take in addition. If a cap has
+// been lowered below the current usage, this is zero: nothing is stopped, since stopped work would
+// have to be done again later, and nothing starts until enough tasks have ended.
 func (u *Usage) Remaining(w workspace.Workspace) resource.Vector {
 	of := u.Of(w.Name)
 	return resource.Vector{
@@ -77,7 +80,8 @@
 	return max(0, most-used)
 }
 
-// FitsCap says whether some tasks of a workspace fit its cap together.
+// FitsCap reports whether tasks that need the given resources together fit the cap of a workspace
+// in which nothing else runs.
 func FitsCap(w workspace.Workspace, need resource.Vector) bool {
 	return need.Fits((&Usage{}).Remaining(w))
 }
--- a/services/workspaces/keys.go
+++ b/services/workspaces/keys.go
@@ -1,16 +1,15 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package workspaces decides what callers may do and what their jobs may take: who a key
-// stands for (keys), how much of the workers the tasks of a workspace may take (caps), and
-// which jobs are beyond its share (shares). It does no I/O and reads no clock.
+// Package workspaces decides what callers may do and what their jobs may take: which workspace a
+// key belongs to (keys), how much of the workers' resources the tasks of a workspace may take
+// (caps), and which jobs exceed its share (shares). It does no I/O and reads no clock.
 //
-// A key is judged twice: by the box that takes the call, which knows the key, and by the
-// holder, which decides in the end. The one that has read the newer configuration is right.
-// A box that has been cut off from the log may hold a configuration in which a key is still
-// in force that was taken away since, or not yet in force that was given since; so a box
-// says whether it knew its configuration to be the newest, and where neither did, the call
-// is answered that this is not known.
+// A call is authorized twice: by the box that receives it, which sees the key, and by the holder,
+// which has the last word. The one with the newer configuration is right. A box that is cut off
+// from the log may still accept a key that has been removed, or may not accept one that has been
+// added. So a box says whether it knew its configuration to be current, and if neither box did, the
+// call is answered with the verdict Undetermined.
 package workspaces
 
 import (
@@ -22,27 +21,28 @@
 	"saddlevane/models/workspace"
 )
 
-// Verdict is what is known of a call's key.
+// Verdict is the result of authorizing a call.
 type Verdict string
 
 // The verdicts.
 const (
 	Allowed Verdict = "allowed"
-	// UnknownKey means that the key is of no workspace, or that there is none.
+	// UnknownKey means that the key belongs to no workspace, or that the call carries none.
 	UnknownKey Verdict = "unknown key"
 	// NoQueue means that there is no such queue.
 	NoQueue Verdict = "no such queue"
-	// Undetermined means that this box cannot know: its configuration may not be the newest.
+	// Undetermined means that this box cannot decide: its configuration may not be current.
 	Undetermined Verdict = "not known"
 )
 
-// maxKeyLength is how long a key may be, in bytes. The digest of a longer one is not made, so
-// that nobody can have a box work on keys of any length; the users' have 20.
+// maxKeyLength is the maximum length of a key, in bytes. No digest is computed of a longer key, so
+// that the work per call is bounded. The users' keys have 20 bytes.
 const maxKeyLength = 256
 
-// AuthorizeAtBox judges a call at the box that takes it. Keys are all that the call carries, of which
-// it may carry one. A call whose verdict is Undetermined may be passed on to the holder if there
-// is a caller.
+// AuthorizeAtBox authorizes a call to a queue at the box that receives it. keys are all keys that
+// the call carries; only one is valid. current says whether c is known to be the current
+// configuration. If the verdict is Undetermined and the caller is not nil, the call may be
+// forwarded to the holder.
 func AuthorizeAtBox(c *job.Config, current bool, queue string, keys []string) (*workspace.Caller, Verdict) {
 	q, found := c.Queues[queue]
 	if !found {
@@ -69,8 +69,9 @@
 	return caller, Allowed
 }
 
-// AuthorizeAtHolder judges a call at the holder, and sets the caller's workspace to the one by which it
-// acts.
+// AuthorizeAtHolder authorizes a call at the holder, and sets the caller's workspace to the one
+// that the newer configuration gives. current says whether c is known to be the current
+// configuration.
 func AuthorizeAtHolder(c *job.Config, current bool, caller *workspace.Caller) Verdict {
 	switch {
 	case caller == nil:
@@ -84,7 +85,7 @@
 	}
 }
 
-// authorizeBy judges a call by the holder's configuration.
+// authorizeBy authorizes a call by the holder's configuration.
 func authorizeBy(c *job.Config, current bool, caller *workspace.Caller) Verdict {
 	q, found := c.Queues[caller.Queue]
 	if !found {
@@ -108,7 +109,8 @@
 	return Allowed
 }
 
-// denialIfCurrent returns a refusal, if it is known to be true.
+// denialIfCurrent returns v if the configuration is known to be current, and Undetermined
+// otherwise.
 func denialIfCurrent(v Verdict, current bool) Verdict {
 	if !current {
 		return Undetermined
@@ -116,8 +118,8 @@
 	return v
 }
 
-// KeyOwner returns the workspace that a key is of. The digest tells nothing of the key, and it
-// is compared in constant time besides.
+// KeyOwner returns the workspace to which the key with a digest belongs. The digest reveals nothing
+// of the key, and it is also compared in constant time.
 func KeyOwner(c *job.Config, d workspace.Digest) (string, bool) {
 	k, found := c.Keys[d]
 	if !found || subtle.ConstantTimeCompare(k.Digest[:], d[:]) != 1 {
@@ -126,20 +128,20 @@
 	return k.Workspace, true
 }
 
-// retryDelay is when to call again if it cannot be known whether a call is allowed: a box that
-// has lost the log finds it again within a second, or another box is asked.
+// retryDelay is when a caller whose call could not be authorized should try again: a box that has
+// lost the log reaches it again within a second, or another box receives the call.
 const retryDelay = 600 * time.Millisecond
 
-// RefusalAnswer is the answer to a call that is not allowed, or not known to be.
+// RefusalAnswer returns the answer to a call that is not allowed, or that could not be authorized.
 func RefusalAnswer(v Verdict) exchange.Answer {
 	switch v {
 	case UnknownKey:
-		return exchange.Answer{Outcome: exchange.Denied, Reason: "the key is of no workspace"}
+		return exchange.Answer{Outcome: exchange.Denied, Reason: "the key does not belong to any workspace"}
 	case NoQueue:
 		return exchange.Answer{Outcome: exchange.NoQueue, Reason: "no such queue"}
 	default:
 		return exchange.Answer{
-			Outcome: exchange.Unavailable, Reason: "it cannot be known at present what the configuration in force allows",
+			Outcome: exchange.Unavailable, Reason: "the current configuration is not available, so the call cannot be authorized",
 			RetryAfter: job.Milliseconds(retryDelay.Milliseconds()),
 		}
 	}
--- a/services/workspaces/keys_test.go
+++ b/services/workspaces/keys_test.go
@@ -16,8 +16,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// configOf returns a configuration with a queue that needs a key, one that needs none, and
-// workspaces that are known by one key each.
+// configOf returns a configuration with a queue that requires a key, an open queue, and workspaces
+// with one key each.
 func configOf(t testing.TB, version int64, keys map[string]string) *job.Config {
 	t.Helper()
 	c := &job.Config{Version: version, Queues: map[string]job.Queue{"q": {Name: "q"}, "open": {Name: "open", Open: true}}}
@@ -29,7 +29,7 @@
 	return c
 }
 
-// Every call was served, whatever key it carried: no code looked at it.
+// Guards against calls that are served whatever key they carry.
 func TestAuthorizeAtBox(t *testing.T) {
 	c := configOf(t, 5, map[string]string{"k1": "a"})
 	for _, x := range []struct {
@@ -47,15 +47,15 @@
 		{"two keys in one", true, "q", []string{"k1, k1"}, workspaces.UnknownKey},
 		{"a key with a scheme", true, "q", []string{"Bearer k1"}, workspaces.UnknownKey},
 		{"8 KB", true, "q", []string{strings.Repeat("k", 8<<10)}, workspaces.UnknownKey},
-		{"a key that is no text", true, "q", []string{"k1\xff\xfe"}, workspaces.UnknownKey},
-		{"no key where none is needed", true, "open", nil, workspaces.Allowed},
-		{"any key where none is needed", true, "open", []string{"k2"}, workspaces.Allowed},
-		{"no queue, whatever the key", true, "none", []string{"k2"}, workspaces.NoQueue},
-		{"a key that may have been taken away", false, "q", []string{"k1"}, workspaces.Undetermined},
-		{"a key that may have been given", false, "q", []string{"k2"}, workspaces.Undetermined},
-		{"no key, and the queue may need none", false, "q", nil, workspaces.Undetermined},
-		{"a queue that may be there", false, "none", nil, workspaces.Undetermined},
-		{"no key is needed, and the box is cut off", false, "open", nil, workspaces.Allowed},
+		{"a key that is not valid UTF-8", true, "q", []string{"k1\xff\xfe"}, workspaces.UnknownKey},
+		{"no key for an open queue", true, "open", nil, workspaces.Allowed},
+		{"any key for an open queue", true, "open", []string{"k2"}, workspaces.Allowed},
+		{"an unknown queue, whatever the key", true, "none", []string{"k2"}, workspaces.NoQueue},
+		{"a key that may have been removed", false, "q", []string{"k1"}, workspaces.Undetermined},
+		{"a key that may have been added", false, "q", []string{"k2"}, workspaces.Undetermined},
+		{"no key, and the queue may have been opened", false, "q", nil, workspaces.Undetermined},
+		{"a queue that may have been added", false, "none", nil, workspaces.Undetermined},
+		{"an open queue, and the box is cut off", false, "open", nil, workspaces.Allowed},
 	} {
 		caller, got := workspaces.AuthorizeAtBox(c, x.current, x.queue, x.keys)
 		assert.Equal(t, got, x.want, x.name)
@@ -64,8 +64,8 @@
 	}
 }
 
-// A key is nowhere readable: not in what passes between boxes, not in what is printed of a
-// caller, a digest or a configuration.
+// A key must not be readable in messages between boxes, nor in the printed form of a caller, a
+// digest or a configuration.
 func TestKeysAreNotExposed(t *testing.T) {
 	c := configOf(t, 5, map[string]string{"secret-key": "a"})
 	caller, _ := workspaces.AuthorizeAtBox(c, true, "q", []string{"secret-key"})
@@ -85,12 +85,12 @@
 func TestInvalidWorkspaceIsRejectedWithConfiguration(t *testing.T) {
 	d := workspace.DigestOf("k")
 	for name, all := range map[string][]workspace.Workspace{
-		"no name":        {{}},
-		"two of a name":  {{Name: "a"}, {Name: "a"}},
-		"a key of two":   {{Name: "a", Keys: []workspace.Digest{d}}, {Name: "b", Keys: []workspace.Digest{d}}},
-		"a cap below 0":  {{Name: "a", Cap: capOf(-1)}},
-		"a share below":  {{Name: "a", Weight: -1}},
-		"no such number": {{Name: "a", Weight: nan()}},
+		"no name":         {{}},
+		"duplicate name":  {{Name: "a"}, {Name: "a"}},
+		"shared key":      {{Name: "a", Keys: []workspace.Digest{d}}, {Name: "b", Keys: []workspace.Digest{d}}},
+		"negative cap":    {{Name: "a", Cap: capOf(-1)}},
+		"negative weight": {{Name: "a", Weight: -1}},
+		"weight is NaN":   {{Name: "a", Weight: nan()}},
 	} {
 		c := job.Config{}
 		assert.Check(t, c.SetWorkspaces(all) != nil, name)
@@ -100,8 +100,7 @@
 	assert.NilError(t, c.SetWorkspaces([]workspace.Workspace{{Name: "a", Keys: []workspace.Digest{d, d}}}))
 }
 
-// Judging a key costs 0.32 µs beside a call that takes a millisecond (20 workspaces); before
-// there was none.
+// Authorizing a key takes 0.32 µs with 20 workspaces, within a call that takes a millisecond.
 func BenchmarkAuthorizeAtBox(b *testing.B) {
 	keys := map[string]string{}
 	for i := range 20 {
--- a/services/workspaces/shares.go
+++ b/services/workspaces/shares.go
@@ -10,8 +10,9 @@
 	"saddlevane/models/workspace"
 )
 
-// ShareLimiter tells which jobs are beyond the share of their workspace: a token bucket each, that
-// is filled by its weight and holds what it is owed in the window.
+// ShareLimiter determines which jobs exceed the share of their workspace. It has a token bucket for
+// each workspace, which is refilled at the workspace's weight, in jobs per second, and holds the
+// tokens of one window.
 type ShareLimiter struct {
 	window  time.Duration
 	buckets map[string]*bucket
@@ -22,16 +23,17 @@
 	at     time.Time
 }
 
-// minBurst is how many jobs any workspace may send at once.
+// minBurst is the number of jobs that any workspace may submit at once.
 const minBurst = 2.0
 
-// NewShareLimiter returns shares by which no job has come yet. A workspace may send what it is owed
-// in the window at once.
+// NewShareLimiter returns a limiter with full buckets, so that each workspace may submit the jobs
+// of one window at once.
 func NewShareLimiter(window time.Duration) *ShareLimiter {
 	return &ShareLimiter{window: window, buckets: map[string]*bucket{}}
 }
 
-// TakeToken takes a new job of a workspace, and says whether it is within its share.
+// TakeToken takes a token for a new job of a workspace. It returns false if the job exceeds the
+// share.
 func (s *ShareLimiter) TakeToken(now time.Time, w workspace.Workspace) bool {
 	b := s.refill(now, w)
 	if b.tokens < 1 {
@@ -41,7 +43,8 @@
 	return true
 }
 
-// TimeToToken returns after what time a job of a workspace is within its share.
+// TimeToToken returns how long it takes until another job of a workspace is within its share. It is
+// 0 if one is already, or if the workspace has no weight.
 func (s *ShareLimiter) TimeToToken(now time.Time, w workspace.Workspace) time.Duration {
 	b := s.refill(now, w)
 	if b.tokens >= 1 || w.Weight <= 0 {
@@ -50,8 +53,8 @@
 	return time.Duration((1 - b.tokens) / w.Weight * float64(time.Second))
 }
 
-// refill returns the bucket of a workspace as it is at now. A clock that goes back fills
-// nothing.
+// refill adds the tokens gained since the last call and returns the bucket of a workspace. If the
+// clock was set back, none are added.
 func (s *ShareLimiter) refill(now time.Time, w workspace.Workspace) *bucket {
 	most := math.Max(minBurst, w.Weight*s.window.Seconds())
 	b := s.buckets[w.Name]
--- a/services/workspaces/shares_test.go
+++ b/services/workspaces/shares_test.go
@@ -21,8 +21,7 @@
 	return resource.Vector{Processors: resource.Millis(cores) * resource.Processor}
 }
 
-// A workspace may send what it is owed in the window at once, and its weight a second from
-// then on.
+// A workspace may submit the jobs of one window at once, and its weight per second from then on.
 func TestShareAccumulatesOverWindow(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	w := workspace.Workspace{Name: "a", Weight: 4}
@@ -41,7 +40,7 @@
 	assert.Equal(t, take(), 20)
 	now = now.Add(-time.Hour)
 	assert.Equal(t, take(), 0)
-	// One without a weight is owed nothing after its first jobs, and is not told to come back.
+	// A workspace without a weight gets no tokens after its first jobs, and no time to come back.
 	none := workspace.Workspace{Name: "none"}
 	for _, want := range []bool{true, true, false} {
 		assert.Equal(t, s.TakeToken(now, none), want)
@@ -57,7 +56,7 @@
 	u.Add("a", need)
 	u.Add("", need)
 	assert.Equal(t, u.Remaining(w).FitCount(need, 100), 1)
-	// One resource that is used up keeps no task from starting that needs none of it.
+	// A resource that is used up does not prevent tasks that need none of it from starting.
 	u.Add("a", resource.Vector{Accelerators: 3})
 	assert.Equal(t, u.Remaining(w).FitCount(need, 100), 1)
 	u.SetUnreported(map[string]resource.Vector{"a": {Processors: 3}})
