--- a/services/advisers/advisers.go
+++ b/services/advisers/advisers.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package advisers spreads calls for advice over the entry boxes: the service takes one
-// call at a time from each.
+// Package advisers distributes calls to the advice service over the entry boxes, because the
+// service handles one call at a time from each box. Advice is which workers may run a step, with
+// tickets for those that may.
 package advisers
 
 import (
@@ -15,53 +16,58 @@
 )
 
 const (
-	// maxCallsPerBox is how many calls of one box may wait: the service refuses more
-	// than 32 (the users' protocol), and other holders' calls may be among them.
+	// maxCallsPerBox is the maximum number of calls in progress through one box. The
+	// service's protocol permits at most 32 per box, and calls of other holders may be among
+	// them.
 	maxCallsPerBox = 20
-	// failureBackoff is how long a box is left out after a call through it failed.
+	// failureBackoff is how long a box gets no calls after a call through it failed.
 	failureBackoff = 4 * time.Second
-	// MaxQueueTime bounds the time that calls take which wait at one box: a ticket
-	// that comes late helps nobody.
+	// MaxQueueTime is the longest time that a call should wait at a box behind others. A
+	// ticket that arrives later than that is of no use.
 	MaxQueueTime = 250 * time.Millisecond
-	// refusalBackoff is how long a box that the service refused gets no calls.
+	// refusalBackoff is the minimum time for which a box counts as busy after the service
+	// refused a call through it.
 	refusalBackoff = 300 * time.Millisecond
-	// ShortCall is the longest call for advice that counts as short, and Brief the longest
-	// that counts as brief.
+	// ShortCall is the longest duration of a call that counts as short, and BriefCall that
+	// of a call that counts as brief. See reservedBoxes.
 	ShortCall = 150 * time.Millisecond
 	BriefCall = 30 * time.Millisecond
-	// overdueMargin is how late an answer makes its box be passed over, and its
-	// step be asked about through another box.
+	// overdueMargin is the delay after which an answer counts as overdue. Its box then gets
+	// no calls, and the call may be repeated through another box.
 	overdueMargin = 250 * time.Millisecond
 )
 
-// Balancer are the boxes through which calls are made. C is what is kept of a call.
+// Balancer assigns calls to boxes. C is the data that is stored with a call. It is not safe for
+// concurrent use.
 type Balancer[C any] struct {
-	// Turns is how the boxes' time is divided among those who compete for it.
+	// FairShare divides the boxes' time between the classes of steps that compete for it.
 	FairShare *turns.Allocator
-	// Spent is the time of the calls made since it was last cleared, by queue.
+	// CallTimeByQueue is the total expected duration of the calls for each queue since it was
+	// last cleared. The user of the balancer maintains it.
 	CallTimeByQueue map[string]time.Duration
 
+	// self is the name of the box of this process.
 	self string
-	// busyUntil is when the calls given to a box should be over.
+	// busyUntil is the time by which the calls assigned to a box should have ended.
 	busyUntil map[string]time.Time
-	// excludedUntil is until when a box is left out because a call through it failed.
+	// excludedUntil is the time until which a box gets no calls because one failed.
 	excludedUntil map[string]time.Time
-	// calls holds the calls under way by box and number.
+	// calls holds the calls in progress by box and number.
 	calls map[string]map[int64]call[C]
-	// open has the boxes that calls could be given to at availableAt.
+	// available holds the names of the boxes that could get calls at availableAt.
 	available   []string
 	availableAt time.Time
-	// numbers counts all calls.
+	// lastNumber is the number of the last call.
 	lastNumber int64
 }
 
-// call is one under way, and when its answer should come.
+// call is a call in progress, and the time by which its answer is expected.
 type call[C any] struct {
 	payload C
 	due     time.Time
 }
 
-// New returns advisers without a call, for the box of some name.
+// New returns a balancer without calls for a process on the box with the name self.
 func New[C any](self string) *Balancer[C] {
 	return &Balancer[C]{
 		FairShare: turns.New(), CallTimeByQueue: map[string]time.Duration{}, self: self,
@@ -69,29 +75,29 @@
 	}
 }
 
-// Begin notes a call through a box that was chosen for it. It returns the call's number,
-// and when its answer should come.
-func (a *Balancer[C]) Begin(box string, c C) (number int64, due time.Time) {
-	if a.calls[box] == nil {
-		a.calls[box] = map[int64]call[C]{}
+// Begin records a call through the box that Assign has just returned for it. It returns the
+// call's number and the time by which its answer is expected.
+func (b *Balancer[C]) Begin(box string, payload C) (number int64, due time.Time) {
+	if b.calls[box] == nil {
+		b.calls[box] = map[int64]call[C]{}
 	}
-	a.lastNumber++
-	due = a.busyUntil[box]
-	a.calls[box][a.lastNumber] = call[C]{payload: c, due: due}
-	return a.lastNumber, due
+	b.lastNumber++
+	due = b.busyUntil[box]
+	b.calls[box][b.lastNumber] = call[C]{payload: payload, due: due}
+	return b.lastNumber, due
 }
 
-// End returns a call that has ended, if it is known.
-func (a *Balancer[C]) End(box string, number int64) (c C, known bool) {
-	one, known := a.calls[box][number]
-	delete(a.calls[box], number)
-	return one.payload, known
+// End removes a call that has ended, and returns its data and whether the call was in progress.
+func (b *Balancer[C]) End(box string, number int64) (payload C, known bool) {
+	c, known := b.calls[box][number]
+	delete(b.calls[box], number)
+	return c.payload, known
 }
 
-// Overdue yields the calls whose answers are overdue, in a fixed order.
-func (a *Balancer[C]) Overdue(now time.Time) iter.Seq[C] {
+// Overdue yields the data of the calls whose answers are overdue, sorted by box and number.
+func (b *Balancer[C]) Overdue(now time.Time) iter.Seq[C] {
 	return func(yield func(C) bool) {
-		for _, calls := range ordered.Map(a.calls) {
+		for _, calls := range ordered.Map(b.calls) {
 			for _, c := range ordered.Map(calls) {
 				if now.Sub(c.due) > overdueMargin && !yield(c.payload) {
 					return
@@ -101,79 +107,82 @@
 	}
 }
 
-// RecordRefusal takes that the service refused a call of a box.
-func (a *Balancer[C]) RecordRefusal(now time.Time, box string) {
-	if until := now.Add(refusalBackoff); until.After(a.busyUntil[box]) {
-		a.busyUntil[box] = until
+// RecordRefusal records that the service refused a call through a box. The box counts as busy for
+// refusalBackoff.
+func (b *Balancer[C]) RecordRefusal(now time.Time, box string) {
+	if until := now.Add(refusalBackoff); until.After(b.busyUntil[box]) {
+		b.busyUntil[box] = until
 	}
 }
 
-// RecordFailure takes that a call through a box failed.
-func (a *Balancer[C]) RecordFailure(now time.Time, box string) {
-	if box != a.self {
-		a.excludedUntil[box] = now.Add(failureBackoff)
+// RecordFailure records that a call through a box failed. The box gets no calls for
+// failureBackoff, unless it is the box of this process.
+func (b *Balancer[C]) RecordFailure(now time.Time, box string) {
+	if box != b.self {
+		b.excludedUntil[box] = now.Add(failureBackoff)
 	}
 }
 
-// Assign gives a call that takes some time to the box whose calls are over first, if that
-// is within patience.
-func (a *Balancer[C]) Assign(now time.Time, boxes iter.Seq[string], takes, patience time.Duration) (box string, ok bool) {
-	box, ok = a.earliestFree(now, boxes, takes, patience)
+// Assign assigns a call of the given duration to the box that is free first, if that is within
+// maxWait.
+func (b *Balancer[C]) Assign(now time.Time, boxes iter.Seq[string], duration, maxWait time.Duration) (box string, ok bool) {
+	box, ok = b.earliestFree(now, boxes, duration, maxWait)
 	if ok {
-		a.busyUntil[box] = a.freeAt(now, box).Add(takes)
+		b.busyUntil[box] = b.freeAt(now, box).Add(duration)
 	}
 	return box, ok
 }
 
-// HasFreeBox says whether a box could take a call of some time within patience.
-func (a *Balancer[C]) HasFreeBox(now time.Time, boxes iter.Seq[string], takes, patience time.Duration) bool {
-	_, ok := a.earliestFree(now, boxes, takes, patience)
+// HasFreeBox reports whether Assign would find a box for a call of the given duration.
+func (b *Balancer[C]) HasFreeBox(now time.Time, boxes iter.Seq[string], duration, maxWait time.Duration) bool {
+	_, ok := b.earliestFree(now, boxes, duration, maxWait)
 	return ok
 }
 
-// earliestFree returns the box whose calls are over first, if that is within patience. Calls that
-// are not brief keep off the first boxes in the order of names.
-func (a *Balancer[C]) earliestFree(now time.Time, boxes iter.Seq[string], takes, patience time.Duration) (box string, ok bool) {
-	names := a.availableBoxes(now, boxes)
+// earliestFree returns the box that is free first, and whether that is within maxWait. Calls that
+// are not brief cannot use the boxes that reservedBoxes excludes, the first ones by name.
+func (b *Balancer[C]) earliestFree(now time.Time, boxes iter.Seq[string], duration, maxWait time.Duration) (box string, ok bool) {
+	names := b.availableBoxes(now, boxes)
 	if len(names) == 0 {
 		return "", false
 	}
 	best := ""
-	for _, name := range names[reservedBoxes(len(names), takes):] {
-		if best == "" || a.freeAt(now, name).Before(a.freeAt(now, best)) {
+	for _, name := range names[reservedBoxes(len(names), duration):] {
+		if best == "" || b.freeAt(now, name).Before(b.freeAt(now, best)) {
 			best = name
 		}
 	}
-	return best, a.freeAt(now, best).Sub(now) <= patience
+	return best, b.freeAt(now, best).Sub(now) <= maxWait
 }
 
-// availableBoxes returns the boxes that calls may be given to, by name.
-func (a *Balancer[C]) availableBoxes(now time.Time, boxes iter.Seq[string]) []string {
-	if a.available != nil && a.availableAt.Equal(now) {
-		return a.available
+// availableBoxes returns the sorted names of the boxes that may get calls, among them the box of
+// this process. The result is cached until now changes.
+func (b *Balancer[C]) availableBoxes(now time.Time, boxes iter.Seq[string]) []string {
+	if b.available != nil && b.availableAt.Equal(now) {
+		return b.available
 	}
 	names := []string{}
-	if !a.isUnavailable(now, a.self) {
-		names = append(names, a.self)
+	if !b.isUnavailable(now, b.self) {
+		names = append(names, b.self)
 	}
 	for name := range boxes {
-		if name != a.self && !a.isUnavailable(now, name) {
+		if name != b.self && !b.isUnavailable(now, name) {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
-	a.available, a.availableAt = names, now
+	b.available, b.availableAt = names, now
 	return names
 }
 
-// isUnavailable says whether a box gets no calls for now.
-func (a *Balancer[C]) isUnavailable(now time.Time, box string) bool {
-	return now.Before(a.excludedUntil[box]) || len(a.calls[box]) >= maxCallsPerBox || a.hasOverdueCall(now, box)
+// isUnavailable reports whether a box gets no calls at present.
+func (b *Balancer[C]) isUnavailable(now time.Time, box string) bool {
+	return now.Before(b.excludedUntil[box]) || len(b.calls[box]) >= maxCallsPerBox || b.hasOverdueCall(now, box)
 }
 
-// hasOverdueCall says whether a box owes an answer.
-func (a *Balancer[C]) hasOverdueCall(now time.Time, box string) bool {
-	for _, c := range a.calls[box] {
+// hasOverdueCall reports whether the answer to a call through a box is overdue.
+func (b *Balancer[C]) hasOverdueCall(now time.Time, box string) bool {
+	for _, c := range b.calls[box] {
 		if now.Sub(c.due) > overdueMargin {
 			return true
 		}
@@ -181,22 +190,22 @@
 	return false
 }
 
-// freeAt returns when the calls given to a box should be over.
-func (a *Balancer[C]) freeAt(now time.Time, box string) time.Time {
-	if until := a.busyUntil[box]; until.After(now) {
+// freeAt returns the time from which a box should be free, which is now or later.
+func (b *Balancer[C]) freeAt(now time.Time, box string) time.Time {
+	if until := b.busyUntil[box]; until.After(now) {
 		return until
 	}
 	return now
 }
 
-// reservedBoxes returns how many of some boxes a call that takes a while must keep off, so
-// that shorter ones need not wait behind it: about an eighth of them where it is
-// short, about a quarter where it is long.
-func reservedBoxes(boxes int, takes time.Duration) int {
+// reservedBoxes returns how many of the given number of boxes a call of the given duration must
+// not use, so that shorter calls do not have to wait behind it: none for a brief call, about an
+// eighth of the boxes for a short one and about a quarter for a longer one.
+func reservedBoxes(boxes int, duration time.Duration) int {
 	switch {
-	case boxes <= 2 || takes <= BriefCall:
+	case boxes <= 2 || duration <= BriefCall:
 		return 0
-	case takes <= ShortCall:
+	case duration <= ShortCall:
 		return (boxes + 4) / 8
 	default:
 		return (boxes + 2) / 4
--- a/services/advisers/advisers_test.go
+++ b/services/advisers/advisers_test.go
@@ -18,48 +18,48 @@
 
 func TestCallsAreSpreadOverBoxes(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	all := advisers.New[int]("a")
-	given := map[string]int{}
+	balancer := advisers.New[int]("a")
+	assigned := map[string]int{}
 	for i := range 8 {
-		box, ok := all.Assign(now, maps.Keys(boxes), advisers.BriefCall, advisers.MaxQueueTime)
+		box, ok := balancer.Assign(now, maps.Keys(boxes), advisers.BriefCall, advisers.MaxQueueTime)
 		assert.Assert(t, ok)
-		given[box]++
-		all.Begin(box, i)
+		assigned[box]++
+		balancer.Begin(box, i)
 		now = now.Add(time.Microsecond)
 	}
 	for box := range boxes {
-		assert.Equal(t, given[box], 2, "%v", given)
+		assert.Equal(t, assigned[box], 2, "%v", assigned)
 	}
-	box, ok := all.Assign(now, maps.Keys(boxes), time.Second, advisers.MaxQueueTime)
-	assert.Check(t, ok && box != "a", "a call that takes long keeps off the first box: %s", box)
+	box, ok := balancer.Assign(now, maps.Keys(boxes), time.Second, advisers.MaxQueueTime)
+	assert.Check(t, ok && box != "a", "a long call must not use the first box, got %s", box)
 }
 
 func TestBoxWithOverdueAnswerGetsNoCalls(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	all := advisers.New[string]("a")
+	balancer := advisers.New[string]("a")
 	only := maps.Keys(map[string]bool{"b": true})
-	_, ok := all.Assign(now, only, advisers.BriefCall, 0)
+	_, ok := balancer.Assign(now, only, advisers.BriefCall, 0)
 	assert.Check(t, ok)
-	number, due := all.Begin("a", "late")
+	number, due := balancer.Begin("a", "late")
 	assert.Equal(t, due, now.Add(advisers.BriefCall))
 	now = now.Add(time.Second)
-	assert.DeepEqual(t, slices.Collect(all.Overdue(now)), []string{"late"})
-	box, _ := all.Assign(now, only, advisers.BriefCall, 0)
+	assert.DeepEqual(t, slices.Collect(balancer.Overdue(now)), []string{"late"})
+	box, _ := balancer.Assign(now, only, advisers.BriefCall, 0)
 	assert.Equal(t, box, "b")
-	c, known := all.End("a", number)
+	c, known := balancer.End("a", number)
 	assert.Check(t, known && c == "late")
-	_, known = all.End("a", number)
+	_, known = balancer.End("a", number)
 	assert.Check(t, !known)
-	assert.Equal(t, len(slices.Collect(all.Overdue(now))), 0)
+	assert.Equal(t, len(slices.Collect(balancer.Overdue(now))), 0)
 }
 
 func TestBoxIsExcludedAfterFailedCall(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	all := advisers.New[int]("a")
-	all.RecordRefusal(now, "a")
-	all.RecordFailure(now, "b")
-	all.RecordFailure(now, "a")
-	assert.Check(t, !all.HasFreeBox(now, maps.Keys(map[string]bool{"b": true}), advisers.BriefCall, 100*time.Millisecond))
+	balancer := advisers.New[int]("a")
+	balancer.RecordRefusal(now, "a")
+	balancer.RecordFailure(now, "b")
+	balancer.RecordFailure(now, "a")
+	assert.Check(t, !balancer.HasFreeBox(now, maps.Keys(map[string]bool{"b": true}), advisers.BriefCall, 100*time.Millisecond))
 	now = now.Add(5 * time.Second)
-	assert.Check(t, all.HasFreeBox(now, maps.Keys(map[string]bool{"b": true}), advisers.BriefCall, 0))
+	assert.Check(t, balancer.HasFreeBox(now, maps.Keys(map[string]bool{"b": true}), advisers.BriefCall, 0))
 }
--- a/services/advisers/names.go
+++ b/services/advisers/names.go
@@ -6,19 +6,19 @@
 import "saddlevane/models/job"
 
 const (
-	// MaxWorkersPerCall bounds the workers named in one call. A gang may have several calls
-	// under way.
+	// MaxWorkersPerCall is the maximum number of workers named in one call. A gang may have
+	// several calls in progress.
 	MaxWorkersPerCall = 64
-	// minWorkersPerCall is how many workers a call names at least, if there are so many.
+	// minWorkersPerCall is the lower bound of the result of MinWorkersPerCall.
 	minWorkersPerCall = 4
-	// extraTimeShare is what more names may add to the time of a call, as a share of its
-	// fixed part.
+	// extraTimeShare is how much the named workers may add to the duration of a call, as a
+	// share of its fixed part, if fewer workers would be sufficient.
 	extraTimeShare = 0.25
 )
 
-// MinWorkersPerCall returns how many workers a call names at least, if there are so many:
-// what they add to the time of the call is small beside its fixed part, and a second
-// call would take that again.
+// MinWorkersPerCall returns the number of workers that a call should name at least, if there are
+// that many. They add little to the duration of the call compared with its fixed part, which a
+// second call would take again.
 func MinWorkersPerCall(q *job.Advice) int {
 	if q.TimePerWorker <= 0 {
 		return MaxWorkersPerCall
--- a/services/delays/delays.go
+++ b/services/delays/delays.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package delays names what makes jobs take longer than their work, and sums it up.
+// Package delays attributes the time that a job takes beyond its work to causes.
 package delays
 
 import (
@@ -10,55 +10,55 @@
 	"saddlevane/modules/ordered"
 )
 
-// Cause names what made a job take longer than its work.
+// Cause is the cause of a delay of a job.
 type Cause string
 
-// The causes. Together they tell where the time of a late job went.
+// The causes of delays.
 const (
-	// Log: the log had not confirmed the job yet.
+	// Log means that the log had not confirmed the job yet.
 	Log Cause = "log"
-	// Takeover: an earlier holder had the job, or its workers had not told yet
-	// what they run.
+	// Takeover means that an earlier holder had accepted or started the job, or that its
+	// workers had not reported yet what they run.
 	Takeover Cause = "takeover"
-	// Advice: an answer of the advice service was awaited.
+	// Advice means that the job waited for an answer of the advice service.
 	Advice Cause = "advice"
-	// NoRoom: no worker had room.
+	// NoRoom means that no worker had room.
 	NoRoom Cause = "room"
-	// Cap: the tasks of its workspace took all that they may.
+	// Cap means that the job's workspace had reached its cap.
 	Cap Cause = "cap"
-	// RunFailed, Stopped, Lost and Unsure: a task ran, or was to run,
-	// more than once because its run failed, was stopped for another step, ended with
-	// its worker, or began on a worker that did not answer.
+	// RunFailed means that a task was started again because its run failed. RunStopped means
+	// the same for a run that was stopped for another step, RunLost for one that ended with
+	// its worker, and OrderUnanswered for a start that its worker did not answer.
 	RunFailed       Cause = "run failed"
 	RunStopped      Cause = "run stopped"
 	RunLost         Cause = "run lost"
 	OrderUnanswered Cause = "order unanswered"
-	// RunStalled: a run stood still and its task was moved.
+	// RunStalled means that a run made no progress and its task was moved.
 	RunStalled Cause = "run stood still"
-	// SlowRun: the last run took longer than expected.
+	// SlowRun means that the last run of a task took longer than expected.
 	SlowRun Cause = "slow run"
 )
 
-// minDelay is the shortest delay that is told.
+// minDelay is the shortest delay that is counted.
 const minDelay = 20 * time.Millisecond
 
-// Totals sums up times by what they were lost to.
+// Totals holds the total delay by cause.
 type Totals map[Cause]time.Duration
 
-// Add adds a time, if it is worth telling.
-func (d Totals) Add(why Cause, took time.Duration) {
-	if took >= minDelay {
-		d[why] += took
+// Add adds a delay, unless it is shorter than minDelay.
+func (t Totals) Add(cause Cause, delay time.Duration) {
+	if delay >= minDelay {
+		t[cause] += delay
 	}
 }
 
-// Largest returns what most time was lost to, or nothing.
-func (d Totals) Largest() Cause {
-	best := Cause("")
-	for why, took := range ordered.Map(d) {
-		if best == "" || took > d[best] {
-			best = why
+// Largest returns the cause of the largest delay, or "" if there is none.
+func (t Totals) Largest() Cause {
+	largest := Cause("")
+	for cause, delay := range ordered.Map(t) {
+		if largest == "" || delay > t[largest] {
+			largest = cause
 		}
 	}
-	return best
+	return largest
 }
--- a/services/delays/interruption.go
+++ b/services/delays/interruption.go
@@ -5,7 +5,7 @@
 
 import "saddlevane/models/order"
 
-// InterruptionCause returns the delay that an end which is not a good one stands for.
+// InterruptionCause returns the cause of the delay by a run that ended without success.
 func InterruptionCause(how order.EndStatus) Cause {
 	switch how {
 	case order.Failed:
--- a/services/delays/runs.go
+++ b/services/delays/runs.go
@@ -8,41 +8,42 @@
 	"time"
 )
 
-// StartTimes is when a task was started under one claim. The zero value was not.
+// StartTimes holds the times at which the present holder started a task. The zero value is that
+// of a task that was not started.
 type StartTimes struct {
-	// firstAt is when it was first started, lastAt when last, and again why that was not the
-	// same.
+	// firstAt and lastAt are the times of the first and the last start. restartCause is the
+	// cause of the first restart, or "".
 	firstAt, lastAt time.Time
 	restartCause    Cause
 }
 
-// RecordStart notes a start.
-func (r *StartTimes) RecordStart(now time.Time) {
-	if r.firstAt.IsZero() {
-		r.firstAt = now
+// RecordStart records a start of the task.
+func (s *StartTimes) RecordStart(now time.Time) {
+	if s.firstAt.IsZero() {
+		s.firstAt = now
 	}
-	r.lastAt = now
+	s.lastAt = now
 }
 
-// RecordInterruption notes why the task's last run was not the last one it needs.
-func (r *StartTimes) RecordInterruption(why Cause) {
-	if r.restartCause == "" {
-		r.restartCause = why
+// RecordInterruption records why the task has to be started again. Only the first cause counts.
+func (s *StartTimes) RecordInterruption(cause Cause) {
+	if s.restartCause == "" {
+		s.restartCause = cause
 	}
 }
 
-// Delays returns what a step took besides its work whose last task this is: it was opened at one
-// time and is done now, its work should have taken some time, and before its first start it
-// waited for some causes.
-func (r *StartTimes) Delays(now, openedAt time.Time, expected time.Duration, waits Totals) Totals {
-	d := Totals{}
-	if r.lastAt.IsZero() {
-		// An earlier holder started it.
-		d.Add(Takeover, now.Sub(openedAt)-expected)
-		return d
+// Delays returns the delays of a step that ends now, where this is the last of its tasks to end.
+// The step was ready to run at openedAt, its work was expected to take the time expected, and waits
+// holds the causes for which it waited before its first start.
+func (s *StartTimes) Delays(now, openedAt time.Time, expected time.Duration, waits Totals) Totals {
+	totals := Totals{}
+	if s.lastAt.IsZero() {
+		// The task was started by an earlier holder.
+		totals.Add(Takeover, now.Sub(openedAt)-expected)
+		return totals
 	}
-	d.Add(cmp.Or(waits.Largest(), NoRoom), r.firstAt.Sub(openedAt))
-	d.Add(cmp.Or(r.restartCause, RunLost), r.lastAt.Sub(r.firstAt))
-	d.Add(SlowRun, now.Sub(r.lastAt)-expected)
-	return d
+	totals.Add(cmp.Or(waits.Largest(), NoRoom), s.firstAt.Sub(openedAt))
+	totals.Add(cmp.Or(s.restartCause, RunLost), s.lastAt.Sub(s.firstAt))
+	totals.Add(SlowRun, now.Sub(s.lastAt)-expected)
+	return totals
 }
--- a/services/ends/ends.go
+++ b/services/ends/ends.go
@@ -1,61 +1,65 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package ends knows of the ends of runs that one life of a worker has told: which were heard,
-// which the log has, and which the worker has forgotten. Ends are numbered from 1 in each life.
+// Package ends tracks the ends of runs that one incarnation of a worker reports: which were
+// received, which are recorded in the log, and which were acknowledged to the worker. The ends of
+// each incarnation are numbered from 1. A worker repeats a report until the end is acknowledged,
+// and may delete it then.
 package ends
 
 import "time"
 
-// A task ends no sooner after its order than soonest, or one over minRunTimeDivisor of its usual time
-// if that is less.
+// A task does not end earlier after its start was ordered than minRunTime, or its usual run time
+// divided by minRunTimeDivisor if that is less.
 const (
 	minRunTime        = 40 * time.Millisecond
 	minRunTimeDivisor = 4
 )
 
-// MayHaveEnded says whether a task may have ended that was ordered some time ago and takes some time
-// as a rule.
+// MayHaveEnded reports whether a task may have ended, given the time since its start was ordered
+// and its usual run time.
 func MayHaveEnded(ago, usual time.Duration) bool {
 	return ago > min(minRunTime, usual/minRunTimeDivisor)
 }
 
-// Report is one end that was told to a holder. The worker may forget it once what it says is in
-// the log.
+// Report is one reported end. It can be acknowledged once its effect is recorded in the log.
 type Report[W any] struct {
 	worker W
 	number int64
 	logged bool
 }
 
-// Worker returns the worker that told the end.
-func (n *Report[W]) Worker() W { return n.worker }
+// Worker returns the worker that reported the end.
+func (r *Report[W]) Worker() W { return r.worker }
 
-// MarkLogged notes that the log has what the end says, or need not have it.
-func (n *Report[W]) MarkLogged() { n.logged = true }
+// MarkLogged records that the effect of the end is in the log, or does not have to be.
+func (r *Report[W]) MarkLogged() { r.logged = true }
 
-// Tracker are the ends that a life of a worker has told. The zero value has heard none.
+// Tracker holds the state of the ends that one incarnation of a worker has reported. The zero
+// value is a tracker without ends.
 type Tracker[W any] struct {
-	// notes are ends that the worker may not forget yet, in order.
+	// pending are the ends that cannot be acknowledged yet, in the order of their numbers.
 	pending []*Report[W]
-	// heard is the last end that was heard, kept the last that the worker may forget. asked is
-	// the one that the last look asked it to forget, forgotten the last that it has.
+	// received is the number of the last end that was received, and logged that of the last
+	// one that can be acknowledged. ackSent is the number that the last renewal acknowledged,
+	// or 0, and ackConfirmed the last number whose acknowledgement the worker has received.
 	received, logged, ackSent, ackConfirmed int64
 }
 
-// Add returns a note of an end, and whether it was not heard before.
+// Add adds a reported end. It returns nil and false if the end was received before.
 func (t *Tracker[W]) Add(worker W, number int64) (*Report[W], bool) {
 	if number <= t.received {
 		return nil, false
 	}
 	t.received = number
-	n := &Report[W]{worker: worker, number: number}
-	t.pending = append(t.pending, n)
-	return n, true
+	r := &Report[W]{worker: worker, number: number}
+	t.pending = append(t.pending, r)
+	return r, true
 }
 
-// Acknowledge returns the last end that a look made now asks the worker to forget, or 0 if there is
-// nothing new or it is not safe: a later life may be there, whose ends have the same numbers.
+// Acknowledge returns the number up to which a lease renewal that is sent now acknowledges ends,
+// or 0 if there is nothing new to acknowledge. It also returns 0 if that is not safe, because a
+// later incarnation of the worker may receive the renewal, whose ends have the same numbers.
 func (t *Tracker[W]) Acknowledge(safe bool) int64 {
 	t.ackSent = 0
 	if !safe {
@@ -71,13 +75,14 @@
 	return t.ackSent
 }
 
-// ConfirmAck takes that the worker has answered the last look.
+// ConfirmAck records that the worker has answered the last renewal, and so has received its
+// acknowledgement.
 func (t *Tracker[W]) ConfirmAck() { t.ackConfirmed = max(t.ackConfirmed, t.ackSent) }
 
-// HasPending says whether there are ends that the worker may not forget yet.
+// HasPending reports whether there are ends that Acknowledge has not taken as logged yet.
 func (t *Tracker[W]) HasPending() bool { return len(t.pending) > 0 }
 
-// IsLastUnlogged says whether the log does not have some end.
+// IsLastUnlogged reports whether the last received end is not marked as logged.
 func (t *Tracker[W]) IsLastUnlogged() bool {
 	return t.HasPending() && !t.pending[len(t.pending)-1].logged
 }
--- a/services/ends/ends_test.go
+++ b/services/ends/ends_test.go
@@ -13,28 +13,28 @@
 )
 
 func TestEndIsAcknowledgedOnceItAndAllEarlierEndsAreLogged(t *testing.T) {
-	var told ends.Tracker[string]
-	first, news := told.Add("w", 1)
-	assert.Check(t, news && first.Worker() == "w")
-	second, _ := told.Add("w", 2)
-	_, again := told.Add("w", 2)
-	assert.Check(t, !again)
+	var tracker ends.Tracker[string]
+	first, isNew := tracker.Add("w", 1)
+	assert.Check(t, isNew && first.Worker() == "w")
+	second, _ := tracker.Add("w", 2)
+	_, isNewAgain := tracker.Add("w", 2)
+	assert.Check(t, !isNewAgain)
 	second.MarkLogged()
-	assert.Check(t, told.HasPending())
-	assert.Equal(t, told.Acknowledge(true), int64(0), "the log has the second, not the first")
+	assert.Check(t, tracker.HasPending())
+	assert.Equal(t, tracker.Acknowledge(true), int64(0), "the second end is logged, but not the first")
 	first.MarkLogged()
-	assert.Check(t, !told.IsLastUnlogged())
-	assert.Equal(t, told.Acknowledge(false), int64(0), "a later life may be there")
-	told.ConfirmAck()
-	assert.Equal(t, told.Acknowledge(true), int64(2))
-	assert.Equal(t, told.Acknowledge(true), int64(2), "that look had no answer")
-	told.ConfirmAck()
-	assert.Equal(t, told.Acknowledge(true), int64(0), "the worker has forgotten them")
-	assert.Check(t, !told.HasPending())
+	assert.Check(t, !tracker.IsLastUnlogged())
+	assert.Equal(t, tracker.Acknowledge(false), int64(0), "a later incarnation may receive the renewal")
+	tracker.ConfirmAck()
+	assert.Equal(t, tracker.Acknowledge(true), int64(2))
+	assert.Equal(t, tracker.Acknowledge(true), int64(2), "the last renewal was not answered")
+	tracker.ConfirmAck()
+	assert.Equal(t, tracker.Acknowledge(true), int64(0), "the worker has received the acknowledgement")
+	assert.Check(t, !tracker.HasPending())
 }
 
 func TestNewlyOrderedTaskHasNotEnded(t *testing.T) {
 	assert.Check(t, !ends.MayHaveEnded(20*time.Millisecond, time.Second))
 	assert.Check(t, ends.MayHaveEnded(50*time.Millisecond, time.Second))
-	assert.Check(t, ends.MayHaveEnded(20*time.Millisecond, 30*time.Millisecond), "it takes so little")
+	assert.Check(t, ends.MayHaveEnded(20*time.Millisecond, 30*time.Millisecond), "a quarter of the usual run time is less than 20 ms")
 }
--- a/services/journal/journal.go
+++ b/services/journal/journal.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package journal queues what a process has to append to the log. One append is
-// under way at a time and carries all that has gathered, because the log takes
-// few appends and the process shares it with all others.
+// Package journal queues the entries that a process appends to the log. There is at
+// most one append in flight, and it contains as many pending entries as an envelope
+// holds, because the log supports only a low rate of appends and is shared by all
+// processes.
 package journal
 
 import (
@@ -15,69 +16,81 @@
 	"saddlevane/models/record"
 )
 
-// EntryNumber numbers an entry; entries reach the log in the order of their tickets.
+// EntryNumber identifies an entry of a Journal. Numbers start at 1 and increase in the order
+// in which the entries are added, which is also their order in the log.
 type EntryNumber int64
 
-// The bounds of one envelope. Publishes carry whole files, so they count for
-// more.
 const (
-	maxEntries    = 256
+	// maxEntries bounds the total weight of the entries in one envelope, where a plain entry
+	// has weight 1.
+	maxEntries = 256
+	// publishWeight is the weight of a publication or a checkpoint, which can contain a
+	// whole file.
 	publishWeight = 128
 )
 
-// Settings bound a Journal.
+// Settings configures a Journal.
 type Settings struct {
-	// Interval is the least time between the starts of two appends.
+	// Interval is the minimum time between the starts of two appends.
 	Interval time.Duration
-	// RetryAfter is the time from a failed append to the next try.
+	// RetryAfter is the delay before an append is retried after its first failure. It
+	// doubles with each further failure, up to a limit.
 	RetryAfter time.Duration
-	// Limit is the most entries that wait.
+	// Limit is the number of pending entries from which the journal is full.
 	Limit int
 }
 
-// Journal is the queue. It is not safe for concurrent use.
+// Journal is the queue of entries to append. It is not safe for concurrent use.
 type Journal struct {
 	settings Settings
-	from     string
-	queue    []record.Entry
-	// first is the ticket of queue[0].
-	first   EntryNumber
+	// from identifies the process in its envelopes.
+	from  string
+	queue []record.Entry
+	// first is the number of queue[0].
+	first EntryNumber
+	// applied is the number of the last entry that was read back from the log.
 	applied EntryNumber
+	// current is the envelope that is being appended or retried, or nil.
 	current *record.Envelope
-	// size is how many entries of queue are in current.
-	currentSize  int
-	inFlight     bool
+	// currentSize is the number of entries of queue that are in current.
+	currentSize int
+	// inFlight is set while an append of current has not been answered.
+	inFlight bool
+	// lastEnvelope is the number of the last envelope that was built.
 	lastEnvelope int64
-	nextAt       time.Time
-	lastFailure  string
-	// failures counts tries in a row that failed.
+	// nextAt is the earliest time of the next append.
+	nextAt time.Time
+	// lastFailure is the reason why the last append failed, or "".
+	lastFailure string
+	// failures is the number of answered appends of current.
 	failures int
 }
 
-// New returns an empty queue whose envelopes come from the given process.
+// New returns an empty journal. From identifies the process and prefixes the IDs of its envelopes.
 func New(s Settings, from string) *Journal {
 	return &Journal{settings: s, from: from, first: 1}
 }
 
-// Add queues an entry.
+// Add queues an entry and returns its number.
 func (j *Journal) Add(e record.Entry) EntryNumber {
 	j.queue = append(j.queue, e)
 	return j.first + EntryNumber(len(j.queue)-1)
 }
 
-// Full says that producers should hold back.
+// Full reports whether the limit of pending entries is reached, so that producers should
+// add no more. Add does not enforce it.
 func (j *Journal) Full() bool { return len(j.queue) >= j.settings.Limit }
 
-// Pending returns how many entries are not yet known to be in the log.
+// Pending returns the number of entries that have not been read back from the log.
 func (j *Journal) Pending() int { return len(j.queue) }
 
-// FailureReason returns why the last append failed, or "".
+// FailureReason returns the reason why the last append failed, or "" if it succeeded.
 func (j *Journal) FailureReason() string { return j.lastFailure }
 
-// Applied says whether the entry of t has been read back from the log.
-func (j *Journal) Applied(t EntryNumber) bool { return t <= j.applied }
+// Applied reports whether the entry with number n has been read back from the log.
+func (j *Journal) Applied(n EntryNumber) bool { return n <= j.applied }
 
-// Tick returns the append that is due, if any.
+// Tick returns the append that is due, or nil if there is none.
 func (j *Journal) Tick(now time.Time) []effect.Effect {
 	if j.inFlight || len(j.queue) == 0 || now.Before(j.nextAt) {
 		return nil
@@ -90,6 +103,7 @@
 	return []effect.Effect{effect.Append{Envelope: *j.current}}
 }
 
+// buildEnvelope makes the first pending entries the current envelope.
 func (j *Journal) buildEnvelope() {
 	weight := 0
 	n := 0
@@ -106,6 +120,7 @@
 	}
 }
 
+// entryWeight returns the weight of an entry toward maxEntries.
 func entryWeight(e record.Entry) int {
 	if e.Publish != nil || e.Checkpoint != nil {
 		return publishWeight
@@ -113,30 +128,35 @@
 	return 1
 }
 
-// AppendEnded takes the end of one try. A failed try is made again with the
-// same record, because it may be in the log all the same.
+// AppendEnded handles the result of an append. A failed append is retried with the same
+// envelope, because the log may contain the envelope despite the failure.
 func (j *Journal) AppendEnded(now time.Time, e event.AppendEnded) {
 	if j.current == nil || e.ID != j.current.ID {
 		return
 	}
 	j.inFlight = false
 	j.lastFailure = e.Failure
-	// Tries get rarer, so that a log that comes back is not met by all at once.
+	// The delay grows, so that a recovering log does not receive the retries of all
+	// processes at once.
 	wait := j.settings.RetryAfter << min(j.failures, maxBackoffDoublings)
 	j.failures++
 	if e.Failure == "" {
-		// It is in the log. Should the reader not see it within this time, it is
-		// appended again, which does no harm.
+		// The envelope is in the log. If it is not read back within this time, it is
+		// appended again, which has no effect on the state because the ID is the same.
 		wait = readBackTimeout
 	}
 	j.nextAt = now.Add(wait)
 }
 
+// maxBackoffDoublings bounds how often the retry delay is doubled.
 const maxBackoffDoublings = 3
 
+// readBackTimeout is the time after a successful append within which the envelope should be
+// read back from the log.
 const readBackTimeout = 5 * time.Second
 
-// RecordApplied takes the identity of a record that was read from the log.
+// RecordApplied handles an envelope with the given ID that was read from the log. If it is the
+// current one, its entries are removed from the queue.
 func (j *Journal) RecordApplied(now time.Time, id string) {
 	if j.current == nil || id != j.current.ID {
 		return
--- a/services/journal/journal_test.go
+++ b/services/journal/journal_test.go
@@ -31,15 +31,15 @@
 	e := sentEnvelope(t, j.Tick(start))
 	assert.Equal(t, len(e.Entries), 2)
 	third := j.Add(mark())
-	assert.Equal(t, len(j.Tick(start.Add(time.Second))), 0, "a second append while one is under way")
+	assert.Equal(t, len(j.Tick(start.Add(time.Second))), 0, "no second append while one is in flight")
 
-	// The answer is lost: the same record again, without what came later.
+	// The answer is lost, so that the same envelope is sent again, without the entry added since.
 	j.AppendEnded(start.Add(time.Second), event.AppendEnded{ID: e.ID, Failure: "lost"})
 	assert.Check(t, j.FailureReason() != "")
 	again := sentEnvelope(t, j.Tick(start.Add(3*time.Second)))
 	assert.DeepEqual(t, again, e)
 
-	// It is read back: it had been taken in the first time.
+	// The envelope is read back, because the log had accepted the first append.
 	j.RecordApplied(start.Add(3*time.Second), e.ID)
 	assert.Check(t, j.Applied(first) && j.Applied(second) && !j.Applied(third))
 	assert.Equal(t, j.FailureReason(), "")
@@ -51,15 +51,15 @@
 func TestFailedAppendsBackOff(t *testing.T) {
 	j := journal.New(journal.Settings{Interval: time.Millisecond, RetryAfter: time.Second, Limit: 10}, "me")
 	j.Add(mark())
-	now, tries := start, 0
+	now, appends := start, 0
 	for range 60 {
 		for _, e := range j.Tick(now) {
-			tries++
+			appends++
 			j.AppendEnded(now, event.AppendEnded{ID: e.(effect.Append).Envelope.ID, Failure: "down"})
 		}
 		now = now.Add(time.Second)
 	}
-	assert.Check(t, tries < 12, "%d tries in a minute", tries)
+	assert.Check(t, appends < 12, "%d appends in a minute", appends)
 	for range 10 {
 		j.Add(mark())
 	}
--- a/services/kept/kept.go
+++ b/services/kept/kept.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package kept writes what the log keeps of a cell's submitted jobs, and reads it back for
-// the next holder. A record that cannot be read takes nothing from the others.
+// Package kept encodes the records of a cell's jobs and workers in the log's stream of jobs, and
+// decodes them for the next holder. A record that cannot be decoded does not affect the others.
 package kept
 
 import (
@@ -20,61 +20,66 @@
 	"saddlevane/models/stream"
 )
 
-// Keys of the stream of jobs start with what they hold.
+// The keys of the records in the stream of jobs. Those that end with a slash are prefixes.
 const (
 	keySubmission = "s/"
 	keyProgress   = "p/"
 	keyWorker     = "w/"
 	keyFence      = "fence"
-	// keyTimes holds what is known of run times, so that the next holder need not
-	// learn it anew.
+	// keyTimes is the key of the observed run times, so that the next holder does not have
+	// to observe them again.
 	keyTimes = "times"
-	// keyCrashes holds how often workers crash by themselves.
+	// keyCrashes is the key of the rate at which workers crash without a task as the cause.
 	keyCrashes = "crashes"
-	// keyStarts hold which tasks were started last.
+	// keyStarts is the prefix of the records of recently started tasks, one for each slot.
 	keyStarts = "r/"
 )
 
-// Submission is what is kept of a job that was accepted.
+// Submission is the recorded submission of an accepted job.
 type Submission struct {
-	// Queue is how the job's queue was treated when it was accepted.
+	// Queue is the configuration of the job's queue at the time of acceptance.
 	Queue      job.Queue      `json:"queue"`
 	Submission job.Submission `json:"job"`
-	// Accepted is when it was accepted, in milliseconds since 1970.
+	// Accepted is the time of acceptance, in Unix milliseconds.
 	Accepted int64 `json:"accepted_unix_ms"`
 }
 
-// Record is the log's record of the submission.
+// Record returns the record of the submission.
 func (s Submission) Record() stream.Record {
 	return newRecord(keySubmission+string(s.Submission.ID), s)
 }
 
-// ProgressRecord is the record of a job's progress.
+// ProgressRecord returns the record of a job's progress.
 func ProgressRecord(id job.ID, p job.Progress) stream.Record {
 	return newRecord(keyProgress+string(id), p)
 }
 
-// KnownWorker is what is kept of a worker on which tasks may be started.
+// KnownWorker is the recorded state of a worker on which tasks may have been started.
 type KnownWorker struct {
 	order.Worker
-	// Silent is set if it did not answer, and nothing has been started on it since.
+	// Unresponsive is set if the worker did not answer when the record was written. No task
+	// has been started on it since.
 	Unresponsive *UnresponsiveState `json:"silent,omitempty"`
 }
 
-// UnresponsiveState is what is kept of a worker that does not answer.
+// UnresponsiveState is the recorded state of a worker that does not answer.
 type UnresponsiveState struct {
-	// Left is how long its lease lasted at most when that was written.
+	// LeaseLeft is the longest remaining time of the worker's lease when the record was
+	// written.
 	LeaseLeft job.Milliseconds `json:"left_ms"`
-	// Runs are all that may be at work on it.
+	// Runs are all runs that may be active on the worker.
 	Runs []order.Run `json:"runs,omitempty"`
-	// Worked is for how long each of them had been at work when it fell silent, or -1 where
-	// that is not known: if the worker has crashed, the next holder judges by it.
+	// WorkTimes is how long each of the runs had been active when the worker stopped
+	// answering, or -1 if that is unknown. It may be shorter than Runs. If the worker has
+	// crashed, the next holder uses these times to find the task to blame.
 	WorkTimes []job.Milliseconds `json:"worked_ms,omitempty"`
-	// Late is by how much that may have been seen too late.
+	// DetectionDelay is the longest time that may have passed between the moment the worker
+	// stopped answering and its detection.
 	DetectionDelay job.Milliseconds `json:"late_ms,omitempty"`
 }
 
-// WorkTime returns for how long a run had been at work, if that is known.
+// WorkTime returns how long the run with the given index in Runs had been active, and whether
+// that is known.
 func (s *UnresponsiveState) WorkTime(run int) (time.Duration, bool) {
 	if run >= len(s.WorkTimes) || s.WorkTimes[run] < 0 {
 		return 0, false
@@ -82,41 +87,45 @@
 	return s.WorkTimes[run].Duration(), true
 }
 
-// WorkerRecord is the record of a worker on which tasks may be started.
+// WorkerRecord returns the record of a worker that answers, on which tasks may be started.
 func WorkerRecord(w order.Worker) stream.Record {
 	return newRecord(keyWorker+w.Name, KnownWorker{Worker: w})
 }
 
-// UnresponsiveWorkerRecord is the record of a worker that does not answer, and on which nothing is
-// started until Worker is kept of it again.
+// UnresponsiveWorkerRecord returns the record of a worker that does not answer. No task may be
+// started on the worker until a record from WorkerRecord has replaced this one.
 func UnresponsiveWorkerRecord(w order.Worker, s UnresponsiveState) stream.Record {
 	return newRecord(keyWorker+w.Name, KnownWorker{Worker: w, Unresponsive: &s})
 }
 
-// RunTimesRecord is the record of what is known of run times.
+// RunTimesRecord returns the record of the observed run times.
 func RunTimesRecord(times any) stream.Record { return newRecord(keyTimes, times) }
 
-// CrashRateRecord is the record of how often workers crash by themselves.
-func CrashRateRecord(learned any) stream.Record { return newRecord(keyCrashes, learned) }
+// CrashRateRecord returns the record of the rate at which workers crash without a task as the
+// cause.
+func CrashRateRecord(rate any) stream.Record { return newRecord(keyCrashes, rate) }
 
-// RecentStartsRecord is the record, of those that the log keeps of them, of tasks that were started last.
+// RecentStartsRecord returns the record of recently started tasks for one of the slots over which
+// they are distributed.
 func RecentStartsRecord(slot int, starts any) stream.Record {
 	return newRecord(keyStarts+strconv.Itoa(slot), starts)
 }
 
-// FenceRecord is a record that says nothing: the append that brings it refuses earlier holders.
+// FenceRecord returns a record without information. The append that contains it fences earlier
+// holders.
 func FenceRecord() stream.Record { return stream.Record{Key: keyFence, Value: []byte{'1'}} }
 
-// DropSubmission, DropProgress and DropWorker drop what was kept.
+// DropSubmission returns the record that deletes the submission of a job.
 func DropSubmission(id job.ID) stream.Record { return stream.Record{Key: keySubmission + string(id)} }
 
-// DropProgress drops what was kept of an ended job.
+// DropProgress returns the record that deletes the progress of a job.
 func DropProgress(id job.ID) stream.Record { return stream.Record{Key: keyProgress + string(id)} }
 
-// DropWorker drops a worker of which no life is known any more.
+// DropWorker returns the record that deletes a worker of which no incarnation is known any more.
 func DropWorker(name string) stream.Record { return stream.Record{Key: keyWorker + name} }
 
-// newRecord returns a record of a value that has only plain fields.
+// newRecord returns a record with the JSON encoding of a value. It panics if the value cannot be
+// encoded.
 func newRecord(key string, v any) stream.Record {
 	value, err := json.Marshal(v)
 	if err != nil {
@@ -125,39 +134,39 @@
 	return stream.Record{Key: key, Value: value}
 }
 
-// State is what the log keeps.
+// State is the decoded content of the stream of jobs.
 type State struct {
-	// Jobs are those that have not ended, in the order of their records, Ended the others,
-	// the first to end first.
-	Jobs    []UnfinishedJob
+	// Jobs are the jobs that have not ended, in the order of their submissions' offsets.
+	Jobs []UnfinishedJob
+	// Ended are the jobs that have ended, sorted by the time of their end.
 	Ended   []EndedJob
 	Workers []KnownWorker
-	// Times is what is known of run times, or nil.
+	// RunTimes is the value of the record of run times, or nil if there is none.
 	RunTimes []byte
-	// Crashes is how often workers crash by themselves, or nil.
+	// CrashRate is the value of the record of the crash rate, or nil if there is none.
 	CrashRate []byte
-	// Starts are the records of which tasks were started last.
+	// RecentStarts are the values of the records of recently started tasks.
 	RecentStarts [][]byte
-	// Unread are the records that could not be read.
+	// Unread are the records that could not be decoded.
 	Unread []Unread
 }
 
-// UnfinishedJob is a job that has not ended.
+// UnfinishedJob is a job that has not ended, with its latest recorded progress.
 type UnfinishedJob struct {
 	Submission
 	Progress job.Progress
 }
 
-// EndedJob is a job of which only the final state is kept.
+// EndedJob is a job that has ended. Its submission is no longer recorded.
 type EndedJob struct {
 	ID       job.ID
 	Progress job.Progress
 }
 
-// Unread is a record that could not be read, and why.
+// Unread is the key of a record that could not be decoded, and the reason.
 type Unread struct{ Key, Reason string }
 
-// Decode returns what some records keep, of which the newest of each key counts.
+// Decode returns the state that the newest record of each key describes.
 func Decode(records []stream.Record) State {
 	newest := map[string]stream.Record{}
 	for _, r := range records {
@@ -167,28 +176,29 @@
 	}
 	var s State
 	s.RunTimes, s.CrashRate = newest[keyTimes].Value, newest[keyCrashes].Value
-	inOrder := slices.SortedFunc(maps.Values(newest), func(a, b stream.Record) int {
+	byOffset := slices.SortedFunc(maps.Values(newest), func(a, b stream.Record) int {
 		return cmp.Or(cmp.Compare(a.Offset, b.Offset), cmp.Compare(a.Key, b.Key))
 	})
-	open := map[job.ID]bool{}
-	for _, r := range inOrder {
+	submitted := map[job.ID]bool{}
+	for _, r := range byOffset {
 		if id, ok := strings.CutPrefix(r.Key, keySubmission); ok && !r.IsTombstone() {
-			open[job.ID(id)] = s.decodeJob(job.ID(id), r, newest[keyProgress+id])
+			submitted[job.ID(id)] = s.decodeJob(job.ID(id), r, newest[keyProgress+id])
 		}
 	}
-	for _, r := range inOrder {
-		s.decodeOther(r, open)
+	for _, r := range byOffset {
+		s.decodeOther(r, submitted)
 	}
 	slices.SortStableFunc(s.Ended, func(a, b EndedJob) int { return cmp.Compare(a.Progress.EndedUnixMilli, b.Progress.EndedUnixMilli) })
 	return s
 }
 
-// decodeJob reads a job that has not ended, and returns whether it could.
+// decodeJob decodes a job that has a submission, and reports whether that succeeded. If not, it
+// adds the faulty record to Unread.
 func (s *State) decodeJob(id job.ID, submission, progress stream.Record) bool {
 	var j UnfinishedJob
 	err := json.Unmarshal(submission.Value, &j.Submission)
 	if err == nil && j.Submission.Submission.ID != id {
-		err = fmt.Errorf("it is that of job %q", j.Submission.Submission.ID)
+		err = fmt.Errorf("record holds the submission of job %q", j.Submission.Submission.ID)
 	}
 	if err == nil {
 		err = j.Submission.Submission.Check()
@@ -208,15 +218,17 @@
 	return true
 }
 
-// decodeOther reads a record that is not of a job which has not ended.
-func (s *State) decodeOther(r stream.Record, open map[job.ID]bool) {
+// decodeOther decodes a record of an ended job, a worker or recently started tasks, and ignores
+// others. The keys of submitted are the jobs with a submission, the values say whether it was
+// decoded.
+func (s *State) decodeOther(r stream.Record, submitted map[job.ID]bool) {
 	if r.IsTombstone() {
 		return
 	}
 	if id, ok := strings.CutPrefix(r.Key, keyProgress); ok {
-		isOpen, submitted := open[job.ID(id)]
-		if !isOpen {
-			s.decodeEnded(job.ID(id), r, submitted)
+		decoded, found := submitted[job.ID(id)]
+		if !decoded {
+			s.decodeEnded(job.ID(id), r, found)
 		}
 	}
 	if strings.HasPrefix(r.Key, keyStarts) {
@@ -226,7 +238,7 @@
 		var w KnownWorker
 		err := json.Unmarshal(r.Value, &w)
 		if err == nil && w.Name == "" {
-			err = fmt.Errorf("it has no name")
+			err = fmt.Errorf("record of a worker without a name")
 		}
 		if err != nil {
 			s.addUnread(r.Key, err)
@@ -236,12 +248,12 @@
 	}
 }
 
-// decodeEnded reads what is kept of a job that may have ended. Told says that the job is
-// among the unread already.
-func (s *State) decodeEnded(id job.ID, r stream.Record, told bool) {
+// decodeEnded decodes the progress of a job that may have ended, and adds the job to Ended if it
+// has. An error is added to Unread, unless alreadyUnread says that a record of the job is there.
+func (s *State) decodeEnded(id job.ID, r stream.Record, alreadyUnread bool) {
 	var p job.Progress
 	if err := json.Unmarshal(r.Value, &p); err != nil {
-		if !told {
+		if !alreadyUnread {
 			s.addUnread(r.Key, err)
 		}
 		return
@@ -251,6 +263,7 @@
 	}
 }
 
+// addUnread adds a record that could not be decoded.
 func (s *State) addUnread(key string, err error) {
 	s.Unread = append(s.Unread, Unread{Key: key, Reason: err.Error()})
 }
--- a/services/kept/kept_test.go
+++ b/services/kept/kept_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// withOffsets gives records their offsets.
+// withOffsets sets the offset of each record to its index.
 func withOffsets(records ...stream.Record) []stream.Record {
 	for i := range records {
 		records[i].Offset = int64(i)
@@ -45,7 +45,7 @@
 	assert.Equal(t, s.Jobs[0].Submission.Submission.ID, job.ID("b"))
 	assert.DeepEqual(t, s.Jobs[1].Progress, blamed)
 	assert.Equal(t, len(s.Ended), 2)
-	assert.Equal(t, s.Ended[0].ID, job.ID("earlier"), "the first to end comes first")
+	assert.Equal(t, s.Ended[0].ID, job.ID("earlier"), "jobs are sorted by the time of their end")
 	assert.Equal(t, len(s.Workers), 1)
 	assert.Equal(t, s.Workers[0].Incarnation, order.Incarnation{Name: "w", BornUnixMilli: 7})
 	assert.Equal(t, string(s.RunTimes), `{"q":1}`)
@@ -75,11 +75,11 @@
 	run := order.Run{Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Number: 7}
 	s := kept.Decode(withOffsets(kept.UnresponsiveWorkerRecord(order.Worker{Incarnation: order.Incarnation{Name: "w"}}, kept.UnresponsiveState{LeaseLeft: 5, Runs: []order.Run{run, run, run}, WorkTimes: []job.Milliseconds{600, -1}})))
 	assert.Equal(t, len(s.Workers), 1)
-	silent := s.Workers[0].Unresponsive
-	worked, known := silent.WorkTime(0)
+	unresponsive := s.Workers[0].Unresponsive
+	worked, known := unresponsive.WorkTime(0)
 	assert.Check(t, known && worked == 600*time.Millisecond)
 	for _, unknown := range []int{1, 2} {
-		_, known = silent.WorkTime(unknown)
+		_, known = unresponsive.WorkTime(unknown)
 		assert.Check(t, !known, "run %d", unknown)
 	}
 }
--- a/services/lateness/lateness.go
+++ b/services/lateness/lateness.go
@@ -1,14 +1,17 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package lateness tells how long the answers of many workers take at present, and so
-// how long to wait for one. A worker that is slow or silent changes little, since most
-// others answer as usual; if most answers are late, this process, its processor or its
-// link is, and to give calls up and make them again would make it later still.
+// Package lateness derives timeouts: for calls to workers from recent response times, for
+// leases from the permitted clock drift, and for stalled runs from their progress.
 //
-// Adaptive bounds of this kind are usual for retransmissions (RFC 6298). In place of a
-// mean and its variation the third quartile is taken, which up to a quarter of the
-// workers cannot move.
+// Call timeouts follow the response times of all workers together. A single slow or
+// unresponsive worker hardly changes them, because most others answer as usual. If most
+// answers are late, the cause is this process, its processor or its link, and abandoning
+// and repeating calls would delay it further.
+//
+// Retransmission timeouts are adapted in the same way (RFC 6298). Instead of the mean and
+// its variation the third quartile is used, because up to a quarter of the workers cannot
+// change it.
 package lateness
 
 import (
@@ -17,53 +20,59 @@
 )
 
 const (
-	// maxSamples is how many of the latest answers count: enough that a quarter of them is more
-	// than the workers of one rack, few enough that a bad moment is soon forgotten.
+	// maxSamples is the number of latest answers that are kept. A quarter of it is more than
+	// the number of workers in one rack, and it is small enough that the samples of a brief
+	// slowdown are soon overwritten.
 	maxSamples = 128
-	// minSamples is how many there must be to tell anything.
+	// minSamples is the number of recent answers below which no quartile is computed.
 	minSamples = 12
-	// sampleAge is how long an answer counts.
+	// sampleAge is the age from which an answer is no longer considered.
 	sampleAge = 5 * time.Second
-	// recomputeInterval is how often the quartile is taken anew, for which the answers are sorted.
+	// recomputeInterval is the minimum time between two computations of the quartile, each
+	// of which sorts the samples.
 	recomputeInterval = 20 * time.Millisecond
-	// timeoutFactor is for how many times the usual time an answer is waited for: of answers
-	// that wait in one queue few take longer.
+	// timeoutFactor is the ratio of the timeout to the third quartile. Of answers that wait
+	// in the same queue, few take longer than that.
 	timeoutFactor = 4
 )
 
-// ResponseTimes keeps how long the latest answers took. It is not safe for concurrent use.
+// ResponseTimes holds the response times of the latest calls to workers. The zero value
+// holds none. It is not safe for concurrent use.
 type ResponseTimes struct {
+	// durations and receivedAt are ring buffers, and next is the index to overwrite next.
 	durations  [maxSamples]time.Duration
 	receivedAt [maxSamples]time.Time
 	next       int
 
+	// quartile is the third quartile as of computedAt.
 	quartile   time.Duration
 	computedAt time.Time
 }
 
-// Record takes how long an answer took that has come now.
-func (m *ResponseTimes) Record(now time.Time, took time.Duration) {
-	m.durations[m.next], m.receivedAt[m.next] = max(0, took), now
-	m.next = (m.next + 1) % maxSamples
+// Record adds the response time of an answer that was received now.
+func (r *ResponseTimes) Record(now time.Time, took time.Duration) {
+	r.durations[r.next], r.receivedAt[r.next] = max(0, took), now
+	r.next = (r.next + 1) % maxSamples
 }
 
-// UpperQuartile returns the time within which three of four answers come at present, or 0 if
-// there were too few to tell.
-func (m *ResponseTimes) UpperQuartile(now time.Time) time.Duration {
-	if !m.computedAt.IsZero() && now.Sub(m.computedAt) < recomputeInterval {
-		return m.quartile
+// UpperQuartile returns the time within which three quarters of the recent answers were
+// received, or 0 if there are fewer than minSamples. The result may be recomputeInterval old.
+func (r *ResponseTimes) UpperQuartile(now time.Time) time.Duration {
+	if !r.computedAt.IsZero() && now.Sub(r.computedAt) < recomputeInterval {
+		return r.quartile
 	}
-	m.computedAt = now
-	m.quartile = m.computeQuartile(now)
-	return m.quartile
+	r.computedAt = now
+	r.quartile = r.computeQuartile(now)
+	return r.quartile
 }
 
-// computeQuartile returns the third quartile of the answers that are fresh.
-func (m *ResponseTimes) computeQuartile(now time.Time) time.Duration {
+// computeQuartile returns the third quartile of the response times received within the last
+// sampleAge, or 0 if there are fewer than minSamples.
+func (r *ResponseTimes) computeQuartile(now time.Time) time.Duration {
 	all := make([]time.Duration, 0, maxSamples)
-	for i, at := range m.receivedAt {
+	for i, at := range r.receivedAt {
 		if !at.IsZero() && now.Sub(at) < sampleAge {
-			all = append(all, m.durations[i])
+			all = append(all, r.durations[i])
 		}
 	}
 	if len(all) < minSamples {
@@ -73,8 +82,8 @@
 	return all[len(all)*3/4]
 }
 
-// CallTimeout returns how long to wait for an answer that is waited for some time as a rule:
-// longer while most answers are late, but not longer than most.
-func (m *ResponseTimes) CallTimeout(now time.Time, rule, most time.Duration) time.Duration {
-	return max(rule, min(most, timeoutFactor*m.UpperQuartile(now)))
+// CallTimeout returns how long to wait for an answer: at least base, and longer while most
+// answers are late, up to limit.
+func (r *ResponseTimes) CallTimeout(now time.Time, base, limit time.Duration) time.Duration {
+	return max(base, min(limit, timeoutFactor*r.UpperQuartile(now)))
 }
--- a/services/lateness/lease.go
+++ b/services/lateness/lease.go
@@ -6,14 +6,16 @@
 import "time"
 
 const (
-	// clockDrift is by how much a worker's steady clock may be off (protocol).
+	// clockDrift is the maximum relative rate error of a worker's monotonic clock that the
+	// protocol permits.
 	clockDrift = 0.03
-	// expiryMargin is added before a lease counts as run out, for the time that
-	// the order which set it was on its way.
+	// expiryMargin is added to a lease before it is considered expired. It covers the
+	// network delay of the order that set the lease.
 	expiryMargin = 150 * time.Millisecond
 )
 
-// MaxLeaseDuration returns how long a lease can last on the slowest clock allowed.
+// MaxLeaseDuration returns how long a lease can last on a worker whose clock is as slow as
+// the protocol permits.
 func MaxLeaseDuration(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease)*(1+clockDrift)) + expiryMargin
 }
--- a/services/lateness/stall.go
+++ b/services/lateness/stall.go
@@ -6,39 +6,42 @@
 import "time"
 
 const (
-	// stallFraction is the part of the usual time of a step's tasks after which one that
-	// has come no further stands still, firstProgressFraction that of one that has shown no progress
-	// at all, and minStallTimeout the least such time: progress is told in whole percents.
+	// stallFraction is the fraction of the usual run time after which a run without further
+	// progress is considered stalled. firstProgressFraction applies to a run that has not
+	// reported any progress. minStallTimeout is the lower bound of both times, because
+	// progress is reported in whole percent.
 	stallFraction         = 0.08
 	firstProgressFraction = 0.25
 	minStallTimeout       = 400 * time.Millisecond
-	// percentFactor is for how many times as long as a percent took so far a run may show
-	// no further one: its work may be many times what is usual.
+	// percentFactor is how many times the average time per percent a run may take for the
+	// next percent. The work of a run may be many times the usual.
 	percentFactor = 3
-	// resumeTime is how long a run may take to go on from a checkpoint: of that it
-	// shows no progress.
+	// resumeTime is how long a run may take to resume from a checkpoint. It reports no
+	// progress during that time.
 	resumeTime = time.Second
 )
 
-// RunProgress is how far a run has come.
+// RunProgress holds the reported progress of a run.
 type RunProgress struct {
-	// Usual is how long such runs take.
+	// UsualTime is the usual run time of the step's tasks.
 	UsualTime time.Duration
-	// Progress is how much of its work is done, in percent, and Took how long that took.
+	// Progress is the part of the work that is done, in percent, and ProgressTime is the
+	// time from the start of the run to the report of that progress.
 	Progress     int
 	ProgressTime time.Duration
-	// Resumed says that it goes on from somewhere that is not known.
+	// Resumed is set if the run started from an unknown progress.
 	Resumed bool
 }
 
-// StallTimeout returns how long a run may show no further progress.
-func StallTimeout(w RunProgress) time.Duration {
-	begins := max(minStallTimeout, time.Duration(firstProgressFraction*float64(w.UsualTime)))
-	if w.Resumed {
-		return begins + resumeTime
+// StallTimeout returns how long a run may report no further progress before it is
+// considered stalled.
+func StallTimeout(p RunProgress) time.Duration {
+	first := max(minStallTimeout, time.Duration(firstProgressFraction*float64(p.UsualTime)))
+	if p.Resumed {
+		return first + resumeTime
 	}
-	if w.Progress == 0 {
-		return begins
+	if p.Progress == 0 {
+		return first
 	}
-	return max(minStallTimeout, time.Duration(stallFraction*float64(w.UsualTime)), percentFactor*(w.ProgressTime/time.Duration(w.Progress)))
+	return max(minStallTimeout, time.Duration(stallFraction*float64(p.UsualTime)), percentFactor*(p.ProgressTime/time.Duration(p.Progress)))
 }
--- a/services/overload/gate.go
+++ b/services/overload/gate.go
@@ -1,14 +1,15 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package overload decides which new jobs a holder takes in while it falls behind. It
-// goes by the age of what waits, not by its number: 1,000 events are a third of a second for a
-// box of 0.19 processors, which takes 2,800 a second, and less for a larger one
-// (controlled delay, RFC 8289). While the age
-// stays high the share of new jobs that is taken shrinks step by step and grows again as
-// it falls (additive increase, multiplicative decrease). All kinds of jobs are refused
-// alike, so that none falls to nothing; what keeps promises already made (leases, ends,
-// stops, jobs accepted) is never refused.
+// Package overload decides which new jobs a holder admits while it is overloaded. Overload is
+// detected by the queueing time of events, not by the length of the queue (controlled delay,
+// RFC 8289): 1,000 queued events are a third of a second of work for a box of 0.19 processors,
+// which handles 2,800 events a second, and less for a larger box.
+//
+// While the queueing time stays high, the admitted share of new jobs is reduced step by step. It
+// is raised again when the queueing time falls (additive increase, multiplicative decrease). Jobs
+// of all kinds are refused with the same probability, so that no kind is starved. Events that
+// concern commitments already made (leases, ends of runs, stops, accepted jobs) are never refused.
 package overload
 
 import (
@@ -18,55 +19,61 @@
 )
 
 const (
-	// maxQueueAge is the age of what waits from which the holder is behind: with it a short
-	// task, which may start 0.6 s late, is still on time. On boxes that keep up it is
-	// below 50 ms at 1,100 workers.
+	// maxQueueAge is the queueing time above which the holder counts as overloaded. With this
+	// delay a short task, which may start 0.6 s late, is still on time. On boxes that are not
+	// overloaded the queueing time is below 50 ms with 1,100 workers.
 	maxQueueAge = 300 * time.Millisecond
-	// maxResponseTime is how long most workers' answers take from which the holder is behind:
-	// what waits for its processor or in its link waits in no queue of its own. On a box
-	// of 0.19 processors with 1,100 workers they took 0.4 s to 1.7 s while its loop was
-	// 0.3 s behind; on links that are full at times, and serve, up to 0.45 s.
+	// maxResponseTime is the response time of most workers above which the holder counts as
+	// overloaded, because data that waits for the processor or in the link is in none of
+	// the holder's queues. On a box of 0.19 processors with 1,100 workers the response times
+	// were 0.4 s to 1.7 s while its event loop was 0.3 s behind. On links that were saturated
+	// only at times and still usable they were up to 0.45 s.
 	maxResponseTime = 600 * time.Millisecond
-	// lateChecks is for how many looks in a row it must be late before jobs are refused: a
-	// box that was held up once needs no less work.
+	// lateChecks is the number of consecutive checks that must find overload before jobs are
+	// refused. A single delay does not require less load.
 	lateChecks = 5
-	// checkInterval is the time between two looks.
+	// checkInterval is the time between two checks.
 	checkInterval = 100 * time.Millisecond
-	// decreaseFactor is what the share is multiplied with at each look while the holder is
-	// behind, grows what is added at each other one: back from a half within 2.5 s.
+	// decreaseFactor multiplies the admitted share at each check from the lateChecks-th in a
+	// row that finds overload. increaseStep is added at each check that does not, which
+	// raises the share from one half to 1 within 2.5 s.
 	decreaseFactor = 0.9
 	increaseStep   = 0.02
-	// minAdmittedShare is taken in any case, so that the way back is noticed.
+	// minAdmittedShare is the lower bound of the admitted share. Some jobs are always
+	// admitted, so that the end of the overload is detected.
 	minAdmittedShare = 0.05
-	// minRetryAfter is when the first of those refused are told to come back, maxRetryAfter
-	// when the last are: all at once would be the next burst.
+	// minRetryAfter and maxRetryAfter bound the retry delay of refused jobs. The delays are
+	// spread between them, because simultaneous retries would be another burst.
 	minRetryAfter = time.Second
 	maxRetryAfter = 3 * time.Second
 )
 
-// Gate decides which new jobs are taken. It is not safe for concurrent use.
+// Gate decides which new jobs are admitted. The zero value admits all. It is not safe for
+// concurrent use.
 type Gate struct {
-	// refused is the share of new jobs that is not taken.
+	// refusedShare is the share of new jobs that is refused, from 0 to 1-minAdmittedShare.
 	refusedShare float64
-	// oldest is the highest age since the last look, lateCount for how many looks in a row
-	// that was late.
-	maxAge      time.Duration
+	// maxAge is the longest queueing or response time since the last check.
+	maxAge time.Duration
+	// lateCount is the number of consecutive checks that found maxAge above maxQueueAge.
 	lateCount   int
 	nextCheckAt time.Time
 }
 
-// RecordQueueAge takes for how long something has waited that is dealt with now.
+// RecordQueueAge records the queueing time of an event that is handled now.
 func (g *Gate) RecordQueueAge(age time.Duration) { g.maxAge = max(g.maxAge, age) }
 
-// RecordResponseTime takes how long most workers' answers take at present.
-func (g *Gate) RecordResponseTime(usual time.Duration) {
-	if usual > maxResponseTime {
-		g.maxAge = max(g.maxAge, usual)
+// RecordResponseTime records the present response time of most workers. It is ignored
+// up to maxResponseTime.
+func (g *Gate) RecordResponseTime(took time.Duration) {
+	if took > maxResponseTime {
+		g.maxAge = max(g.maxAge, took)
 	}
 }
 
-// Update adapts the share if that is due, and says whether the holder began or ceased to
-// refuse jobs by that.
+// Update checks for overload and adjusts the admitted share, if checkInterval has passed
+// since the last check. It reports whether the holder thereby started or stopped refusing
+// jobs.
 func (g *Gate) Update(now time.Time) (changed bool) {
 	if now.Before(g.nextCheckAt) {
 		return false
@@ -88,22 +95,23 @@
 	return g.IsRefusing() != before
 }
 
-// IsRefusing says whether some new jobs are refused.
+// IsRefusing reports whether a part of the new jobs is refused.
 func (g *Gate) IsRefusing() bool { return g.refusedShare > 0 }
 
-// AdmittedShare returns the share of new jobs that is taken.
+// AdmittedShare returns the share of new jobs that is admitted, from minAdmittedShare to 1.
 func (g *Gate) AdmittedShare() float64 { return 1 - g.refusedShare }
 
-// Admit says whether a new job is taken, else when its caller should come back. A job
-// that comes again has another chance each second.
-func (g *Gate) Admit(now time.Time, job string) (ok bool, after time.Duration) {
+// Admit reports whether a new job is admitted. If it is not, retryAfter is the delay after
+// which its caller should retry. The decision depends on the job's ID and the current second,
+// so that a retry in another second may be admitted.
+func (g *Gate) Admit(now time.Time, jobID string) (ok bool, retryAfter time.Duration) {
 	if !g.IsRefusing() {
 		return true, 0
 	}
-	draw := float64(xxhash.Sum64String(job+now.Format("05"))>>11) / (1 << 53)
+	draw := float64(xxhash.Sum64String(jobID+now.Format("05"))>>11) / (1 << 53)
 	if draw < g.AdmittedShare() {
 		return true, 0
 	}
-	spread := float64(xxhash.Sum64String(job)>>11) / (1 << 53)
+	spread := float64(xxhash.Sum64String(jobID)>>11) / (1 << 53)
 	return false, minRetryAfter + time.Duration(spread*float64(maxRetryAfter-minRetryAfter))
 }
--- a/services/overload/gate_test.go
+++ b/services/overload/gate_test.go
@@ -15,7 +15,8 @@
 
 const ms = time.Millisecond
 
-// updateRepeatedly has some looks 100 ms apart between which something waited that long.
+// updateRepeatedly updates the gate count times, 100 ms apart, with an event of the given
+// queueing time before each update. It returns the time after the last interval.
 func updateRepeatedly(g *overload.Gate, now time.Time, count int, age time.Duration) time.Time {
 	for range count {
 		g.RecordQueueAge(age)
@@ -26,7 +27,8 @@
 	return now
 }
 
-// countAdmitted returns how many of 1,000 jobs are taken.
+// countAdmitted returns how many of 1,000 jobs are admitted, and checks the retry delays of
+// the others.
 func countAdmitted(t *testing.T, g *overload.Gate, now time.Time) (count int) {
 	t.Helper()
 	for i := range 1000 {
@@ -44,42 +46,43 @@
 	begin := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for _, c := range []struct {
 		name string
-		// late and calm are how many looks found 0.5 s, then 20 ms.
-		late, calm  int
-		least, most int
+		// late and normal are the numbers of updates with a queueing time of 0.5 s and
+		// then of 20 ms.
+		late, normal int
+		min, max     int
 	}{
-		{"as usual", 0, 20, 1000, 1000},
-		{"held up once", 1, 0, 1000, 1000},
-		{"held up for 0.4 s", 4, 0, 1000, 1000},
-		{"behind for half a second", 5, 0, 860, 940},
-		{"behind for a second", 10, 0, 480, 580},
-		{"behind for long", 100, 0, 30, 70},
-		{"behind, then calm for a second", 10, 10, 670, 790},
-		{"behind, then calm for three", 10, 30, 1000, 1000},
+		{"no overload", 0, 20, 1000, 1000},
+		{"delayed once", 1, 0, 1000, 1000},
+		{"delayed for 0.4 s", 4, 0, 1000, 1000},
+		{"overloaded for 0.5 s", 5, 0, 860, 940},
+		{"overloaded for 1 s", 10, 0, 480, 580},
+		{"overloaded for 10 s", 100, 0, 30, 70},
+		{"overloaded for 1 s, then normal for 1 s", 10, 10, 670, 790},
+		{"overloaded for 1 s, then normal for 3 s", 10, 30, 1000, 1000},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := &overload.Gate{}
 			now := updateRepeatedly(g, begin, c.late, 500*ms)
-			now = updateRepeatedly(g, now, c.calm, 20*ms)
+			now = updateRepeatedly(g, now, c.normal, 20*ms)
 			got := countAdmitted(t, g, now)
-			assert.Check(t, got >= c.least && got <= c.most, "%d of 1,000", got)
+			assert.Check(t, got >= c.min && got <= c.max, "%d of 1,000", got)
 			assert.Equal(t, g.IsRefusing(), got < 1000)
 		})
 	}
 }
 
-// Callers who are refused together must not come back together.
+// Callers that are refused at the same time must not retry at the same time.
 func TestRetryTimesOfRefusedJobsAreSpread(t *testing.T) {
 	g := &overload.Gate{}
 	now := updateRepeatedly(g, time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC), 100, time.Second)
-	seconds := map[int]int{}
+	halfSeconds := map[int]int{}
 	for i := range 1000 {
 		if ok, after := g.Admit(now, fmt.Sprint("job", i)); !ok {
-			seconds[int(after/(500*ms))]++
+			halfSeconds[int(after/(500*ms))]++
 		}
 	}
-	for _, part := range []int{2, 3, 4, 5} {
-		assert.Check(t, seconds[part] > 180, "%v", seconds)
+	for _, half := range []int{2, 3, 4, 5} {
+		assert.Check(t, halfSeconds[half] > 180, "%v", halfSeconds)
 	}
 }
 
@@ -87,12 +90,12 @@
 	g := &overload.Gate{}
 	now := updateRepeatedly(g, time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC), 8, time.Second)
 	for i := range 100 {
-		got := false
+		admitted := false
 		for second := range 30 {
 			ok, _ := g.Admit(now.Add(time.Duration(second)*time.Second), fmt.Sprint("job", i))
-			got = got || ok
+			admitted = admitted || ok
 		}
-		assert.Check(t, got, "job %d was refused 30 times at a share of %.2f", i, g.AdmittedShare())
+		assert.Check(t, admitted, "job %d was refused 30 times at a share of %.2f", i, g.AdmittedShare())
 	}
 }
 
@@ -112,15 +115,16 @@
 	assert.Equal(t, changes, 2)
 }
 
-// What waits for the processor or in a full link waits in no queue of the holder.
+// Data that waits for the processor or in a saturated link is in none of the holder's queues,
+// so that the queueing times do not show the overload.
 func TestSlowWorkerAnswersCauseRefusals(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	for usual, behind := range map[time.Duration]bool{30 * ms: false, 450 * ms: false, 900 * ms: true} {
+	for took, refusing := range map[time.Duration]bool{30 * ms: false, 450 * ms: false, 900 * ms: true} {
 		g := &overload.Gate{}
 		for i := range 10 {
-			g.RecordResponseTime(usual)
+			g.RecordResponseTime(took)
 			g.Update(now.Add(time.Duration(i) * 100 * ms))
 		}
-		assert.Equal(t, g.IsRefusing(), behind, "%v", usual)
+		assert.Equal(t, g.IsRefusing(), refusing, "%v", took)
 	}
 }
--- a/services/planning/budget.go
+++ b/services/planning/budget.go
@@ -1,59 +1,65 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package planning bounds what the plans of a holder may take of its processor, by how
-// long they took. What waits while a plan is made is events: looks and ends are what
-// keeps leases and frees room. On a box of 0.19 processors with a backlog on 1,100
-// workers a plan took up to 0.5 s, one after the other, and leases lapsed meanwhile.
+// Package planning limits the processor time of a holder's plans according to the duration of
+// earlier plans. A plan is one pass over the waiting steps that looks for room for them. No event
+// is handled during a plan, and events such as lease renewals and ends of runs keep leases valid
+// and free room. On a box of 0.19 processors with a backlog and 1,100 workers, plans took up to
+// 0.5 s each without a pause between them, and leases expired meanwhile.
 package planning
 
 import "time"
 
 const (
-	// pauseFactor is how many times as long as a plan took the next one waits at least, so that
-	// plans take a fifth of the time at most.
+	// pauseFactor is the minimum ratio of the pause after a plan to the duration of that plan.
+	// It limits plans to a fifth of the time.
 	pauseFactor = 4
-	// targetDuration is how long a plan should take at most: the age that it adds to what it
-	// decides on next.
+	// targetDuration is the longest duration that a plan should have. It delays the events
+	// that are queued during the plan by as much.
 	targetDuration = 20 * time.Millisecond
-	// maxMissLimit ends a plan: where so many steps that rank higher have found no room, a
-	// search through thousands of others costs more than it finds. minMissLimit is the
-	// least that it falls to.
+	// maxMissLimit is the upper bound of the miss limit, the number of steps without room
+	// after which a plan ends. If that many higher-ranked steps find no room, a search
+	// through thousands of further steps costs more than it gains. minMissLimit is the lower
+	// bound.
 	maxMissLimit = 300
 	minMissLimit = 20
-	// fullPlanInterval is how often a plan goes through all steps nevertheless, so that many jobs
-	// that can never run hold nobody up, and reducedFullPlanInterval how often while plans take long.
+	// Every fullPlanInterval-th plan tries all steps regardless of the miss limit, so that a
+	// large number of jobs that can never run does not block the others. While the miss limit
+	// is reduced because plans take long, it is every reducedFullPlanInterval-th plan.
 	fullPlanInterval        = 8
 	reducedFullPlanInterval = 40
-	// growthFactor is by how much the bound on misses grows with each plan that was short.
+	// growthFactor multiplies the miss limit after each plan within targetDuration.
 	growthFactor = 1.25
-	// outlierFactor is how many times as long as the one before a plan counts at most.
+	// outlierFactor is the maximum ratio of a plan's counted duration to that of the plan
+	// before it.
 	outlierFactor = 2
 )
 
-// OutlierFilter tells how much of the time for which plans took was their own. A process that is
-// paused, or waits for a processor, does so in the middle of a plan as well as elsewhere: with
-// a pause of 1 s counted whole, nothing was placed for another 4 s while all workers stood
-// idle. A plan that takes long because there is much to plan is followed by others that do:
-// on a box where each takes 0.5 s, the fifth counts whole. The zero value has seen none.
+// OutlierFilter limits how much the counted duration of plans can grow from one plan to the
+// next. The process may be paused or wait for a processor during a plan. When a pause of 1 s was
+// counted in full, nothing was placed for another 4 s while all workers were idle. Plans that take
+// long because there is much to plan are followed by others that do: if each plan takes 0.5 s,
+// the fifth is counted in full. The zero value is ready to use.
 type OutlierFilter struct{ last time.Duration }
 
-// Clamp takes how long a plan took, and returns how much of it counts.
-func (m *OutlierFilter) Clamp(took time.Duration) time.Duration {
-	m.last = min(took, outlierFactor*max(m.last, targetDuration))
-	return m.last
+// Clamp returns the part of a plan's duration that counts: at most outlierFactor times the
+// counted duration of the plan before it, or of targetDuration if that is longer.
+func (f *OutlierFilter) Clamp(took time.Duration) time.Duration {
+	f.last = min(took, outlierFactor*max(f.last, targetDuration))
+	return f.last
 }
 
-// Budget is what the next plan may take.
+// Budget limits the next plan. It must be created with New.
 type Budget struct{ missLimit float64 }
 
-// New returns the budget of a process whose plans are short as far as it knows.
+// New returns a budget with the maximum miss limit.
 func New() Budget { return Budget{missLimit: maxMissLimit} }
 
-// MissLimit returns after how many steps without room a plan ends.
+// MissLimit returns the number of steps without room after which a plan ends.
 func (b *Budget) MissLimit() int { return int(b.missLimit) }
 
-// IsFullPlan says whether a plan, by its number, goes through all steps.
+// IsFullPlan reports whether the plan with the given number tries all steps regardless of the
+// miss limit.
 func (b *Budget) IsFullPlan(plan int) bool {
 	if b.missLimit < maxMissLimit {
 		return plan%reducedFullPlanInterval == 0
@@ -61,7 +67,9 @@
 	return plan%fullPlanInterval == 0
 }
 
-// RecordDuration takes how long a plan took, and returns how long the next one has to wait.
+// RecordDuration adjusts the miss limit to the duration of a plan, and returns the minimum
+// pause before the next plan. The miss limit is at most halved by one plan, because the plan may
+// have been delayed.
 func (b *Budget) RecordDuration(took time.Duration) time.Duration {
 	if took > targetDuration {
 		b.missLimit *= max(0.5, float64(targetDuration)/float64(took))
--- a/services/planning/budget_test.go
+++ b/services/planning/budget_test.go
@@ -27,11 +27,11 @@
 	b.RecordDuration(25 * ms)
 	assert.Equal(t, b.MissLimit(), 240)
 	b.RecordDuration(time.Second)
-	assert.Equal(t, b.MissLimit(), 120, "by half at most: one plan may have been held up")
+	assert.Equal(t, b.MissLimit(), 120, "one plan halves the limit at most, because it may have been delayed")
 	for range 10 {
 		b.RecordDuration(time.Second)
 	}
-	assert.Equal(t, b.MissLimit(), 20, "some steps are always tried")
+	assert.Equal(t, b.MissLimit(), 20, "the limit has a lower bound")
 	for range 13 {
 		b.RecordDuration(ms)
 	}
@@ -40,29 +40,29 @@
 
 func TestFullPlansAreMadeAtIntervals(t *testing.T) {
 	b := planning.New()
-	count := func() (whole int) {
+	countFull := func() (full int) {
 		for plan := range 400 {
 			if b.IsFullPlan(plan) {
-				whole++
+				full++
 			}
 		}
-		return whole
+		return full
 	}
-	assert.Equal(t, count(), 50)
+	assert.Equal(t, countFull(), 50)
 	b.RecordDuration(time.Second)
-	assert.Equal(t, count(), 10)
+	assert.Equal(t, countFull(), 10)
 }
 
 func TestPauseDuringPlanIsClamped(t *testing.T) {
-	var m planning.OutlierFilter
-	assert.Equal(t, m.Clamp(5*ms), 5*ms)
-	assert.Equal(t, m.Clamp(time.Second), 40*ms, "it is far longer than the one before")
-	assert.Equal(t, m.Clamp(5*ms), 5*ms)
+	var filter planning.OutlierFilter
+	assert.Equal(t, filter.Clamp(5*ms), 5*ms)
+	assert.Equal(t, filter.Clamp(time.Second), 40*ms, "at most twice targetDuration, since the plan before was shorter")
+	assert.Equal(t, filter.Clamp(5*ms), 5*ms)
 }
 
 func TestRepeatedLongPlansCountInFull(t *testing.T) {
-	var m planning.OutlierFilter
-	for _, counts := range []time.Duration{40 * ms, 80 * ms, 160 * ms, 320 * ms, 500 * ms, 500 * ms} {
-		assert.Equal(t, m.Clamp(500*ms), counts)
+	var filter planning.OutlierFilter
+	for _, want := range []time.Duration{40 * ms, 80 * ms, 160 * ms, 320 * ms, 500 * ms, 500 * ms} {
+		assert.Equal(t, filter.Clamp(500*ms), want)
 	}
 }
--- a/services/reservations/reservations.go
+++ b/services/reservations/reservations.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package reservations accounts for the room that is kept idle for gangs which cannot
-// start at once: who holds how much, since when, and what came of it.
+// Package reservations accounts for the room that is kept idle for gangs that cannot start
+// immediately: how much is reserved for which step, since when, and how each reservation ended.
 package reservations
 
 import (
@@ -12,84 +12,89 @@
 	"saddlevane/models/resource"
 )
 
-// Outcome is how a reservation ended.
+// Outcome says how a reservation ended.
 type Outcome string
 
-// The outcomes.
+// The outcomes of a reservation.
 const (
-	// Started: the gang has started in it.
+	// Started means that the gang was started in the reserved room.
 	Started Outcome = "started"
-	// TicketsNotRequested: no box could ask for the tickets that its start needs.
+	// TicketsNotRequested means that no box was available to request the tickets for the
+	// start.
 	TicketsNotRequested Outcome = "unasked"
-	// TicketsNotReceived: its tickets have not come in time.
+	// TicketsNotReceived means that the requested tickets did not arrive in time.
 	TicketsNotReceived Outcome = "unticketed"
-	// Occupied: the tasks in its place have not ended in time.
+	// Occupied means that the tasks in the reserved room did not end in time.
 	Occupied Outcome = "occupied"
-	// WorkerUnusable: a worker of it takes no tasks any more.
+	// WorkerUnusable means that a worker of the reservation no longer accepts the tasks.
 	WorkerUnusable Outcome = "unusable"
-	// StepEnded: its step has ended.
+	// StepEnded means that the step ended before its gang was started.
 	StepEnded Outcome = "ended"
 )
 
-// reservation is one reservation.
+// reservation is an active reservation: the number of processors, and the time since which they
+// are reserved.
 type reservation struct {
 	since      time.Time
 	processors resource.Millis
 }
 
-// Tracker has the reservations of a holder. It is not safe for concurrent use.
+// Tracker holds the active reservations of a holder and the totals of those that ended. It is
+// not safe for concurrent use.
 type Tracker struct {
 	active map[job.StepID]reservation
 	totals map[Outcome]Total
 }
 
-// Total is what reservations with one outcome have come to.
+// Total sums up the reservations that ended with the same outcome.
 type Total struct {
-	// Count is how many there were, Idle the room that they kept idle, in
-	// processor-seconds.
-	Count                int
+	// Count is the number of reservations.
+	Count int
+	// IdleProcessorSeconds is the number of reserved processors times the duration of the
+	// reservation in seconds, summed over all reservations.
 	IdleProcessorSeconds float64
 }
 
-// New returns a book without reservations.
+// New returns a tracker without reservations.
 func New() *Tracker {
 	return &Tracker{active: map[job.StepID]reservation{}, totals: map[Outcome]Total{}}
 }
 
-// Begin notes that room is kept for a step from now on.
-func (b *Tracker) Begin(now time.Time, id job.StepID, room resource.Millis) {
-	b.active[id] = reservation{since: now, processors: room}
+// Begin records that processors are reserved for a step from now on.
+func (t *Tracker) Begin(now time.Time, id job.StepID, processors resource.Millis) {
+	t.active[id] = reservation{since: now, processors: processors}
 }
 
-// End notes what came of a step's reservation.
-func (b *Tracker) End(now time.Time, id job.StepID, o Outcome) {
-	r, ok := b.active[id]
+// End ends a step's reservation and adds it to the total of the outcome. It does nothing if the
+// step has no reservation.
+func (t *Tracker) End(now time.Time, id job.StepID, outcome Outcome) {
+	r, ok := t.active[id]
 	if !ok {
 		return
 	}
-	delete(b.active, id)
-	s := b.totals[o]
-	s.Count++
-	s.IdleProcessorSeconds += now.Sub(r.since).Seconds() * float64(r.processors) / float64(resource.Processor)
-	b.totals[o] = s
+	delete(t.active, id)
+	total := t.totals[outcome]
+	total.Count++
+	total.IdleProcessorSeconds += now.Sub(r.since).Seconds() * float64(r.processors) / float64(resource.Processor)
+	t.totals[outcome] = total
 }
 
-// Len returns how many reservations there are.
-func (b *Tracker) Len() int { return len(b.active) }
+// Len returns the number of active reservations.
+func (t *Tracker) Len() int { return len(t.active) }
 
-// Processors returns how many processors are kept.
-func (b *Tracker) Processors() resource.Millis {
-	var room resource.Millis
-	for _, r := range b.active {
-		room += r.processors
+// Processors returns the reserved processors.
+func (t *Tracker) Processors() resource.Millis {
+	var processors resource.Millis
+	for _, r := range t.active {
+		processors += r.processors
 	}
-	return room
+	return processors
 }
 
-// TakeTotals returns what the reservations that have ended came to by outcome, and begins to
-// count anew.
-func (b *Tracker) TakeTotals() map[Outcome]Total {
-	sums := b.totals
-	b.totals = map[Outcome]Total{}
+// TakeTotals returns the totals by outcome of the reservations that ended since the last call,
+// and resets them.
+func (t *Tracker) TakeTotals() map[Outcome]Total {
+	sums := t.totals
+	t.totals = map[Outcome]Total{}
 	return sums
 }
--- a/services/reservations/reservations_test.go
+++ b/services/reservations/reservations_test.go
@@ -15,20 +15,20 @@
 )
 
 func TestTotalsSumIdleProcessorSecondsByOutcome(t *testing.T) {
-	b := reservations.New()
+	tracker := reservations.New()
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	first, second := job.StepID{Job: "first"}, job.StepID{Job: "second"}
-	b.Begin(now, first, 100*resource.Processor)
-	b.Begin(now.Add(time.Second), second, 50*resource.Processor)
-	assert.Equal(t, b.Len(), 2)
-	assert.Equal(t, b.Processors(), 150*resource.Processor)
-	b.End(now.Add(2*time.Second), first, reservations.Started)
-	b.End(now.Add(4*time.Second), second, reservations.TicketsNotReceived)
-	// What was not held changes nothing.
-	b.End(now.Add(5*time.Second), second, reservations.StepEnded)
-	assert.Equal(t, b.Len(), 0)
-	assert.DeepEqual(t, b.TakeTotals(), map[reservations.Outcome]reservations.Total{
+	tracker.Begin(now, first, 100*resource.Processor)
+	tracker.Begin(now.Add(time.Second), second, 50*resource.Processor)
+	assert.Equal(t, tracker.Len(), 2)
+	assert.Equal(t, tracker.Processors(), 150*resource.Processor)
+	tracker.End(now.Add(2*time.Second), first, reservations.Started)
+	tracker.End(now.Add(4*time.Second), second, reservations.TicketsNotReceived)
+	// A step without a reservation changes nothing.
+	tracker.End(now.Add(5*time.Second), second, reservations.StepEnded)
+	assert.Equal(t, tracker.Len(), 0)
+	assert.DeepEqual(t, tracker.TakeTotals(), map[reservations.Outcome]reservations.Total{
 		reservations.Started: {Count: 1, IdleProcessorSeconds: 200}, reservations.TicketsNotReceived: {Count: 1, IdleProcessorSeconds: 150},
 	})
-	assert.Equal(t, len(b.TakeTotals()), 0, "it is told once")
+	assert.Equal(t, len(tracker.TakeTotals()), 0, "the totals are reset when they are taken")
 }
--- a/services/restarts/restarts.go
+++ b/services/restarts/restarts.go
@@ -1,36 +1,38 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package restarts bounds how often one task is started in some time, whatever the reason: a
-// fact that the holder has wrong must not make it start a task without end.
+// Package restarts limits how often a task is started within a period of time, whatever the reason,
+// so that incorrect information does not make a holder start a task in an endless loop.
 package restarts
 
 import "time"
 
 const (
-	// maxStarts is how often a task may be started within a window: tasks that fail, lose their
-	// worker or give way to others are started a few times in a row.
+	// maxStarts is the number of starts of a task within a window from which further starts
+	// are delayed. Tasks that fail, lose their worker or are preempted are legitimately
+	// started a few times in a row.
 	maxStarts = 5
-	// window is that time.
+	// window is the length of a window, which begins with a start.
 	window = 5 * time.Second
 )
 
-// Limiter are those of one task. The zero value is a task that was not started.
+// Limiter counts the starts of one task. The zero value is for a task that was not started.
 type Limiter struct {
-	// since is when the window began, count how many starts there were in it.
+	// windowStart is the time when the present window began, and count the number of starts
+	// in it.
 	windowStart time.Time
 	count       int
 }
 
-// RecordStart notes a start. It returns when the task may be started again, and whether that is later
-// than now because it was started too often.
-func (s *Limiter) RecordStart(now time.Time) (again time.Time, often bool) {
-	if now.Sub(s.windowStart) >= window {
-		s.windowStart, s.count = now, 0
+// RecordStart records a start. It returns the time from which the task may be started again, and
+// whether that is later than now because the task was started too often.
+func (l *Limiter) RecordStart(now time.Time) (next time.Time, limited bool) {
+	if now.Sub(l.windowStart) >= window {
+		l.windowStart, l.count = now, 0
 	}
-	s.count++
-	if s.count < maxStarts {
+	l.count++
+	if l.count < maxStarts {
 		return now, false
 	}
-	return s.windowStart.Add(window), true
+	return l.windowStart.Add(window), true
 }
--- a/services/restarts/restarts_test.go
+++ b/services/restarts/restarts_test.go
@@ -14,24 +14,24 @@
 
 func TestStartsPerWindowAreLimited(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	var s restarts.Limiter
+	var limiter restarts.Limiter
 	starts, next := 0, now
 	for at := now; at.Before(now.Add(time.Minute)); at = at.Add(10 * time.Millisecond) {
 		if at.Before(next) {
 			continue
 		}
 		starts++
-		next, _ = s.RecordStart(at)
+		next, _ = limiter.RecordStart(at)
 	}
 	assert.Check(t, starts <= 65, "%d starts in a minute", starts)
 }
 
 func TestInfrequentStartsAreNotDelayed(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	var s restarts.Limiter
+	var limiter restarts.Limiter
 	for range 100 {
-		again, often := s.RecordStart(now)
-		assert.Check(t, !often && again.Equal(now))
+		next, limited := limiter.RecordStart(now)
+		assert.Check(t, !limited && next.Equal(now))
 		now = now.Add(1300 * time.Millisecond)
 	}
 }
--- a/services/slots/slots.go
+++ b/services/slots/slots.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package slots divides the tasks of a step over workers that have room for some of them.
+// Package slots allocates the tasks of a step to workers that each have room for some of them.
 package slots
 
 import (
@@ -14,84 +14,87 @@
 	"saddlevane/modules/ordered"
 )
 
-// Allocation is how many tasks of a step a worker has room for, or gets.
+// Allocation is the number of tasks of a step that a worker has room for, or gets.
 type Allocation[W any] struct {
 	Worker W
 	Tasks  int
 }
 
-// FillInOrder returns as much of some shares, in their order, as is wanted, and how many tasks that
-// is.
-func FillInOrder[W any](open []Allocation[W], wanted int) (taken []Allocation[W], tasks int) {
-	for _, o := range open {
+// FillInOrder allocates up to the wanted number of tasks to workers in their order. It returns the
+// allocations and the number of allocated tasks.
+func FillInOrder[W any](available []Allocation[W], wanted int) (allocated []Allocation[W], tasks int) {
+	for _, a := range available {
 		if tasks == wanted {
 			break
 		}
-		n := min(o.Tasks, wanted-tasks)
-		taken = append(taken, Allocation[W]{o.Worker, n})
+		n := min(a.Tasks, wanted-tasks)
+		allocated = append(allocated, Allocation[W]{a.Worker, n})
 		tasks += n
 	}
-	return taken, tasks
+	return allocated, tasks
 }
 
-// FillInOneGroup returns shares of one group of workers that are enough for all tasks wanted, if
-// there is such a group: the first by name.
-func FillInOneGroup[W any](open []Allocation[W], wanted int, group func(W) string) ([]Allocation[W], bool) {
+// FillInOneGroup allocates all wanted tasks to workers of the same group, such as a rack. Group
+// returns the name of a worker's group. Of the groups with enough room the first by name is used.
+// If there is none, the result is nil and false.
+func FillInOneGroup[W any](available []Allocation[W], wanted int, group func(W) string) ([]Allocation[W], bool) {
 	groups := map[string][]Allocation[W]{}
-	for _, o := range open {
-		name := group(o.Worker)
-		groups[name] = append(groups[name], o)
+	for _, a := range available {
+		name := group(a.Worker)
+		groups[name] = append(groups[name], a)
 	}
 	for _, name := range slices.Sorted(maps.Keys(groups)) {
-		if taken, tasks := FillInOrder(groups[name], wanted); tasks == wanted {
-			return taken, true
+		if allocated, tasks := FillInOrder(groups[name], wanted); tasks == wanted {
+			return allocated, true
 		}
 	}
 	return nil, false
 }
 
-// Format returns shares as a line tells them, such as "w1:3 w2:1".
-func Format[W any](all []Allocation[W], name func(W) string) string {
-	names := make([]string, len(all))
-	for i, s := range all {
-		names[i] = fmt.Sprintf("%s:%d", name(s.Worker), s.Tasks)
+// Format formats allocations for a log line, such as "w1:3 w2:1".
+func Format[W any](allocations []Allocation[W], name func(W) string) string {
+	texts := make([]string, len(allocations))
+	for i, a := range allocations {
+		texts[i] = fmt.Sprintf("%s:%d", name(a.Worker), a.Tasks)
 	}
-	return strings.Join(names, " ")
+	return strings.Join(texts, " ")
 }
 
-// Preemption is room for some more tasks of a step on one worker, and what has to be stopped for it.
+// Preemption is an option to make room for more tasks of a step on one worker. W is the worker, and
+// A is a running attempt of a task.
 type Preemption[W, A any] struct {
 	Allocation[W]
-	// Ticketed says that a ticket is there or on its way.
+	// HasTicket is set if a ticket for the worker was received or requested.
 	HasTicket bool
-	// Victims are what has to be stopped.
+	// Victims are the attempts that have to be stopped.
 	Victims []A
-	// Cost is the work that is lost, in processor seconds a task gained.
+	// Cost is the work that is lost, in processor-seconds per task gained.
 	Cost float64
 }
 
-// TotalTasks returns for how many tasks some gains are room.
-func TotalTasks[W, A any](gains []Preemption[W, A]) int {
+// TotalTasks returns the number of tasks for which the preemptions make room together.
+func TotalTasks[W, A any](preemptions []Preemption[W, A]) int {
 	n := 0
-	for _, g := range gains {
-		n += g.Tasks
+	for _, p := range preemptions {
+		n += p.Tasks
 	}
 	return n
 }
 
-// Cheapest returns gains that are enough, or all, those that cost least first: of those that
-// cost the same, those whose tickets need not be asked for, then the largest. Compare orders
-// workers.
-func Cheapest[W, A any](gains []Preemption[W, A], wanted int, compare func(a, b W) int) []Preemption[W, A] {
-	slices.SortStableFunc(gains, func(g, o Preemption[W, A]) int {
+// Cheapest returns the preemptions with the lowest cost that together make room for the wanted
+// number of tasks, or all if they do not. Among those of the same cost, the ones with a ticket come
+// first, then those with room for more tasks. The function compare orders workers and breaks
+// remaining ties. Cheapest sorts the given slice.
+func Cheapest[W, A any](preemptions []Preemption[W, A], wanted int, compare func(a, b W) int) []Preemption[W, A] {
+	slices.SortStableFunc(preemptions, func(p, o Preemption[W, A]) int {
 		return cmp.Or(
-			cmp.Compare(g.Cost, o.Cost), ordered.TrueFirst(g.HasTicket, o.HasTicket), cmp.Compare(o.Tasks, g.Tasks), compare(g.Worker, o.Worker),
+			cmp.Compare(p.Cost, o.Cost), ordered.TrueFirst(p.HasTicket, o.HasTicket), cmp.Compare(o.Tasks, p.Tasks), compare(p.Worker, o.Worker),
 		)
 	})
-	for i, g := range gains {
-		if wanted -= g.Tasks; wanted <= 0 {
-			return gains[:i+1]
+	for i, p := range preemptions {
+		if wanted -= p.Tasks; wanted <= 0 {
+			return preemptions[:i+1]
 		}
 	}
-	return gains
+	return preemptions
 }
--- a/services/tickets/tickets.go
+++ b/services/tickets/tickets.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package tickets knows what the advice service has told of the workers that may run one step,
-// and the tickets that it gave. Both hold for a life of a worker.
+// Package tickets stores the answers of the advice service: which workers may run a step, and
+// the tickets for starting the step there. Both are valid for one incarnation of a worker.
 package tickets
 
 import (
@@ -10,105 +10,114 @@
 	"time"
 )
 
-// StartMargin is taken off a ticket's time for the start's way.
+// StartMargin is how long before the end of a ticket's validity a start with it must be sent, so
+// that the start reaches the worker in time.
 const StartMargin = 120 * time.Millisecond
 
-// Eligibility is what is known for one step. The zero value knows nothing.
+// Eligibility holds the answers for one step. W stands for one incarnation of a worker. The zero
+// value holds no answer.
 type Eligibility[W comparable] struct {
-	// suits says of each worker asked about whether it may run the step.
+	// eligible says whether a worker may run the step, for each worker of which that is
+	// known. It is nil until the first answer.
 	eligible map[W]bool
-	// good has those that may, in order.
+	// eligibleWorkers are the workers that may run the step, sorted.
 	eligibleWorkers []W
-	// waiting counts the calls under way that name a worker.
+	// pending is the number of calls in progress that name a worker.
 	pending map[W]int
-	// tickets has the last ticket for each worker, which may have run out.
+	// tickets holds the last ticket for each worker, which may have expired.
 	tickets map[W]ticket
 }
 
-// ticket is the leave to run a step on one worker.
+// ticket is the permission to run a step on one worker.
 type ticket struct {
 	text string
-	// until is when it is too late for a start with it.
+	// until is the time from which it is too late to send a start with the ticket.
 	until time.Time
 }
 
-// KnownWorkers says whether any answer has come, and about how many workers.
-func (b *Eligibility[W]) KnownWorkers() (workers int, any bool) {
-	return len(b.eligible), b.eligible != nil
+// KnownWorkers returns the number of workers of which it is known whether they may run the step,
+// and whether any answer was received.
+func (e *Eligibility[W]) KnownWorkers() (count int, answered bool) {
+	return len(e.eligible), e.eligible != nil
 }
 
-// EligibleWorkers returns the workers that may run the step, in order.
-func (b *Eligibility[W]) EligibleWorkers() []W { return b.eligibleWorkers }
+// EligibleWorkers returns the workers that may run the step, sorted. The caller must not change
+// the slice.
+func (e *Eligibility[W]) EligibleWorkers() []W { return e.eligibleWorkers }
 
-// IsEligible says whether a worker may run the step, if that is known.
-func (b *Eligibility[W]) IsEligible(w W) (may, known bool) {
-	may, known = b.eligible[w]
-	return may, known
+// IsEligible reports whether a worker may run the step, and whether that is known.
+func (e *Eligibility[W]) IsEligible(w W) (eligible, known bool) {
+	eligible, known = e.eligible[w]
+	return eligible, known
 }
 
-// IsKnownOrPending says whether a worker was asked about, or is being asked about.
-func (b *Eligibility[W]) IsKnownOrPending(w W) bool {
-	_, known := b.eligible[w]
-	return known || b.IsPending(w)
+// IsKnownOrPending reports whether it is known if a worker may run the step, or an answer about
+// it is pending.
+func (e *Eligibility[W]) IsKnownOrPending(w W) bool {
+	_, known := e.eligible[w]
+	return known || e.IsPending(w)
 }
 
-// IsPending says whether an answer about a worker is under way.
-func (b *Eligibility[W]) IsPending(w W) bool { return b.pending[w] > 0 }
+// IsPending reports whether a call in progress names a worker.
+func (e *Eligibility[W]) IsPending(w W) bool { return e.pending[w] > 0 }
 
-// BeginCall notes a call that names some workers.
-func (b *Eligibility[W]) BeginCall(workers []W) {
-	if b.pending == nil {
-		b.pending = map[W]int{}
+// BeginCall records a call that names the given workers.
+func (e *Eligibility[W]) BeginCall(workers []W) {
+	if e.pending == nil {
+		e.pending = map[W]int{}
 	}
 	for _, w := range workers {
-		b.pending[w]++
+		e.pending[w]++
 	}
 }
 
-// EndCall notes that the answer to a call that names some workers is not waited for any more.
-func (b *Eligibility[W]) EndCall(workers []W) {
+// EndCall records that the answer to a call that names the given workers is no longer awaited.
+func (e *Eligibility[W]) EndCall(workers []W) {
 	for _, w := range workers {
-		if b.pending[w]--; b.pending[w] <= 0 {
-			delete(b.pending, w)
+		if e.pending[w]--; e.pending[w] <= 0 {
+			delete(e.pending, w)
 		}
 	}
 }
 
-// EndAllCalls notes that no answer is waited for any more.
-func (b *Eligibility[W]) EndAllCalls() { b.pending = nil }
+// EndAllCalls records that no answers are awaited any longer.
+func (e *Eligibility[W]) EndAllCalls() { e.pending = nil }
 
-// RecordAnswer notes that an answer has come, whatever it tells.
-func (b *Eligibility[W]) RecordAnswer() {
-	if b.eligible == nil {
-		b.eligible, b.tickets = map[W]bool{}, map[W]ticket{}
+// RecordAnswer records that an answer was received, whatever its content. It must be called
+// before SetEligible and SetTicket.
+func (e *Eligibility[W]) RecordAnswer() {
+	if e.eligible == nil {
+		e.eligible, e.tickets = map[W]bool{}, map[W]ticket{}
 	}
 }
 
-// SetEligible notes, of an answer, whether a worker may run the step. Compare orders workers: one that
-// is equal to another takes its place, as a later life of it.
-func (b *Eligibility[W]) SetEligible(w W, may bool, compare func(a, b W) int) {
-	i, listed := slices.BinarySearchFunc(b.eligibleWorkers, w, compare)
-	b.eligible[w] = may
+// SetEligible records whether a worker may run the step according to an answer. The function
+// compare orders workers. Workers that compare equal are incarnations of the same worker, and w
+// replaces an earlier one among the eligible workers.
+func (e *Eligibility[W]) SetEligible(w W, eligible bool, compare func(a, b W) int) {
+	i, listed := slices.BinarySearchFunc(e.eligibleWorkers, w, compare)
+	e.eligible[w] = eligible
 	switch {
-	case may && listed:
-		b.eligibleWorkers[i] = w
-	case may:
-		b.eligibleWorkers = slices.Insert(b.eligibleWorkers, i, w)
+	case eligible && listed:
+		e.eligibleWorkers[i] = w
+	case eligible:
+		e.eligibleWorkers = slices.Insert(e.eligibleWorkers, i, w)
 	case listed:
-		b.eligibleWorkers = slices.Delete(b.eligibleWorkers, i, i+1)
+		e.eligibleWorkers = slices.Delete(e.eligibleWorkers, i, i+1)
 	}
 }
 
-// SetTicket notes a ticket for a worker that holds until some time.
-func (b *Eligibility[W]) SetTicket(w W, text string, until time.Time) {
-	b.tickets[w] = ticket{text: text, until: until.Add(-StartMargin)}
+// SetTicket stores the ticket for a worker, which is valid until the given time.
+func (e *Eligibility[W]) SetTicket(w W, text string, until time.Time) {
+	e.tickets[w] = ticket{text: text, until: until.Add(-StartMargin)}
 }
 
-// DropTicket forgets a ticket that a worker refused.
-func (b *Eligibility[W]) DropTicket(w W) { delete(b.tickets, w) }
+// DropTicket deletes the ticket for a worker, for instance because the worker refused it.
+func (e *Eligibility[W]) DropTicket(w W) { delete(e.tickets, w) }
 
-// TicketFor returns the ticket for a worker that a start now could still use.
-func (b *Eligibility[W]) TicketFor(now time.Time, w W) (string, bool) {
-	t, ok := b.tickets[w]
+// TicketFor returns the ticket for a worker, and whether a start that is sent now can still use
+// it.
+func (e *Eligibility[W]) TicketFor(now time.Time, w W) (string, bool) {
+	t, ok := e.tickets[w]
 	return t.text, ok && now.Before(t.until)
 }
--- a/services/turns/turns.go
+++ b/services/turns/turns.go
@@ -1,14 +1,15 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package turns divides calls for advice between those who compete for them.
+// Package turns divides calls to the advice service fairly between the queues whose steps compete
+// for them.
 //
-// Where the boxes cannot make all the calls for advice that steps want, they are
-// divided evenly between queues, so that one whose calls are long or often in vain
-// does not keep the others from starting anything: with four boxes and three queues,
-// jobs that had been accepted a minute before had not started, and worth rose by 0.019
-// (standard error 0.007, 12 pairs of days). Within a queue, steps that are
-// late anyway have a smaller share, so that each is asked about some time.
+// If the boxes cannot make all the calls that steps need, the call time is divided evenly between
+// queues. Otherwise a queue whose calls are long or often without success keeps the other queues
+// from starting anything: with four boxes and three queues, jobs had not started a minute after
+// they were accepted. Dividing the calls raised the value of the results by 0.019 (standard error
+// 0.007, 12 pairs of days). Within a queue, steps that are already late get a smaller share, but
+// each of them gets a call eventually.
 package turns
 
 import (
@@ -16,74 +17,78 @@
 	"time"
 )
 
-// CallClass is steps that compete for calls as one.
+// CallClass is a class of steps that share their part of the calls.
 type CallClass struct {
 	Queue string
-	Late  bool
+	// Late is set for steps whose jobs can no longer be done within their objectives.
+	Late bool
 }
 
-// Allocator divides calls. It is not safe for concurrent use.
+// Allocator decides which classes may make calls. It is not safe for concurrent use.
 type Allocator struct{ usages map[CallClass]*usage }
 
-// New returns turns that nobody has had.
+// New returns an allocator without recorded calls.
 func New() *Allocator { return &Allocator{usages: map[CallClass]*usage{}} }
 
-// usage is what a class has had of the boxes' time.
+// usage is the recent use of the boxes by a class.
 type usage struct {
-	// used is the time of its calls, of which old ones count ever less, as of updatedAt.
+	// used is the total duration of the calls as of updatedAt. It decays exponentially.
 	used      time.Duration
 	updatedAt time.Time
-	// deferredAt is when it last could not make a call because no box was free.
+	// deferredAt is the time when the class last could not make a call, or zero if it has
+	// made one since.
 	deferredAt time.Time
 }
 
 const (
-	// usageDecayTime is the time after which a call counts for 1/e in what a class has had:
-	// some calls of the longest kind.
+	// usageDecayTime is the time in which the usage decays to 1/e. It corresponds to some
+	// calls of the longest kind.
 	usageDecayTime = 4 * time.Second
-	// deferredFor is how long a class counts as waiting after it was turned away:
-	// some passes of the plan.
+	// deferredFor is how long a class counts as waiting after it could not make a call. It
+	// corresponds to some plans.
 	deferredFor = 300 * time.Millisecond
-	// lateCallWeight is how many times a call counts that is for a step which is late: its
-	// result is worth a fifth to its caller (the users' rules).
+	// lateCallWeight multiplies the duration of calls for late steps. By the users' rules a
+	// late result is worth a fifth of one that is on time.
 	lateCallWeight = 4
 )
 
-// usageOf returns what a class has had, as of now.
-func (t *Allocator) usageOf(now time.Time, class CallClass) *usage {
-	s := t.usages[class]
-	if s == nil {
-		s = &usage{updatedAt: now}
-		t.usages[class] = s
+// usageOf returns the usage of a class, decayed to now.
+func (a *Allocator) usageOf(now time.Time, class CallClass) *usage {
+	u := a.usages[class]
+	if u == nil {
+		u = &usage{updatedAt: now}
+		a.usages[class] = u
 	}
-	s.used = time.Duration(float64(s.used) * math.Exp(-now.Sub(s.updatedAt).Seconds()/usageDecayTime.Seconds()))
-	s.updatedAt = now
-	return s
+	u.used = time.Duration(float64(u.used) * math.Exp(-now.Sub(u.updatedAt).Seconds()/usageDecayTime.Seconds()))
+	u.updatedAt = now
+	return u
 }
 
-// Admit says whether a class may make a call: no class waits that has had less.
-func (t *Allocator) Admit(now time.Time, class CallClass) bool {
-	used := t.usageOf(now, class).used
-	for other, s := range t.usages {
-		if other != class && now.Sub(s.deferredAt) < deferredFor && t.usageOf(now, other).used < used {
-			t.RecordDeferral(now, class)
+// Admit reports whether a class may make a call now, which it may unless a class with less usage is
+// waiting. If it may not, Admit records that the class is waiting.
+func (a *Allocator) Admit(now time.Time, class CallClass) bool {
+	used := a.usageOf(now, class).used
+	for other, u := range a.usages {
+		if other != class && now.Sub(u.deferredAt) < deferredFor && a.usageOf(now, other).used < used {
+			a.RecordDeferral(now, class)
 			return false
 		}
 	}
 	return true
 }
 
-// RecordDeferral notes that a class could not make a call.
-func (t *Allocator) RecordDeferral(now time.Time, class CallClass) {
-	t.usageOf(now, class).deferredAt = now
+// RecordDeferral records that a class could not make a call and is waiting.
+func (a *Allocator) RecordDeferral(now time.Time, class CallClass) {
+	a.usageOf(now, class).deferredAt = now
 }
 
-// RecordCall notes a call of a class.
-func (t *Allocator) RecordCall(now time.Time, class CallClass, takes time.Duration) {
+// RecordCall adds a call of the given duration to the usage of a class, which is then no longer
+// waiting.
+func (a *Allocator) RecordCall(now time.Time, class CallClass, duration time.Duration) {
 	if class.Late {
-		takes *= lateCallWeight
+		duration *= lateCallWeight
 	}
-	s := t.usageOf(now, class)
-	s.used += takes
-	s.deferredAt = time.Time{}
+	u := a.usageOf(now, class)
+	u.used += duration
+	u.deferredAt = time.Time{}
 }
