--- a/models/box/box.go
+++ b/models/box/box.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package box holds the entries of the platform's list of boxes.
+// Package box defines the platform's list of boxes.
 package box
 
 import (
@@ -11,7 +11,7 @@
 	"net/netip"
 )
 
-// Role is what a box is for.
+// Role is the role of a box in the cell.
 type Role string
 
 // The roles of boxes.
@@ -21,11 +21,11 @@
 	Target Role = "target"
 )
 
-// State is what the platform says of a box.
+// State is the state of a box as reported by the platform.
 type State string
 
-// The states of a box. A box that the list does not name is not known to be
-// dead; Dead means that the platform made sure of it.
+// The states of a box. Dead means that the platform has made sure that the box is not running. A box
+// that is missing from the list is not known to be dead.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
@@ -40,21 +40,22 @@
 	Rack   string `json:"rack,omitempty"`
 	// Pool names the pool of a target.
 	Pool string `json:"pool,omitempty"`
-	// Address is "ip:port": callers' port of a target, the sync port of a
-	// worker, the peers' port of an entry box.
+	// Address is "ip:port". The port accepts callers' requests at a target, Syncs at a worker and
+	// connections of peers at an entry box.
 	Address string `json:"address"`
 	State   State  `json:"state"`
 }
 
-// List is the platform's answer.
+// List is the list of boxes as returned by the platform.
 type List struct {
 	Boxes []Box `json:"boxes"`
 }
 
-// MaxBoxes bounds a list: the two-year target's boxes with room to spare.
+// MaxBoxes limits the length of a list. It exceeds the number of boxes that the two-year target sets.
 const MaxBoxes = 100_000
 
-// UnmarshalJSON refuses entries without a name, a known role and an IP address.
+// UnmarshalJSON returns an error unless the entry has a name, a domain, a known role, a known state and
+// an IP address and port.
 func (b *Box) UnmarshalJSON(data []byte) error {
 	type plain Box
 	var p plain
@@ -62,26 +63,26 @@
 		return err
 	}
 	if p.Name == "" || p.Domain == "" {
-		return errors.New("box: no name or no domain")
+		return errors.New("box: name or domain is empty")
 	}
 	switch p.Role {
 	case Entry, Worker, Target:
 	default:
-		return fmt.Errorf("box %s: unknown role %q", p.Name, p.Role)
+		return fmt.Errorf("box %s: unknown role %q, want entry, worker or target", p.Name, p.Role)
 	}
 	switch p.State {
 	case Live, Leaving, Dead:
 	default:
-		return fmt.Errorf("box %s: unknown state %q", p.Name, p.State)
+		return fmt.Errorf("box %s: unknown state %q, want live, leaving or dead", p.Name, p.State)
 	}
 	if _, err := netip.ParseAddrPort(p.Address); err != nil {
-		return fmt.Errorf("box %s: %w", p.Name, err)
+		return fmt.Errorf("box %s: address: %w", p.Name, err)
 	}
 	*b = Box(p)
 	return nil
 }
 
-// UnmarshalJSON refuses lists that are too long or name a box twice.
+// UnmarshalJSON returns an error if the list is too long or contains a box twice.
 func (l *List) UnmarshalJSON(data []byte) error {
 	type plain List
 	var p plain
@@ -89,12 +90,12 @@
 		return err
 	}
 	if len(p.Boxes) > MaxBoxes {
-		return fmt.Errorf("box list: %d boxes, the limit is %d", len(p.Boxes), MaxBoxes)
+		return fmt.Errorf("box list: has %d boxes, the limit is %d", len(p.Boxes), MaxBoxes)
 	}
 	seen := make(map[string]struct{}, len(p.Boxes))
 	for _, b := range p.Boxes {
 		if _, ok := seen[b.Name]; ok {
-			return fmt.Errorf("box list: %s is named twice", b.Name)
+			return fmt.Errorf("box list: box %s is listed twice", b.Name)
 		}
 		seen[b.Name] = struct{}{}
 	}
--- a/models/event/event.go
+++ b/models/event/event.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package event holds everything that the reducer can be told.
+// Package event defines the inputs of the reducer.
 package event
 
 import (
@@ -18,41 +18,41 @@
 // Event is one of the types of this package.
 type Event interface{ event() }
 
-// Tick says that time has passed.
+// Tick lets the reducer act on the passage of time.
 type Tick struct{}
 
-// Stop asks for a planned stop.
+// Stop requests a planned stop.
 type Stop struct{}
 
 // RequestArrived is a caller's request.
 type RequestArrived struct{ Arrival request.Arrival }
 
-// RequestAbandoned says that the caller of a request has left.
+// RequestAbandoned reports that the caller of a request has disconnected.
 type RequestAbandoned struct{ ID request.ID }
 
-// TargetAnswered is the end of one attempt at a target.
+// TargetAnswered is the result of one attempt to run a request on a target.
 type TargetAnswered struct {
 	ID      request.ID
 	Attempt int
 	Target  string
 	Verdict verdict.Verdict
-	// Reason says what went wrong, if the verdict is not Ran.
+	// Reason describes the failure if the verdict is not Ran.
 	Reason string
-	// Leaving is the target's own word that it wants no new work.
+	// Leaving is set if the target reported that it accepts no new work.
 	Leaving bool
-	// Busy says that the target refused because it was full.
+	// Busy is set if the target refused the request because all its slots were taken.
 	Busy bool
-	// Silent says that there was no answer on a connection that had carried others, which
-	// may be at fault.
+	// Silent is set if there was no answer on a connection that had carried earlier answers, so
+	// that the connection and not the target may be broken.
 	Silent bool
 }
 
-// ForwardEnded is the end of a request that was passed on to a peer.
+// ForwardEnded is the result of a request that was forwarded to a peer.
 type ForwardEnded struct {
 	ID request.ID
-	// Failed says why there is no answer, or is empty if the peer's is at hand.
+	// Failure says why there is no answer. It is empty if the peer has answered.
 	Failure string
-	// Verdict is the peer's, or what the failure says of the run.
+	// Verdict is the verdict that the peer returned, or the one that follows from the failure.
 	Verdict verdict.Verdict
 }
 
@@ -60,44 +60,44 @@
 type LogRecord struct {
 	Offset int64
 	At     time.Time
-	// Envelope is the zero value if the record is not ours or is damaged.
+	// Envelope is the zero value if the record is damaged or was not appended by saddlevane.
 	Envelope record.Envelope
 }
 
-// LogRead is an answer of the log to a read from the reducer's position.
+// LogRead is the log's answer to a read from the reducer's position.
 type LogRead struct {
-	// First is the oldest offset that the log still has.
+	// First is the offset of the oldest record that the log still has.
 	First   int64
 	Records []LogRecord
-	// Head says that there was nothing more to read when the log answered.
+	// AtEnd is set if there were no further records when the log answered.
 	AtEnd bool
 }
 
-// LogFailed says that a read of the log failed.
+// LogFailed reports that a read of the log failed.
 type LogFailed struct{ Reason string }
 
-// AppendEnded is the end of one try at an append. If Failed is not empty the
-// record may be in the log all the same.
+// AppendEnded is the result of one attempt to append. If Failure is not empty, the record may
+// nevertheless be in the log.
 type AppendEnded struct {
 	ID      string
 	Offset  int64
 	Failure string
 }
 
-// BoxesRead is the platform's list of boxes.
+// BoxesRead is the platform's list of boxes as last read.
 type BoxesRead struct{ List box.List }
 
-// HelloReceived is a peer's heartbeat.
+// HelloReceived is a heartbeat received from a peer.
 type HelloReceived struct{ Hello peer.Hello }
 
-// SnapshotRead is what a peer knows of the log.
+// SnapshotRead is a snapshot of the log's state received from a peer.
 type SnapshotRead struct {
 	From     string
 	Snapshot record.Snapshot
 }
 
-// WorkerAnswered is the end of one Sync with a worker. If Failed is not empty
-// the worker may have applied it all the same.
+// WorkerAnswered is the result of one Sync with a worker. If Failure is not empty, the worker may
+// nevertheless have applied the Sync.
 type WorkerAnswered struct {
 	Worker  string
 	Seq     int64
@@ -106,11 +106,11 @@
 	Failure string
 }
 
-// PublishAsked is an operator's publication.
+// PublishAsked is an operator's request to publish a file. Waiter identifies the operator's call.
 type PublishAsked struct {
 	Waiter  uint64
 	Publish record.Publish
-	// Patience is how long the operator waits for the log's decision.
+	// Timeout is how long the operator waits until the publication is decided.
 	Timeout time.Duration
 }
 
--- a/models/exchange/effects.go
+++ b/models/exchange/effects.go
@@ -12,10 +12,10 @@
 	"saddlevane/models/stream"
 )
 
-// Effect is something that the reducer asks for.
+// Effect is an action that the reducer requests.
 type Effect interface{ effect() }
 
-// Purpose says what an append is for.
+// Purpose is the purpose of an append.
 type Purpose string
 
 // The purposes of appends.
@@ -25,46 +25,46 @@
 	ForAnnounce Purpose = "announce"
 )
 
-// Append appends to the log. Its end comes back as AppendEnded.
+// Append appends to the log. Its result comes back as AppendEnded.
 type Append struct {
 	Purpose Purpose
-	// Number tells appends of one purpose apart.
+	// Number distinguishes the appends of one purpose.
 	Number int64
 	Append stream.Append
 }
 
-// LoadJobs reads the stream of jobs whole. Its end comes back as JobsLoaded.
+// LoadJobs reads the complete stream of jobs. Its result comes back as JobsLoaded.
 type LoadJobs struct{ Epoch int64 }
 
-// FollowWorkers starts or ends the following of the list of workers.
+// FollowWorkers starts or stops watching the list of workers for changes.
 type FollowWorkers struct{ On bool }
 
-// Renew renews a worker's lease and asks what it runs. Its end comes back as
+// Renew renews a worker's lease and asks for a report of its runs. Its result comes back as
 // RenewEnded.
 type Renew struct {
 	Worker  order.Incarnation
 	Address string
 	Epoch   int64
-	// Look numbers the renewals of a holder in the order in which it asked for
-	// them. What a worker tells holds for a time after that.
+	// Renewal numbers the renewals of a holder in the order of their requests. A report describes
+	// the worker at some time after its renewal was requested.
 	Renewal int64
 	Order   order.Renew
-	// Timeout is after which time the answer is overdue, Late how much longer it counts.
-	// RenewEnded comes then, and once more if the answer still comes.
+	// The answer is overdue after Timeout, and RenewEnded is then sent without it. An answer that
+	// arrives within GracePeriod after that is still used and causes a second RenewEnded.
 	Timeout, GracePeriod time.Duration
 }
 
-// StartRun starts a task. Its end comes back as StartEnded.
+// StartRun starts a task. Its result comes back as StartEnded.
 type StartRun struct {
 	Worker  order.Incarnation
 	Address string
 	Epoch   int64
 	Order   order.Start
-	// Timeout is how long the answer is waited for.
+	// Timeout is how long to wait for the answer.
 	Timeout time.Duration
 }
 
-// StopRun ends a run. Its end comes back as StopEnded.
+// StopRun stops a run. Its result comes back as StopEnded.
 type StopRun struct {
 	Worker  order.Incarnation
 	Address string
@@ -73,7 +73,7 @@
 	Timeout time.Duration
 }
 
-// ThrottleRun sets the pace of a run. Its end comes back as ThrottleEnded.
+// ThrottleRun sets the speed of a run. Its result comes back as ThrottleEnded.
 type ThrottleRun struct {
 	Worker  order.Incarnation
 	Address string
@@ -82,29 +82,29 @@
 	Timeout time.Duration
 }
 
-// Advise asks the advice service from a box. Its end comes back as Advised.
+// Advise calls the advice service through a box. Its result comes back as Advised.
 type Advise struct {
 	Box string
-	// Address is that of the box, or empty for this one.
+	// Address is the address of the box, or empty if it is this one.
 	Address string
 	Epoch   int64
-	// Number tells the calls of one holder apart.
+	// Number distinguishes the calls of one holder.
 	Number  int64
 	Step    job.StepID
 	Workers []string
-	// Expected is how long the answer should take.
+	// Expected is the expected duration of the call.
 	Expected time.Duration
 	Timeout  time.Duration
 }
 
-// AskPledges asks all other boxes not to claim. Its end comes back as Pledged.
+// AskPledges asks all other boxes to promise not to claim the cell for a while. Its result comes back
+// as Pledged.
 type AskPledges struct {
 	Epoch     int64
 	Addresses []string
 }
 
-// Invite asks another box to claim the cell at once. Its end comes back as
-// Invited.
+// Invite asks another box to claim the cell at once. Its result comes back as Invited.
 type Invite struct {
 	Epoch   int64
 	Address string
@@ -116,30 +116,30 @@
 	Answer Answer
 }
 
-// Outcome of a call.
+// Outcome is the outcome of a call.
 type Outcome string
 
-// The outcomes. Unsure says that it may have been done; see HasNoEffect.
+// The outcomes. HasNoEffect reports which of them mean that the call changed nothing.
 const (
 	OK Outcome = "ok"
 	// NoJob means that there is no such job.
 	NoJob Outcome = "no such job"
 	// HeldElsewhere means that this box does not hold the cell.
 	HeldElsewhere Outcome = "held elsewhere"
-	// Unavailable means that nothing can be kept at present.
+	// Unavailable means that changes cannot be logged at present.
 	Unavailable Outcome = "unavailable"
-	// Denied means that the caller's key is of no workspace, or that there is none.
+	// Denied means that the call has no key, or one that belongs to no workspace.
 	Denied Outcome = "denied"
 	// NoQueue means that there is no such queue.
 	NoQueue Outcome = "no such queue"
-	// OverLimit means that the workspace has sent more than its share, or more than its cap can
-	// hold: nothing was done.
+	// OverLimit means that the job was refused because the workspace has submitted more than its
+	// share, or because the job does not fit the workspace's cap.
 	OverLimit Outcome = "beyond share or cap"
-	// MaybeDone means that it may have been done; the same call may be made again.
+	// MaybeDone means that the call may have taken effect. It is safe to repeat the same call.
 	MaybeDone Outcome = "unsure"
 )
 
-// HasNoEffect says whether the outcome tells that nothing was done.
+// HasNoEffect reports whether a call with this outcome certainly changed nothing.
 func (o Outcome) HasNoEffect() bool {
 	switch o {
 	case HeldElsewhere, Unavailable, Denied, NoQueue, OverLimit:
@@ -149,73 +149,72 @@
 	}
 }
 
-// Answer is what a caller is told.
+// Answer is the answer to a call.
 type Answer struct {
 	Outcome Outcome   `json:"outcome"`
 	State   job.State `json:"state,omitempty"`
 	Waiting int       `json:"waiting,omitempty"`
-	// Explanation is set if it was asked for.
+	// Explanation is set if the call asked for it.
 	Explanation *job.Explanation `json:"explanation,omitempty"`
-	// Holder is the claim in force as far as the box knows, if it does not hold the
-	// cell itself.
+	// Holder is the newest claim that the box knows, if it does not hold the cell itself.
 	Holder *claim.Claim `json:"holder,omitempty"`
-	// Steady says that the log answers the box.
+	// LogReachable is set if the box can reach the log.
 	LogReachable bool `json:"steady,omitempty"`
-	// Reason says why it was not done.
+	// Reason says why the call was not carried out.
 	Reason string `json:"reason,omitempty"`
-	// RetryAfter is when to come back, if nothing was done.
+	// RetryAfter is how long the caller should wait before it tries again, if nothing was done.
 	RetryAfter job.Milliseconds `json:"retry_after_ms,omitempty"`
 }
 
-// LogEvent is a line for the log of the process.
+// LogEvent writes a line to the log of the process.
 type LogEvent struct {
 	Message string
 	Fields  []LogField
 }
 
-// LogField is one named value of a Note.
+// LogField is one named value of a LogEvent.
 type LogField struct {
 	Name  string
 	Value any
 }
 
-// Stopped says that a planned stop is complete.
+// Stopped reports that a planned stop is complete.
 type Stopped struct{}
 
-// Ending is how the life of a worker ended, as far as the holder saw it.
+// Ending is how the incarnation of a worker ended, as far as the holder could observe it.
 type Ending string
 
 // The endings.
 const (
-	// Crashed: it was listed, was not leaving, and is gone.
+	// Crashed means that the worker was listed, was not leaving, and is gone.
 	Crashed Ending = "crashed"
-	// Left: it was leaving, or its entry went while it answered.
+	// Left means that the worker was leaving, or that its entry was removed while it still
+	// answered.
 	Left Ending = "left"
-	// CutOff: it is listed, but has not answered for as long as its lease lasts.
+	// CutOff means that the worker is listed, but has not answered for the duration of its lease.
 	CutOff Ending = "cut off"
 )
 
-// TasksLost says that tasks were lost with their worker. It is told for the metrics.
+// TasksLost reports to the metrics that tasks were lost with their worker.
 type TasksLost struct {
 	Ending Ending
 	Tasks  int
-	// Worked is how long they had been at work together.
+	// Worked is the sum of the times that they had run.
 	Worked time.Duration
 }
 
-// JobGivenUp says that a job was given up because workers crashed under a task of it. It is
-// told for the metrics.
+// JobGivenUp reports to the metrics that a job was given up because workers crashed while they ran a
+// task of it.
 type JobGivenUp struct{ Crashes int }
 
-// EntryRefused says that an entry of the list of workers names none. It is told for the
-// metrics.
+// EntryRefused reports to the metrics that an entry in the list of workers does not describe a worker.
 type EntryRefused struct{}
 
-// WorkspaceUsage says what the tasks of each workspace take. It is told for the metrics.
+// WorkspaceUsage reports to the metrics what the tasks of each workspace take.
 type WorkspaceUsage struct{ All []job.WorkspaceStatus }
 
-// JobOverShare says that a new job was refused, or taken, that was more than its
-// workspace's share. It is told for the metrics.
+// JobOverShare reports to the metrics that a new job exceeded its workspace's share, and whether it
+// was refused.
 type JobOverShare struct{ Refused bool }
 
 func (WorkspaceUsage) effect() {}
--- a/models/exchange/events.go
+++ b/models/exchange/events.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package exchange has what passes between the reducer for submitted jobs and the loop that
-// runs it: events, which the reducer is told with the present time, and effects, which it
-// asks for and which come back as events.
+// Package exchange defines the interface between the reducer for submitted jobs and the loop that
+// runs it. The loop passes events to the reducer, with the current time. The reducer returns effects,
+// which the loop carries out and whose results come back as events.
 package exchange
 
 import (
@@ -16,41 +16,42 @@
 	"saddlevane/models/workspace"
 )
 
-// Event is something that the reducer is told.
+// Event is an input of the reducer.
 type Event interface{ event() }
 
-// Tick says that time has passed.
+// Tick lets the reducer act on the passage of time.
 type Tick struct{}
 
-// Decided says how long the last Decide took that has made a plan.
+// Decided reports the duration of the last Decide that made a plan.
 type Decided struct{ Took time.Duration }
 
-// Stop asks for a planned stop.
+// Stop requests a planned stop.
 type Stop struct{}
 
-// ConfigRead is a configuration that the log has.
+// ConfigRead is a configuration read from the log.
 type ConfigRead struct{ Config job.Config }
 
-// ConfigReadEnded says that a read of the configurations has ended that was asked for at a time:
-// what was in force by then is known.
+// ConfigReadEnded reports that a read of the configurations, started at AskedAt, has ended. Every
+// configuration that was in force at that time is now known.
 type ConfigReadEnded struct{ AskedAt time.Time }
 
-// ClaimsRead is a part of the stream of claims, the first one if Start is set.
+// ClaimsRead is a part of the stream of claims, the first part if First is set. Next is the offset
+// to read from next.
 type ClaimsRead struct {
 	First   bool
 	Records []stream.Record
 	Next    int64
-	// Failed says why there is nothing, or is empty.
+	// Failure says why the read failed, or is empty.
 	Failure string
 }
 
-// MembersRead lists entry boxes that have announced themselves.
+// MembersRead lists the entry boxes that have announced themselves.
 type MembersRead struct{ Members []claim.Member }
 
 // WorkersRead is a change of the platform's list of workers.
 type WorkersRead struct{ Listing order.Listing }
 
-// AppendEnded is the end of an Append.
+// AppendEnded is the result of an Append.
 type AppendEnded struct {
 	Purpose Purpose
 	Number  int64
@@ -58,63 +59,64 @@
 	Err     error
 }
 
-// JobsLoaded is the whole stream of jobs, read for the claim with Epoch.
+// JobsLoaded is the complete stream of jobs, read for the claim with the given epoch.
 type JobsLoaded struct {
 	Epoch   int64
 	Records []stream.Record
 	Err     error
 }
 
-// CallID names a caller's call within this process.
+// CallID identifies a caller's call within this process.
 type CallID uint64
 
-// Submitted is a caller's job.
+// Submitted is a call that submits a job.
 type Submitted struct {
 	Call       CallID
 	Submission job.Submission
 	Caller     *workspace.Caller
-	// RetryAfter is set if no new job is to be taken now: it is when to come back.
+	// RetryAfter is set if the job must be refused unless it is already known, because the holder
+	// is overloaded. It is the time after which the caller should try again.
 	RetryAfter time.Duration
 }
 
-// CancelAsked is a caller's wish to end a job.
+// CancelAsked is a call that cancels a job.
 type CancelAsked struct {
 	Call   CallID
 	Caller *workspace.Caller
 	Job    job.ID
 }
 
-// StateAsked is a caller's question about a job.
+// StateAsked is a call that asks for the state of a job.
 type StateAsked struct {
 	Call   CallID
 	Caller *workspace.Caller
 	Job    job.ID
 }
 
-// ExplanationAsked asks why a job is as it is.
+// ExplanationAsked is a call that asks for the explanation of a job's state.
 type ExplanationAsked struct {
 	Call CallID
 	Job  job.ID
 }
 
-// CountAsked asks how many jobs of a queue wait.
+// CountAsked is a call that asks how many jobs of a queue wait.
 type CountAsked struct {
 	Call   CallID
 	Caller *workspace.Caller
 	Queue  string
 }
 
-// RenewEnded is the end of a Renew.
+// RenewEnded is the result of a Renew.
 type RenewEnded struct {
 	Worker order.Incarnation
 	Epoch  int64
-	// Look is that of the Renew.
+	// Renewal is the number of the Renew.
 	Renewal int64
 	Answer  order.Answer
 	Report  order.Report
 }
 
-// StartEnded is the end of a Start.
+// StartEnded is the result of a StartRun.
 type StartEnded struct {
 	Worker order.Incarnation
 	Epoch  int64
@@ -122,7 +124,7 @@
 	Answer order.Answer
 }
 
-// StopEnded is the end of a StopRun.
+// StopEnded is the result of a StopRun.
 type StopEnded struct {
 	Worker order.Incarnation
 	Epoch  int64
@@ -130,54 +132,54 @@
 	Answer order.Answer
 }
 
-// ThrottleEnded is the end of a ThrottleRun.
+// ThrottleEnded is the result of a ThrottleRun.
 type ThrottleEnded struct {
 	Worker order.Incarnation
 	Epoch  int64
 	Run    order.Run
-	// Percent is the pace that was ordered.
+	// Percent is the speed that was ordered, in percent of the full speed.
 	Percent int
 	Answer  order.Answer
 }
 
-// Advised is the end of an Advise.
+// Advised is the result of an Advise. Tickets holds a ticket for each worker that may run the step.
 type Advised struct {
 	Step    job.StepID
 	Box     string
 	Epoch   int64
 	Number  int64
 	Tickets []order.Ticket
-	// Busy says that the service has too many calls of the box waiting.
+	// Busy is set if the service refused the call because too many calls of the box are waiting.
 	Busy    bool
 	Failure string
 }
 
-// PledgeAsked is a holder's question whether this box will not claim for a while.
+// PledgeAsked is a holder's request that this box promise not to claim the cell for a while.
 type PledgeAsked struct {
 	Call  CallID
 	Epoch int64
 }
 
-// Pledged is the end of an AskPledges.
+// Pledged is the result of an AskPledges.
 type Pledged struct {
 	Epoch  int64
 	SentAt time.Time
-	// All says that all other boxes have promised not to claim.
+	// All is set if all other boxes have promised not to claim.
 	All bool
-	// Steady has the addresses of boxes that the log answers.
+	// LogReachable lists the addresses of the boxes that can reach the log.
 	LogReachable []string
 }
 
-// InviteAsked is a holder's wish that this box claim the cell at once.
+// InviteAsked is a holder's request that this box claim the cell at once.
 type InviteAsked struct {
 	Call  CallID
 	Epoch int64
 }
 
-// Invited is the end of an Invite.
+// Invited is the result of an Invite.
 type Invited struct {
 	Epoch int64
-	// Refused says that the other box will surely not claim.
+	// Refused is set if the other box will certainly not claim.
 	Refused bool
 	Reason  string
 }
--- a/models/job/blame.go
+++ b/models/job/blame.go
@@ -9,78 +9,87 @@
 	"math"
 )
 
-// Blame is what is held against a task under which workers have crashed. The log keeps
-// it, so that a task which crashes its workers is known to the next holder too.
+// Blame is the evidence that a task crashes the workers it runs on. It is written to the log, so
+// that the next holder of the cell has it too.
 type Blame struct {
-	// Crashes counts the workers that crashed under the task.
+	// Crashes counts the workers that crashed while they ran the task.
 	Crashes int `json:"n"`
-	// Alone counts those of them on which no other task had begun shortly before.
+	// Alone counts those crashes where no other task had started on the worker shortly before.
 	Alone int `json:"a,omitempty"`
-	// Odds are how much likelier it is that the task crashes its workers than that it
-	// does not.
+	// Odds is the probability that the task crashes its workers, divided by the probability that
+	// it does not.
 	Odds float64 `json:"o"`
-	// Seen are the crashes, the last last.
+	// RecentCrashes lists the newest crashes, oldest first.
 	RecentCrashes []Crash `json:"c,omitempty"`
-	// Longest is the longest time for which it may have been at work when a worker
-	// crashed, Shortest the shortest.
+	// MaxWorkTime and MinWorkTime are the longest and the shortest time that the task had run when
+	// a worker crashed. Only crashes with an exact run time count.
 	MaxWorkTime Milliseconds `json:"l,omitempty"`
 	MinWorkTime Milliseconds `json:"s,omitempty"`
-	// LastStartWorkers has the workers on which it was started last since, one but for a gang, and
-	// LastStartUnixMilli when, in milliseconds since 1970: if one is gone when another box takes the
-	// cell over, it crashed under the task.
+	// LastStartWorkers names the workers of the last start after the newest crash (one, or several
+	// for a gang), and LastStartUnixMilli is its time in milliseconds since 1970. If such a worker
+	// is gone when another box takes over the cell, the new holder counts this as a crash under
+	// the task.
 	LastStartWorkers   []string `json:"w,omitempty"`
 	LastStartUnixMilli int64    `json:"t,omitempty"`
 }
 
-// TimeBound is what is known of when a worker crashed under a task.
+// TimeBound is the relation of a measured run time to the time that the task really ran before its
+// worker crashed.
 type TimeBound string
 
+// The relations of a measured run time to the real one.
 const (
-	// Exact: the task had been at work for a known time.
+	// Exact means that the task ran for the measured time.
 	Exact TimeBound = ""
-	// AtMost: it had been at work for some part of a known time.
+	// AtMost means that the task ran for some part of the measured time.
 	AtMost TimeBound = "within"
-	// AtLeast: it had been at work for a known time, or longer.
+	// AtLeast means that the task ran for the measured time or longer.
 	AtLeast TimeBound = "least"
 )
 
-// Crash is the crash of a worker under a task, as it was judged. It is kept so that it can
-// be judged again by what is known later.
+// Crash describes the crash of a worker that ran a task, with the rates from which its odds were
+// computed. It is stored so that the odds can be recomputed once the crash rate is known better.
 type Crash struct {
-	// Worked is how long the task had been at work, and Time what is known of that.
+	// Worked is how long the task had run, and Bound the relation of that value to the real time.
 	Worked Milliseconds `json:"w"`
 	Bound  TimeBound    `json:"t,omitempty"`
-	// Late is by how much the crash may have been seen too late, where Time is Exact.
+	// DetectionDelay is the longest time that may have passed between the crash and its
+	// detection. It is set only if Bound is Exact; Worked then includes the delay.
 	DetectionDelay Milliseconds `json:"d,omitempty"`
-	// Workers is on how many workers it ran, a gang on several. 0 counts as 1.
+	// Workers is the number of workers that the task ran on, more than one for a gang. 0 counts
+	// as 1.
 	Workers int `json:"n,omitempty"`
-	// Others is the hazard, a second, of a crash by the tasks beside it, Itself that of one
-	// by no task.
+	// OtherTasksHazard is the rate of crashes per second caused by the other tasks on the worker,
+	// BackgroundHazard the rate of crashes that no task causes.
 	OtherTasksHazard float64 `json:"o"`
 	BackgroundHazard float64 `json:"i"`
-	// Counted is the weight with which it counts among the crashes by themselves.
+	// BackgroundWeight is the weight, 0 to 1, with which the crash was added to the rate of
+	// crashes that no task causes.
 	BackgroundWeight float64 `json:"k,omitempty"`
 }
 
-// isValid says whether a crash can have been kept.
+// isValid reports whether a stored crash has a known bound and values within their ranges.
 func (c Crash) isValid() bool {
 	known := c.Bound == Exact || c.Bound == AtMost || c.Bound == AtLeast
-	return known && c.Worked >= 0 && c.DetectionDelay >= 0 && c.Workers >= 0 && c.OtherTasksHazard >= 0 && c.BackgroundHazard >= 0 && c.OtherTasksHazard+c.BackgroundHazard > 0 && c.BackgroundWeight >= 0 && c.BackgroundWeight <= 1
+	return known && c.Worked >= 0 && c.DetectionDelay >= 0 && c.Workers >= 0 &&
+		c.OtherTasksHazard >= 0 && c.BackgroundHazard >= 0 && c.OtherTasksHazard+c.BackgroundHazard > 0 &&
+		c.BackgroundWeight >= 0 && c.BackgroundWeight <= 1
 }
 
-// UnmarshalJSON reads what was kept, and refuses what makes no sense.
+// UnmarshalJSON decodes a stored Blame and returns an error if a value is out of range.
 func (b *Blame) UnmarshalJSON(data []byte) error {
 	type plain Blame
 	var p plain
 	if err := json.Unmarshal(data, &p); err != nil {
 		return err
 	}
-	if p.Crashes < 1 || p.Alone < 0 || p.Alone > p.Crashes || p.Odds < 0 || math.IsInf(p.Odds, 0) || p.MinWorkTime < 0 || p.MaxWorkTime < p.MinWorkTime {
-		return fmt.Errorf("blame: %+v makes no sense", p)
+	if p.Crashes < 1 || p.Alone < 0 || p.Alone > p.Crashes || p.Odds < 0 || math.IsInf(p.Odds, 0) ||
+		p.MinWorkTime < 0 || p.MaxWorkTime < p.MinWorkTime {
+		return fmt.Errorf("blame: want Crashes >= 1, Alone in 0..Crashes, finite Odds >= 0, MinWorkTime in 0..MaxWorkTime, got %+v", p)
 	}
 	for _, c := range p.RecentCrashes {
 		if !c.isValid() {
-			return fmt.Errorf("blame: crash %+v makes no sense", c)
+			return fmt.Errorf("blame: crash: want a known Bound, no negative value, a hazard above 0, BackgroundWeight <= 1, got %+v", c)
 		}
 	}
 	*b = Blame(p)
--- a/models/job/explain.go
+++ b/models/job/explain.go
@@ -5,44 +5,46 @@
 
 import "saddlevane/models/resource"
 
-// Explanation says of each part of a job why it is as it is.
+// Explanation reports the state of a job and, for each of its steps, why tasks wait.
 type Explanation struct {
 	ID    ID     `json:"id"`
 	Queue string `json:"queue"`
-	// Workspace is whose job it is, if it is anyone's.
+	// Workspace is the workspace that owns the job, or empty if it was submitted without a key.
 	Workspace string `json:"workspace,omitempty"`
 	State     State  `json:"state"`
-	// Why says of a job that has failed why it has.
+	// FailureReason says why a failed job has failed.
 	FailureReason string `json:"why,omitempty"`
-	// Slack is how much later the job could finish and be on time, in
-	// milliseconds; below zero it is late.
+	// Slack is the time between the expected end of the job and its deadline, in milliseconds.
+	// It is negative if the job is expected to be late.
 	Slack Milliseconds      `json:"slack_ms"`
 	Steps []StepExplanation `json:"steps,omitempty"`
 }
 
-// StepExplanation says what became of the tasks of one step.
+// StepExplanation counts the tasks of one step by state.
 type StepExplanation struct {
 	Step    string `json:"step"`
 	Tasks   int    `json:"tasks"`
 	Done    int    `json:"done"`
 	Placed  int    `json:"placed"`
 	Waiting int    `json:"waiting"`
-	// Reason says in one sentence why tasks wait and for what.
+	// Reason is one sentence on why tasks wait and for what.
 	Reason string `json:"reason,omitempty"`
 }
 
-// CellStatus is what one entry box knows of the cell.
+// CellStatus is the state of the cell as one entry box sees it.
 type CellStatus struct {
 	Box    string `json:"box"`
 	Holder string `json:"holder"`
 	Claim  int64  `json:"claim"`
-	// Holds says that this box serves the cell's jobs.
+	// Holds is set if this box is the holder and schedules the cell's jobs.
 	Holds bool `json:"holds"`
-	// LogAnswers says whether the log answers this box.
+	// LogAnswers is set if this box can reach the log.
 	LogAnswers bool     `json:"log_answers"`
 	Config     int64    `json:"config"`
 	Members    []string `json:"members"`
-	// What follows is known to the holder only.
+	// Only the holder sets the fields below: OpenSteps counts the steps that are not done,
+	// UnsettledWorkers the workers of earlier holders that have not reported their runs yet, and
+	// AppendsFailing is set while appends to the log fail.
 	Jobs             map[State]int  `json:"jobs,omitempty"`
 	OpenSteps        int            `json:"open_steps,omitempty"`
 	UnsettledWorkers int            `json:"unsettled_workers,omitempty"`
@@ -50,26 +52,28 @@
 	Workers          []WorkerStatus `json:"workers,omitempty"`
 	Processors       string         `json:"processors,omitempty"`
 	ProcessorsUsed   string         `json:"processors_used,omitempty"`
-	// Relays has how many workers' orders each entry box carries.
+	// Relays maps each entry box to the number of workers whose orders it carries.
 	Relays map[string]int `json:"relays,omitempty"`
-	// Workspaces says what the tasks of each workspace take, and what its cap is.
+	// Workspaces lists the usage and the cap of each workspace.
 	Workspaces []WorkspaceStatus `json:"workspaces,omitempty"`
 }
 
-// WorkspaceStatus is what the holder knows of a workspace.
+// WorkspaceStatus is the state of a workspace as the holder sees it.
 type WorkspaceStatus struct {
 	Name   string  `json:"name"`
 	Weight float64 `json:"weight"`
-	// Used is what its tasks take or may take, Most its cap; a part of it that is 0 has no
-	// bound.
+	// Used is what its tasks take, including tasks that may still run on unreachable workers. Cap
+	// is the limit of that; a resource whose cap is 0 is not limited.
 	Used resource.Vector `json:"used"`
 	Cap  resource.Vector `json:"most"`
-	// Waiting counts its steps of which some task waits, Capped those that wait for its cap.
+	// Waiting counts the steps with waiting tasks, Capped those of them that wait because the
+	// workspace has reached its cap.
 	Waiting int `json:"waiting"`
 	Capped  int `json:"capped"`
 }
 
-// WorkerStatus is what the holder believes of a worker.
+// WorkerStatus is the state of a worker as the holder sees it. AcceptsTasks is set if the holder
+// may place new tasks on the worker.
 type WorkerStatus struct {
 	ID             string `json:"id"`
 	Domain         string `json:"domain"`
--- a/models/job/queue.go
+++ b/models/job/queue.go
@@ -10,60 +10,62 @@
 	"saddlevane/models/workspace"
 )
 
-// Queue is how an operator's configuration treats the jobs of one kind.
+// Queue holds the operator's settings for the jobs of one queue.
 type Queue struct {
 	Name string `json:"name"`
 	// Pool names the workers that run the tasks.
 	Pool string `json:"pool"`
-	// Priority orders the queues; 0 goes first.
+	// Priority orders the queues; 0 is the highest.
 	Priority int `json:"priority"`
-	// Attempts is how often a task may end failed before its job has failed.
+	// Attempts is how often a task may fail before its job fails.
 	Attempts int `json:"attempts"`
-	// Stretch times the longest chain of a job's work, plus Latency, is the
-	// time within which the job is wanted.
+	// Stretch and Latency set the deadline of a job: Stretch times the length of its critical
+	// path, plus Latency.
 	Stretch float64       `json:"stretch"`
 	Latency time.Duration `json:"latency"`
-	// Advice is set if only some workers may run a step.
+	// Advice is set if the advice service decides which workers may run a step.
 	Advice *Advice `json:"advice,omitempty"`
-	// Open says that callers need no key.
+	// Open is set if callers need no key.
 	Open bool `json:"open,omitempty"`
 }
 
-// Advice is what a call to the advice service costs and gives.
+// Advice holds the cost of a call to the advice service and the lifetime of its tickets.
 type Advice struct {
-	// Base is the time of a call, and Each that for each worker named in it.
+	// BaseTime is the fixed duration of a call. TimePerWorker is added for each worker it asks
+	// about.
 	BaseTime      time.Duration `json:"base"`
 	TimePerWorker time.Duration `json:"each"`
-	// Valid is how long a ticket holds.
+	// TicketLifetime is how long a ticket is valid.
 	TicketLifetime time.Duration `json:"valid"`
 }
 
-// Route names the queue that a caller's address and path stand for.
+// Route maps requests to a host and a path prefix to a queue.
 type Route struct {
 	Host   string `json:"host"`
 	Prefix string `json:"prefix"`
 	Queue  string `json:"queue"`
 }
 
-// Config is a complete configuration in force.
+// Config is one complete version of the configuration.
 type Config struct {
 	Version int64            `json:"version"`
 	Queues  map[string]Queue `json:"queues"`
 	Routes  []Route          `json:"routes"`
-	// Guarded names the pools whose workers refuse what does not fit.
+	// AdmissionChecked holds for each known pool whether its workers refuse starts that do not fit
+	// their capacity.
 	AdmissionChecked map[string]bool `json:"guarded"`
-	// Workspaces has the groups of callers by name, Keys who is known by which key.
+	// Workspaces holds the workspaces by name, Keys their keys by digest.
 	Workspaces map[string]workspace.Workspace `json:"workspaces,omitempty"`
 	Keys       map[workspace.Digest]Key       `json:"-"`
 }
 
-// Key is one key by which the callers of a workspace are known.
+// Key is one key that identifies callers of a workspace.
 type Key struct {
 	Digest    workspace.Digest
 	Workspace string
 }
 
-// Workspace returns a workspace, of which nothing is bounded if it is not known.
+// Workspace returns the workspace with the given name, or one without a cap if it is unknown.
 func (c *Config) Workspace(name string) workspace.Workspace {
 	if w, known := c.Workspaces[name]; known {
 		return w
@@ -71,7 +73,8 @@
 	return workspace.Workspace{Name: name}
 }
 
-// SetWorkspaces takes the workspaces of a configuration.
+// SetWorkspaces replaces the workspaces and their keys. It returns an error and changes nothing if
+// they are invalid.
 func (c *Config) SetWorkspaces(all []workspace.Workspace) error {
 	if err := workspace.CheckAll(all); err != nil {
 		return err
@@ -86,8 +89,8 @@
 	return nil
 }
 
-// Match returns the queue that a caller means and the rest of the path. The
-// longest prefix goes first.
+// Match returns the queue that a request to host and path is routed to, and the path without the
+// matched prefix. The longest matching prefix wins. Ok is false if no route matches.
 func (c *Config) Match(host, path string) (queue, rest string, ok bool) {
 	longest := -1
 	for _, r := range c.Routes {
--- a/models/job/task.go
+++ b/models/job/task.go
@@ -9,31 +9,31 @@
 	"strings"
 )
 
-// StepID names a step of one instance of a job.
+// StepID identifies a step of one instance of a job.
 type StepID struct {
 	Job      ID
 	Instance int
 	Step     int
 }
 
-// String returns the name that workers and the advice service know.
+// String returns "job.instance.step", the form that workers and the advice service use.
 func (s StepID) String() string {
 	return string(s.Job) + "." + strconv.Itoa(s.Instance) + "." + strconv.Itoa(s.Step)
 }
 
-// TaskID names a task of one instance of a job.
+// TaskID identifies a task of one instance of a job.
 type TaskID struct {
 	StepID
 	Index int
 }
 
-// String returns the name that workers know.
+// String returns "job.instance.step.index", the form that workers use.
 func (t TaskID) String() string { return t.StepID.String() + "." + strconv.Itoa(t.Index) }
 
-// MarshalText returns the name.
+// MarshalText returns the ID as String does.
 func (t TaskID) MarshalText() ([]byte, error) { return []byte(t.String()), nil }
 
-// UnmarshalText reads the name.
+// UnmarshalText parses the form that String returns.
 func (t *TaskID) UnmarshalText(text []byte) error {
 	id, err := ParseTaskID(string(text))
 	if err != nil {
@@ -43,17 +43,17 @@
 	return nil
 }
 
-// ParseTaskID reads what String wrote.
+// ParseTaskID parses the form that TaskID.String returns.
 func ParseTaskID(text string) (TaskID, error) {
 	parts := strings.Split(text, ".")
 	if len(parts) != 4 {
-		return TaskID{}, fmt.Errorf("task %q: want four parts", text)
+		return TaskID{}, fmt.Errorf("task %q: want job.instance.step.index", text)
 	}
 	var numbers [3]int
 	for i, p := range parts[1:] {
 		n, err := strconv.Atoi(p)
 		if err != nil || n < 0 {
-			return TaskID{}, fmt.Errorf("task %q: want whole numbers", text)
+			return TaskID{}, fmt.Errorf("task %q: want whole numbers from 0 for instance, step and index", text)
 		}
 		numbers[i] = n
 	}
--- a/models/mechanism/mechanism.go
+++ b/models/mechanism/mechanism.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package mechanism names the parts of the policy that can be switched off.
+// Package mechanism lists the parts of the scheduling policy that can be disabled.
 package mechanism
 
 import (
@@ -9,48 +9,49 @@
 	"slices"
 )
 
-// Mechanism is a part of the policy that can be switched off, so that what it is
-// worth can be measured.
+// Mechanism is a part of the scheduling policy that can be disabled to measure its effect.
 type Mechanism string
 
 // The mechanisms.
 const (
-	// LearnedTimes expects steps to take what their like took, not what was estimated.
+	// LearnedTimes predicts run times from earlier runs of similar steps instead of the
+	// submitter's estimate.
 	LearnedTimes Mechanism = "learned-times"
-	// SlowWorkers leaves slow workers to tasks in no hurry.
+	// SlowWorkers uses slow workers only for tasks that are not urgent.
 	SlowWorkers Mechanism = "slow-workers"
-	// Draining keeps workers free for tasks that need much of one.
+	// Draining keeps workers free for tasks that need a large part of a worker.
 	Draining Mechanism = "draining"
-	// Preemption stops tasks for steps that rank higher.
+	// Preemption stops tasks in favor of steps that rank higher.
 	Preemption Mechanism = "preemption"
-	// SparedTasks leaves tasks alone that end soon or have just resumed.
+	// SparedTasks exempts tasks that end soon or have just resumed from preemption.
 	SparedTasks Mechanism = "spared-tasks"
-	// RemainingWork judges whether a running step is late by the rest of its work.
+	// RemainingWork decides whether a running step is late by its remaining work.
 	RemainingWork Mechanism = "remaining-work"
-	// EarlyAdvice asks for advice while the log takes a job in.
+	// EarlyAdvice calls the advice service while a job is still being logged.
 	EarlyAdvice Mechanism = "early-advice"
-	// DividedAdvice divides calls for advice evenly between queues.
+	// DividedAdvice divides calls to the advice service evenly between queues.
 	DividedAdvice Mechanism = "divided-advice"
-	// RepeatedStarts sends a start again that has no answer.
+	// RepeatedStarts resends start orders that are not answered.
 	RepeatedStarts Mechanism = "repeated-starts"
-	// OverdueAnswers gives no starts to a worker that owes answers.
+	// OverdueAnswers sends no starts to a worker with overdue answers.
 	OverdueAnswers Mechanism = "owed-answers"
-	// ShortRenewals has looks wait no longer than the shortest task allows.
+	// ShortRenewals limits how long a worker may delay its answer to a renewal, depending on its
+	// shortest task.
 	ShortRenewals Mechanism = "short-looks"
-	// MovedRuns moves runs that stand still.
+	// MovedRuns moves stalled runs to other workers.
 	MovedRuns Mechanism = "moved-runs"
-	// Exclusion leaves workers out on which different jobs fail.
+	// Exclusion excludes workers on which different jobs fail.
 	Exclusion Mechanism = "exclusion"
-	// RefusedShares refuses jobs that are more than their workspace's share while there is
-	// little room.
+	// RefusedShares refuses jobs that exceed their workspace's share while there is little free
+	// capacity.
 	RefusedShares Mechanism = "refused-shares"
-	// SharedOrder places jobs that are more than their workspace's share after all others.
+	// SharedOrder places jobs that exceed their workspace's share after all others.
 	SharedOrder Mechanism = "shared-order"
-	// LeastWork places the steps with the least work left first while there is a backlog.
+	// LeastWork places the steps with the least remaining work first while there is a backlog.
 	LeastWork Mechanism = "least-work"
 )
 
-// All lists all.
+// All returns all mechanisms.
 func All() []Mechanism {
 	return []Mechanism{
 		LearnedTimes, SlowWorkers, Draining, Preemption, SparedTasks, RemainingWork, EarlyAdvice,
@@ -59,13 +60,13 @@
 	}
 }
 
-// Parse returns the set of mechanisms with some names.
+// Parse returns the set of the mechanisms with the given names, or an error if a name is unknown.
 func Parse(names []string) (map[Mechanism]bool, error) {
 	set := map[Mechanism]bool{}
 	for _, name := range names {
 		m := Mechanism(name)
 		if !slices.Contains(All(), m) {
-			return nil, fmt.Errorf("there is no mechanism %q; there are %v", name, All())
+			return nil, fmt.Errorf("unknown mechanism %q, want one of %v", name, All())
 		}
 		set[m] = true
 	}
--- a/models/order/life.go
+++ b/models/order/life.go
@@ -5,26 +5,27 @@
 
 import "strconv"
 
-// Incarnation names one life of a worker. A worker that starts again may keep its name; it runs and
-// knows nothing of before then, and its clock, its ends and its fence begin anew.
+// Incarnation identifies one incarnation of a worker. A worker that restarts may keep its name, but
+// it has lost all runs and all state: its clock, the numbers of its ends and its fence start afresh.
 type Incarnation struct {
-	// Name is the worker's name, by which it is called.
+	// Name is the name of the worker in calls to it.
 	Name string `json:"ID"`
-	// BornUnixMilli is when the life began by the worker's own clock, in milliseconds since
-	// 1970, or 0 where the platform does not tell. That clock may step back: two different
-	// numbers are two lives, but the larger need not be the later.
+	// BornUnixMilli is when the incarnation started by the worker's own clock, in milliseconds
+	// since 1970, or 0 if the platform does not report it. That clock may step back: two different
+	// values are two incarnations, but the larger value need not be the later incarnation.
 	BornUnixMilli int64 `json:"born_unix_ms,omitempty"`
 }
 
-// DiffersFrom says whether two names of lives surely mean different ones.
-func (l Incarnation) DiffersFrom(o Incarnation) bool {
-	return l.Name != o.Name || l.BornUnixMilli != o.BornUnixMilli && l.BornUnixMilli != 0 && o.BornUnixMilli != 0
+// DiffersFrom reports whether i and o are certainly different incarnations. They may be the same if
+// the start time of one is unknown.
+func (i Incarnation) DiffersFrom(o Incarnation) bool {
+	return i.Name != o.Name || i.BornUnixMilli != o.BornUnixMilli && i.BornUnixMilli != 0 && o.BornUnixMilli != 0
 }
 
-// String returns the name and, if it is known, when the life began.
-func (l Incarnation) String() string {
-	if l.BornUnixMilli == 0 {
-		return l.Name
+// String returns "name@born", or just the name if the start time is unknown.
+func (i Incarnation) String() string {
+	if i.BornUnixMilli == 0 {
+		return i.Name
 	}
-	return l.Name + "@" + strconv.FormatInt(l.BornUnixMilli, 10)
+	return i.Name + "@" + strconv.FormatInt(i.BornUnixMilli, 10)
 }
--- a/models/order/order.go
+++ b/models/order/order.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package order holds the single orders that a holder gives to workers, and
-// what workers answer. Unlike a Sync, each order has a fate of its own.
+// Package order defines the orders that a holder sends to workers, and the workers' answers. Unlike
+// the parts of a Sync, each order is carried out or refused separately.
 package order
 
 import (
@@ -11,16 +11,16 @@
 	"saddlevane/models/job"
 )
 
-// WorkerClock is a time on a worker's own steady clock, in milliseconds.
+// WorkerClock is a time on a worker's own monotonic clock, in milliseconds.
 type WorkerClock int64
 
-// Run names one start of a task. Runs of a task rise over all holders.
+// Run identifies one start of a task. The run numbers of a task increase, across all holders.
 type Run struct {
 	Task   job.TaskID
 	Number int64
 }
 
-// Compare orders runs by their names.
+// Compare orders runs by job, instance, step, task index and number.
 func (r Run) Compare(o Run) int {
 	return cmp.Or(
 		cmp.Compare(r.Task.Job, o.Task.Job), cmp.Compare(r.Task.Instance, o.Task.Instance), cmp.Compare(r.Task.Step, o.Task.Step),
@@ -32,42 +32,42 @@
 type Start struct {
 	Run
 	Spec string
-	// Until is when the worker's lease ends; a start that is carried out later
-	// is refused.
+	// LeaseEnd is when the worker's lease ends. The worker refuses the start after that time.
 	LeaseEnd   WorkerClock
 	Fence      int64
 	Checkpoint string
-	// Ticket is the advice service's leave, if the queue needs it.
+	// Ticket is the advice service's permission, if the queue uses the service.
 	Ticket string
 }
 
-// Stop asks a worker to end a run, and never to begin it.
+// Stop asks a worker to end a run. A worker that has not started the run must never start it.
 type Stop struct {
 	Run
 	Fence int64
 }
 
-// Throttle sets at which percentage of its speed a run may work.
+// Throttle limits a run to a percentage of its full speed.
 type Throttle struct {
 	Run
 	Percent int
 	Fence   int64
 }
 
-// Renew renews a worker's lease and asks what it runs.
+// Renew renews a worker's lease and asks for a report of its runs.
 type Renew struct {
-	// Until is the new end of the lease, or 0 to leave it.
+	// LeaseEnd is the new end of the lease, or 0 to leave the lease unchanged.
 	LeaseEnd WorkerClock
 	Fence    int64
-	// Seen is the last end that may be forgotten.
+	// Acknowledged is the number of the last end that the worker may forget.
 	Acknowledged int64
-	// Wait is how long the worker may wait for an end before it answers.
+	// MaxWait is how long the worker may wait for a run to end before it answers.
 	MaxWait job.Milliseconds
 }
 
-// Report is what a worker runs and what has ended on it.
+// Report lists the runs that are at work on a worker and those that have ended there.
 type Report struct {
-	// Life is the one that answers: an order reaches the life that is there.
+	// Incarnation is the incarnation that answers. It may be another one than the order was meant
+	// for, because an order reaches whichever incarnation runs at the address.
 	Incarnation Incarnation
 	Clock       WorkerClock
 	Running     []Running
@@ -78,16 +78,16 @@
 type Running struct {
 	Run
 	Checkpoint string
-	// Progress is how much of its work is done, in percent; of a service, how far its
-	// start has come.
+	// Progress is how much of the work is done, in percent. For a service it is the progress of its
+	// start.
 	Progress int
-	// Figure is a rough figure of the last half second, or 0: for a serving task the
-	// tail of its answers' times, in milliseconds, else the processors in use, in
-	// thousandths of one.
+	// Measurement is a rough measurement over the last half second, or 0 if there is none: the
+	// tail latency in milliseconds for a serving task, else the processors in use, in thousandths
+	// of one.
 	Measurement int64
 }
 
-// End is one run that has ended. Numbers rise in each life of a worker.
+// End is the end of one run. Number increases with each end on an incarnation of a worker.
 type End struct {
 	Number int64
 	Run
@@ -95,26 +95,27 @@
 	Checkpoint string
 }
 
-// EndStatus a run ended.
+// EndStatus is the way in which a run ended.
 type EndStatus string
 
 // The ways in which a run ends.
 const (
-	Done         EndStatus = "done"
-	Failed       EndStatus = "failed"
-	Stopped      EndStatus = "stopped"
+	Done    EndStatus = "done"
+	Failed  EndStatus = "failed"
+	Stopped EndStatus = "stopped"
+	// LeaseExpired means that the worker's lease expired while the run was at work.
 	LeaseExpired EndStatus = "lapsed"
 	// GangBroken means that another member of the gang ended first.
 	GangBroken EndStatus = "broken"
-	// GangIncomplete means that the other members of the gang did not come in time.
+	// GangIncomplete means that the other members of the gang did not start in time.
 	GangIncomplete EndStatus = "alone"
 )
 
-// Outcome is what is known of an order once its call has ended.
+// Outcome tells whether an order was carried out, as far as that is known when its call has ended.
 type Outcome string
 
-// The fates. WrongIncarnation means that the worker at the address is another life than
-// the one meant, so that all that ran on the earlier life is gone.
+// The outcomes. WrongIncarnation means that another incarnation than the intended one runs at the
+// address, so that all runs of the earlier incarnation are lost.
 const (
 	CarriedOut       Outcome = "carried out"
 	Refused          Outcome = "refused"
@@ -128,25 +129,25 @@
 
 // The reasons.
 const (
-	// Fenced means that the worker has seen a higher fence number.
+	// Fenced means that the worker has received an order with a higher fence number.
 	Fenced Reason = "fenced"
-	// StaleRun means that this run, or a later one, has ended there.
+	// StaleRun means that this run, or a later one of the task, has already ended there.
 	StaleRun   Reason = "old run"
 	TooLate    Reason = "too late"
 	NoCapacity Reason = "no room"
 	BadTicket  Reason = "bad ticket"
 	Malformed  Reason = "malformed"
-	// ConnectionClosed means that the worker's side closed the connection while the call was under
-	// way: the worker, or its process, was there until then.
+	// ConnectionClosed means that the worker's side closed the connection during the call, so the
+	// worker, or its process, was running until then.
 	ConnectionClosed Reason = "connection closed"
 )
 
-// Answer is the end of a call that carried an order.
+// Answer is the result of a call that carried an order.
 type Answer struct {
 	Outcome Outcome
 	Reason  Reason
-	// Clock is the worker's clock when it answered, or 0.
+	// Clock is the worker's clock when it answered, or 0 if it did not answer.
 	Clock WorkerClock
-	// Problem says what went wrong with the call, for logs.
+	// Problem describes the failure of the call, for logs.
 	Problem string
 }
--- a/models/order/worker.go
+++ b/models/order/worker.go
@@ -13,7 +13,7 @@
 	"saddlevane/models/resource"
 )
 
-// Worker is one life of a worker as the platform lists it.
+// Worker is one incarnation of a worker as listed by the platform.
 type Worker struct {
 	Incarnation
 	Address  string
@@ -22,32 +22,32 @@
 	Labels   []string
 	Rack     string
 	Capacity resource.Vector
-	// Leaving says that it takes no new work.
+	// Leaving is set if the worker accepts no new work.
 	Leaving bool
-	// Remaining is the least time until it leaves, while it is leaving.
+	// Remaining is the minimum time until the worker is gone, while Leaving is set.
 	Remaining time.Duration
 }
 
-// Check says why an entry names no worker, or nothing if it does. A worker's room may be
-// nothing for a while.
+// Check returns an error if the entry does not describe a worker. A capacity of zero is valid, because
+// a worker may have no capacity for a while.
 func (w *Worker) Check() error {
 	host, port, err := net.SplitHostPort(w.Address)
 	number, portErr := strconv.ParseUint(port, 10, 16)
 	switch {
 	case w.Name == "":
-		return errors.New("it has no name")
+		return errors.New("name is empty")
 	case w.BornUnixMilli < 0:
-		return fmt.Errorf("it began at %d", w.BornUnixMilli)
+		return fmt.Errorf("start time is %d, want 0 or more", w.BornUnixMilli)
 	case w.Pool == "":
-		return errors.New("it names no pool")
+		return errors.New("pool is empty")
 	case w.Domain == "":
-		return errors.New("it names no failure domain")
+		return errors.New("failure domain is empty")
 	case err != nil || host == "" || portErr != nil || number == 0:
-		return fmt.Errorf("%q is no address", w.Address)
+		return fmt.Errorf("address is %q, want host:port with a port from 1 to 65535", w.Address)
 	case w.Capacity.IsNegative():
-		return fmt.Errorf("its capacity %v is below nothing", w.Capacity)
+		return fmt.Errorf("capacity is %v, want no negative amount", w.Capacity)
 	case w.Remaining < 0:
-		return fmt.Errorf("it leaves in %v", w.Remaining)
+		return fmt.Errorf("remaining time is %v, want 0 or more", w.Remaining)
 	default:
 		return nil
 	}
@@ -55,16 +55,16 @@
 
 // Listing is a change of the platform's list of workers.
 type Listing struct {
-	// Whole says that workers which are not named are no longer listed.
+	// Complete is set if Present is the complete list: other workers are no longer listed.
 	Complete bool
 	Present  []Worker
-	// Gone has the names of entries that name no worker any more.
+	// Removed names the entries that no longer describe a worker.
 	Removed []string
-	// Foreign says why, of those that were there and could not be read.
+	// Unreadable maps those removed entries that exist but could not be decoded to the reason.
 	Unreadable map[string]string
 }
 
-// Ticket is the advice service's leave to run a step on a worker.
+// Ticket is the advice service's permission to run a step on a worker.
 type Ticket struct {
 	Worker string `json:"worker"`
 	Ticket string `json:"ticket"`
--- a/models/peer/peer.go
+++ b/models/peer/peer.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package peer holds the messages between entry boxes.
+// Package peer defines the messages between entry boxes.
 package peer
 
 import (
@@ -20,24 +20,24 @@
 	MethodForward  = "request.forward"
 )
 
-// Hello is a heartbeat.
+// Hello is the heartbeat of an entry box.
 type Hello struct {
 	Box         string `json:"box"`
 	Incarnation string `json:"incarnation"`
 	Domain      string `json:"domain"`
-	// Address is the sender's peers' port.
+	// Address is the address where the sender accepts connections of peers.
 	Address string `json:"address"`
-	// Leaving says that the sender is stopping and takes no new work.
+	// Leaving is set if the sender is stopping and accepts no new work.
 	Leaving bool `json:"leaving,omitempty"`
-	// Next is how far the sender has read the log.
+	// Next is the offset of the first log record that the sender has not read.
 	Next int64 `json:"next"`
-	// Yields names shards that the sender holds and is ready to give up: all that
-	// it recorded as intended has been sent.
+	// Yields lists shards that the sender holds and can give up, because every start that it has
+	// logged as intended has been sent.
 	Yields []string `json:"yields,omitempty"`
 }
 
-// UnmarshalJSON refuses heartbeats without a name or with an address that is
-// not an IP address and port.
+// UnmarshalJSON returns an error if the box, incarnation or domain is empty or if the address is not an
+// IP address and port.
 func (h *Hello) UnmarshalJSON(data []byte) error {
 	type plain Hello
 	var p plain
@@ -45,7 +45,7 @@
 		return err
 	}
 	if p.Box == "" || p.Incarnation == "" || p.Domain == "" {
-		return errors.New("hello: no box, incarnation or domain")
+		return errors.New("hello: box, incarnation or domain is empty")
 	}
 	if _, err := netip.ParseAddrPort(p.Address); err != nil {
 		return err
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// Forward passes a caller's request on to the entry box that issued its key.
+// Forward forwards a caller's request to the entry box that issued its key.
 type Forward struct {
 	Pool   string      `json:"pool"`
 	Class  string      `json:"class"`
@@ -65,8 +65,8 @@
 	Body   []byte      `json:"body"`
 	// Budget is how long the caller still waits, in milliseconds.
 	Budget int64 `json:"budget_ms"`
-	// Delegated asks to send the request to a target here, whatever its key: the
-	// sender has issued that and has no room.
+	// Delegated asks the receiver to send the request to a target without looking up its key. The
+	// sender has issued the key itself and has no free capacity.
 	Delegated bool `json:"delegated,omitempty"`
 }
 
@@ -78,7 +78,7 @@
 	Body    []byte          `json:"body"`
 }
 
-// UnmarshalJSON refuses answers without a status or verdict.
+// UnmarshalJSON returns an error if the status is not an HTTP status or the verdict is missing.
 func (a *Answer) UnmarshalJSON(data []byte) error {
 	type plain Answer
 	var p plain
@@ -86,7 +86,7 @@
 		return err
 	}
 	if p.Status < 100 || p.Status > 999 || p.Verdict == "" {
-		return errors.New("answer: no status or verdict")
+		return errors.New("answer: want a status from 100 to 999 and a verdict")
 	}
 	*a = Answer(p)
 	return nil
--- a/models/platform/platform.go
+++ b/models/platform/platform.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package platform holds the messages of the platform's log.
+// Package platform defines the messages of the platform's log.
 package platform
 
 import (
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Append asks the log to take a record in.
+// Append asks the log to append a record.
 type Append struct {
-	// ID is the same in each try of one append. The log does not look at it.
+	// ID is the same in all retries of one append. The log ignores it.
 	ID   string `json:"id"`
 	Data string `json:"data"`
 }
 
-// Appended says where the log took a record in.
+// Appended is the log's answer to an Append: the offset of the new record.
 type Appended struct {
 	Offset int64 `json:"offset"`
 }
@@ -25,24 +25,24 @@
 // Record is one record of the log.
 type Record struct {
 	Offset int64 `json:"offset"`
-	// At is when the log took it in, in milliseconds since 1970.
+	// At is when the record was appended, in milliseconds since 1970.
 	At   int64  `json:"at_ms"`
 	Data string `json:"data"`
 }
 
-// Time returns when the log took the record in.
+// Time returns when the record was appended.
 func (r Record) Time() time.Time { return time.UnixMilli(r.At) }
 
 // Read is the log's answer to a read.
 type Read struct {
-	// First is the oldest offset that the log still has.
+	// First is the offset of the oldest record that the log still has.
 	First int64 `json:"first"`
-	// Next is the offset that the next record will get.
+	// Next is the offset of the next record to be appended.
 	Next    int64    `json:"next"`
 	Records []Record `json:"records"`
 }
 
-// UnmarshalJSON refuses answers whose offsets are out of order.
+// UnmarshalJSON returns an error if the offsets are not in increasing order between First and Next.
 func (r *Read) UnmarshalJSON(data []byte) error {
 	type plain Read
 	var p plain
@@ -50,12 +50,12 @@
 		return err
 	}
 	if p.First < 0 || p.Next < p.First {
-		return errors.New("log: offsets out of order")
+		return errors.New("log: want 0 <= first <= next")
 	}
 	last := p.First - 1
 	for _, rec := range p.Records {
 		if rec.Offset <= last || rec.Offset >= p.Next {
-			return errors.New("log: offsets out of order")
+			return errors.New("log: want increasing record offsets from first to below next")
 		}
 		last = rec.Offset
 	}
--- a/models/record/snapshot.go
+++ b/models/record/snapshot.go
@@ -11,8 +11,8 @@
 	"saddlevane/models/task"
 )
 
-// Snapshot is what the records before Next come to. It is the same whoever
-// takes it, so a process may go on from a peer's or from one in the log.
+// Snapshot is the state that results from all records before offset Next. It does not depend on the
+// process that takes it, so a process may continue from a peer's snapshot or from one in the log.
 type Snapshot struct {
 	Next     int64          `json:"next"`
 	Files    []File         `json:"files,omitempty"`
@@ -21,25 +21,24 @@
 	Former   []FormerWorker `json:"former,omitempty"`
 }
 
-// FormerWorker is a worker that no file names any more, but that may still run tasks of
-// the shard.
+// FormerWorker is a worker that no file names any more but that may still run tasks of the shard.
 type FormerWorker struct {
 	Shard  spec.ShardID `json:"shard"`
 	Worker string       `json:"worker"`
 	Rack   string       `json:"rack"`
 }
 
-// File is a file in force and what the log decided about its objects.
+// File is a file in force, with the state of its objects as decided in the log.
 type File struct {
 	Name     string `json:"name"`
 	Revision int64  `json:"revision"`
-	// Publication is the operator's id of the revision.
+	// Publication is the ID of the operator's publication of this revision.
 	Publication string   `json:"publication,omitempty"`
 	Data        string   `json:"data"`
 	Objects     []Object `json:"objects,omitempty"`
 }
 
-// Object is what the log decided about a service, job or gang.
+// Object is the state of a service, job or gang as decided in the log.
 type Object struct {
 	ID task.ObjectID `json:"id"`
 	// Version is the revision that last changed the object.
@@ -55,7 +54,7 @@
 	Revision    int64        `json:"revision"`
 }
 
-// Progress is what the log says of one object's tasks.
+// Progress lists the tasks of one object by their state in the log.
 type Progress struct {
 	Object  task.ObjectID `json:"object"`
 	Intents []Range       `json:"intents,omitempty"`
@@ -64,10 +63,10 @@
 	Rerun   []Range       `json:"rerun,omitempty"`
 }
 
-// Checkpoint is one part of a snapshot that is kept in the log, so that records
-// before it can age out.
+// Checkpoint is one part of a snapshot that is stored in the log, so that the records before it can
+// expire.
 type Checkpoint struct {
-	// ID is the same in all parts.
+	// ID is the same in all parts of a checkpoint.
 	ID    string `json:"id"`
 	Part  int    `json:"part"`
 	Parts int    `json:"parts"`
@@ -75,16 +74,16 @@
 	Snapshot Snapshot `json:"snapshot"`
 }
 
-// MaxParts bounds a checkpoint.
+// MaxParts limits the parts of a checkpoint.
 const MaxParts = 1024
 
-// Check refuses parts that cannot belong to a checkpoint.
+// Check returns an error if the part has no ID or its number is out of range.
 func (c *Checkpoint) Check() error {
 	if c.ID == "" {
-		return errors.New("checkpoint: no id")
+		return errors.New("checkpoint: id is empty")
 	}
 	if c.Parts < 1 || c.Parts > MaxParts || c.Part < 0 || c.Part >= c.Parts {
-		return fmt.Errorf("checkpoint: part %d of %d", c.Part, c.Parts)
+		return fmt.Errorf("checkpoint: part %d of %d is out of range", c.Part, c.Parts)
 	}
 	return nil
 }
--- a/models/resource/amount.go
+++ b/models/resource/amount.go
@@ -10,22 +10,22 @@
 	"strings"
 )
 
-// Millis is an amount of processors in thousandths of one processor.
+// Millis is an amount of processors, in thousandths of one processor.
 type Millis int64
 
 // Processor is one whole processor.
 const Processor Millis = 1000
 
 const (
-	// 21,000 workers have about 1.3 million processors and 6 PiB of memory.
+	// Upper limits of an amount: 21,000 workers have about 1.3 million processors and 6 PiB of memory.
 	maxProcessors = 1 << 24
 	maxMemory     = 1 << 56
 )
 
-// Processors returns the amount in whole processors and parts of one.
+// Processors returns the amount in processors, as a fraction.
 func (m Millis) Processors() float64 { return float64(m) / float64(Processor) }
 
-// UnmarshalText reads "1500m" or a number of processors such as "1.5".
+// UnmarshalText parses thousandths such as "1500m" or processors such as "1.5".
 func (m *Millis) UnmarshalText(text []byte) error {
 	s := string(text)
 	if digits, ok := strings.CutSuffix(s, "m"); ok {
@@ -44,10 +44,10 @@
 	return nil
 }
 
-// MarshalText writes what UnmarshalText reads.
+// MarshalText returns the form that UnmarshalText parses.
 func (m Millis) MarshalText() ([]byte, error) { return []byte(m.String()), nil }
 
-// String returns whole processors as "2", parts as "1500m".
+// String returns whole processors as in "2", anything else in thousandths as in "1500m".
 func (m Millis) String() string {
 	if m%Processor == 0 {
 		return strconv.FormatInt(int64(m/Processor), 10)
@@ -55,10 +55,10 @@
 	return strconv.FormatInt(int64(m), 10) + "m"
 }
 
-// Bytes is an amount of memory.
+// Bytes is an amount of memory in bytes.
 type Bytes int64
 
-// Sizes of memory.
+// Units of memory.
 const (
 	KiB Bytes = 1 << 10
 	MiB Bytes = 1 << 20
@@ -66,7 +66,7 @@
 	TiB Bytes = 1 << 40
 )
 
-// unit is a suffix of a memory size.
+// unit is the suffix of a memory unit and the size of the unit.
 type unit struct {
 	suffix string
 	size   Bytes
@@ -74,7 +74,7 @@
 
 var units = []unit{{"TiB", TiB}, {"GiB", GiB}, {"MiB", MiB}, {"KiB", KiB}, {"B", 1}}
 
-// UnmarshalText reads "512MiB", "2GiB" and the like, or a number of bytes.
+// UnmarshalText parses a whole number with a unit, such as "512MiB" or "2GiB", or a number of bytes.
 func (b *Bytes) UnmarshalText(text []byte) error {
 	s := string(text)
 	digits, size := s, Bytes(1)
@@ -92,10 +92,10 @@
 	return nil
 }
 
-// MarshalText writes what UnmarshalText reads.
+// MarshalText returns the form that UnmarshalText parses.
 func (b Bytes) MarshalText() ([]byte, error) { return []byte(b.String()), nil }
 
-// String returns b in the largest unit that divides it.
+// String returns b in the largest unit that divides it evenly.
 func (b Bytes) String() string {
 	for _, u := range units {
 		if b != 0 && b%u.size == 0 {
--- a/models/resource/resource_test.go
+++ b/models/resource/resource_test.go
@@ -44,7 +44,7 @@
 }
 
 func TestFitCount(t *testing.T) {
-	room := resource.Vector{Processors: 10 * resource.Processor, Memory: 4 * resource.GiB, Accelerators: 1}
+	free := resource.Vector{Processors: 10 * resource.Processor, Memory: 4 * resource.GiB, Accelerators: 1}
 	for _, c := range []struct {
 		need resource.Vector
 		want int
@@ -54,7 +54,7 @@
 		{resource.Vector{Accelerators: 2}, 0},
 		{resource.Vector{}, 5},
 	} {
-		assert.Equal(t, room.FitCount(c.need, 5), c.want, "%v", c.need)
+		assert.Equal(t, free.FitCount(c.need, 5), c.want, "%v", c.need)
 	}
-	assert.Equal(t, room.Minus(resource.Vector{Memory: 5 * resource.GiB}).FitCount(resource.Vector{Processors: 1}, 5), 0, "room that is overdrawn holds nothing")
+	assert.Equal(t, free.Minus(resource.Vector{Memory: 5 * resource.GiB}).FitCount(resource.Vector{Processors: 1}, 5), 0, "nothing fits if the free capacity is negative")
 }
--- a/models/resource/vector.go
+++ b/models/resource/vector.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package resource holds amounts of processors, memory and accelerators.
+// Package resource defines amounts of processors, memory and accelerators.
 package resource
 
-// Vector is an amount of each resource. The zero Vector is nothing.
+// Vector holds an amount of each resource. The zero Vector is an amount of nothing.
 type Vector struct {
 	Processors Millis `json:"processors" yaml:"processors"`
 	Memory     Bytes  `json:"memory" yaml:"memory"`
@@ -17,7 +17,7 @@
 	return Vector{v.Processors + o.Processors, v.Memory + o.Memory, v.Accelerators + o.Accelerators}
 }
 
-// Minus returns v - o; parts of it may be negative.
+// Minus returns v - o. Each resource of the result may be negative.
 func (v Vector) Minus(o Vector) Vector {
 	return Vector{v.Processors - o.Processors, v.Memory - o.Memory, v.Accelerators - o.Accelerators}
 }
@@ -27,39 +27,39 @@
 	return Vector{v.Processors * Millis(n), v.Memory * Bytes(n), v.Accelerators * int64(n)}
 }
 
-// Fits says whether v is at most free in every resource.
+// Fits reports whether v is at most free in every resource.
 func (v Vector) Fits(free Vector) bool {
 	return v.Processors <= free.Processors && v.Memory <= free.Memory && v.Accelerators <= free.Accelerators
 }
 
-// Max returns the larger of both in each resource.
+// Max returns the larger amount of each resource in v and o.
 func (v Vector) Max(o Vector) Vector {
 	return Vector{
 		Processors: max(v.Processors, o.Processors), Memory: max(v.Memory, o.Memory), Accelerators: max(v.Accelerators, o.Accelerators),
 	}
 }
 
-// Min returns the smaller of both in each resource.
+// Min returns the smaller amount of each resource in v and o.
 func (v Vector) Min(o Vector) Vector {
 	return Vector{
 		Processors: min(v.Processors, o.Processors), Memory: min(v.Memory, o.Memory), Accelerators: min(v.Accelerators, o.Accelerators),
 	}
 }
 
-// IsZero says whether v is nothing.
+// IsZero reports whether v is zero in every resource.
 func (v Vector) IsZero() bool { return v == Vector{} }
 
-// IsNegative says whether any part of v is below zero.
+// IsNegative reports whether v is below zero in any resource.
 func (v Vector) IsNegative() bool {
 	return v.Processors < 0 || v.Memory < 0 || v.Accelerators < 0
 }
 
-// FitCount returns how many times need fits v, at most as often as most.
-func (v Vector) FitCount(need Vector, most int) int {
+// FitCount returns how many times need fits into v, but at most limit.
+func (v Vector) FitCount(need Vector, limit int) int {
 	if v.IsNegative() {
 		return 0
 	}
-	n := most
+	n := limit
 	if need.Processors > 0 {
 		n = min(n, int(v.Processors/need.Processors))
 	}
@@ -72,8 +72,8 @@
 	return n
 }
 
-// DominantShare returns the largest share that v takes of any resource of
-// total, as a fraction. A resource that total lacks does not count.
+// DominantShare returns the largest fraction that v takes of any resource of total. Resources that
+// are zero in total are ignored.
 func (v Vector) DominantShare(total Vector) float64 {
 	return max(
 		share(int64(v.Processors), int64(total.Processors)),
--- a/models/spec/enum.go
+++ b/models/spec/enum.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// Priority orders work; urgent goes before normal, normal before batch.
+// Priority orders work: urgent before normal before batch.
 type Priority string
 
-// The priorities, first to last.
+// The priorities, highest first.
 const (
 	Urgent Priority = "urgent"
 	Normal Priority = "normal"
 	Bulk   Priority = "batch"
 )
 
-// Priorities lists the priorities, first to last.
+// Priorities lists the priorities, highest first.
 var Priorities = []Priority{Urgent, Normal, Bulk}
 
-// Rank returns 0 for the priority that goes first.
+// Rank returns the position of p in Priorities; 0 is the highest priority.
 func (p Priority) Rank() int { return slices.Index(Priorities, p) }
 
-// UnmarshalText refuses unknown priorities.
+// UnmarshalText returns an error for an unknown priority.
 func (p *Priority) UnmarshalText(text []byte) error {
 	return parseOneOf(p, text, Priorities)
 }
 
-// Spread is a group of workers that tasks of a service avoid sharing.
+// Spread is the kind of worker group that two tasks of a service should not share.
 type Spread string
 
 // The spreads. The default is SpreadRack.
@@ -40,26 +40,27 @@
 	SpreadNone   Spread = "none"
 )
 
-// UnmarshalText refuses unknown spreads.
+// UnmarshalText returns an error for an unknown spread.
 func (s *Spread) UnmarshalText(text []byte) error {
 	return parseOneOf(s, text, []Spread{SpreadRack, SpreadWorker, SpreadNone})
 }
 
-// Outcome is what became of a task, in an operator's word.
+// Outcome is the result that an operator assigns to a task whose real result is unknown.
 type Outcome string
 
-// The fates that an operator can settle on.
+// The outcomes that an operator can assign.
 const (
 	OutcomeDone   Outcome = "done"
 	OutcomeFailed Outcome = "failed"
 	OutcomeRerun  Outcome = "rerun"
 )
 
-// UnmarshalText refuses unknown fates.
+// UnmarshalText returns an error for an unknown outcome.
 func (f *Outcome) UnmarshalText(text []byte) error {
 	return parseOneOf(f, text, []Outcome{OutcomeDone, OutcomeFailed, OutcomeRerun})
 }
 
+// parseOneOf stores text in dst, or returns an error if known does not contain it.
 func parseOneOf[T ~string](dst *T, text []byte, known []T) error {
 	got := T(text)
 	if !slices.Contains(known, got) {
@@ -69,14 +70,14 @@
 	return nil
 }
 
-// Timestamp is a point in time, written as RFC 3339 has it.
+// Timestamp is a point in time in RFC 3339 format.
 type Timestamp struct{ time.Time }
 
-// UnmarshalText reads a moment such as 2026-12-02T06:00:00Z.
+// UnmarshalText parses a time such as 2026-12-02T06:00:00Z.
 func (m *Timestamp) UnmarshalText(text []byte) error {
 	t, err := time.Parse(time.RFC3339, string(text))
 	if err != nil {
-		return fmt.Errorf("want a moment such as 2026-12-02T06:00:00Z, got %q", text)
+		return fmt.Errorf("want a time such as 2026-12-02T06:00:00Z, got %q", text)
 	}
 	m.Time = t
 	return nil
--- a/models/spec/file.go
+++ b/models/spec/file.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package spec holds the declarative files that operators publish. A file is
-// complete in itself and is always replaced whole.
+// Package spec defines the declarative files that operators publish. A file is self-contained and is
+// always replaced as a whole.
 package spec
 
 import (
@@ -17,9 +17,9 @@
 
 // File is one published file.
 type File struct {
-	// Name is what revisions of this file have in common.
+	// Name identifies the file over all its revisions.
 	Name string `yaml:"name"`
-	// Retired ends everything that the file describes.
+	// Retired, if set, ends everything that the file describes.
 	Retired  bool      `yaml:"retired"`
 	Racks    []Rack    `yaml:"racks"`
 	Teams    []Team    `yaml:"teams"`
@@ -27,9 +27,9 @@
 	Services []Service `yaml:"services"`
 	Jobs     []Job     `yaml:"jobs"`
 	Gangs    []Gang    `yaml:"gangs"`
-	// Drain names boxes that get no new work and give up what they run.
+	// Drain names boxes that get no new work and whose running work is moved away.
 	Drain []string `yaml:"drain"`
-	// Settled says what became of tasks whose fate is unknown.
+	// Settled assigns outcomes to tasks whose outcome is unknown.
 	Settled []Settlement `yaml:"settled"`
 }
 
@@ -37,29 +37,29 @@
 type Rack struct {
 	Name   string `yaml:"name"`
 	Domain string `yaml:"domain"`
-	// Shard numbers the group of racks, within the domain, that one entry box
-	// places on.
+	// Shard is the number, within the domain, of the group of racks on which one entry box places
+	// tasks.
 	Shard   int      `yaml:"shard"`
 	Workers []string `yaml:"workers"`
-	// Each is what each worker of the rack has.
+	// Each is the capacity of each worker of the rack.
 	Each resource.Vector `yaml:"each"`
 }
 
 // Team owns work and has a quota.
 type Team struct {
 	Name string `yaml:"name"`
-	// Quota is the most that the team's running tasks may reserve in the cell.
+	// Quota limits what the team's running tasks may reserve in the cell.
 	Quota resource.Vector `yaml:"quota"`
-	// Weight is the team's part in fair share; 1 if not given.
+	// Weight is the team's weight in fair sharing; 1 if not given.
 	Weight float64 `yaml:"weight"`
 }
 
-// Pool is a set of like targets that serve callers' requests.
+// Pool is a set of equal targets that serve callers' requests.
 type Pool struct {
 	Name string `yaml:"name"`
-	// Slots is how many requests one target serves at a time.
+	// Slots is how many requests one target serves concurrently.
 	Slots int `yaml:"slots"`
-	// Connections is how many connections one target accepts.
+	// Connections is how many connections one target accepts at most.
 	Connections int     `yaml:"connections"`
 	Classes     []Class `yaml:"classes"`
 }
@@ -69,68 +69,68 @@
 	Name       string   `yaml:"name"`
 	Priority   Priority `yaml:"priority"`
 	Repeatable bool     `yaml:"repeatable"`
-	// Deadline is how long a caller's request may take in all.
+	// Deadline limits the total time of a request, from its arrival to its answer.
 	Deadline time.Duration `yaml:"deadline"`
-	// Queue is how many requests may wait at one entry box.
+	// Queue limits how many requests may wait at one entry box.
 	Queue int `yaml:"queue"`
 }
 
-// Work is what services, jobs and gangs have in common.
+// Work holds the fields that services, jobs and gangs have in common.
 type Work struct {
 	Name     string   `yaml:"name"`
 	Team     string   `yaml:"team"`
 	Priority Priority `yaml:"priority"`
-	// Count is how many tasks there are.
+	// Count is the number of tasks.
 	Count     int             `yaml:"count"`
 	Resources resource.Vector `yaml:"resources"`
 	Command   []string        `yaml:"command"`
-	// Domains limits where tasks run; all domains if empty.
+	// Domains lists the failure domains where tasks may run; empty means all.
 	Domains []string `yaml:"domains"`
 }
 
-// Service is tasks that run until they are replaced.
+// Service is a set of tasks that run until they are replaced.
 type Service struct {
 	Work
-	// Spread is the widest group that two tasks of the service should not share
-	// while another choice is free.
+	// Spread is the widest group of workers that two tasks of the service should not share while
+	// workers outside it have free capacity.
 	Spread Spread `yaml:"spread"`
 }
 
-// Job is tasks that each run to their end, in any order.
+// Job is a set of tasks that run to completion independently of each other, in any order.
 type Job struct {
 	Work
 	Batch
 }
 
-// Gang is tasks that run to their end and must all start together.
+// Gang is a set of tasks that run to completion and must all start together.
 type Gang struct {
 	Work
 	Batch
 }
 
-// Batch is what jobs and gangs have in common.
+// Batch holds the fields that jobs and gangs have in common.
 type Batch struct {
-	// Repeatable says that a task may be started again after it may have run.
+	// Repeatable is set if a task may be started again although an earlier attempt may have run.
 	Repeatable bool `yaml:"repeatable"`
-	// Expected is the declared run time of one task.
+	// Expected is the run time of one task as the operator expects it.
 	Expected time.Duration `yaml:"expected"`
-	// Retries is how often a task that failed is tried again.
+	// Retries is how often a failed task is started again.
 	Retries int `yaml:"retries"`
-	// Deadline is the moment after which no task is started any more, or the zero
-	// Moment.
+	// Deadline is the time after which no more tasks are started. The zero Timestamp means no
+	// deadline.
 	Deadline Timestamp `yaml:"deadline"`
-	// Cancelled stops what runs and starts nothing more.
+	// Cancelled, if set, stops running tasks and prevents further starts.
 	Cancelled bool `yaml:"cancelled"`
 }
 
-// Settlement is an operator's word on a task whose fate is unknown.
+// Settlement assigns an outcome to a task whose outcome is unknown.
 type Settlement struct {
-	// Task is "name@born/index", as the status shows it.
+	// Task is "name@born/index", as the status reports it.
 	Task string  `yaml:"task"`
 	As   Outcome `yaml:"as"`
 }
 
-// Key returns the task that s settles.
+// Key parses Task and returns the task that s settles.
 func (s Settlement) Key() (task.Key, error) {
 	object, index, ok := strings.Cut(s.Task, "/")
 	if !ok {
--- a/models/spec/parse.go
+++ b/models/spec/parse.go
@@ -12,10 +12,10 @@
 	"saddlevane/modules/strictyaml"
 )
 
-// The limits of a file. They keep one record of the log, and the memory and time
-// that a file costs on each process, bounded. The YAML library's time grows with
-// the square of the keys of one mapping, so larger files could cost many seconds;
-// racks and work of a larger cell are shared out over several files.
+// The limits of a file. They bound the size of a log record and the memory and time that each
+// process spends on a file. The time of the YAML library grows with the square of the number of keys
+// in one mapping, so larger files could take many seconds; the racks and the work of a larger cell
+// are split over several files.
 const (
 	MaxFileBytes = 256 << 10
 	MaxCount     = 100_000
@@ -28,8 +28,8 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
-// Parse reads a file and checks all of it that can be checked alone. All
-// mistakes are returned at once, each with its place.
+// Parse decodes a file and checks everything that can be checked without other files. It returns all
+// problems at once, each with its position, and no file if there are any.
 func Parse(source string, data []byte) (*File, strictyaml.Positions, strictyaml.Problems) {
 	if len(data) > MaxFileBytes {
 		return nil, nil, strictyaml.Problems{{
@@ -48,6 +48,7 @@
 	return f, positions, nil
 }
 
+// setDefaults fills in the weights, spreads and priorities that are not given.
 func (f *File) setDefaults() {
 	for i := range f.Teams {
 		if f.Teams[i].Weight == 0 {
@@ -81,18 +82,22 @@
 	return works
 }
 
+// checker collects the problems of one file.
 type checker struct {
 	source    string
 	positions strictyaml.Positions
 	problems  strictyaml.Problems
 }
 
+// fail adds a problem with the field at path.
 func (c *checker) fail(path, format string, args ...any) {
 	c.problems = append(c.problems, strictyaml.Problem{
 		File: c.source, Position: c.positions.Of(path), Path: path, Reason: fmt.Sprintf(format, args...),
 	})
 }
 
+// name checks that name is well formed and, if seen is not nil, that it is unique. Seen maps the
+// names checked so far to their paths.
 func (c *checker) name(path, name string, seen map[string]string) {
 	if !namePattern.MatchString(name) {
 		c.fail(path, "want a name of a-z, 0-9 and '-', at most 63 long, got %q", name)
@@ -102,15 +107,16 @@
 		return
 	}
 	if first, ok := seen[name]; ok {
-		c.fail(path, "the name %q is taken by %s", name, first)
+		c.fail(path, "the name %q is already used at %s", name, first)
 		return
 	}
 	seen[name] = path
 }
 
-func (c *checker) checkRange(path string, got, least, most int) {
-	if got < least || got > most {
-		c.fail(path, "want %d to %d, got %d", least, most, got)
+// checkRange checks that got is from lowest to highest, both included.
+func (c *checker) checkRange(path string, got, lowest, highest int) {
+	if got < lowest || got > highest {
+		c.fail(path, "want %d to %d, got %d", lowest, highest, got)
 	}
 }
 
@@ -197,7 +203,7 @@
 	c.name(path+".team", w.Team, nil)
 	c.checkRange(path+".count", w.Count, 1, MaxCount)
 	if w.Resources.IsZero() || w.Resources.IsNegative() {
-		c.fail(path+".resources", "want an amount above zero")
+		c.fail(path+".resources", "want at least one amount above zero and none below")
 	}
 	if len(w.Command) == 0 || len(w.Command) > maxCommand {
 		c.fail(path+".command", "want 1 to %d words, got %d", maxCommand, len(w.Command))
@@ -226,4 +232,5 @@
 	}
 }
 
+// indexed returns the path of element i of the list at path.
 func indexed(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
--- a/models/spec/shard.go
+++ b/models/spec/shard.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// ShardID names a group of racks within a failure domain. One entry box at a
-// time places on a shard.
+// ShardID identifies a group of racks within a failure domain. Only one entry box at a time places
+// tasks on a shard.
 type ShardID struct {
 	Domain string
 	Number int
@@ -20,10 +20,10 @@
 // String returns "domain.number".
 func (s ShardID) String() string { return s.Domain + "." + strconv.Itoa(s.Number) }
 
-// MarshalText writes what UnmarshalText reads.
+// MarshalText returns the form that UnmarshalText parses.
 func (s ShardID) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads "domain.number".
+// UnmarshalText parses "domain.number".
 func (s *ShardID) UnmarshalText(text []byte) error {
 	domain, number, ok := strings.Cut(string(text), ".")
 	n, err := strconv.Atoi(number)
--- a/models/status/status.go
+++ b/models/status/status.go
@@ -1,17 +1,17 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package status holds what operators read back from a process.
+// Package status defines the state of a process as reported to operators.
 package status
 
 import "time"
 
-// Process is the state of one entry box in short.
+// Process is a summary of the state of one entry box.
 type Process struct {
 	Box         string `json:"box"`
 	Incarnation string `json:"incarnation"`
 	Domain      string `json:"domain"`
-	// InForce says that the process acts on the files it shows.
+	// InForce is set if the process acts on the files that it reports.
 	InForce  bool      `json:"in_force"`
 	Stopping bool      `json:"stopping"`
 	Log      Log       `json:"log"`
@@ -22,14 +22,15 @@
 	At       time.Time `json:"at"`
 }
 
-// Log is where a process stands in the platform's log.
+// Log is the position of a process in the platform's log.
 type Log struct {
-	// Next is the offset of the first record not read.
+	// Next is the offset of the first record that was not read yet.
 	Next int64 `json:"next"`
-	// Failing is why the last read or append failed, or "".
+	// ReadFailing and AppendFailing say why the last read and the last append failed. They are
+	// empty after a success.
 	ReadFailing   string `json:"read_failing,omitempty"`
 	AppendFailing string `json:"append_failing,omitempty"`
-	// Waiting is how many entries are not yet known to be in the log.
+	// Waiting counts the entries that are not yet known to be in the log.
 	Waiting int `json:"waiting"`
 }
 
@@ -38,7 +39,7 @@
 	Name     string `json:"name"`
 	Revision int64  `json:"revision"`
 	Retired  bool   `json:"retired,omitempty"`
-	// Data is the file as published, where it was asked for.
+	// Data is the file as published. It is set only if it was asked for.
 	Data string `json:"data,omitempty"`
 }
 
@@ -47,7 +48,7 @@
 	ID     string `json:"id"`
 	Phase  string `json:"phase"`
 	Holder string `json:"holder"`
-	// Workers are all of the shard's, Held those whose lease this process has.
+	// Workers counts all workers of the shard, Held those whose lease this process has.
 	Workers     int     `json:"workers"`
 	Held        int     `json:"held"`
 	Running     int     `json:"running"`
@@ -73,7 +74,7 @@
 type Class struct {
 	Name    string `json:"name"`
 	Waiting int    `json:"waiting"`
-	// UsualMillis is the usual service time in milliseconds.
+	// UsualMillis is the typical service time in milliseconds.
 	UsualMillis float64 `json:"usual_ms"`
 }
 
@@ -86,7 +87,7 @@
 	Ejected  bool   `json:"ejected,omitempty"`
 }
 
-// Work is one object's tasks in one shard.
+// Work counts the tasks of one object in one shard by state.
 type Work struct {
 	Object   string `json:"object"`
 	Kind     string `json:"kind"`
@@ -98,18 +99,18 @@
 	Running  int    `json:"running"`
 	Done     int    `json:"done"`
 	Failed   int    `json:"failed"`
-	// Unknown counts tasks that may have run and will not be started again
-	// unless an operator's file settles them.
+	// Unknown counts the tasks that may have run and will not be started again unless an operator's
+	// file settles them.
 	Unknown int        `json:"unknown"`
 	Waiting int        `json:"waiting"`
 	Since   *time.Time `json:"since,omitempty"`
 	// Reason says why tasks wait.
 	Reason string `json:"reason,omitempty"`
-	// UnknownTasks names the first unknown tasks.
+	// UnknownTasks lists the first tasks that Unknown counts.
 	UnknownTasks []string `json:"unknown_tasks,omitempty"`
 }
 
-// Place is a task that has a place on a worker.
+// Place is the placement of a task on a worker.
 type Place struct {
 	Task   string `json:"task"`
 	Worker string `json:"worker"`
@@ -129,14 +130,14 @@
 	Failing     string    `json:"failing,omitempty"`
 }
 
-// Explanation says why a task is where it is.
+// Explanation says why a task is in its state.
 type Explanation struct {
 	Task  string `json:"task"`
 	State string `json:"state"`
 	Why   string `json:"why"`
 }
 
-// Dump is the whole state of a process, cut to bounded lists.
+// Dump is the complete state of a process, with lists truncated to MaxListed elements.
 type Dump struct {
 	Process  Process  `json:"process"`
 	Work     []Work   `json:"work"`
@@ -144,9 +145,9 @@
 	Workers  []Worker `json:"workers"`
 	Requests int      `json:"requests"`
 	Keys     int      `json:"keys"`
-	// Cut says that lists were longer than a dump holds.
+	// Truncated is set if some list was longer than MaxListed.
 	Truncated bool `json:"cut"`
 }
 
-// MaxListed bounds each list of a Dump.
+// MaxListed limits the length of each list in a Dump.
 const MaxListed = 500
--- a/models/stream/stream.go
+++ b/models/stream/stream.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package stream holds the messages to a log whose records have keys: the
-// newest record of each key is kept for good, older ones age out.
+// Package stream defines the messages of a log with keyed records. The log keeps the newest record of
+// each key forever and expires older ones.
 package stream
 
 import (
@@ -10,16 +10,16 @@
 	"fmt"
 )
 
-// Name names a stream of keyed records.
+// Name is the name of a stream of keyed records.
 type Name string
 
-// The streams that saddlevane keeps or follows.
+// The streams that saddlevane writes or reads.
 const (
 	// Config is the operators' configuration.
 	Config Name = "config"
 	// Workers is the platform's list of workers.
 	Workers Name = "workers"
-	// Claims says which box holds the cell's workers.
+	// Claims holds the claims by which a box becomes the holder of the cell's workers.
 	Claims Name = "claims"
 	// Boxes lists the entry boxes and their addresses.
 	Boxes Name = "boxes"
@@ -27,60 +27,64 @@
 	Jobs Name = "jobs"
 )
 
-// Record is one record. One without a value drops its key.
+// Record is one record of a stream. A record without a value deletes its key.
 type Record struct {
 	Key    string
 	Value  []byte
 	Offset int64
 }
 
-// IsTombstone says that the key no longer has a value.
+// IsTombstone reports whether the record deletes its key.
 func (r Record) IsTombstone() bool { return len(r.Value) == 0 }
 
-// Writer fences earlier writers of a stream: an append under a lower epoch than
-// one that was seen is refused, and a repeated sequence number changes nothing.
+// Writer identifies an append and fences earlier writers of the stream: the log refuses an append with
+// a lower epoch than an earlier one, and an append with a repeated sequence number changes nothing.
 type Writer struct {
 	Epoch    int64
 	Sequence int64
 }
 
-// sequenceBits is how many bits of a writer's number its sequence number takes.
+// sequenceBits is the number of bits that the sequence number takes in Writer.Number.
 const sequenceBits = 32
 
-// Number tells an append of the writer from those under all other claims.
+// Number returns a number that is unique among the appends of all epochs.
 func (w Writer) Number() int64 { return w.Epoch<<sequenceBits | w.Sequence }
 
-// Append adds records, all or none.
+// Append adds records to a stream, all or none.
 type Append struct {
 	Stream  Name
 	Records []Record
-	// At, if set, is where the stream must end for the append to be done.
+	// ExpectedEnd, if set, is the offset where the stream must end. Otherwise the append fails with
+	// an EndMismatchError.
 	ExpectedEnd *int64
-	// Writer, if set, fences.
+	// Writer, if set, fences earlier writers.
 	Writer *Writer
 }
 
 // Page is a part of a stream.
 type Page struct {
 	Records []Record
-	// Next is the offset to read on from.
+	// Next is the offset to read from next.
 	Next int64
 }
 
-// The ways in which a call is refused for sure.
+// The errors of calls that certainly had no effect. After ErrDuplicateSequence only the earlier append
+// with that sequence number had one.
 var (
-	// ErrFenced means that a writer with a higher epoch has been there.
-	ErrFenced = errors.New("a later writer has been there")
-	// ErrDuplicateSequence means that the sequence number was used already.
-	ErrDuplicateSequence = errors.New("the sequence number was used already")
-	// ErrNotDone means that the log did nothing and may be asked again.
-	ErrNotDone = errors.New("the log did nothing")
-	// ErrTrimmed means that the records asked for are gone.
-	ErrTrimmed = errors.New("the records are gone")
+	// ErrFenced means that a writer with a higher epoch has appended to the stream.
+	ErrFenced = errors.New("fenced by a writer with a higher epoch")
+	// ErrDuplicateSequence means that an append with this sequence number was already done.
+	ErrDuplicateSequence = errors.New("sequence number was already used")
+	// ErrNotDone means that the log did not carry out the call, which may be repeated.
+	ErrNotDone = errors.New("log did not carry out the call")
+	// ErrTrimmed means that the log no longer has the requested records.
+	ErrTrimmed = errors.New("records were trimmed from the log")
 )
 
-// EndMismatchError means that the stream did not end where the append wanted.
+// EndMismatchError means that the stream does not end at Append.ExpectedEnd but at End.
 type EndMismatchError struct{ End int64 }
 
-// Error says where the stream ends.
-func (e *EndMismatchError) Error() string { return fmt.Sprintf("the stream ends at %d", e.End) }
+// Error returns a text with the offset where the stream ends.
+func (e *EndMismatchError) Error() string {
+	return fmt.Sprintf("stream ends at offset %d and not where the append expected", e.End)
+}
--- a/models/task/id.go
+++ b/models/task/id.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package task names tasks and the objects they belong to.
+// Package task defines the identifiers and states of tasks and of the objects they belong to.
 package task
 
 import (
@@ -11,27 +11,28 @@
 	"strings"
 )
 
-// ObjectID names one life of a service, job or gang: its name and the revision
-// of the file that introduced it. A name that is removed and published again
-// begins a new life.
+// ObjectID identifies a service, job or gang by its name and by the revision of the file that
+// introduced it. An object that is removed and published again under the same name is another
+// object.
 type ObjectID struct {
 	Name string
-	// Born is a revision, that is, one more than a log offset.
+	// Born is the revision of the file that introduced the object. A revision is one more than the
+	// log offset of the file's record.
 	Born int64
 }
 
 // String returns "name@born".
 func (o ObjectID) String() string { return o.Name + "@" + strconv.FormatInt(o.Born, 10) }
 
-// Compare orders objects by birth, then name.
+// Compare orders objects by Born, then Name.
 func (o ObjectID) Compare(p ObjectID) int {
 	return cmp.Or(cmp.Compare(o.Born, p.Born), cmp.Compare(o.Name, p.Name))
 }
 
-// MarshalText writes what UnmarshalText reads.
+// MarshalText returns the form that UnmarshalText parses.
 func (o ObjectID) MarshalText() ([]byte, error) { return []byte(o.String()), nil }
 
-// UnmarshalText reads "name@born".
+// UnmarshalText parses "name@born".
 func (o *ObjectID) UnmarshalText(text []byte) error {
 	name, born, ok := strings.Cut(string(text), "@")
 	n, err := strconv.ParseInt(born, 10, 64)
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// ID names one attempt at one task.
+// ID identifies one attempt of one task.
 type ID struct {
 	Object  ObjectID
 	Index   int
@@ -54,10 +55,10 @@
 	return t.Object.String() + "/" + strconv.Itoa(t.Index) + "." + strconv.Itoa(t.Attempt)
 }
 
-// MarshalText writes what UnmarshalText reads.
+// MarshalText returns the form that UnmarshalText parses.
 func (t ID) MarshalText() ([]byte, error) { return []byte(t.String()), nil }
 
-// UnmarshalText reads "name@born/index.attempt".
+// UnmarshalText parses "name@born/index.attempt".
 func (t *ID) UnmarshalText(text []byte) error {
 	object, rest, ok := strings.Cut(string(text), "/")
 	index, attempt, ok2 := strings.Cut(rest, ".")
@@ -79,13 +80,13 @@
 	return cmp.Or(t.Object.Compare(u.Object), cmp.Compare(t.Index, u.Index), cmp.Compare(t.Attempt, u.Attempt))
 }
 
-// Key names a task whatever its attempt.
+// Key identifies a task regardless of its attempts.
 type Key struct {
 	Object ObjectID
 	Index  int
 }
 
-// Key returns the task that t is an attempt at.
+// Key returns the task that t is an attempt of.
 func (t ID) Key() Key { return Key{Object: t.Object, Index: t.Index} }
 
 // Compare orders tasks by object and index.
@@ -96,17 +97,17 @@
 // String returns "name@born/index".
 func (k Key) String() string { return k.Object.String() + "/" + strconv.Itoa(k.Index) }
 
-// State is where a task stands.
+// State is the state of a task.
 type State string
 
-// The states of a task. Unknown tasks may have run and are never started again
-// unless an operator's file settles them.
+// The states of a task. A task in state Unknown may have run; it is never started again unless an
+// operator's file settles it.
 const (
 	Waiting State = "waiting"
 	Running State = "running"
 	Done    State = "done"
 	Failed  State = "failed"
 	Unknown State = "unknown"
-	// Stopped is a worker's word on a task that it was told to stop.
+	// Stopped is reported by a worker for a task that it stopped on request.
 	Stopped State = "stopped"
 )
--- a/models/wire_test.go
+++ b/models/wire_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package models_test feeds the decoders of all wire types with bad input.
+// Package models_test checks that the decoders of all wire types reject invalid input.
 package models_test
 
 import (
@@ -19,7 +19,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// decoders decode and encode again, which must never panic.
+// decoders maps each wire type to a function that decodes its input and encodes the result again, which
+// must never panic.
 var decoders = map[string]func([]byte) error{
 	"box list":    roundTrip[box.List],
 	"hello":       roundTrip[peer.Hello],
@@ -34,6 +35,7 @@
 	"task":        func(data []byte) error { var id task.ID; return id.UnmarshalText(data) },
 }
 
+// roundTrip decodes data into a T and encodes it again.
 func roundTrip[T any](data []byte) error {
 	var v T
 	if err := json.Unmarshal(data, &v); err != nil {
--- a/models/worker/sync.go
+++ b/models/worker/sync.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package worker holds the messages between a lease holder and a worker.
+// Package worker defines the messages between a worker and the holder of its lease.
 package worker
 
 import (
@@ -14,27 +14,28 @@
 	"saddlevane/models/task"
 )
 
-// Sync asks a worker to grant or renew the holder's lease and, under it, to
-// start, stop and forget tasks. The worker applies a Sync whole or not at all.
+// Sync asks a worker to grant or renew the holder's lease and, under that lease, to start, stop and
+// forget tasks. The worker applies a Sync completely or not at all.
 type Sync struct {
-	// Holder is the box and incarnation that asks.
+	// Holder is the box and incarnation that sends the Sync.
 	Holder string `json:"holder"`
-	// Epoch is the lease that the holder has, or 0 to ask for a new one.
+	// Epoch identifies the holder's current lease; 0 asks for a new one.
 	Epoch int64 `json:"epoch"`
-	// Seq grows with each Sync of an epoch; the worker refuses older ones.
+	// Seq increases with each Sync of an epoch. The worker refuses a Sync with a lower number than
+	// an earlier one.
 	Seq int64 `json:"seq"`
-	// TTL is how long the lease lasts from when the worker takes the Sync, in
-	// milliseconds. With 0 nothing is granted or applied; the worker reports.
+	// TTL is how long the lease lasts after the worker has received the Sync. If it is 0, nothing
+	// is granted or applied, and the worker only reports.
 	TTL Milliseconds `json:"ttl_ms"`
-	// Seen is the version of the inventory that the holder has, or 0. If it is
-	// still the version after the Sync, the report leaves the tasks out.
+	// KnownVersion is the version of the worker's inventory that the holder has, or 0. If the
+	// inventory still has this version after the Sync, the report omits the tasks.
 	KnownVersion int64 `json:"seen,omitempty"`
-	// Release ends the lease after the rest is applied.
+	// Release ends the lease after the rest of the Sync has been applied.
 	Release bool    `json:"release,omitempty"`
 	Starts  []Start `json:"starts,omitempty"`
-	// Stops names tasks to stop. Their outcome is reported like any other.
+	// Stops lists tasks to stop. Their outcomes are reported like any other.
 	Stops []Stop `json:"stops,omitempty"`
-	// Acks names finished tasks whose outcome the worker may forget.
+	// Acks lists finished tasks whose outcome the worker may forget.
 	Acks []task.ID `json:"acks,omitempty"`
 }
 
@@ -44,7 +45,7 @@
 	Task      task.ID         `json:"task"`
 	Resources resource.Vector `json:"resources"`
 	Command   []string        `json:"command"`
-	// Version tells one form of a service from the next.
+	// Version distinguishes successive versions of a service.
 	Version int64 `json:"version,omitempty"`
 }
 
@@ -58,26 +59,27 @@
 // Report is a worker's answer to a Sync.
 type Report struct {
 	Worker string `json:"worker"`
-	// Granted says that the Sync was applied and the lease is the holder's.
+	// Granted is set if the Sync was applied and its sender has the lease.
 	Granted bool `json:"granted"`
 	// Reason says why the Sync was not applied.
 	Reason string `json:"reason,omitempty"`
 	Epoch  int64  `json:"epoch"`
-	// Holder is who has the lease.
+	// Holder is the box and incarnation that has the lease.
 	Holder string `json:"holder"`
-	// ExpiresIn is how long the holder's lease still lasts, in milliseconds.
+	// ExpiresIn is the remaining time of the holder's lease.
 	ExpiresIn Milliseconds    `json:"expires_in_ms"`
 	Capacity  resource.Vector `json:"capacity"`
-	// Leaving says that the worker wants no new work.
+	// Leaving is set if the worker accepts no new work.
 	Leaving bool `json:"leaving,omitempty"`
 	// Version changes with each change of the inventory.
 	Version int64 `json:"version"`
-	// Unchanged says that the inventory is the one that the holder has, and that
-	// Tasks is left out.
+	// Unchanged is set if the inventory still has the version that the holder knows. Tasks is then
+	// omitted.
 	Unchanged bool `json:"unchanged,omitempty"`
-	// Tasks is everything the worker runs, and every outcome not yet forgotten.
+	// Tasks lists all tasks that the worker runs, and all finished tasks whose outcome it has not
+	// forgotten yet.
 	Tasks []Item `json:"tasks,omitempty"`
-	// Refused names starts that were not applied, with the reason.
+	// Refused lists the starts that were not applied, with the reasons.
 	Refused []Refusal `json:"refused,omitempty"`
 }
 
@@ -86,7 +88,7 @@
 	Task      task.ID         `json:"task"`
 	State     task.State      `json:"state"`
 	Resources resource.Vector `json:"resources"`
-	// Usage is what the task was last seen to use. It lags.
+	// Usage is the resource usage of the task when it was last measured.
 	Usage   resource.Vector `json:"usage"`
 	Version int64           `json:"version,omitempty"`
 	Detail  string          `json:"detail,omitempty"`
@@ -107,10 +109,11 @@
 // MillisecondsOf returns d rounded down.
 func MillisecondsOf(d time.Duration) Milliseconds { return Milliseconds(d / time.Millisecond) }
 
-// maxItems bounds a worker's inventory.
+// maxItems limits the tasks in a report.
 const maxItems = 10_000
 
-// UnmarshalJSON refuses reports that contradict themselves.
+// UnmarshalJSON returns an error if the worker's name is missing, an amount is negative or the report
+// holds too many tasks.
 func (r *Report) UnmarshalJSON(data []byte) error {
 	type plain Report
 	var p plain
@@ -119,17 +122,17 @@
 	}
 	switch {
 	case p.Worker == "":
-		return errors.New("report: no worker name")
+		return errors.New("report: worker is empty")
 	case p.Epoch < 0 || p.ExpiresIn < 0:
-		return errors.New("report: negative epoch or expiry")
+		return errors.New("report: epoch or expires_in_ms is negative, want 0 or more")
 	case p.Capacity.IsNegative():
-		return errors.New("report: negative capacity")
+		return errors.New("report: capacity is negative in some resource, want 0 or more")
 	case len(p.Tasks) > maxItems:
-		return fmt.Errorf("report: %d tasks, the limit is %d", len(p.Tasks), maxItems)
+		return fmt.Errorf("report: has %d tasks, the limit is %d", len(p.Tasks), maxItems)
 	}
 	for _, item := range p.Tasks {
 		if item.Resources.IsNegative() {
-			return fmt.Errorf("report: task %s reserves less than nothing", item.Task)
+			return fmt.Errorf("report: resources of task %s are negative, want 0 or more", item.Task)
 		}
 	}
 	*r = Report(p)
--- a/models/workspace/workspace.go
+++ b/models/workspace/workspace.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package workspace holds what a group of callers may do: by which keys they are known, what
-// their tasks may take of the workers at a time, and what they are owed when all is full.
+// Package workspace defines groups of callers: the keys that identify them, the cap on what their
+// tasks may take, and their share of the cell under overload.
 package workspace
 
 import (
@@ -14,34 +14,34 @@
 	"saddlevane/models/resource"
 )
 
-// Workspace is a group of callers whose jobs are one account.
+// Workspace is a group of callers whose jobs are accounted for together.
 type Workspace struct {
 	Name string `json:"name"`
-	// Weight is its share when all is full, in jobs a second.
+	// Weight is the share of the workspace under overload, in jobs per second.
 	Weight float64 `json:"weight"`
-	// Most is what its tasks may take of all workers at a time. A part that is 0 has no
-	// bound.
+	// Cap limits what its tasks may take of all workers at any time. A resource whose cap is 0 is
+	// not limited.
 	Cap resource.Vector `json:"most"`
-	// Keys are the digests of the keys by which its callers are known.
+	// Keys lists the digests of the keys that identify its callers.
 	Keys []Digest `json:"-"`
 }
 
-// Check says why a workspace cannot be, or nothing.
+// Check returns an error if the workspace has no name or a negative weight or cap.
 func (w *Workspace) Check() error {
 	switch {
 	case w.Name == "":
-		return errors.New("a workspace has no name")
+		return errors.New("workspace name is empty")
 	case !(w.Weight >= 0):
-		return fmt.Errorf("workspace %q: a weight of %v", w.Name, w.Weight)
+		return fmt.Errorf("workspace %q: weight is %v, want 0 or more", w.Name, w.Weight)
 	case w.Cap.IsNegative():
-		return fmt.Errorf("workspace %q: a cap of %v", w.Name, w.Cap)
+		return fmt.Errorf("workspace %q: cap is %v, want no negative amount", w.Name, w.Cap)
 	default:
 		return nil
 	}
 }
 
-// CheckAll says what is wrong with workspaces that are in force together, or nothing: names
-// are different, and a key is of one workspace.
+// CheckAll returns an error if a workspace of one configuration is invalid, if two have the same name
+// or if two have the same key.
 func CheckAll(all []Workspace) error {
 	names, owners := map[string]bool{}, map[Digest]string{}
 	for i := range all {
@@ -50,12 +50,12 @@
 			return err
 		}
 		if names[w.Name] {
-			return fmt.Errorf("workspace %q: there are two of this name", w.Name)
+			return fmt.Errorf("workspace %q: name is used twice", w.Name)
 		}
 		names[w.Name] = true
 		for _, k := range w.Keys {
 			if other, taken := owners[k]; taken && other != w.Name {
-				return fmt.Errorf("workspace %q: one of its keys is also of %q", w.Name, other)
+				return fmt.Errorf("workspace %q: one of its keys also belongs to workspace %q", w.Name, other)
 			}
 			owners[k] = w.Name
 		}
@@ -63,51 +63,52 @@
 	return nil
 }
 
-// Digest stands for a key. A key itself is nowhere kept, passed on or shown.
+// Digest is the SHA-256 hash of a key. Keys themselves are never stored, forwarded or logged.
 type Digest [sha256.Size]byte
 
 // DigestOf returns the digest of a key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// MarshalText writes the digest as hexadecimal digits.
+// MarshalText returns the digest in hexadecimal digits.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(hex.EncodeToString(d[:])), nil }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText parses the form that MarshalText returns.
 func (d *Digest) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(len(d)) {
-		return fmt.Errorf("a digest of %d digits, want %d", len(text), hex.EncodedLen(len(d)))
+		return fmt.Errorf("digest has %d hexadecimal digits, want %d", len(text), hex.EncodedLen(len(d)))
 	}
 	_, err := hex.Decode(d[:], text)
 	return err
 }
 
-// String says no more than that there is one: what could stand in a line or an error is
-// not worth guessing at.
+// String returns a constant text, so that log lines and errors do not expose the digest and nobody
+// can use them to guess the key.
 func (d Digest) String() string { return "(digest)" }
 
-// Caller is on whose behalf a call is made, as the box judged that took it.
+// Caller describes who makes a call, as determined by the box that received the call.
 type Caller struct {
-	// Queue is the one that the call's address names.
+	// Queue is the queue that the call's address is routed to.
 	Queue string `json:"queue"`
-	// Digest is that of the key which the call carries, if any.
+	// Digest is the digest of the call's key, or nil if it has none.
 	Digest *Digest `json:"digest,omitempty"`
-	// Version is the configuration by which the box judged, and Current says that the box
-	// knew it to be the newest.
+	// Version is the version of the configuration that the box used. Current is set if the box
+	// knew it to be the newest one.
 	Version int64 `json:"version"`
 	Current bool  `json:"current,omitempty"`
-	// Open says that calls of the queue need no key.
+	// Open is set if calls to the queue need no key.
 	Open bool `json:"open,omitempty"`
-	// Workspace is the one that the key is of, by that configuration.
+	// Workspace is the workspace that the key belongs to in that configuration.
 	Workspace string `json:"workspace,omitempty"`
 }
 
-// MayActOn says whether the caller may know of and end a job of a workspace in a queue. A
-// job that was accepted without a key is anybody's, and so are those of a queue that needs
-// none any more.
+// MayActOn reports whether the caller may read and cancel a job of the given workspace and queue. Every
+// caller may act on a job that was accepted without a key, and, through a queue that needs no key, on
+// all jobs of that queue.
 func (c *Caller) MayActOn(workspace, queue string) bool {
 	switch {
 	case c == nil, workspace == "":
-		// Operators, and boxes that judge no keys, act for all.
+		// Calls by operators, and by boxes that check no keys, have no Caller and are not
+		// restricted. A job without a workspace was accepted without a key.
 		return true
 	case c.Open:
 		return c.Queue == queue
