--- a/cmd/saddlevaned/jobs.go
+++ b/cmd/saddlevaned/jobs.go
@@ -169,7 +169,7 @@
 			OrderTimeout: j.OrderTimeout, EndedRetention: j.KeepEnded, StopGrace: j.StopGrace,
 			ConfigPropagation: j.ConfigWithin, ShareWindow: j.Share, Disabled: without,
 		},
-		Tick: jobTick, ReadWait: claimsWait, WorkersEvery: workersEvery, CallTimeout: logCall,
+		Tick: jobTick, ReadWait: claimsWait, WorkersInterval: workersEvery, CallTimeout: logCall,
 		Relays: relay.Limits{From: j.RelayFrom, PerRelay: j.RelayWorkers}, PeerTimeout: j.PeerTimeout, Probe: c.Probe, Answer: c.Answer,
 	}, err
 }
@@ -197,11 +197,11 @@
 // reports has the loop told of the connections to a service. There is a loop by the time
 // that the first is opened.
 func (d *jobDaemon) reports(to string) httpclient.Reports {
-	bytes := sync.OnceValue(func() func(in, out int) { return d.loop.BytesTo(to) })
+	bytes := sync.OnceValue(func() func(in, out int) { return d.loop.ByteCounter(to) })
 	return httpclient.Reports{
-		Unanswered: func(u conntrack.Unanswered) { d.loop.Unanswered(u) },
+		Unanswered: func(u conntrack.Unanswered) { d.loop.CallUnanswered(u) },
 		GivenUp:    func(g conntrack.GivenUp) { d.loop.ConnectionsGivenUp(g) },
-		Again:      func(a httpclient.Again) { d.loop.CallMadeAgain(a) },
+		Again:      func(a httpclient.Again) { d.loop.CallRetried(a) },
 		Open:       func(delta int) { d.loop.ConnectionsChanged(to, delta) },
 		Bytes:      func(in, out int) { bytes()(in, out) },
 	}
--- a/services/jobrun/callers.go
+++ b/services/jobrun/callers.go
@@ -17,26 +17,26 @@
 	l.mu.Unlock()
 	if v.config == nil {
 		a := exchange.Answer{Outcome: exchange.Unavailable, Reason: "no configuration has been read yet"}
-		l.noteRefused(queue, a, 0, false)
+		l.recordRefusedCall(queue, a, 0, false)
 		return nil, &a
 	}
 	// A box that was suspended must not judge by what it knew before.
-	current := l.now().Before(v.configUntil)
+	current := l.now().Before(v.configCurrentUntil)
 	caller, verdict := workspaces.AuthorizeAtBox(v.config, current, queue, keys)
 	if verdict == workspaces.Allowed || verdict == workspaces.Undetermined && caller != nil {
 		// The holder may know what this box does not.
 		return caller, nil
 	}
 	a := workspaces.RefusalAnswer(verdict)
-	l.noteRefused(queue, a, v.config.Version, current)
+	l.recordRefusedCall(queue, a, v.config.Version, current)
 	return nil, &a
 }
 
-// noteRefused counts and logs a call that is refused before it is passed on, and by which
+// recordRefusedCall counts and logs a call that is refused before it is passed on, and by which
 // configuration.
-func (l *Loop) noteRefused(queue string, a exchange.Answer, version int64, current bool) {
+func (l *Loop) recordRefusedCall(queue string, a exchange.Answer, version int64, current bool) {
 	l.metrics.refusedCalls.WithLabelValues(string(a.Outcome)).Inc()
-	l.notes.write(exchange.LogEvent{Message: "call refused", Fields: []exchange.LogField{
+	l.logWriter.write(exchange.LogEvent{Message: "call refused", Fields: []exchange.LogField{
 		{Name: "queue", Value: queue},
 		{Name: "outcome", Value: string(a.Outcome)},
 		{Name: "reason", Value: a.Reason},
--- a/services/jobrun/calls.go
+++ b/services/jobrun/calls.go
@@ -13,8 +13,8 @@
 	"saddlevane/modules/clock"
 )
 
-// ask gives the reducer an event that it answers, and waits for the answer.
-func (l *Loop) ask(ctx context.Context, event func(exchange.CallID) exchange.Event) exchange.Answer {
+// postAndWait gives the reducer an event that it answers, and waits for the answer.
+func (l *Loop) postAndWait(ctx context.Context, event func(exchange.CallID) exchange.Event) exchange.Answer {
 	answer := make(chan exchange.Answer, 1)
 	l.mu.Lock()
 	l.lastCall++
@@ -34,8 +34,8 @@
 	return exchange.Answer{Outcome: exchange.MaybeDone, Reason: "no answer in time"}
 }
 
-// answer hands an answer to the caller who waits for it, if one still does.
-func (l *Loop) answer(id exchange.CallID, a exchange.Answer) {
+// deliverAnswer hands an answer to the caller who waits for it, if one still does.
+func (l *Loop) deliverAnswer(id exchange.CallID, a exchange.Answer) {
 	l.mu.Lock()
 	answer := l.calls[id]
 	delete(l.calls, id)
@@ -52,11 +52,11 @@
 	return l.view.config
 }
 
-// cutOffAfter is how long neither the log nor the holder may answer before a
+// disconnectedAfter is how long neither the log nor the holder may answer before a
 // box sends callers elsewhere. The log answers with each renewal of the claim, and
 // at the latest when a read has waited for half a second. With this, callers of a domain
 // that was cut off were refused in 1 of 1,000 cases in place of 5 (4 plays of one day).
-const cutOffAfter = 900 * time.Millisecond
+const disconnectedAfter = 900 * time.Millisecond
 
 // Ready says whether callers are served better here than elsewhere. A box that
 // is cut off from the log and from the holder can only refuse.
@@ -67,22 +67,22 @@
 	if v.config == nil {
 		return false
 	}
-	return v.holds || l.now().Sub(v.steadyAt) < cutOffAfter || l.peers.reaches(holder.Address)
+	return v.holdsCell || l.now().Sub(v.logReadAt) < disconnectedAfter || l.peers.reachesHolder(holder.Address)
 }
 
 // Serve answers a caller: by this box if it holds the cell, else by the holder.
 func (l *Loop) Serve(ctx context.Context, r Request) exchange.Answer {
 	began := l.now()
 	a := l.serve(ctx, r)
-	l.metrics.served(r.kind(), a.Outcome, l.now().Sub(began))
+	l.metrics.recordCall(r.kind(), a.Outcome, l.now().Sub(began))
 	if a.Outcome != exchange.OK && a.Outcome != exchange.NoJob {
-		l.notes.write(refusalNote(r, a, l.now().Sub(began)))
+		l.logWriter.write(refusalLogEvent(r, a, l.now().Sub(began)))
 	}
 	return a
 }
 
-// refusalNote is the line about a call that was not served.
-func refusalNote(r Request, a exchange.Answer, took time.Duration) exchange.LogEvent {
+// refusalLogEvent is the line about a call that was not served.
+func refusalLogEvent(r Request, a exchange.Answer, took time.Duration) exchange.LogEvent {
 	return exchange.LogEvent{Message: "call not served", Fields: []exchange.LogField{
 		{Name: "call", Value: r.kind()},
 		{Name: "job", Value: string(r.job())},
@@ -95,70 +95,70 @@
 }
 
 const (
-	// handoverWait is how long a call waits for the next holder while the cell is
+	// maxHandoverWait is how long a call waits for the next holder while the cell is
 	// handed over: less than a quarter of the shortest objective (the users' price
 	// for late refusals), and a handover takes about 100 ms.
-	handoverWait = 250 * time.Millisecond
-	// handoverAgain is the pause between two tries meanwhile.
-	handoverAgain = 40 * time.Millisecond
+	maxHandoverWait = 250 * time.Millisecond
+	// handoverRetryDelay is the pause between two tries meanwhile.
+	handoverRetryDelay = 40 * time.Millisecond
 )
 
 // serve answers by the holder. While the cell is being handed over, nobody has done
 // anything, and the next holder is about to serve.
 func (l *Loop) serve(ctx context.Context, r Request) exchange.Answer {
-	until := l.now().Add(handoverWait)
+	until := l.now().Add(maxHandoverWait)
 	for {
 		a := l.serveOnce(ctx, r)
-		if l.hears(a.Holder) {
+		if l.recordReportedClaim(a.Holder) {
 			continue
 		}
-		if a.Outcome != exchange.HeldElsewhere || !l.handingOver() || !l.now().Before(until) || ctx.Err() != nil {
+		if a.Outcome != exchange.HeldElsewhere || !l.isHandingOver() || !l.now().Before(until) || ctx.Err() != nil {
 			return a
 		}
-		clock.Wait(ctx, handoverAgain)
+		clock.Wait(ctx, handoverRetryDelay)
 	}
 }
 
-// hears takes the claim that another box told of, and returns true if it is newer
+// recordReportedClaim takes the claim that another box told of, and returns true if it is newer
 // than what this box knew, so that the call can be made there at once.
-func (l *Loop) hears(c *claim.Claim) bool {
+func (l *Loop) recordReportedClaim(c *claim.Claim) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c == nil || c.Epoch <= max(l.view.holder.Epoch, l.told.Epoch) {
+	if c == nil || c.Epoch <= max(l.view.holder.Epoch, l.reportedClaim.Epoch) {
 		return false
 	}
-	l.told = *c
+	l.reportedClaim = *c
 	return true
 }
 
 // holder returns the newest claim that this box has read or was told of. The lock is
 // held.
 func (l *Loop) holder() claim.Claim {
-	if l.told.Epoch > l.view.holder.Epoch {
-		return l.told
+	if l.reportedClaim.Epoch > l.view.holder.Epoch {
+		return l.reportedClaim
 	}
 	return l.view.holder
 }
 
-// handingOver says whether a box that has the claim, or had it until just now, is
+// isHandingOver says whether a box that has the claim, or had it until just now, is
 // known, and the log answers, so that a holder will serve soon.
-func (l *Loop) handingOver() bool {
+func (l *Loop) isHandingOver() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.view.holder.Epoch != 0 && l.now().Sub(l.view.steadyAt) < cutOffAfter
+	return l.view.holder.Epoch != 0 && l.now().Sub(l.view.logReadAt) < disconnectedAfter
 }
 
 // serveOnce answers by this box if it holds the cell or nobody is known to, else by
 // the holder.
 func (l *Loop) serveOnce(ctx context.Context, r Request) exchange.Answer {
 	l.mu.Lock()
-	holds, holder := l.view.holds, l.holder()
-	steady := l.now().Sub(l.view.steadyAt) < cutOffAfter
+	holds, holder := l.view.holdsCell, l.holder()
+	steady := l.now().Sub(l.view.logReadAt) < disconnectedAfter
 	l.mu.Unlock()
 	// A box that has given the cell up knows who has it now; this one reads it from
 	// the log, if that answers.
 	if holds || holder.Box == l.self.Box || holder.Address == "" || holder.Released && steady {
-		return l.ask(ctx, r.event)
+		return l.postAndWait(ctx, r.event)
 	}
-	return l.peers.request(ctx, holder.Address, r)
+	return l.peers.forwardToHolder(ctx, holder.Address, r)
 }
--- a/services/jobrun/connections.go
+++ b/services/jobrun/connections.go
@@ -10,29 +10,29 @@
 	"saddlevane/modules/peering"
 )
 
-// noAnswer is why connections are given up on which calls are made: one had no answer.
-const noAnswer = "no answer"
+// reasonNoAnswer is why connections are given up on which calls are made: one had no answer.
+const reasonNoAnswer = "no answer"
 
 // ConnectionsGivenUp counts connections that were given up because a call had no answer,
 // and logs it if others were given up than that of the call.
 func (l *Loop) ConnectionsGivenUp(g conntrack.GivenUp) {
-	l.metrics.connectionsGivenUp.WithLabelValues(g.To, noAnswer).Add(float64(g.Count))
+	l.metrics.connectionsGivenUp.WithLabelValues(g.To, reasonNoAnswer).Add(float64(g.Count))
 	if g.Count < 2 {
 		return
 	}
-	l.notes.write(exchange.LogEvent{Message: "connections were given up", Fields: []exchange.LogField{
+	l.logWriter.write(exchange.LogEvent{Message: "connections were given up", Fields: []exchange.LogField{
 		{Name: "to", Value: g.To},
 		{Name: "address", Value: g.Address},
 		{Name: "count", Value: g.Count},
-		{Name: "reason", Value: noAnswer},
+		{Name: "reason", Value: reasonNoAnswer},
 		{Name: "heard_ago", Value: g.HeardAgo.String()},
 	}})
 }
 
-// CallMadeAgain logs and counts a call that was made again.
-func (l *Loop) CallMadeAgain(a httpclient.Again) {
-	l.metrics.callsAgain.WithLabelValues(a.To, string(a.Answered)).Inc()
-	l.notes.write(exchange.LogEvent{Message: "a call was made again", Fields: []exchange.LogField{
+// CallRetried logs and counts a call that was made again.
+func (l *Loop) CallRetried(a httpclient.Again) {
+	l.metrics.callsRetried.WithLabelValues(a.To, string(a.Answered)).Inc()
+	l.logWriter.write(exchange.LogEvent{Message: "a call was made again", Fields: []exchange.LogField{
 		{Name: "to", Value: a.To},
 		{Name: "address", Value: a.Address},
 		{Name: "call", Value: a.Call},
@@ -46,12 +46,12 @@
 	l.metrics.connectionsOpen.WithLabelValues(to).Add(float64(delta))
 }
 
-// Unanswered logs and counts a call that ran out of its time without an answer. How
+// CallUnanswered logs and counts a call that ran out of its time without an answer. How
 // long nothing had come over its connection tells a silent connection from a slow
 // service.
-func (l *Loop) Unanswered(u conntrack.Unanswered) {
-	l.metrics.unansweredCall(u)
-	l.notes.write(exchange.LogEvent{Message: "a call had no answer", Fields: []exchange.LogField{
+func (l *Loop) CallUnanswered(u conntrack.Unanswered) {
+	l.metrics.recordUnanswered(u)
+	l.logWriter.write(exchange.LogEvent{Message: "a call had no answer", Fields: []exchange.LogField{
 		{Name: "to", Value: u.To},
 		{Name: "address", Value: u.Address},
 		{Name: "call", Value: u.Call},
@@ -64,8 +64,8 @@
 
 // linkGivenUp logs and counts a link to another entry box that was given up as silent.
 func (l *Loop) linkGivenUp(g peering.GivenUp) {
-	l.metrics.connectionGivenUp(g.To, string(g.Reason))
-	l.notes.write(exchange.LogEvent{Message: "a link to an entry box was given up", Fields: []exchange.LogField{
+	l.metrics.recordGivenUpLink(g.To, string(g.Reason))
+	l.logWriter.write(exchange.LogEvent{Message: "a link to an entry box was given up", Fields: []exchange.LogField{
 		{Name: "address", Value: g.Address},
 		{Name: "reason", Value: g.Reason},
 		{Name: "open_for", Value: g.OpenFor.String()},
@@ -76,5 +76,5 @@
 
 // linkNotAccepted logs why a connection of another entry box could not be accepted.
 func (l *Loop) linkNotAccepted(err error) {
-	l.notes.write(exchange.LogEvent{Message: "a link could not be accepted", Fields: []exchange.LogField{{Name: "problem", Value: err.Error()}}})
+	l.logWriter.write(exchange.LogEvent{Message: "a link could not be accepted", Fields: []exchange.LogField{{Name: "problem", Value: err.Error()}}})
 }
--- a/services/jobrun/connections_test.go
+++ b/services/jobrun/connections_test.go
@@ -15,8 +15,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// values returns the values of a process's metrics by name and labels.
-func (p *process) values(t *testing.T) map[string]float64 {
+// metricValues returns the values of a process's metrics by name and labels.
+func (p *testBox) metricValues(t *testing.T) map[string]float64 {
 	t.Helper()
 	families, err := p.loop.Metrics().Gatherer().Gather()
 	assert.NilError(t, err)
@@ -33,14 +33,14 @@
 	return values
 }
 
-func TestConnectionsAreCountedByWhatTheyLeadTo(t *testing.T) {
-	p := start(t, platformOf(t), "a", io.Discard)
+func TestConnectionMetricsAreLabeledByDestination(t *testing.T) {
+	p := startBox(t, newPlatform(t), "a", io.Discard)
 	p.loop.ConnectionsChanged("log", 1)
 	p.loop.ConnectionsChanged("log", 1)
 	p.loop.ConnectionsChanged("log", -1)
 	p.loop.ConnectionsGivenUp(conntrack.GivenUp{To: "worker", Count: 3, HeardAgo: time.Second})
-	p.loop.CallMadeAgain(httpclient.Again{To: "log", Answered: httpclient.OnNew})
-	got := p.values(t)
+	p.loop.CallRetried(httpclient.Again{To: "log", Answered: httpclient.OnNew})
+	got := p.metricValues(t)
 	assert.Equal(t, got["saddlevane_connections_open to=log"], 1.0)
 	assert.Equal(t, got["saddlevane_connections_given_up_total reason=no answer to=worker"], 3.0)
 	assert.Equal(t, got["saddlevane_calls_made_again_total answered=new to=log"], 1.0)
--- a/services/jobrun/follow.go
+++ b/services/jobrun/follow.go
@@ -14,15 +14,15 @@
 	"saddlevane/modules/clock"
 )
 
-// followAgain is the pause after a read of the log that failed.
-const followAgain = 100 * time.Millisecond
+// readRetryDelay is the pause after a read of the log that failed.
+const readRetryDelay = 100 * time.Millisecond
 
-// rareWait is how long a read waits for records of a stream that seldom changes.
-const rareWait = 2 * time.Second
+// rareReadWait is how long a read waits for records of a stream that seldom changes.
+const rareReadWait = 2 * time.Second
 
-// configWait is how long a read waits for a configuration: where a change has to be in force
+// configReadWait is how long a read waits for a configuration: where a change has to be in force
 // within 2 s, one that ends without any has to say so before that.
-const configWait = time.Second
+const configReadWait = time.Second
 
 // follower reads a stream from its newest records on. Each round takes one page;
 // whole says that the page stands for the whole stream.
@@ -32,11 +32,11 @@
 	// pause is the least time between two reads.
 	pause time.Duration
 	// wait is how long a read waits for records.
-	wait time.Duration
-	take func(p stream.Page, whole bool)
+	wait       time.Duration
+	handlePage func(p stream.Page, whole bool)
 	// seen is told when a read was asked for that has ended, after what it gave was taken.
-	seen func(askedAt time.Time)
-	fail func(err error)
+	readEnded   func(askedAt time.Time)
+	handleError func(err error)
 }
 
 // follow reads a stream until ctx ends: whole at first and after a failure,
@@ -49,13 +49,13 @@
 		if err != nil {
 			// A stream whose records are gone is read anew.
 			started = false
-			f.fail(err)
-			clock.Wait(ctx, followAgain)
+			f.handleError(err)
+			clock.Wait(ctx, readRetryDelay)
 			continue
 		}
-		f.take(page, !started)
-		if f.seen != nil {
-			f.seen(asked)
+		f.handlePage(page, !started)
+		if f.readEnded != nil {
+			f.readEnded(asked)
 		}
 		next, started = page.Next, true
 		clock.Wait(ctx, f.pause)
@@ -78,13 +78,13 @@
 
 func (l *Loop) followConfig() {
 	l.follow(l.ctx, follower{
-		loop: l, name: stream.Config, wait: configWait, take: l.takeConfig, fail: l.debugFail(stream.Config),
-		seen: func(askedAt time.Time) { l.post(exchange.ConfigReadEnded{AskedAt: askedAt}) },
+		loop: l, name: stream.Config, wait: configReadWait, handlePage: l.handleConfigPage, handleError: l.readErrorLogger(stream.Config),
+		readEnded: func(askedAt time.Time) { l.post(exchange.ConfigReadEnded{AskedAt: askedAt}) },
 	})
 }
 
-// takeConfig passes on the newest configuration of a page.
-func (l *Loop) takeConfig(p stream.Page, _ bool) {
+// handleConfigPage passes on the newest configuration of a page.
+func (l *Loop) handleConfigPage(p stream.Page, _ bool) {
 	config, found, err := l.platform.Config(p.Records)
 	if err != nil {
 		l.log.WithError(err).Error("a configuration could not be read")
@@ -97,19 +97,19 @@
 func (l *Loop) followClaims() {
 	l.follow(l.ctx, follower{
 		loop: l, name: stream.Claims, wait: l.settings.ReadWait,
-		take: func(p stream.Page, whole bool) {
+		handlePage: func(p stream.Page, whole bool) {
 			l.post(exchange.ClaimsRead{First: whole, Records: p.Records, Next: p.Next})
 		},
-		fail: func(err error) { l.post(exchange.ClaimsRead{Failure: err.Error()}) },
+		handleError: func(err error) { l.post(exchange.ClaimsRead{Failure: err.Error()}) },
 	})
 }
 
 func (l *Loop) followMembers() {
-	l.follow(l.ctx, follower{loop: l, name: stream.Boxes, wait: rareWait, take: l.takeMembers, fail: l.debugFail(stream.Boxes)})
+	l.follow(l.ctx, follower{loop: l, name: stream.Boxes, wait: rareReadWait, handlePage: l.handleMembersPage, handleError: l.readErrorLogger(stream.Boxes)})
 }
 
-// takeMembers passes on the boxes' announcements of a page.
-func (l *Loop) takeMembers(p stream.Page, _ bool) {
+// handleMembersPage passes on the boxes' announcements of a page.
+func (l *Loop) handleMembersPage(p stream.Page, _ bool) {
 	var members []claim.Member
 	for _, r := range p.Records {
 		var m claim.Member
@@ -129,21 +129,21 @@
 	}
 }
 
-// setFollow starts or ends the following of the list of workers.
-func (l *Loop) setFollow(on bool) {
-	if l.endFollow != nil {
-		l.endFollow()
-		l.endFollow = nil
+// setFollowWorkers starts or ends the following of the list of workers.
+func (l *Loop) setFollowWorkers(on bool) {
+	if l.stopFollowWorkers != nil {
+		l.stopFollowWorkers()
+		l.stopFollowWorkers = nil
 	}
 	if !on {
 		return
 	}
 	ctx, cancel := context.WithCancel(l.ctx)
-	l.endFollow = cancel
+	l.stopFollowWorkers = cancel
 	l.tasks.Go(func() {
 		l.follow(ctx, follower{
-			loop: l, name: stream.Workers, pause: l.settings.WorkersEvery,
-			take: func(p stream.Page, whole bool) {
+			loop: l, name: stream.Workers, pause: l.settings.WorkersInterval,
+			handlePage: func(p stream.Page, whole bool) {
 				listing := l.platform.Listing(p.Records)
 				listing.Complete = whole
 				if whole || len(p.Records) > 0 {
@@ -151,13 +151,13 @@
 					l.post(exchange.WorkersRead{Listing: listing})
 				}
 			},
-			fail: l.debugFail(stream.Workers),
+			handleError: l.readErrorLogger(stream.Workers),
 		})
 	})
 }
 
-// debugFail returns what a failed read of a stream is logged with.
-func (l *Loop) debugFail(name stream.Name) func(error) {
+// readErrorLogger returns what a failed read of a stream is logged with.
+func (l *Loop) readErrorLogger(name stream.Name) func(error) {
 	return func(err error) {
 		l.log.WithError(err).WithField("stream", name).Debug("a read of the log failed")
 	}
--- a/services/jobrun/jobrun_test.go
+++ b/services/jobrun/jobrun_test.go
@@ -48,56 +48,56 @@
 			OrderTimeout: 300 * time.Millisecond, AppendInterval: 2 * time.Millisecond, EndedRetention: time.Minute, StopGrace: 100 * time.Millisecond,
 			ConfigPropagation: 3 * time.Second, ShareWindow: 5 * time.Second,
 		},
-		Tick: 10 * time.Millisecond, ReadWait: 200 * time.Millisecond, WorkersEvery: 50 * time.Millisecond,
+		Tick: 10 * time.Millisecond, ReadWait: 200 * time.Millisecond, WorkersInterval: 50 * time.Millisecond,
 		CallTimeout: 300 * time.Millisecond, PeerTimeout: 300 * time.Millisecond,
 		Probe: time.Second, Answer: 250 * time.Millisecond,
 	}
 }
 
-// process is one entry box within the test.
-type process struct {
-	loop  *jobrun.Loop
-	peers *jobrun.Peers
-	once  atomic.Bool
+// testBox is one entry box within the test.
+type testBox struct {
+	loop   *jobrun.Loop
+	peers  *jobrun.Peers
+	closed atomic.Bool
 	// address is where the box itself listens for others.
 	address string
 }
 
-func (p *process) close() {
-	if p.once.CompareAndSwap(false, true) {
+func (p *testBox) close() {
+	if p.closed.CompareAndSwap(false, true) {
 		p.peers.Close()
 		p.loop.Close()
 	}
 }
 
-func start(t *testing.T, on *memory.Platform, name string, out io.Writer) *process {
+func startBox(t *testing.T, on *memory.Platform, name string, out io.Writer) *testBox {
 	t.Helper()
-	return startVia(t, on.Calls(), name, out, func(address string) string { return address })
+	return startBoxVia(t, on.Calls(), name, out, func(address string) string { return address })
 }
 
-// startVia starts a box that others reach under the address that via returns.
-func startVia(t *testing.T, on jobrun.Platform, name string, out io.Writer, via func(address string) string) *process {
+// startBoxVia starts a box that others reach under the address that via returns.
+func startBoxVia(t *testing.T, on jobrun.Platform, name string, out io.Writer, via func(address string) string) *testBox {
 	t.Helper()
-	return startWith(t, settings(), on, name, out, via)
+	return startBoxWithSettings(t, settings(), on, name, out, via)
 }
 
-// startWith starts a box with settings of its own.
-func startWith(t *testing.T, s jobrun.Settings, on jobrun.Platform, name string, out io.Writer, via func(address string) string) *process {
+// startBoxWithSettings starts a box with settings of its own.
+func startBoxWithSettings(t *testing.T, s jobrun.Settings, on jobrun.Platform, name string, out io.Writer, via func(address string) string) *testBox {
 	t.Helper()
 	c, err := clock.New()
 	assert.NilError(t, err)
-	return startBy(t, c, s, on, name, out, via)
+	return startBoxWithClock(t, c, s, on, name, out, via)
 }
 
-// startBy starts a box that reads some clock.
-func startBy(t *testing.T, c *clock.Clock, s jobrun.Settings, on jobrun.Platform, name string, out io.Writer, via func(address string) string) *process {
+// startBoxWithClock starts a box that reads some clock.
+func startBoxWithClock(t *testing.T, c *clock.Clock, s jobrun.Settings, on jobrun.Platform, name string, out io.Writer, via func(address string) string) *testBox {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	log := logrus.New()
 	log.SetOutput(out)
 	self := claim.Member{Box: name, Incarnation: name + time.Now().String(), Domain: "a", Address: via(listener.Addr().String())}
-	p := &process{address: listener.Addr().String(), loop: jobrun.NewLoop(s, self, on, log.WithField("box", name), c)}
+	p := &testBox{address: listener.Addr().String(), loop: jobrun.NewLoop(s, self, on, log.WithField("box", name), c)}
 	p.peers = jobrun.NewPeers(listener, p.loop)
 	p.loop.Run(p.peers)
 	p.peers.Serve()
@@ -105,7 +105,7 @@
 	return p
 }
 
-func (p *process) holds() bool {
+func (p *testBox) holdsCell() bool {
 	held := false
 	p.loop.Query(func(now time.Time, c *dispatch.Core) { held = c.IsServing(now) })
 	return held
@@ -118,8 +118,8 @@
 	}}
 }
 
-// served waits until a wish is served with the wanted state.
-func served(t *testing.T, p *process, r jobrun.Request, want job.State) {
+// waitServed waits until a wish is served with the wanted state.
+func waitServed(t *testing.T, p *testBox, r jobrun.Request, want job.State) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		a := p.loop.Serve(context.Background(), r)
@@ -130,46 +130,46 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-func platformOf(t *testing.T) *memory.Platform {
+func newPlatform(t *testing.T) *memory.Platform {
 	t.Helper()
 	on, err := memory.New(config(), 2)
 	assert.NilError(t, err)
 	return on
 }
 
-func TestAJobIsServedAtAnyBoxAndOutlivesItsHolder(t *testing.T) {
-	on := platformOf(t)
-	boxes := []*process{start(t, on, "a", io.Discard), start(t, on, "b", io.Discard), start(t, on, "c", io.Discard)}
+func TestJobsAreServedAtAnyBoxAndSurviveHolderFailure(t *testing.T) {
+	on := newPlatform(t)
+	boxes := []*testBox{startBox(t, on, "a", io.Discard), startBox(t, on, "b", io.Discard), startBox(t, on, "c", io.Discard)}
 	for i, b := range boxes {
-		served(t, b, jobrun.Request{Submit: submission(fmt.Sprint("j", i))}, "")
+		waitServed(t, b, jobrun.Request{Submit: submission(fmt.Sprint("j", i))}, "")
 	}
 	for i, b := range boxes {
-		served(t, b, jobrun.Request{State: job.ID(fmt.Sprint("j", 2-i))}, job.Succeeded)
+		waitServed(t, b, jobrun.Request{State: job.ID(fmt.Sprint("j", 2-i))}, job.Succeeded)
 	}
 	left := boxes[:0]
 	for _, b := range boxes {
-		if b.holds() {
+		if b.holdsCell() {
 			b.close()
 			continue
 		}
 		left = append(left, b)
 	}
 	assert.Equal(t, len(left), 2)
-	served(t, left[0], jobrun.Request{State: "j0"}, job.Succeeded)
-	served(t, left[1], jobrun.Request{Submit: submission("j9")}, "")
-	served(t, left[0], jobrun.Request{State: "j9"}, job.Succeeded)
+	waitServed(t, left[0], jobrun.Request{State: "j0"}, job.Succeeded)
+	waitServed(t, left[1], jobrun.Request{Submit: submission("j9")}, "")
+	waitServed(t, left[0], jobrun.Request{State: "j9"}, job.Succeeded)
 	assert.Equal(t, on.Runs("j0.0.0.0"), 1)
 	assert.Equal(t, on.Runs("j9.0.1.0"), 1)
 }
 
-func TestACallerIsServedAcrossAPlannedHandover(t *testing.T) {
-	on := platformOf(t)
-	boxes := []*process{start(t, on, "a", io.Discard), start(t, on, "b", io.Discard), start(t, on, "c", io.Discard)}
-	served(t, boxes[0], jobrun.Request{Submit: submission("first")}, "")
-	var holder *process
+func TestCallsSucceedDuringPlannedHandover(t *testing.T) {
+	on := newPlatform(t)
+	boxes := []*testBox{startBox(t, on, "a", io.Discard), startBox(t, on, "b", io.Discard), startBox(t, on, "c", io.Discard)}
+	waitServed(t, boxes[0], jobrun.Request{Submit: submission("first")}, "")
+	var holder *testBox
 	for i, b := range boxes {
-		served(t, b, jobrun.Request{Submit: submission(fmt.Sprint("warm", i))}, "")
-		if b.holds() {
+		waitServed(t, b, jobrun.Request{Submit: submission(fmt.Sprint("warm", i))}, "")
+		if b.holdsCell() {
 			holder = b
 		}
 	}
@@ -192,10 +192,10 @@
 	}
 }
 
-func TestCallersAreRefusedAtOnceWhileNothingCanBeKept(t *testing.T) {
-	on := platformOf(t)
-	b := start(t, on, "a", io.Discard)
-	served(t, b, jobrun.Request{Submit: submission("j0")}, "")
+func TestCallsAreRefusedAtOnceWhileLogIsDown(t *testing.T) {
+	on := newPlatform(t)
+	b := startBox(t, on, "a", io.Discard)
+	waitServed(t, b, jobrun.Request{Submit: submission("j0")}, "")
 	on.SetDown(true)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		began := time.Now()
@@ -206,30 +206,30 @@
 		return poll.Continue("%+v", a)
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(20*time.Millisecond))
 	on.SetDown(false)
-	served(t, b, jobrun.Request{Submit: submission("k")}, "")
-	served(t, b, jobrun.Request{State: "k"}, job.Succeeded)
+	waitServed(t, b, jobrun.Request{Submit: submission("k")}, "")
+	waitServed(t, b, jobrun.Request{State: "k"}, job.Succeeded)
 }
 
-func TestAFullOutputBlocksNothing(t *testing.T) {
+func TestBlockedLogOutputDoesNotBlockCalls(t *testing.T) {
 	r, w, err := os.Pipe()
 	assert.NilError(t, err)
-	on := platformOf(t)
-	b := start(t, on, "a", w)
+	on := newPlatform(t)
+	b := startBox(t, on, "a", w)
 	// Nobody reads the pipe; it takes 64 KiB.
 	for i := range 150 {
-		served(t, b, jobrun.Request{Submit: submission(fmt.Sprint("j", i))}, "")
+		waitServed(t, b, jobrun.Request{Submit: submission(fmt.Sprint("j", i))}, "")
 	}
-	served(t, b, jobrun.Request{State: "j149"}, job.Succeeded)
+	waitServed(t, b, jobrun.Request{State: "j149"}, job.Succeeded)
 	go func() { _, _ = io.Copy(io.Discard, r) }()
 	b.close()
 	assert.NilError(t, w.Close())
 }
 
-func TestTheVolumeOfLinesIsBounded(t *testing.T) {
-	out := &counter{}
-	on := platformOf(t)
+func TestLogVolumeIsBounded(t *testing.T) {
+	out := &lineCounter{}
+	on := newPlatform(t)
 	on.SetDown(true)
-	b := start(t, on, "a", out)
+	b := startBox(t, on, "a", out)
 	began := time.Now()
 	for range 5000 {
 		a := b.loop.Serve(context.Background(), jobrun.Request{State: "j"})
@@ -237,7 +237,7 @@
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		b.loop.Serve(context.Background(), jobrun.Request{State: "j"})
-		if out.leftOut.Load() > 0 {
+		if out.dropped.Load() > 0 {
 			return poll.Success()
 		}
 		return poll.Continue("no line says that lines were left out")
@@ -247,20 +247,20 @@
 	assert.Check(t, out.refused.Load() <= 300*seconds, "%d lines in %d s", out.refused.Load(), seconds)
 }
 
-// counter counts lines.
-type counter struct{ refused, leftOut atomic.Int64 }
+// lineCounter counts lines.
+type lineCounter struct{ refused, dropped atomic.Int64 }
 
-func (c *counter) Write(p []byte) (int, error) {
+func (c *lineCounter) Write(p []byte) (int, error) {
 	if strings.Contains(string(p), "lines were left out") {
-		c.leftOut.Add(1)
+		c.dropped.Add(1)
 	} else if strings.Contains(string(p), "call not served") {
 		c.refused.Add(1)
 	}
 	return len(p), nil
 }
 
-// call makes a call at a server; host may be empty.
-func call(t *testing.T, s *httptest.Server, method, host, path, body string) (int, string) {
+// callHTTP makes a call at a server; host may be empty.
+func callHTTP(t *testing.T, s *httptest.Server, method, host, path, body string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(context.Background(), method, s.URL+path, strings.NewReader(body))
 	assert.NilError(t, err)
@@ -273,10 +273,10 @@
 	return resp.StatusCode, string(data)
 }
 
-func TestCallersOfThePlatformAreServed(t *testing.T) {
-	on := platformOf(t)
-	b := start(t, on, "a", io.Discard)
-	served(t, b, jobrun.Request{Submit: submission("first")}, "")
+func TestPlatformCallersAreServed(t *testing.T) {
+	on := newPlatform(t)
+	b := startBox(t, on, "a", io.Discard)
+	waitServed(t, b, jobrun.Request{Submit: submission("first")}, "")
 	s := httptest.NewServer(platform.NewCallers(b.loop))
 	defer s.Close()
 	for _, c := range []struct {
@@ -299,21 +299,21 @@
 		{"GET", "h.example", "/q/", "", 200},
 		{"PUT", "h.example", "/q/5c0e", "", 405},
 	} {
-		status, body := call(t, s, c.method, c.host, c.path, c.body)
+		status, body := callHTTP(t, s, c.method, c.host, c.path, c.body)
 		assert.Equal(t, status, c.status, "%s %s: %s", c.method, c.path, body)
 	}
-	served(t, b, jobrun.Request{State: "5c0e"}, job.Succeeded)
-	status, body := call(t, s, "GET", "h.example", "/q/5c0e", "")
+	waitServed(t, b, jobrun.Request{State: "5c0e"}, job.Succeeded)
+	status, body := callHTTP(t, s, "GET", "h.example", "/q/5c0e", "")
 	assert.Equal(t, status, 200)
 	assert.Equal(t, body, `{"state":"succeeded"}`)
 }
 
-func TestTheOwnInterfaceServesAndExplains(t *testing.T) {
-	on := platformOf(t)
-	b := start(t, on, "a", io.Discard)
-	served(t, b, jobrun.Request{Submit: submission("first")}, "")
+func TestJobsAPIServesAndExplains(t *testing.T) {
+	on := newPlatform(t)
+	b := startBox(t, on, "a", io.Discard)
+	waitServed(t, b, jobrun.Request{Submit: submission("first")}, "")
 	// Only what has begun no longer waits.
-	served(t, b, jobrun.Request{State: "first"}, job.Succeeded)
+	waitServed(t, b, jobrun.Request{State: "first"}, job.Succeeded)
 	s := httptest.NewServer(routers.NewJobs(b.loop))
 	defer s.Close()
 	for _, c := range []struct {
@@ -333,7 +333,7 @@
 		{"GET", "/metrics", "", 200, "saddlevane_job_calls_total"},
 		{"GET", "/readyz", "", 200, ""},
 	} {
-		status, body := call(t, s, c.method, "", c.path, c.body)
+		status, body := callHTTP(t, s, c.method, "", c.path, c.body)
 		assert.Equal(t, status, c.status, "%s %s: %s", c.method, c.path, body)
 		assert.Check(t, strings.Contains(body, c.has), "%s %s: %s", c.method, c.path, body)
 	}
--- a/services/jobrun/keys_test.go
+++ b/services/jobrun/keys_test.go
@@ -27,29 +27,29 @@
 	"gotest.tools/v3/poll"
 )
 
-// keyed is a platform whose configuration has workspaces that change.
-type keyed struct {
+// keyedPlatform is a platform whose configuration has workspaces that change.
+type keyedPlatform struct {
 	jobrun.Platform
 	config atomic.Pointer[job.Config]
 	// away makes the log answer no read of this box.
-	away atomic.Bool
+	logDown atomic.Bool
 }
 
-// keyedPlatform returns a platform with a keyed and an open queue.
-func keyedPlatform(t *testing.T, version int64, keys map[string]string) *keyed {
+// newKeyedPlatform returns a platform with a keyed and an open queue.
+func newKeyedPlatform(t *testing.T, version int64, keys map[string]string) *keyedPlatform {
 	t.Helper()
-	k := &keyed{Platform: platformOf(t).Calls()}
+	k := &keyedPlatform{Platform: newPlatform(t).Calls()}
 	k.publish(t, version, keys)
 	k.Platform.Config = func([]stream.Record) (job.Config, bool, error) { return *k.config.Load(), true, nil }
 	read, newest := k.Platform.Log.Read, k.Platform.Log.Newest
 	k.Platform.Log.Read = func(ctx context.Context, name stream.Name, from int64, wait time.Duration) (stream.Page, error) {
-		if k.away.Load() {
+		if k.logDown.Load() {
 			return stream.Page{}, io.ErrUnexpectedEOF
 		}
 		return read(ctx, name, from, min(wait, 50*time.Millisecond))
 	}
 	k.Platform.Log.Newest = func(ctx context.Context, name stream.Name) (stream.Page, error) {
-		if k.away.Load() {
+		if k.logDown.Load() {
 			return stream.Page{}, io.ErrUnexpectedEOF
 		}
 		return newest(ctx, name)
@@ -58,7 +58,7 @@
 }
 
 // publish puts workspaces in force that are known by some keys.
-func (k *keyed) publish(t *testing.T, version int64, keys map[string]string) {
+func (k *keyedPlatform) publish(t *testing.T, version int64, keys map[string]string) {
 	t.Helper()
 	c := config()
 	c.Version = version
@@ -80,8 +80,8 @@
 	k.config.Store(&c)
 }
 
-// callWith makes a call that carries some keys.
-func callWith(t *testing.T, s *httptest.Server, method, path, body string, keys ...string) (int, string) {
+// callWithKeys makes a call that carries some keys.
+func callWithKeys(t *testing.T, s *httptest.Server, method, path, body string, keys ...string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(context.Background(), method, s.URL+path, strings.NewReader(body))
 	assert.NilError(t, err)
@@ -117,11 +117,11 @@
 
 // The platform's callers carry keys, and all were served, whatever their keys. No key may be
 // read in any line, metric, dump or answer.
-func TestCallersCarryAKeyOfTheirWorkspace(t *testing.T) {
-	on := keyedPlatform(t, 1, map[string]string{"key-of-a": "a", "key-of-b": "b", "key-taken": "a"})
+func TestCallersAreAuthorizedByWorkspaceKey(t *testing.T) {
+	on := newKeyedPlatform(t, 1, map[string]string{"key-of-a": "a", "key-of-b": "b", "key-taken": "a"})
 	var lines safeBuffer
-	b := startVia(t, on.Platform, "a", &lines, func(address string) string { return address })
-	served(t, b, jobrun.Request{Submit: submission("first")}, "")
+	b := startBoxVia(t, on.Platform, "a", &lines, func(address string) string { return address })
+	waitServed(t, b, jobrun.Request{Submit: submission("first")}, "")
 	s := httptest.NewServer(platform.NewCallers(b.loop))
 	defer s.Close()
 	var answers strings.Builder
@@ -137,7 +137,7 @@
 			if c.method == http.MethodPost {
 				body = oneTask
 			}
-			status, answer := callWith(t, s, c.method, c.path, body, c.keys...)
+			status, answer := callWithKeys(t, s, c.method, c.path, body, c.keys...)
 			assert.Equal(t, status, c.status, "%s %s %v: %s", c.method, c.path, c.keys, answer)
 			answers.WriteString(answer)
 		}
@@ -175,7 +175,7 @@
 	own := httptest.NewServer(routers.NewJobs(b.loop))
 	defer own.Close()
 	for _, path := range []string{"/v1/cell", "/metrics", "/v1/jobs/5c0e/explain", "/v1/jobs/5c0e"} {
-		_, body := call(t, own, "GET", "", path, "")
+		_, body := callHTTP(t, own, "GET", "", path, "")
 		answers.WriteString(body)
 	}
 	for _, key := range []string{"key-of", "key-taken", "key-given", "kkkk"} {
@@ -187,29 +187,29 @@
 // A box that the log had turned away went on to judge by what it had read before: it let in
 // keys that had been taken away, and refused, as unknown, those that had just been given.
 // Neither can be known there.
-func TestABoxThatCannotReadTheLogJudgesNoKeys(t *testing.T) {
-	on := keyedPlatform(t, 1, map[string]string{"k1": "a"})
-	b := startVia(t, on.Platform, "a", io.Discard, func(address string) string { return address })
-	served(t, b, jobrun.Request{Submit: submission("first")}, "")
+func TestBoxWithStaleConfigJudgesNoKeys(t *testing.T) {
+	on := newKeyedPlatform(t, 1, map[string]string{"k1": "a"})
+	b := startBoxVia(t, on.Platform, "a", io.Discard, func(address string) string { return address })
+	waitServed(t, b, jobrun.Request{Submit: submission("first")}, "")
 	s := httptest.NewServer(platform.NewCallers(b.loop))
 	defer s.Close()
 	statuses := func() string {
 		all := ""
 		for _, c := range []struct{ path, key string }{{"/q/none", "k1"}, {"/q/none", "k2"}, {"/gone/", "k1"}} {
-			status, _ := callWith(t, s, "GET", c.path, "", c.key)
+			status, _ := callWithKeys(t, s, "GET", c.path, "", c.key)
 			all += fmt.Sprint(status, " ")
 		}
 		return all
 	}
 	assert.Equal(t, statuses(), "410 401 404 ")
-	on.away.Store(true)
+	on.logDown.Store(true)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if got := statuses(); got != "503 503 503 " {
 			return poll.Continue("%s", got)
 		}
 		return poll.Success()
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(20*time.Millisecond))
-	on.away.Store(false)
+	on.logDown.Store(false)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if got := statuses(); got != "410 401 404 " {
 			return poll.Continue("%s", got)
--- a/services/jobrun/late_test.go
+++ b/services/jobrun/late_test.go
@@ -20,7 +20,7 @@
 
 // Symptom, sequence and cause: see TestAnEndThatIsHeardLateCounts of package dispatch.
 // Here each answer to a look takes longer than a look is waited for, as on a full link.
-func TestEndsAreHeardThoughEveryAnswerIsLate(t *testing.T) {
+func TestRunEndsAreReceivedWhenEveryRenewalIsLate(t *testing.T) {
 	on, err := memory.New(config(), 8)
 	assert.NilError(t, err)
 	calls := on.Calls()
@@ -34,9 +34,9 @@
 			return order.Report{}, order.Answer{Outcome: order.Unknown, Problem: ctx.Err().Error()}
 		}
 	}
-	p := startVia(t, calls, "a", io.Discard, func(address string) string { return address })
-	served(t, p, jobrun.Request{Submit: submission("late")}, "")
-	served(t, p, jobrun.Request{State: "late"}, job.Succeeded)
+	p := startBoxVia(t, calls, "a", io.Discard, func(address string) string { return address })
+	waitServed(t, p, jobrun.Request{Submit: submission("late")}, "")
+	waitServed(t, p, jobrun.Request{State: "late"}, job.Succeeded)
 	for _, task := range []string{"late.0.0.0", "late.0.0.1", "late.0.0.2", "late.0.1.0"} {
 		assert.Equal(t, on.Runs(task), 1, "%s", task)
 	}
@@ -45,7 +45,7 @@
 // The answer may come while the loop tells that it is overdue. Nothing here makes one wait
 // for the other, so that the race detector sees what they share.
 // The notice copied the value into which the answer was written; each has its own.
-func TestAnAnswerThatComesWhileItIsToldToBeOverdueIsWhole(t *testing.T) {
+func TestRenewalAnswerDoesNotRaceWithOverdueNotice(t *testing.T) {
 	on, err := memory.New(config(), 2)
 	assert.NilError(t, err)
 	calls := on.Calls()
@@ -58,7 +58,7 @@
 		}
 		return report, answer
 	}
-	p := startVia(t, calls, "a", io.Discard, func(address string) string { return address })
-	served(t, p, jobrun.Request{Submit: submission("late")}, "")
-	served(t, p, jobrun.Request{State: "late"}, job.Succeeded)
+	p := startBoxVia(t, calls, "a", io.Discard, func(address string) string { return address })
+	waitServed(t, p, jobrun.Request{Submit: submission("late")}, "")
+	waitServed(t, p, jobrun.Request{State: "late"}, job.Succeeded)
 }
--- a/services/jobrun/loop.go
+++ b/services/jobrun/loop.go
@@ -51,8 +51,8 @@
 	Tick time.Duration
 	// ReadWait is how long a read of the log waits for records.
 	ReadWait time.Duration
-	// WorkersEvery is the time between two reads of the list of workers.
-	WorkersEvery time.Duration
+	// WorkersInterval is the time between two reads of the list of workers.
+	WorkersInterval time.Duration
 	// CallTimeout bounds a call to the log.
 	CallTimeout time.Duration
 	// PeerTimeout bounds a call to another entry box.
@@ -63,35 +63,35 @@
 	Probe, Answer time.Duration
 }
 
-// eventBuffer is how many events may wait for the loop.
-const eventBuffer = 4096
+// eventQueueSize is how many events may wait for the loop.
+const eventQueueSize = 4096
 
-// posted is an event and when it began to wait for the loop.
-type posted struct {
-	event exchange.Event
-	at    time.Time
+// queuedEvent is an event and when it began to wait for the loop.
+type queuedEvent struct {
+	event    exchange.Event
+	queuedAt time.Time
 }
 
 // Loop runs the reducer. Close ends it.
 type Loop struct {
-	settings Settings
-	core     *dispatch.Core
-	self     claim.Member
-	platform Platform
-	log      *logrus.Entry
-	notes    *notes
-	clock    *clock.Clock
-	now      func() time.Time
-	events   chan posted
-	queries  chan func(now time.Time, c *dispatch.Core)
-	metrics  *Metrics
-	load     load
+	settings  Settings
+	core      *dispatch.Core
+	self      claim.Member
+	platform  Platform
+	log       *logrus.Entry
+	logWriter *logWriter
+	clock     *clock.Clock
+	now       func() time.Time
+	events    chan queuedEvent
+	queries   chan func(now time.Time, c *dispatch.Core)
+	metrics   *Metrics
+	load      loadStats
 	// gate says which new jobs are taken while this box holds the cell and is behind.
 	gate  overload.Gate
 	peers *Peers
 	// relays says which boxes carry orders to workers, carrier gives them.
-	relays  *relay.Roster
-	carrier *relay.Client
+	relays      *relay.Roster
+	relayClient *relay.Client
 	// workers gives orders through relays.
 	workers  relay.Workers
 	ctx      context.Context
@@ -107,20 +107,20 @@
 	view     view
 	// told is the newest claim that another box has told of. A box that the log does
 	// not answer learns from it who holds the cell.
-	told claim.Claim
-	// endFollow ends the following of the list of workers.
-	endFollow context.CancelFunc
+	reportedClaim claim.Claim
+	// stopFollowWorkers ends the following of the list of workers.
+	stopFollowWorkers context.CancelFunc
 }
 
 // view is what the callers' side knows of the reducer.
 type view struct {
 	config *job.Config
-	// configUntil is until when the configuration is known to be the newest.
-	configUntil time.Time
-	holder      claim.Claim
-	holds       bool
-	// steadyAt is when the log last answered.
-	steadyAt time.Time
+	// configCurrentUntil is until when the configuration is known to be the newest.
+	configCurrentUntil time.Time
+	holder             claim.Claim
+	holdsCell          bool
+	// logReadAt is when the log last answered.
+	logReadAt time.Time
 	// epoch is the claim under which orders may be given until orderUntil.
 	epoch      int64
 	orderUntil time.Time
@@ -130,14 +130,14 @@
 func NewLoop(s Settings, self claim.Member, p Platform, log *logrus.Entry, c *clock.Clock) *Loop {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Loop{
-		settings: s, core: dispatch.New(s.Dispatch, self), self: self, platform: p, log: log, notes: newNotes(log, c.Now), clock: c, now: c.Now,
-		events: make(chan posted, eventBuffer), queries: make(chan func(time.Time, *dispatch.Core)),
+		settings: s, core: dispatch.New(s.Dispatch, self), self: self, platform: p, log: log, logWriter: newLogWriter(log, c.Now), clock: c, now: c.Now,
+		events: make(chan queuedEvent, eventQueueSize), queries: make(chan func(time.Time, *dispatch.Core)),
 		metrics: newMetrics(), ctx: ctx, cancel: cancel,
 		stopped: make(chan struct{}), calls: map[exchange.CallID]chan exchange.Answer{},
 		relays: relay.NewRoster(s.Relays, self.Box),
 	}
-	l.carrier = relay.NewClient(self, l.now, l.relays, p.Workers, l.sendBatch(methodCarry))
-	l.workers = l.carrier.Workers()
+	l.relayClient = relay.NewClient(self, l.now, l.relays, p.Workers, l.batchSender(methodCarry))
+	l.workers = l.relayClient.Workers()
 	return l
 }
 
@@ -159,15 +159,15 @@
 // Close ends the loop and waits for it.
 func (l *Loop) Close() {
 	l.cancel()
-	l.carrier.Close()
+	l.relayClient.Close()
 	l.tasks.Wait()
-	l.notes.close()
+	l.logWriter.close()
 }
 
 // post gives the reducer an event.
 func (l *Loop) post(e exchange.Event) {
 	select {
-	case l.events <- posted{event: e, at: l.now()}:
+	case l.events <- queuedEvent{event: e, queuedAt: l.now()}:
 	case <-l.ctx.Done():
 	}
 }
@@ -201,7 +201,7 @@
 			return
 		case e := <-l.events:
 			l.handle(e)
-			l.drain()
+			l.handleQueued()
 			l.decide(l.now())
 		case f := <-l.queries:
 			f(l.now(), l.core)
@@ -209,30 +209,30 @@
 			now := l.now()
 			l.core.SetSuspendOffset(l.clock.Suspended())
 			l.core.Handle(now, exchange.Tick{})
-			l.drain()
+			l.handleQueued()
 			l.decide(l.now())
-			l.noteLoad(l.now())
-			l.lookAtGate(l.now())
+			l.logLoad(l.now())
+			l.updateGate(l.now())
 		}
 	}
 }
 
 // handle gives the reducer an event.
-func (l *Loop) handle(p posted) {
+func (l *Loop) handle(p queuedEvent) {
 	now := l.now()
-	waited := now.Sub(p.at)
-	l.load.took(waited)
-	l.metrics.waited.Observe(waited.Seconds())
+	waited := now.Sub(p.queuedAt)
+	l.load.recordEvent(waited)
+	l.metrics.queueWait.Observe(waited.Seconds())
 	l.gate.RecordQueueAge(waited)
 	l.core.SetSuspendOffset(l.clock.Suspended())
-	l.core.Handle(now, l.admit(now, waited, p.event))
+	l.core.Handle(now, l.applyOverload(now, waited, p.event))
 }
 
-// drain takes the events that came together, so that one decision serves all. Each
+// handleQueued takes the events that came together, so that one decision serves all. Each
 // is told with the time at which it is taken: a time from before an answer came
 // would make leases seem shorter than they are.
-func (l *Loop) drain() {
-	for range eventBuffer {
+func (l *Loop) handleQueued() {
+	for range eventQueueSize {
 		select {
 		case e := <-l.events:
 			l.handle(e)
@@ -249,57 +249,57 @@
 	effects := l.core.Decide(now)
 	if l.core.PlanCount() != plans {
 		took := l.now().Sub(now)
-		l.metrics.planned.Observe(took.Seconds())
-		l.load.planned(took)
+		l.metrics.passTime.Observe(took.Seconds())
+		l.load.recordPass(took)
 		l.core.Handle(l.now(), exchange.Decided{Took: took})
 	}
-	l.show(now)
+	l.updateView(now)
 	for _, e := range effects {
-		l.do(e)
+		l.execute(e)
 	}
 }
 
-// show has callers and the orders under way see the state that the reducer has come to.
-func (l *Loop) show(now time.Time) {
-	v := view{config: l.core.Config(), holder: l.core.Holder(), holds: l.core.IsServing(now), steadyAt: l.core.LogReadAt()}
-	v.configUntil = l.core.ConfigCurrentUntil()
+// updateView has callers and the orders under way see the state that the reducer has come to.
+func (l *Loop) updateView(now time.Time) {
+	v := view{config: l.core.Config(), holder: l.core.Holder(), holdsCell: l.core.IsServing(now), logReadAt: l.core.LogReadAt()}
+	v.configCurrentUntil = l.core.ConfigCurrentUntil()
 	v.epoch, v.orderUntil = l.core.HoldsUntil()
 	l.mu.Lock()
 	l.view = v
 	l.mu.Unlock()
 }
 
-// mayOrder says whether an order under a claim may still be written. It was decided by a
+// canOrder says whether an order under a claim may still be written. It was decided by a
 // process that had authority; the machine may have been suspended since, and another box
 // may hold the cell by now.
-func (l *Loop) mayOrder(epoch int64) bool {
+func (l *Loop) canOrder(epoch int64) bool {
 	l.mu.Lock()
 	v := l.view
 	l.mu.Unlock()
 	return v.epoch == epoch && l.now().Before(v.orderUntil)
 }
 
-// decidedBefore is the answer to an order that was not written.
-var decidedBefore = order.Answer{Outcome: order.NotDone, Problem: "the authority under which it was decided has ended"}
+// answerAuthorityEnded is the answer to an order that was not written.
+var answerAuthorityEnded = order.Answer{Outcome: order.NotDone, Problem: "the authority under which it was decided has ended"}
 
-// do carries out one effect. What takes time runs beside the loop and comes
+// execute carries out one effect. What takes time runs beside the loop and comes
 // back as an event.
-func (l *Loop) do(e exchange.Effect) {
+func (l *Loop) execute(e exchange.Effect) {
 	switch e := e.(type) {
 	case exchange.Append:
-		l.tasks.Go(func() { l.append(e) })
+		l.tasks.Go(func() { l.appendToLog(e) })
 	case exchange.LoadJobs:
 		l.tasks.Go(func() { l.loadJobs(e) })
 	case exchange.FollowWorkers:
-		l.setFollow(e.On)
+		l.setFollowWorkers(e.On)
 	case exchange.Renew:
-		l.tasks.Go(func() { l.renew(e) })
+		l.tasks.Go(func() { l.renewLease(e) })
 	case exchange.StartRun:
-		l.tasks.Go(func() { l.start(e) })
+		l.tasks.Go(func() { l.startRun(e) })
 	case exchange.StopRun:
-		l.tasks.Go(func() { l.stop(e) })
+		l.tasks.Go(func() { l.stopRun(e) })
 	case exchange.ThrottleRun:
-		l.tasks.Go(func() { l.throttle(e) })
+		l.tasks.Go(func() { l.throttleRun(e) })
 	case exchange.Advise:
 		l.tasks.Go(func() { l.advise(e) })
 	case exchange.AskPledges:
@@ -307,19 +307,19 @@
 	case exchange.Invite:
 		l.tasks.Go(func() { l.peers.invite(e) })
 	case exchange.Reply:
-		l.answer(e.Call, e.Answer)
+		l.deliverAnswer(e.Call, e.Answer)
 	case exchange.LogEvent:
-		l.notes.write(e)
+		l.logWriter.write(e)
 	case exchange.TasksLost:
-		l.metrics.lost(e)
+		l.metrics.recordLostTasks(e)
 	case exchange.WorkspaceUsage:
-		l.metrics.workspacesSeen(e.All)
+		l.metrics.setWorkspaces(e.All)
 	case exchange.JobOverShare:
-		l.metrics.beyondShare(e.Refused)
+		l.metrics.recordOverShare(e.Refused)
 	case exchange.EntryRefused:
 		l.metrics.entriesRefused.Inc()
 	case exchange.JobGivenUp:
-		l.metrics.givenUp.Inc()
+		l.metrics.jobsGivenUp.Inc()
 		l.metrics.crashesBlamed.Add(float64(e.Crashes))
 	case exchange.Stopped:
 		l.stopOnce.Do(func() { close(l.stopped) })
--- a/services/jobrun/metrics.go
+++ b/services/jobrun/metrics.go
@@ -32,9 +32,9 @@
 	advice   *prometheus.CounterVec
 	// unanswered counts calls that ran out of their time, by what was called.
 	unanswered *prometheus.CounterVec
-	// callsAgain counts calls that were made again, by what was called and which try was
+	// callsRetried counts calls that were made again, by what was called and which try was
 	// answered.
-	callsAgain *prometheus.CounterVec
+	callsRetried *prometheus.CounterVec
 	// connectionsGivenUp counts connections that are not trusted any more, by what they
 	// lead to.
 	connectionsGivenUp *prometheus.CounterVec
@@ -42,25 +42,25 @@
 	// bytes counts the bytes that passed, by what was called.
 	bytes *prometheus.CounterVec
 	// waited is how long events waited for the loop.
-	waited prometheus.Histogram
+	queueWait prometheus.Histogram
 	// planned is the time of plans.
-	planned prometheus.Histogram
+	passTime prometheus.Histogram
 	// refused counts new jobs that were refused because the holder was behind.
-	refused prometheus.Counter
+	overloadRefusals prometheus.Counter
 	// tasksLost counts tasks that were lost with their workers, by how those ended,
-	// workLost how long they had been at work.
-	tasksLost, workLost *prometheus.CounterVec
-	// givenUp counts jobs that were given up because workers crashed under a task of them,
+	// lostWorkTime how long they had been at work.
+	tasksLost, lostWorkTime *prometheus.CounterVec
+	// jobsGivenUp counts jobs that were given up because workers crashed under a task of them,
 	// crashesBlamed those workers.
-	givenUp, crashesBlamed prometheus.Counter
+	jobsGivenUp, crashesBlamed prometheus.Counter
 	// entriesRefused counts entries of the list of workers that name none.
 	entriesRefused prometheus.Counter
 	// refusedCalls counts calls that the box which took them has refused.
 	refusedCalls *prometheus.CounterVec
 	// workspaces has what the tasks of the largest workspaces take, and may take.
 	workspaces *prometheus.GaugeVec
-	// jobsBeyond counts new jobs that were more than their workspace's share.
-	jobsBeyond *prometheus.CounterVec
+	// jobsOverShare counts new jobs that were more than their workspace's share.
+	jobsOverShare *prometheus.CounterVec
 }
 
 // callBuckets reach from an answer out of memory to the longest deadline.
@@ -77,19 +77,19 @@
 		logTime:            histogram("log_append_seconds", "Time of an append to the log.", "purpose"),
 		advice:             counter("advice_calls_total", "Calls for advice, by result.", "result"),
 		unanswered:         counter("calls_unanswered_total", "Calls that ran out of their time, by what was called and whether the connection had carried earlier calls.", "to", "connection"),
-		callsAgain:         counter("calls_made_again_total", "Calls that were made again on a new connection, by what was called and on which connection they were answered.", "to", "answered"),
+		callsRetried:       counter("calls_made_again_total", "Calls that were made again on a new connection, by what was called and on which connection they were answered.", "to", "answered"),
 		connectionsGivenUp: counter("connections_given_up_total", "Open connections that were closed because they were silent, by what they lead to and why.", "to", "reason"),
 		connectionsOpen: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "saddlevane_connections_open", Help: "Open connections, by what they lead to.",
 		}, []string{"to"}),
 		bytes: counter("bytes_total", "Bytes that passed on connections, by what they lead to and their direction.", "to", "direction"),
-		waited: prometheus.NewHistogram(prometheus.HistogramOpts{
+		queueWait: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "saddlevane_loop_wait_seconds", Help: "Time that events wait for the loop.", Buckets: callBuckets,
 		}),
-		planned: prometheus.NewHistogram(prometheus.HistogramOpts{
+		passTime: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "saddlevane_plan_seconds", Help: "Time of one plan over the open steps.", Buckets: callBuckets,
 		}),
-		refused: prometheus.NewCounter(prometheus.CounterOpts{
+		overloadRefusals: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "saddlevane_jobs_refused_behind_total", Help: "New jobs that were refused because the holder was behind with its work.",
 		}),
 	}
@@ -97,10 +97,10 @@
 	m.workspaces = prometheus.NewGaugeVec(prometheus.GaugeOpts{
 		Name: "saddlevane_workspace", Help: "What the tasks of a workspace take and may take, and its steps that wait; only at the holder.",
 	}, []string{"workspace", "of"})
-	m.jobsBeyond = counter("jobs_beyond_share_total", "New jobs that were more than their workspace's share, by what became of them.", "outcome")
+	m.jobsOverShare = counter("jobs_beyond_share_total", "New jobs that were more than their workspace's share, by what became of them.", "outcome")
 	m.tasksLost = counter("tasks_lost_total", "Tasks that were lost with their workers, by how those ended.", "worker")
-	m.workLost = counter("tasks_lost_worked_seconds_total", "How long tasks that were lost with their workers had been at work, by how those ended.", "worker")
-	m.givenUp = prometheus.NewCounter(prometheus.CounterOpts{
+	m.lostWorkTime = counter("tasks_lost_worked_seconds_total", "How long tasks that were lost with their workers had been at work, by how those ended.", "worker")
+	m.jobsGivenUp = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "saddlevane_jobs_given_up_crashes_total", Help: "Jobs that were given up because workers crashed under a task of them.",
 	})
 	m.crashesBlamed = prometheus.NewCounter(prometheus.CounterOpts{
@@ -109,8 +109,8 @@
 	m.entriesRefused = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "saddlevane_worker_entries_refused_total", Help: "Entries of the list of workers that name no worker, as they changed.",
 	})
-	m.registry.MustRegister(m.refusedCalls, m.workspaces, m.jobsBeyond, m.entriesRefused, m.tasksLost, m.workLost, m.givenUp, m.crashesBlamed, collectors.NewGoCollector(), m.calls, m.callTime, m.orders, m.ends, m.appends, m.logTime, m.advice, m.unanswered,
-		m.callsAgain, m.connectionsGivenUp, m.connectionsOpen, m.bytes, m.waited, m.planned, m.refused)
+	m.registry.MustRegister(m.refusedCalls, m.workspaces, m.jobsOverShare, m.entriesRefused, m.tasksLost, m.lostWorkTime, m.jobsGivenUp, m.crashesBlamed, collectors.NewGoCollector(), m.calls, m.callTime, m.orders, m.ends, m.appends, m.logTime, m.advice, m.unanswered,
+		m.callsRetried, m.connectionsGivenUp, m.connectionsOpen, m.bytes, m.queueWait, m.passTime, m.overloadRefusals)
 	return m
 }
 
@@ -125,23 +125,23 @@
 // Gatherer returns what the metrics address serves.
 func (m *Metrics) Gatherer() prometheus.Gatherer { return m.registry }
 
-func (m *Metrics) served(call string, outcome exchange.Outcome, took time.Duration) {
+func (m *Metrics) recordCall(call string, outcome exchange.Outcome, took time.Duration) {
 	m.calls.WithLabelValues(call, string(outcome)).Inc()
 	m.callTime.WithLabelValues(call).Observe(took.Seconds())
 }
 
-func (m *Metrics) ordered(kind string, a order.Answer) {
+func (m *Metrics) recordOrder(kind string, a order.Answer) {
 	m.orders.WithLabelValues(kind, string(a.Outcome)).Inc()
 }
 
-func (m *Metrics) lost(e exchange.TasksLost) {
+func (m *Metrics) recordLostTasks(e exchange.TasksLost) {
 	m.tasksLost.WithLabelValues(string(e.Ending)).Add(float64(e.Tasks))
-	m.workLost.WithLabelValues(string(e.Ending)).Add(e.Worked.Seconds())
+	m.lostWorkTime.WithLabelValues(string(e.Ending)).Add(e.Worked.Seconds())
 }
 
-func (m *Metrics) ended(how order.EndStatus) { m.ends.WithLabelValues(string(how)).Inc() }
+func (m *Metrics) recordEnd(how order.EndStatus) { m.ends.WithLabelValues(string(how)).Inc() }
 
-func (m *Metrics) appended(p exchange.Purpose, took time.Duration, err error) {
+func (m *Metrics) recordAppend(p exchange.Purpose, took time.Duration, err error) {
 	m.appends.WithLabelValues(string(p), appendResult(err)).Inc()
 	m.logTime.WithLabelValues(string(p)).Observe(took.Seconds())
 }
@@ -163,22 +163,22 @@
 	}
 }
 
-// workspacesShown is how many workspaces have metrics of their own; the others are summed up.
+// maxWorkspaceMetrics is how many workspaces have metrics of their own; the others are summed up.
 // At two years' size there are 67.
-const workspacesShown = 100
+const maxWorkspaceMetrics = 100
 
 // otherWorkspaces is the name under which the rest is summed up: no workspace can have it.
 const otherWorkspaces = ""
 
-// workspacesSeen sets the metrics of the workspaces, of which those with the largest weight
+// setWorkspaces sets the metrics of the workspaces, of which those with the largest weight
 // are shown.
-func (m *Metrics) workspacesSeen(all []job.WorkspaceStatus) {
+func (m *Metrics) setWorkspaces(all []job.WorkspaceStatus) {
 	all = slices.Clone(all)
 	slices.SortStableFunc(all, func(a, b job.WorkspaceStatus) int { return cmp.Compare(b.Weight, a.Weight) })
 	m.workspaces.Reset()
 	for i, w := range all {
 		name := w.Name
-		if i >= workspacesShown {
+		if i >= maxWorkspaceMetrics {
 			name = otherWorkspaces
 		}
 		for of, n := range map[string]float64{
@@ -191,16 +191,16 @@
 	}
 }
 
-// beyondShare counts a new job that was more than its workspace's share.
-func (m *Metrics) beyondShare(refused bool) {
+// recordOverShare counts a new job that was more than its workspace's share.
+func (m *Metrics) recordOverShare(refused bool) {
 	outcome := "taken"
 	if refused {
 		outcome = "refused"
 	}
-	m.jobsBeyond.WithLabelValues(outcome).Inc()
+	m.jobsOverShare.WithLabelValues(outcome).Inc()
 }
 
-func (m *Metrics) advised(err error) {
+func (m *Metrics) recordAdvice(err error) {
 	switch {
 	case err == nil:
 		m.advice.WithLabelValues("answered").Inc()
@@ -211,7 +211,7 @@
 	}
 }
 
-func (m *Metrics) unansweredCall(u conntrack.Unanswered) {
+func (m *Metrics) recordUnanswered(u conntrack.Unanswered) {
 	connection := "new"
 	if u.Reused {
 		connection = "reused"
@@ -219,12 +219,12 @@
 	m.unanswered.WithLabelValues(u.To, connection).Inc()
 }
 
-func (m *Metrics) connectionGivenUp(to, reason string) {
+func (m *Metrics) recordGivenUpLink(to, reason string) {
 	m.connectionsGivenUp.WithLabelValues(to, reason).Inc()
 }
 
-// bytesPassed counts bytes that were read and written.
-func (m *Metrics) bytesPassed(to string, in, out int) {
+// recordBytes counts bytes that were read and written.
+func (m *Metrics) recordBytes(to string, in, out int) {
 	if in > 0 {
 		m.bytes.WithLabelValues(to, "in").Add(float64(in))
 	}
--- a/services/jobrun/notes.go
+++ b/services/jobrun/notes.go
@@ -14,41 +14,41 @@
 )
 
 const (
-	// noteBuffer is how many lines may wait to be written.
-	noteBuffer = 1024
-	// notesPerSecond bounds the lines of one message in a second.
-	notesPerSecond = 300
+	// logQueueSize is how many lines may wait to be written.
+	logQueueSize = 1024
+	// maxLinesPerSecond bounds the lines of one message in a second.
+	maxLinesPerSecond = 300
 )
 
-// notes writes the reducer's lines beside the loop. A full output costs lines,
+// logWriter writes the reducer's lines beside the loop. A full output costs lines,
 // not time; what was left out is counted.
-type notes struct {
+type logWriter struct {
 	log   *logrus.Entry
 	now   func() time.Time
-	queue chan line
+	queue chan logLine
 	tasks conc.WaitGroup
 
 	mu      sync.Mutex
 	closed  bool
 	second  int64
 	written map[string]int
-	left    map[string]int
+	dropped map[string]int
 }
 
-// line is a note and when it was made.
-type line struct {
-	note exchange.LogEvent
-	at   time.Time
+// logLine is a note and when it was made.
+type logLine struct {
+	event exchange.LogEvent
+	at    time.Time
 }
 
-func newNotes(log *logrus.Entry, now func() time.Time) *notes {
-	n := &notes{log: log, now: now, queue: make(chan line, noteBuffer), written: map[string]int{}, left: map[string]int{}}
+func newLogWriter(log *logrus.Entry, now func() time.Time) *logWriter {
+	n := &logWriter{log: log, now: now, queue: make(chan logLine, logQueueSize), written: map[string]int{}, dropped: map[string]int{}}
 	n.tasks.Go(n.run)
 	return n
 }
 
 // close waits until all lines are written.
-func (n *notes) close() {
+func (n *logWriter) close() {
 	n.mu.Lock()
 	if !n.closed {
 		n.closed = true
@@ -59,52 +59,52 @@
 }
 
 // write queues a line, or counts it among those left out.
-func (n *notes) write(e exchange.LogEvent) {
+func (n *logWriter) write(e exchange.LogEvent) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	at := n.now()
 	if at.Unix() != n.second {
 		n.second = at.Unix()
 		clear(n.written)
-		n.tellLeft(at)
+		n.reportDropped(at)
 	}
 	n.written[e.Message]++
-	if n.written[e.Message] > notesPerSecond {
-		n.left[e.Message]++
+	if n.written[e.Message] > maxLinesPerSecond {
+		n.dropped[e.Message]++
 		return
 	}
-	n.put(line{note: e, at: at})
+	n.enqueue(logLine{event: e, at: at})
 }
 
-// tellLeft says how many lines were left out.
-func (n *notes) tellLeft(at time.Time) {
-	for message, count := range n.left {
-		delete(n.left, message)
-		n.put(line{at: at, note: exchange.LogEvent{Message: "lines were left out", Fields: []exchange.LogField{
+// reportDropped says how many lines were left out.
+func (n *logWriter) reportDropped(at time.Time) {
+	for message, count := range n.dropped {
+		delete(n.dropped, message)
+		n.enqueue(logLine{at: at, event: exchange.LogEvent{Message: "lines were left out", Fields: []exchange.LogField{
 			{Name: "of", Value: message}, {Name: "count", Value: count},
 		}}})
 	}
 }
 
-// put queues a line if there is room.
-func (n *notes) put(l line) {
+// enqueue queues a line if there is room.
+func (n *logWriter) enqueue(l logLine) {
 	if n.closed {
 		return
 	}
 	select {
 	case n.queue <- l:
 	default:
-		n.left[l.note.Message]++
+		n.dropped[l.event.Message]++
 	}
 }
 
 // run writes lines until close.
-func (n *notes) run() {
+func (n *logWriter) run() {
 	for l := range n.queue {
-		fields := make(logrus.Fields, len(l.note.Fields))
-		for _, f := range l.note.Fields {
+		fields := make(logrus.Fields, len(l.event.Fields))
+		for _, f := range l.event.Fields {
 			fields[f.Name] = f.Value
 		}
-		n.log.WithTime(l.at).WithFields(fields).Info(l.note.Message)
+		n.log.WithTime(l.at).WithFields(fields).Info(l.event.Message)
 	}
 }
--- a/services/jobrun/outage.go
+++ b/services/jobrun/outage.go
@@ -18,7 +18,7 @@
 	answers := make([]exchange.Answer, len(e.Addresses))
 	var tasks conc.WaitGroup
 	for i, address := range e.Addresses {
-		tasks.Go(func() { answers[i] = p.quick(address, Request{Pledge: e.Epoch}) })
+		tasks.Go(func() { answers[i] = p.urgentRequest(address, Request{Pledge: e.Epoch}) })
 	}
 	tasks.Wait()
 	pledged := exchange.Pledged{Epoch: e.Epoch, SentAt: sentAt, All: true}
@@ -33,21 +33,21 @@
 
 // invite asks one box to take the cell over.
 func (p *Peers) invite(e exchange.Invite) {
-	a := p.quick(e.Address, Request{Invite: e.Epoch})
+	a := p.urgentRequest(e.Address, Request{Invite: e.Epoch})
 	refused := a.Outcome == exchange.Unavailable
 	p.loop.post(exchange.Invited{Epoch: e.Epoch, Refused: refused, Reason: a.Reason})
 }
 
-// quickWithin bounds the calls with which a holder asks about the log: it must
+// urgentTimeout bounds the calls with which a holder asks about the log: it must
 // hear in time to go on. It leaves room for a silent link to be given up, 260 ms with
 // the usual bound on answers, and for the call to be made again.
-const quickWithin = 400 * time.Millisecond
+const urgentTimeout = 400 * time.Millisecond
 
-// quick passes a wish on that must be answered at once.
-func (p *Peers) quick(address string, r Request) exchange.Answer {
-	ctx, cancel := context.WithTimeout(p.ctx, quickWithin)
+// urgentRequest passes a wish on that must be answered at once.
+func (p *Peers) urgentRequest(address string, r Request) exchange.Answer {
+	ctx, cancel := context.WithTimeout(p.ctx, urgentTimeout)
 	defer cancel()
 	// What became of it stands in the answer.
-	a, repeated, _ := p.pass(ctx, address, r, true)
-	return sure(a, repeated)
+	a, repeated, _ := p.forward(ctx, address, r, true)
+	return answerAfterRetry(a, repeated)
 }
--- a/services/jobrun/passed_test.go
+++ b/services/jobrun/passed_test.go
@@ -24,12 +24,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// peerCall is how a box answers the call of another.
-type peerCall func() (any, error)
+// peerHandler is how a box answers the call of another.
+type peerHandler func() (any, error)
 
-// heldBy has a box follow another that is reached by links and answers calls as the
+// followFakeHolder has a box follow another that is reached by links and answers calls as the
 // test says.
-func heldBy(t *testing.T, on jobrun.Platform, follower *process, by *forward.Forwarder, answer peerCall) {
+func followFakeHolder(t *testing.T, on jobrun.Platform, follower *testBox, by *forward.Forwarder, answer peerHandler) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -43,16 +43,16 @@
 	assert.NilError(t, err)
 	_, err = on.Log.Append(context.Background(), stream.Append{Stream: stream.Claims, Records: []stream.Record{{Key: "holder", Value: value}}})
 	assert.NilError(t, err)
-	until(t, "the box follows the other", func() bool { return !follower.holds() })
+	waitUntil(t, "the box follows the other", func() bool { return !follower.holdsCell() })
 }
 
-func TestAJobThatMayHaveArrivedIsNeverRefused(t *testing.T) {
-	on := platformOf(t)
-	b := start(t, on, "b", io.Discard)
-	served(t, b, jobrun.Request{Submit: submission("first")}, "")
+func TestForwardedJobThatMayHaveArrivedIsNotRefused(t *testing.T) {
+	on := newPlatform(t)
+	b := startBox(t, on, "b", io.Discard)
+	waitServed(t, b, jobrun.Request{Submit: submission("first")}, "")
 	var calls atomic.Int32
-	cut := forwarder(t)
-	heldBy(t, on.Calls(), b, cut, func() (any, error) {
+	cut := newForwarder(t)
+	followFakeHolder(t, on.Calls(), b, cut, func() (any, error) {
 		if calls.Add(1) == 1 {
 			// It has the job; its answer is lost with the connection.
 			cut.Reset()
@@ -65,14 +65,14 @@
 	assert.Check(t, calls.Load() > 1, "it is passed on again")
 }
 
-func TestACallerWhoLeavesTellsNothingOfTheHolder(t *testing.T) {
-	on := platformOf(t)
-	b := start(t, on, "b", io.Discard)
-	served(t, b, jobrun.Request{Submit: submission("first")}, "")
+func TestAbandonedCallDoesNotMarkHolderUnresponsive(t *testing.T) {
+	on := newPlatform(t)
+	b := startBox(t, on, "b", io.Discard)
+	waitServed(t, b, jobrun.Request{Submit: submission("first")}, "")
 	left := make(chan struct{})
 	var slow atomic.Bool
 	slow.Store(true)
-	heldBy(t, on.Calls(), b, forwarder(t), func() (any, error) {
+	followFakeHolder(t, on.Calls(), b, newForwarder(t), func() (any, error) {
 		if slow.Swap(false) {
 			<-left
 		}
--- a/services/jobrun/reach.go
+++ b/services/jobrun/reach.go
@@ -5,37 +5,37 @@
 
 import "time"
 
-// silentFor is how long a box that did not answer is not asked again, so that
+// unresponsiveRetryDelay is how long a box that did not answer is not asked again, so that
 // callers are refused at once.
-const silentFor = 300 * time.Millisecond
+const unresponsiveRetryDelay = 300 * time.Millisecond
 
-// silent says whether a box is not to be asked for now.
-func (p *Peers) silent(address string) bool {
+// isUnresponsive says whether a box is not to be asked for now.
+func (p *Peers) isUnresponsive(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.loop.now().Before(p.silentUntil[address])
+	return p.loop.now().Before(p.unresponsiveUntil[address])
 }
 
-// setSilent notes that a box did not answer.
-func (p *Peers) setSilent(address string) {
+// markUnresponsive notes that a box did not answer.
+func (p *Peers) markUnresponsive(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.silentUntil[address] = p.loop.now().Add(silentFor)
+	p.unresponsiveUntil[address] = p.loop.now().Add(unresponsiveRetryDelay)
 }
 
-// reaches says whether the box at an address, as far as is known, holds the cell and
+// reachesHolder says whether the box at an address, as far as is known, holds the cell and
 // answers this one. A box that has just stepped down does not reach itself.
-func (p *Peers) reaches(address string) bool {
+func (p *Peers) reachesHolder(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return address != p.loop.self.Address && p.silentUntil[address].IsZero() && !p.elsewhere[address]
+	return address != p.loop.self.Address && p.unresponsiveUntil[address].IsZero() && !p.notHolder[address]
 }
 
-// answered notes that a box has answered, and whether it said that it does not hold
+// recordAnswer notes that a box has answered, and whether it said that it does not hold
 // the cell.
-func (p *Peers) answered(address string, elsewhere bool) {
+func (p *Peers) recordAnswer(address string, elsewhere bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.silentUntil, address)
-	p.elsewhere[address] = elsewhere
+	delete(p.unresponsiveUntil, address)
+	p.notHolder[address] = elsewhere
 }
--- a/services/jobrun/reborn_test.go
+++ b/services/jobrun/reborn_test.go
@@ -20,12 +20,12 @@
 
 // Jobs of the test before and after its workers start again, and how long their tasks work.
 const (
-	jobsEach     = 8
-	worksBriefly = 20 * time.Millisecond
+	jobsPerRound = 8
+	taskDuration = 20 * time.Millisecond
 )
 
 // A worker that starts again under its name numbers its ends anew.
-func TestATaskThatIsDoneIsNotStartedAgainWhereItsWorkerStartedAgain(t *testing.T) {
+func TestFinishedTaskIsNotStartedAgainAfterWorkerRestart(t *testing.T) {
 	on, err := standin.New(1)
 	assert.NilError(t, err)
 	t.Cleanup(on.Close)
@@ -37,9 +37,9 @@
 		assert.NilError(t, err)
 		all = append(all, w)
 	}
-	workers := platform.NewWorkers(caller(t, "worker"))
-	log := platform.NewLog(on.Log(), caller(t, "log"))
-	p := startVia(t, jobrun.Platform{
+	workers := platform.NewWorkers(newClient(t, "worker"))
+	log := platform.NewLog(on.Log(), newClient(t, "log"))
+	p := startBoxVia(t, jobrun.Platform{
 		Log:     jobrun.Log{Append: log.Append, Read: log.Read, Newest: log.Newest},
 		Workers: relay.Workers{Renew: workers.Renew, Start: workers.Start, Stop: workers.Stop, Throttle: workers.Throttle},
 		Config:  platform.Config, Listing: platform.Listing,
@@ -47,12 +47,12 @@
 
 	tasks := 0
 	for round := range 3 {
-		for i := range jobsEach {
+		for i := range jobsPerRound {
 			s := submission(fmt.Sprint("round", round, "-", i))
 			tasks += 4
-			on.Expect(*s, queue, worksBriefly)
-			served(t, p, jobrun.Request{Submit: s}, "")
-			served(t, p, jobrun.Request{State: s.ID}, job.Succeeded)
+			on.Expect(*s, queue, taskDuration)
+			waitServed(t, p, jobrun.Request{Submit: s}, "")
+			waitServed(t, p, jobrun.Request{State: s.ID}, job.Succeeded)
 		}
 		for _, w := range all {
 			w.Restart()
--- a/services/jobrun/relays.go
+++ b/services/jobrun/relays.go
@@ -14,10 +14,10 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// sendBatch returns what sends batches to other boxes by a method. The ends of orders may
+// batchSender returns what sends batches to other boxes by a method. The ends of orders may
 // be told of twice; orders may not be given twice, as the second could be taken for a new
 // one of the same holder.
-func (l *Loop) sendBatch(method string) func(context.Context, claim.Member, relay.Batch) relay.Fate {
+func (l *Loop) batchSender(method string) func(context.Context, claim.Member, relay.Batch) relay.Fate {
 	return func(ctx context.Context, box claim.Member, b relay.Batch) relay.Fate {
 		_, err := l.peers.links.Call(ctx, box.Address, peering.Call{Method: method, Params: b, Idempotent: method == methodCarried})
 		failed, _ := errors.AsType[*peering.NoAnswerError](err)
@@ -37,7 +37,7 @@
 // the cell.
 func (l *Loop) Relays() map[string]int {
 	l.mu.Lock()
-	holds := l.view.holds
+	holds := l.view.holdsCell
 	l.mu.Unlock()
 	if !holds {
 		return nil
@@ -45,14 +45,14 @@
 	return l.relays.Relays(l.now())
 }
 
-// takeBatch takes a batch of another box: orders to carry, or the ends of those that this
+// handleBatch takes a batch of another box: orders to carry, or the ends of those that this
 // box has sent.
-func (p *Peers) takeBatch(method string, b relay.Batch) error {
+func (p *Peers) handleBatch(method string, b relay.Batch) error {
 	if method == methodCarried {
-		p.loop.carrier.Ended(b)
+		p.loop.relayClient.Ended(b)
 		return nil
 	}
-	if err := p.relay.Carry(b); err != nil {
+	if err := p.relayServer.Carry(b); err != nil {
 		return &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: err.Error()}
 	}
 	return nil
--- a/services/jobrun/relays_test.go
+++ b/services/jobrun/relays_test.go
@@ -19,16 +19,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// relayed returns settings with which even a small cell has relays.
-func relayed() jobrun.Settings {
+// relaySettings returns settings with which even a small cell has relays.
+func relaySettings() jobrun.Settings {
 	s := settings()
 	s.Relays = relay.Limits{From: 1, PerRelay: 48}
 	return s
 }
 
-// startCounted starts a box with relays, and returns how many orders it gives to workers
+// startBoxCountingStarts starts a box with relays, and returns how many orders it gives to workers
 // itself.
-func startCounted(t *testing.T, on *memory.Platform, name string) (*process, *atomic.Int64) {
+func startBoxCountingStarts(t *testing.T, on *memory.Platform, name string) (*testBox, *atomic.Int64) {
 	t.Helper()
 	calls, given := on.Calls(), &atomic.Int64{}
 	start := calls.Workers.Start
@@ -36,27 +36,27 @@
 		given.Add(1)
 		return start(ctx, address, worker, s)
 	}
-	return startWith(t, relayed(), calls, name, io.Discard, func(address string) string { return address }), given
+	return startBoxWithSettings(t, relaySettings(), calls, name, io.Discard, func(address string) string { return address }), given
 }
 
-func TestJobsRunThroughRelaysAndGoOnWithoutThem(t *testing.T) {
-	on := platformOf(t)
-	holder, direct := startCounted(t, on, "a")
-	served(t, holder, jobrun.Request{Submit: submission("alone")}, "")
-	served(t, holder, jobrun.Request{State: "alone"}, job.Succeeded)
-	assert.Check(t, holder.holds())
+func TestJobsRunThroughRelaysAndWithoutThem(t *testing.T) {
+	on := newPlatform(t)
+	holder, direct := startBoxCountingStarts(t, on, "a")
+	waitServed(t, holder, jobrun.Request{Submit: submission("alone")}, "")
+	waitServed(t, holder, jobrun.Request{State: "alone"}, job.Succeeded)
+	assert.Check(t, holder.holdsCell())
 	assert.Check(t, direct.Load() > 0, "there is no other box")
 
-	other, carried := startCounted(t, on, "b")
-	until(t, "the other box carries orders", func() bool {
+	other, carried := startBoxCountingStarts(t, on, "b")
+	waitUntil(t, "the other box carries orders", func() bool {
 		id := fmt.Sprint("with", carried.Load(), "-", direct.Load())
-		served(t, holder, jobrun.Request{Submit: submission(id)}, "")
-		served(t, holder, jobrun.Request{State: job.ID(id)}, job.Succeeded)
+		waitServed(t, holder, jobrun.Request{Submit: submission(id)}, "")
+		waitServed(t, holder, jobrun.Request{State: job.ID(id)}, job.Succeeded)
 		return carried.Load() > 0
 	})
 	before := direct.Load()
-	served(t, holder, jobrun.Request{Submit: submission("carried")}, "")
-	served(t, holder, jobrun.Request{State: "carried"}, job.Succeeded)
+	waitServed(t, holder, jobrun.Request{Submit: submission("carried")}, "")
+	waitServed(t, holder, jobrun.Request{State: "carried"}, job.Succeeded)
 	assert.Equal(t, direct.Load(), before, "the holder gives none itself")
 	assert.DeepEqual(t, holder.loop.Relays(), map[string]int{"b": 2})
 	assert.Equal(t, len(other.loop.Relays()), 0, "it does not hold the cell")
@@ -64,8 +64,8 @@
 	other.close()
 	for i := range 3 {
 		id := fmt.Sprint("without", i)
-		served(t, holder, jobrun.Request{Submit: submission(id)}, "")
-		served(t, holder, jobrun.Request{State: job.ID(id)}, job.Succeeded)
+		waitServed(t, holder, jobrun.Request{Submit: submission(id)}, "")
+		waitServed(t, holder, jobrun.Request{State: job.ID(id)}, job.Succeeded)
 	}
 	assert.Check(t, direct.Load() > before, "the relay is gone")
 }
--- a/services/jobrun/reset_test.go
+++ b/services/jobrun/reset_test.go
@@ -18,8 +18,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// forwarder returns what stands between boxes of a test.
-func forwarder(t *testing.T) *forward.Forwarder {
+// newForwarder returns what stands between boxes of a test.
+func newForwarder(t *testing.T) *forward.Forwarder {
 	t.Helper()
 	f := forward.New()
 	t.Cleanup(f.Close)
@@ -36,14 +36,14 @@
 	}
 }
 
-func TestACallerIsServedThoughConnectionsToTheHolderAreReset(t *testing.T) {
-	on := platformOf(t)
-	links := forwarder(t)
-	holder := startVia(t, on.Calls(), "a", io.Discard, via(t, links))
-	served(t, holder, jobrun.Request{Submit: submission("first")}, "")
-	other := start(t, on, "b", io.Discard)
-	served(t, other, jobrun.Request{Submit: submission("second")}, "")
-	assert.Check(t, holder.holds())
+func TestCallsSucceedWhenConnectionsToHolderAreReset(t *testing.T) {
+	on := newPlatform(t)
+	links := newForwarder(t)
+	holder := startBoxVia(t, on.Calls(), "a", io.Discard, via(t, links))
+	waitServed(t, holder, jobrun.Request{Submit: submission("first")}, "")
+	other := startBox(t, on, "b", io.Discard)
+	waitServed(t, other, jobrun.Request{Submit: submission("second")}, "")
+	assert.Check(t, holder.holdsCell())
 
 	for round := range 6 {
 		var calls sync.WaitGroup
@@ -62,7 +62,7 @@
 	for round := range 6 {
 		for i := range 10 {
 			id := fmt.Sprintf("j%d-%d", round, i)
-			served(t, other, jobrun.Request{State: job.ID(id)}, job.Succeeded)
+			waitServed(t, other, jobrun.Request{State: job.ID(id)}, job.Succeeded)
 			assert.Equal(t, on.Runs(id+".0.0.0"), 1)
 		}
 	}
--- a/services/jobrun/service_test.go
+++ b/services/jobrun/service_test.go
@@ -31,18 +31,18 @@
 )
 
 const (
-	// overdue is how late the answer of a service of a test may be.
-	overdue = 50 * time.Millisecond
-	// soon is well below what a call takes that runs out of its time, and well above
+	// maxAnswerDelay is how late the answer of a service of a test may be.
+	maxAnswerDelay = 50 * time.Millisecond
+	// maxRetriedTime is well below what a call takes that runs out of its time, and well above
 	// what one takes that is made again.
-	soon = time.Second
+	maxRetriedTime = time.Second
 )
 
-// caller returns a client for a service of a test.
-func caller(t *testing.T, to string) *http.Client {
+// newClient returns a client for a service of a test.
+func newClient(t *testing.T, to string) *http.Client {
 	t.Helper()
 	c := httpclient.New(httpclient.Settings{
-		To: to, Dial: time.Second, Unused: time.Minute, Answer: overdue, PerHost: 16, Now: time.Now,
+		To: to, Dial: time.Second, Unused: time.Minute, Answer: maxAnswerDelay, PerHost: 16, Now: time.Now,
 	})
 	t.Cleanup(c.CloseIdleConnections)
 	return c
@@ -60,10 +60,10 @@
 //
 // What settled it: 2 appends and 130 reads of the log ran out of their time at once, all
 // on connections used before, and were answered when they were made again.
-func TestCallersAreServedThoughConnectionsToThePlatformAreSilent(t *testing.T) {
+func TestCallsSucceedAfterPlatformConnectionsGoSilent(t *testing.T) {
 	t.Run("to the log", testSilentLog)
 	t.Run("to the advice service", testSilentAdvice)
-	t.Run("from another box to the advice service", testSilentAdviceElsewhere)
+	t.Run("from another box to the advice service", testSilentAdviceThroughPeer)
 	t.Run("a box gives an advice service up that does not answer", testHangingAdvice)
 }
 
@@ -72,15 +72,15 @@
 	assert.NilError(t, err)
 	t.Cleanup(on.Close)
 	assert.NilError(t, on.Configure(standin.Queue{Name: "q", Host: "h.example", Prefix: "/q/", Attempts: 2}))
-	between := forwarder(t)
-	workers := platform.NewWorkers(caller(t, "worker"))
-	log := platform.NewLog(via(t, between)(on.Log()), caller(t, "log"))
-	p := startVia(t, jobrun.Platform{
+	between := newForwarder(t)
+	workers := platform.NewWorkers(newClient(t, "worker"))
+	log := platform.NewLog(via(t, between)(on.Log()), newClient(t, "log"))
+	p := startBoxVia(t, jobrun.Platform{
 		Log:     jobrun.Log{Append: log.Append, Read: log.Read, Newest: log.Newest},
 		Workers: relay.Workers{Renew: workers.Renew, Start: workers.Start, Stop: workers.Stop, Throttle: workers.Throttle},
 		Config:  platform.Config, Listing: platform.Listing,
 	}, "a", io.Discard, func(address string) string { return address })
-	served(t, p, jobrun.Request{Submit: submission("first")}, "")
+	waitServed(t, p, jobrun.Request{Submit: submission("first")}, "")
 
 	for round := range 3 {
 		assert.Check(t, between.Silence() > 0)
@@ -89,8 +89,8 @@
 	}
 }
 
-// adviceService answers that all workers suit, unless hangs says so.
-func adviceService(t *testing.T, between *forward.Forwarder, hangs *atomic.Bool) *platform.Advice {
+// newAdviceService answers that all workers suit, unless hangs says so.
+func newAdviceService(t *testing.T, between *forward.Forwarder, hangs *atomic.Bool) *platform.Advice {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var in struct {
@@ -111,69 +111,69 @@
 		server.CloseClientConnections()
 		server.Close()
 	})
-	return platform.NewAdvice(via(t, between)(server.Listener.Addr().String()), caller(t, "advice service"))
+	return platform.NewAdvice(via(t, between)(server.Listener.Addr().String()), newClient(t, "advice service"))
 }
 
 func testSilentAdvice(t *testing.T) {
-	on, err := memory.New(advisedConfig(), 2)
+	on, err := memory.New(adviceConfig(), 2)
 	assert.NilError(t, err)
-	between := forwarder(t)
+	between := newForwarder(t)
 	calls := on.Calls()
-	calls.Advise = adviceService(t, between, &atomic.Bool{}).Ask
-	p := startVia(t, calls, "a", io.Discard, func(address string) string { return address })
-	advised(t, p, between)
+	calls.Advise = newAdviceService(t, between, &atomic.Bool{}).Ask
+	p := startBoxVia(t, calls, "a", io.Discard, func(address string) string { return address })
+	checkAdviceAfterSilence(t, p, between)
 }
 
-func testSilentAdviceElsewhere(t *testing.T) {
-	on, err := memory.New(advisedConfig(), 2)
+func testSilentAdviceThroughPeer(t *testing.T) {
+	on, err := memory.New(adviceConfig(), 2)
 	assert.NilError(t, err)
-	between := forwarder(t)
-	holder := startVia(t, advisedBy(on, refuseAdvice), "a", io.Discard, func(address string) string { return address })
-	served(t, holder, jobrun.Request{Submit: submission("holds")}, "")
-	assert.Check(t, holder.holds())
+	between := newForwarder(t)
+	holder := startBoxVia(t, platformWithAdvice(on, refuseAdvice), "a", io.Discard, func(address string) string { return address })
+	waitServed(t, holder, jobrun.Request{Submit: submission("holds")}, "")
+	assert.Check(t, holder.holdsCell())
 	calls := on.Calls()
-	calls.Advise = adviceService(t, between, &atomic.Bool{}).Ask
-	startVia(t, calls, "b", io.Discard, func(address string) string { return address })
-	advised(t, holder, between)
+	calls.Advise = newAdviceService(t, between, &atomic.Bool{}).Ask
+	startBoxVia(t, calls, "b", io.Discard, func(address string) string { return address })
+	checkAdviceAfterSilence(t, holder, between)
 }
 
-// advised fails the test unless a job is advised and done soon after the connections to
+// checkAdviceAfterSilence fails the test unless a job is advised and done soon after the connections to
 // the advice service went silent.
-func advised(t *testing.T, holder *process, between *forward.Forwarder) {
+func checkAdviceAfterSilence(t *testing.T, holder *testBox, between *forward.Forwarder) {
 	t.Helper()
-	served(t, holder, jobrun.Request{Submit: submission("first")}, "")
-	served(t, holder, jobrun.Request{State: "first"}, job.Succeeded)
+	waitServed(t, holder, jobrun.Request{Submit: submission("first")}, "")
+	waitServed(t, holder, jobrun.Request{State: "first"}, job.Succeeded)
 	for round := range 3 {
 		assert.Check(t, between.Silence() > 0)
 		began := time.Now()
 		id := fmt.Sprint("silent", round)
-		served(t, holder, jobrun.Request{Submit: submission(id)}, "")
-		served(t, holder, jobrun.Request{State: job.ID(id)}, job.Succeeded)
+		waitServed(t, holder, jobrun.Request{Submit: submission(id)}, "")
+		waitServed(t, holder, jobrun.Request{State: job.ID(id)}, job.Succeeded)
 		took := time.Since(began)
-		assert.Check(t, took < soon, "it took %v in round %d", took, round)
+		assert.Check(t, took < maxRetriedTime, "it took %v in round %d", took, round)
 	}
 }
 
 func testHangingAdvice(t *testing.T) {
-	on, err := memory.New(advisedConfig(), 2)
+	on, err := memory.New(adviceConfig(), 2)
 	assert.NilError(t, err)
-	lines := &lines{}
-	holder := startVia(t, advisedBy(on, refuseAdvice), "a", lines, func(address string) string { return address })
-	served(t, holder, jobrun.Request{Submit: submission("holds")}, "")
+	lines := &logBuffer{}
+	holder := startBoxVia(t, platformWithAdvice(on, refuseAdvice), "a", lines, func(address string) string { return address })
+	waitServed(t, holder, jobrun.Request{Submit: submission("holds")}, "")
 	var hangs atomic.Bool
 	var begun, over atomic.Int64
-	service := adviceService(t, forwarder(t), &hangs)
+	service := newAdviceService(t, newForwarder(t), &hangs)
 	calls := on.Calls()
 	calls.Advise = func(ctx context.Context, step job.StepID, workers []string) ([]order.Ticket, error) {
 		begun.Add(1)
 		defer over.Add(1)
 		return service.Ask(ctx, step, workers)
 	}
-	startVia(t, calls, "b", io.Discard, func(address string) string { return address })
-	served(t, holder, jobrun.Request{State: "holds"}, job.Succeeded)
+	startBoxVia(t, calls, "b", io.Discard, func(address string) string { return address })
+	waitServed(t, holder, jobrun.Request{State: "holds"}, job.Succeeded)
 	hangs.Store(true)
 	before := begun.Load()
-	served(t, holder, jobrun.Request{Submit: submission("hangs")}, "")
+	waitServed(t, holder, jobrun.Request{Submit: submission("hangs")}, "")
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if begun.Load() == before || over.Load() < begun.Load() || !strings.Contains(lines.text(), "advice failed") {
 			return poll.Continue("%d calls for advice were begun, %d are over", begun.Load(), over.Load())
--- a/services/jobrun/silent_test.go
+++ b/services/jobrun/silent_test.go
@@ -40,21 +40,21 @@
 // What settled it: the line "a call had no answer" told of 2,364 calls for advice, all
 // on connections used before, over which nothing had come since the silence: for 1 s at
 // first, for 36 s at last. No call on a new connection was without an answer.
-func TestAdviceIsHadAgainAfterConnectionsBetweenBoxesWentSilent(t *testing.T) {
-	on, err := memory.New(advisedConfig(), 2)
+func TestAdviceResumesAfterPeerConnectionsGoSilent(t *testing.T) {
+	on, err := memory.New(adviceConfig(), 2)
 	assert.NilError(t, err)
-	links := forwarder(t)
-	holder := startVia(t, advisedBy(on, refuseAdvice), "a", io.Discard, via(t, links))
-	served(t, holder, jobrun.Request{Submit: submission("first")}, "")
-	assert.Check(t, holder.holds())
-	startVia(t, advisedBy(on, giveAdvice), "b", io.Discard, via(t, links))
-	served(t, holder, jobrun.Request{State: "first"}, job.Succeeded)
+	links := newForwarder(t)
+	holder := startBoxVia(t, platformWithAdvice(on, refuseAdvice), "a", io.Discard, via(t, links))
+	waitServed(t, holder, jobrun.Request{Submit: submission("first")}, "")
+	assert.Check(t, holder.holdsCell())
+	startBoxVia(t, platformWithAdvice(on, giveAdvice), "b", io.Discard, via(t, links))
+	waitServed(t, holder, jobrun.Request{State: "first"}, job.Succeeded)
 
 	for round := range 3 {
 		assert.Check(t, links.Silence() > 0, "nothing was open in round %d", round)
 		id := fmt.Sprint("silent", round)
-		served(t, holder, jobrun.Request{Submit: submission(id)}, "")
-		served(t, holder, jobrun.Request{State: job.ID(id)}, job.Succeeded)
+		waitServed(t, holder, jobrun.Request{Submit: submission(id)}, "")
+		waitServed(t, holder, jobrun.Request{State: job.ID(id)}, job.Succeeded)
 	}
 }
 
@@ -71,10 +71,10 @@
 //
 // What settled it: the lines of refusals at boxes whose next call, on a new connection,
 // was answered at once; no call on a new connection was without an answer.
-func TestACellWhoseConnectionsWentSilent(t *testing.T) {
+func TestCellWithSilentPeerConnections(t *testing.T) {
 	t.Run("refuses no caller while its holder answers", func(t *testing.T) {
-		links := forwarder(t)
-		boxes, _ := usualCell(t, platformOf(t), links)
+		links := newForwarder(t)
+		boxes, _ := startTypicalCell(t, newPlatform(t), links)
 		assert.Check(t, links.Silence() > 0)
 		var callers sync.WaitGroup
 		for i := range 5 {
@@ -88,33 +88,33 @@
 		callers.Wait()
 	})
 	t.Run("keeps its holder while the log is away", func(t *testing.T) {
-		on, links := platformOf(t), forwarder(t)
-		boxes, cut := usualCell(t, on, links)
+		on, links := newPlatform(t), newForwarder(t)
+		boxes, cut := startTypicalCell(t, on, links)
 		// The holder is the last to miss the log, so that it invites nobody.
 		cut.Store(true)
 		for _, b := range boxes[1:] {
-			until(t, "the log is away", b.misses)
+			waitUntil(t, "the log is away", b.missesLog)
 		}
 		on.SetDown(true)
-		span := 2 * usualSettings().Dispatch.Authority.HoldFor
-		holds(t, boxes[0], span)
+		span := 2 * typicalSettings().Dispatch.Authority.HoldFor
+		checkHoldsCell(t, boxes[0], span)
 		assert.Check(t, links.Silence() > 0)
-		holds(t, boxes[0], span)
+		checkHoldsCell(t, boxes[0], span)
 	})
 }
 
-func TestALinkThatIsGivenUpIsToldOf(t *testing.T) {
-	links, out := forwarder(t), &lines{}
-	holder := startVia(t, platformOf(t).Calls(), "a", out, via(t, links))
-	assert.Equal(t, metric(t, holder, "saddlevane_connections_open"), 0.0)
+func TestClosedSilentLinkIsLoggedAndCounted(t *testing.T) {
+	links, out := newForwarder(t), &logBuffer{}
+	holder := startBoxVia(t, newPlatform(t).Calls(), "a", out, via(t, links))
+	assert.Equal(t, metricSum(t, holder, "saddlevane_connections_open"), 0.0)
 	raw, err := net.Dial("tcp", holder.address)
 	assert.NilError(t, err)
 	defer raw.Close()
-	until(t, "the link is counted", func() bool { return metric(t, holder, "saddlevane_connections_open") == 1 })
+	waitUntil(t, "the link is counted", func() bool { return metricSum(t, holder, "saddlevane_connections_open") == 1 })
 	// The other end never says anything.
-	until(t, "the link is given up", func() bool { return metric(t, holder, "saddlevane_connections_given_up_total") == 1 })
-	until(t, "no link is counted", func() bool { return metric(t, holder, "saddlevane_connections_open") == 0 })
-	until(t, "a line tells of it", func() bool {
+	waitUntil(t, "the link is given up", func() bool { return metricSum(t, holder, "saddlevane_connections_given_up_total") == 1 })
+	waitUntil(t, "no link is counted", func() bool { return metricSum(t, holder, "saddlevane_connections_open") == 0 })
+	waitUntil(t, "a line tells of it", func() bool {
 		got := out.text()
 		for _, want := range []string{"a link to an entry box was given up", raw.LocalAddr().String(), "reason=probe", "open_for=", "heard_ago=", "calls=0"} {
 			if !strings.Contains(got, want) {
@@ -125,28 +125,28 @@
 	})
 }
 
-// lines keeps what a box logs.
-type lines struct {
+// logBuffer keeps what a box logs.
+type logBuffer struct {
 	mu  sync.Mutex
 	all strings.Builder
 }
 
 // Write keeps a line.
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.all.Write(p)
 }
 
 // text returns all lines.
-func (l *lines) text() string {
+func (l *logBuffer) text() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.all.String()
 }
 
-// metric returns the value of a metric, summed over its labels.
-func metric(t *testing.T, p *process, name string) (sum float64) {
+// metricSum returns the value of a metric, summed over its labels.
+func metricSum(t *testing.T, p *testBox, name string) (sum float64) {
 	t.Helper()
 	families, err := p.loop.Metrics().Gatherer().Gather()
 	assert.NilError(t, err)
@@ -161,8 +161,8 @@
 	return sum
 }
 
-// usualSettings has the usual times of a cell, which leave room for a link to be given up.
-func usualSettings() jobrun.Settings {
+// typicalSettings has the usual times of a cell, which leave room for a link to be given up.
+func typicalSettings() jobrun.Settings {
 	s := settings()
 	s.Dispatch.Authority = authority.Settings{
 		Renew: 400 * time.Millisecond, HoldFor: 1400 * time.Millisecond, ClaimAfter: 1550 * time.Millisecond,
@@ -171,44 +171,44 @@
 	return s
 }
 
-// usualCell starts three boxes of which the first holds the cell and the others know
+// startTypicalCell starts three boxes of which the first holds the cell and the others know
 // it. Those others can be cut off from the log.
-func usualCell(t *testing.T, on *memory.Platform, links *forward.Forwarder) ([]*process, *atomic.Bool) {
+func startTypicalCell(t *testing.T, on *memory.Platform, links *forward.Forwarder) ([]*testBox, *atomic.Bool) {
 	t.Helper()
-	boxes := make([]*process, 3)
-	calls, cut := cuttable(on)
+	boxes := make([]*testBox, 3)
+	calls, cut := disconnectableLog(on)
 	for i := range boxes {
 		through := calls
 		if i == 0 {
 			through = on.Calls()
 		}
-		boxes[i] = startWith(t, usualSettings(), through, fmt.Sprint("box", i), io.Discard, via(t, links))
-		served(t, boxes[i], jobrun.Request{Submit: submission(fmt.Sprint("warm", i))}, "")
+		boxes[i] = startBoxWithSettings(t, typicalSettings(), through, fmt.Sprint("box", i), io.Discard, via(t, links))
+		waitServed(t, boxes[i], jobrun.Request{Submit: submission(fmt.Sprint("warm", i))}, "")
 	}
-	until(t, "the first box holds the cell", boxes[0].holds)
+	waitUntil(t, "the first box holds the cell", boxes[0].holdsCell)
 	return boxes, cut
 }
 
-// misses says whether the log has not answered a box for some time.
-func (p *process) misses() bool {
+// missesLog says whether the log has not answered a box for some time.
+func (p *testBox) missesLog() bool {
 	var ago time.Duration
 	p.loop.Query(func(now time.Time, c *dispatch.Core) { ago = now.Sub(c.LogReadAt()) })
-	return ago > 3*usualSettings().ReadWait
+	return ago > 3*typicalSettings().ReadWait
 }
 
-// holds checks that a box holds the cell for some time.
-func holds(t *testing.T, p *process, span time.Duration) {
+// checkHoldsCell checks that a box holds the cell for some time.
+func checkHoldsCell(t *testing.T, p *testBox, span time.Duration) {
 	t.Helper()
 	began, held := time.Now(), true
-	until(t, "the time is over", func() bool {
-		held = held && p.holds()
+	waitUntil(t, "the time is over", func() bool {
+		held = held && p.holdsCell()
 		return !held || time.Since(began) > span
 	})
 	assert.Assert(t, held, "it has lost the cell after %v", time.Since(began))
 }
 
-// advisedConfig has one queue whose tasks need advice.
-func advisedConfig() job.Config {
+// adviceConfig has one queue whose tasks need advice.
+func adviceConfig() job.Config {
 	c := config()
 	q := c.Queues["q"]
 	q.Advice = &job.Advice{BaseTime: time.Millisecond, TimePerWorker: time.Millisecond, TicketLifetime: time.Minute}
@@ -216,8 +216,8 @@
 	return c
 }
 
-// advisedBy returns the calls of a box which advise answers.
-func advisedBy(on *memory.Platform, advise func(workers []string) ([]order.Ticket, error)) jobrun.Platform {
+// platformWithAdvice returns the calls of a box which advise answers.
+func platformWithAdvice(on *memory.Platform, advise func(workers []string) ([]order.Ticket, error)) jobrun.Platform {
 	calls := on.Calls()
 	calls.Advise = func(_ context.Context, _ job.StepID, workers []string) ([]order.Ticket, error) {
 		return advise(workers)
--- a/services/jobrun/suspended_test.go
+++ b/services/jobrun/suspended_test.go
@@ -19,13 +19,13 @@
 // A holder whose machine had been suspended for some seconds took itself for the holder
 // still: Go's steady clock stands still meanwhile, so its authority had hardly aged, while
 // another box had taken the cell over. It renewed leases and started tasks beside it.
-func TestAHolderWhoseMachineWasSuspendedHasNoAuthority(t *testing.T) {
-	on := platformOf(t)
+func TestHolderLosesAuthorityWhenItsMachineIsSuspended(t *testing.T) {
+	on := newPlatform(t)
 	var suspended atomic.Int64
 	c := clock.Of(time.Now, func() time.Duration { return time.Duration(suspended.Load()) })
-	p := startBy(t, c, settings(), on.Calls(), "a", io.Discard, func(address string) string { return address })
+	p := startBoxWithClock(t, c, settings(), on.Calls(), "a", io.Discard, func(address string) string { return address })
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if p.holds() {
+		if p.holdsCell() {
 			return poll.Success()
 		}
 		return poll.Continue("it does not hold the cell yet")
