--- a/cmd/saddlevane-bench/rig.go
+++ b/cmd/saddlevane-bench/rig.go
@@ -53,8 +53,8 @@
 		peer.Hello{Box: "e1", Incarnation: "i", Domain: "a", Address: "127.0.0.1:1"})
 	r.journal = journal.New(journal.Settings{Interval: 100 * time.Millisecond, RetryAfter: time.Second, Limit: 100_000}, "e1/i")
 	s := shard.Settings{
-		Lease: 5 * time.Second, Renew: time.Second, Margin: 500 * time.Millisecond, TaskLease: 30 * time.Second, Settle: 0, GoneAfter: time.Hour,
-		Backoff: 500 * time.Millisecond, BackoffMost: time.Minute, GangPatience: 30 * time.Second,
+		Lease: 5 * time.Second, RenewInterval: time.Second, ClockMargin: 500 * time.Millisecond, TaskLease: 30 * time.Second, SettleTime: 0, GoneAfter: time.Hour,
+		Backoff: 500 * time.Millisecond, MaxBackoff: time.Minute, GangOvertakeTimeout: 30 * time.Second,
 		QuarantineAfter: 3, QuarantineFor: time.Minute, PlacementsPerTick: perTick, StopsPerTick: 100,
 	}
 	r.holder = shard.New(r.now, s, shard.DefaultPolicy(), benchShard, r.ledger, r.members, r.journal)
--- a/cmd/saddlevaned/settings.go
+++ b/cmd/saddlevaned/settings.go
@@ -32,15 +32,15 @@
 			LeastAttempt: s.Requests.LeastAttempt,
 		},
 		Shard:     shardSettings(s),
-		Retention: s.Platform.Retention, StopGrace: s.Stop.Grace, StopMost: s.Stop.Most,
+		Retention: s.Platform.Retention, StopGrace: s.Stop.Grace, MaxStopTime: s.Stop.Most,
 	}
 }
 
 func shardSettings(s setting.Settings) shard.Settings {
 	return shard.Settings{
-		Lease: s.Workers.Lease, Renew: s.Workers.Renew, Margin: s.Workers.Margin, TaskLease: s.Workers.TaskLease,
-		GoneAfter: s.Workers.GoneAfter, Settle: s.Workers.Settle, Backoff: s.Queue.Backoff, BackoffMost: s.Queue.BackoffMost,
-		GangPatience: s.Queue.GangPatience, QuarantineAfter: s.Workers.QuarantineAfter,
+		Lease: s.Workers.Lease, RenewInterval: s.Workers.Renew, ClockMargin: s.Workers.Margin, TaskLease: s.Workers.TaskLease,
+		GoneAfter: s.Workers.GoneAfter, SettleTime: s.Workers.Settle, Backoff: s.Queue.Backoff, MaxBackoff: s.Queue.BackoffMost,
+		GangOvertakeTimeout: s.Queue.GangPatience, QuarantineAfter: s.Workers.QuarantineAfter,
 		QuarantineFor: s.Workers.QuarantineFor, PlacementsPerTick: s.Queue.PlacementsPerTick,
 		StopsPerTick: s.Queue.StopsPerTick,
 	}
@@ -55,6 +55,6 @@
 	}
 	return core.Policies{
 		Routing: routes,
-		Shard:   shard.Policy{Weights: weights, Together: weights, SpreadPenalty: p.Spread},
+		Shard:   shard.Policy{BatchWeights: weights, ServiceWeights: weights, SpreadPenalty: p.Spread},
 	}
 }
--- a/services/core/core.go
+++ b/services/core/core.go
@@ -37,8 +37,8 @@
 	// StopGrace is how long a stopping process still serves new requests, so
 	// that the balancer has time to notice.
 	StopGrace time.Duration
-	// StopMost bounds a planned stop.
-	StopMost time.Duration
+	// MaxStopTime bounds a planned stop.
+	MaxStopTime time.Duration
 }
 
 // Policies are what varies between deployments.
@@ -54,28 +54,28 @@
 	self     peer.Hello
 	started  time.Time
 
-	members *membership.Membership
-	ledger  *ledger.Ledger
-	reader  reader
-	journal *journal.Journal
-	router  *routing.Router
-	holders map[spec.ShardID]*shard.Holder
-	waiting map[string]publication
-	stop    stopping
+	members      *membership.Membership
+	ledger       *ledger.Ledger
+	reader       reader
+	journal      *journal.Journal
+	router       *routing.Router
+	holders      map[spec.ShardID]*shard.Holder
+	publications map[string]pendingPublication
+	stop         stopProgress
 	// checkpoint is the last one that this process appended.
-	checkpoint journal.EntryNumber
+	checkpointEntry journal.EntryNumber
 }
 
 // New returns the state of a process that has just started.
 func New(now time.Time, s Settings, p Policies, self peer.Hello, newKey func(time.Time) ulid.ULID) *Core {
 	return &Core{
 		settings: s, policies: p, self: self, started: now,
-		members: membership.New(s.Membership, self),
-		ledger:  ledger.New(),
-		journal: journal.New(s.Journal, self.Box+"/"+self.Incarnation),
-		router:  routing.New(s.Routing, p.Routing, self.Box, self.Incarnation, newKey),
-		holders: map[spec.ShardID]*shard.Holder{},
-		waiting: map[string]publication{},
+		members:      membership.New(s.Membership, self),
+		ledger:       ledger.New(),
+		journal:      journal.New(s.Journal, self.Box+"/"+self.Incarnation),
+		router:       routing.New(s.Routing, p.Routing, self.Box, self.Incarnation, newKey),
+		holders:      map[spec.ShardID]*shard.Holder{},
+		publications: map[string]pendingPublication{},
 	}
 }
 
@@ -105,7 +105,7 @@
 		return c.boxesRead(now, e.List)
 	case event.HelloReceived:
 		c.members.HelloHeard(now, e.Hello)
-		return c.peersChanged(now)
+		return c.updateRouterPeers(now)
 	case event.SnapshotRead:
 		return c.snapshotRead(now, e)
 	case event.WorkerAnswered:
@@ -120,22 +120,22 @@
 
 func (c *Core) tick(now time.Time) []effect.Effect {
 	var effects []effect.Effect
-	c.members.SetYields(c.yields(now))
-	effects = append(effects, c.members.Tick(now, c.known())...)
-	effects = append(effects, c.peersChanged(now)...)
-	effects = append(effects, c.readOn(now)...)
+	c.members.SetYields(c.yieldableShards(now))
+	effects = append(effects, c.members.Tick(now, c.knownOffset())...)
+	effects = append(effects, c.updateRouterPeers(now)...)
+	effects = append(effects, c.dueReads(now)...)
 	effects = append(effects, c.router.Tick(now)...)
 	for _, id := range c.shardIDs() {
 		effects = append(effects, c.holders[id].Tick(now)...)
 	}
-	c.keepCheckpoint(now)
+	c.appendDueCheckpoint(now)
 	effects = append(effects, c.journal.Tick(now)...)
 	effects = append(effects, c.expirePublications(now)...)
-	return append(effects, c.stopOn(now)...)
+	return append(effects, c.continueStop(now)...)
 }
 
-// yields names the shards that other boxes may claim from this one.
-func (c *Core) yields(now time.Time) []string {
+// yieldableShards names the shards that other boxes may claim from this one.
+func (c *Core) yieldableShards(now time.Time) []string {
 	var all []string
 	for _, id := range c.shardIDs() {
 		if c.holders[id].Yields(now) {
@@ -156,14 +156,14 @@
 
 func (c *Core) requestArrived(now time.Time, a request.Arrival) []effect.Effect {
 	if !c.reader.inForce {
-		return []effect.Effect{effect.Refuse{To: a.ID, Refusal: notReady()}}
+		return []effect.Effect{effect.Refuse{To: a.ID, Refusal: notReadyRefusal()}}
 	}
 	return c.router.Arrived(now, a)
 }
 
-// peersChanged tells the router who shares the targets. A stopping process goes
+// updateRouterPeers tells the router who shares the targets. A stopping process goes
 // on as if it were live: it has requests to finish.
-func (c *Core) peersChanged(now time.Time) []effect.Effect {
+func (c *Core) updateRouterPeers(now time.Time) []effect.Effect {
 	if c.members.Leaving() {
 		return nil
 	}
@@ -183,7 +183,7 @@
 		h.SetWorkers(now)
 	}
 	c.router.SetNeighbours(c.neighbours())
-	return append(c.setTargets(now), c.peersChanged(now)...)
+	return append(c.setTargets(now), c.updateRouterPeers(now)...)
 }
 
 // neighbours returns the entry boxes of other domains, which may have room when
@@ -212,8 +212,8 @@
 	return c.router.SetTargets(now, targets)
 }
 
-// filesChanged brings every part in line with the files in force.
-func (c *Core) filesChanged(now time.Time) []effect.Effect {
+// applyFiles brings every part in line with the files in force.
+func (c *Core) applyFiles(now time.Time) []effect.Effect {
 	effects := c.router.SetPools(now, c.ledger.Pools())
 	effects = append(effects, c.setTargets(now)...)
 	for _, id := range c.ledger.Shards(c.self.Domain) {
--- a/services/core/core_test.go
+++ b/services/core/core_test.go
@@ -45,8 +45,8 @@
   - {name: gang, team: t, count: 2, resources: {processors: 1, memory: 1GiB}, command: [sleep, 900ms], repeatable: true, retries: 3}
 `
 
-// settled starts a world with its files in force.
-func settled(t rapid.TB, seed uint64) *world {
+// newSettledWorld starts a world with its files in force.
+func newSettledWorld(t rapid.TB, seed uint64) *world {
 	w := newWorld(seed, 3, 4)
 	w.run(2 * time.Second)
 	r := w.publish(w.nodes[0], "cell", "cell", 0, cellFile)
@@ -55,8 +55,8 @@
 	return w
 }
 
-// sum adds up what the holders know.
-func (w *world) sum() map[string]status.Work {
+// totalWork adds up what the holders know.
+func (w *world) totalWork() map[string]status.Work {
 	all := map[string]status.Work{}
 	for _, n := range w.nodes {
 		for _, row := range n.core.Work() {
@@ -73,14 +73,14 @@
 	return all
 }
 
-func (w *world) complete() bool {
-	s := w.sum()
+func (w *world) allWorkEnded() bool {
+	s := w.totalWork()
 	return s["serve"].Running == 3 && s["many"].Done == 40 && s["gang"].Done == 2 &&
 		s["once"].Done+s["once"].Unknown+s["once"].Failed == 20 && s["once"].Running == 0
 }
 
-// heal ends every fault and waits until all work has come to its end.
-func (w *world) heal(t rapid.TB) {
+// healAndFinish ends every fault and waits until all work has come to its end.
+func (w *world) healAndFinish(t rapid.TB) {
 	w.loss, w.logDown = 0, false
 	for _, n := range w.nodes {
 		n.cutLog, n.cutPeers = false, false
@@ -90,18 +90,18 @@
 		}
 	}
 	w.run(5 * time.Second)
-	w.undrain(t)
+	w.removeDrains(t)
 	for range 120 {
 		w.run(time.Second)
-		if w.complete() {
+		if w.allWorkEnded() {
 			return
 		}
 	}
 	t.Fatalf("not all work came to its end\n%s", w.state())
 }
 
-// undrain ends every drain, since a shard may have no other worker left.
-func (w *world) undrain(t rapid.TB) {
+// removeDrains ends every drain, since a shard may have no other worker left.
+func (w *world) removeDrains(t rapid.TB) {
 	for i := range 20 {
 		f, ok := w.nodes[0].core.File("cell")
 		if ok && !strings.Contains(f.Data, "drain: [w") {
@@ -134,8 +134,8 @@
 	return b.String()
 }
 
-// noLeaks checks that workers have reserved exactly what runs on them.
-func (w *world) noLeaks(t rapid.TB) {
+// checkReservations checks that workers have reserved exactly what runs on them.
+func (w *world) checkReservations(t rapid.TB) {
 	for _, n := range w.nodes {
 		for _, row := range n.core.Dump(w.now).Workers {
 			want := fmt.Sprintf("%d processors", 4-row.Tasks)
@@ -146,52 +146,52 @@
 	}
 }
 
-func (w *world) noFaults(t rapid.TB) {
-	w.noLeaks(t)
-	if len(w.faults) > 0 {
-		t.Fatalf("%d faults, the first: %s", len(w.faults), w.faults[0])
+func (w *world) checkNoViolations(t rapid.TB) {
+	w.checkReservations(t)
+	if len(w.violations) > 0 {
+		t.Fatalf("%d faults, the first: %s", len(w.violations), w.violations[0])
 	}
-	for key, n := range w.starts("once") {
+	for key, n := range w.startCounts("once") {
 		if n > 1 {
 			t.Fatalf("%s may not be repeated and was started %d times", key, n)
 		}
 	}
 }
 
-func TestAllWorkOfAQuietCellComesToItsEnd(t *testing.T) {
-	w := settled(t, 1)
+func TestAllWorkEndsWithoutFaults(t *testing.T) {
+	w := newSettledWorld(t, 1)
 	r := w.publish(w.nodes[1], "work", "work", 0, workFile)
 	assert.Equal(t, r.Outcome, effect.Accepted, "%v", r)
-	w.heal(t)
-	w.noFaults(t)
-	assert.Equal(t, w.sum()["once"].Done, 20)
-	for key, n := range w.starts("many") {
+	w.healAndFinish(t)
+	w.checkNoViolations(t)
+	assert.Equal(t, w.totalWork()["once"].Done, 20)
+	for key, n := range w.startCounts("many") {
 		assert.Equal(t, n, 1, "%s", key)
 	}
 }
 
-func TestAPlannedStopLeavesNothingUnknown(t *testing.T) {
+func TestPlannedStopLeavesNoTaskUnknown(t *testing.T) {
 	for seed := range uint64(40) {
-		w := settled(t, seed)
+		w := newSettledWorld(t, seed)
 		r := w.publish(w.nodes[1], "work", "work", 0, workFile)
 		assert.Equal(t, r.Outcome, effect.Accepted, "%v", r)
 		for i, n := range w.nodes {
 			w.run(time.Duration(200+100*seed) * time.Millisecond)
-			w.tell(n, n.incarnation, event.Stop{})
+			w.deliver(n, n.incarnation, event.Stop{})
 			for ticks := 0; !w.stopped[n] && ticks < 400; ticks++ {
 				w.run(step)
 			}
 			assert.Check(t, w.stopped[n], "seed %d: node %d did not stop", seed, i)
 			w.boot(n)
 		}
-		w.heal(t)
-		w.noFaults(t)
-		assert.Equal(t, w.sum()["once"].Done, 20, "seed %d: %+v", seed, w.sum()["once"])
+		w.healAndFinish(t)
+		w.checkNoViolations(t)
+		assert.Equal(t, w.totalWork()["once"].Done, 20, "seed %d: %+v", seed, w.totalWork()["once"])
 	}
 }
 
-func TestAGangThatNoLongerFitsHoldsNobodyUp(t *testing.T) {
-	w := settled(t, 3)
+func TestGangThatCannotFitDoesNotBlockOthers(t *testing.T) {
+	w := newSettledWorld(t, 3)
 	large := strings.Replace(workFile, "count: 2, resources: {processors: 1, memory: 1GiB}, command: [sleep, 900ms]",
 		"count: 4, resources: {processors: 2, memory: 1GiB}, command: [sleep, 900ms]", 1)
 	w.dead["w1"], w.dead["w3"] = true, true
@@ -199,15 +199,15 @@
 	r := w.publish(w.nodes[1], "work", "work", 0, large)
 	assert.Equal(t, r.Outcome, effect.Accepted, "%v", r)
 	w.run(60 * time.Second)
-	s := w.sum()
+	s := w.totalWork()
 	assert.Equal(t, s["gang"].Waiting, 4)
 	assert.Equal(t, s["many"].Done, 40)
 	assert.Equal(t, s["once"].Done, 20)
 }
 
-func TestAGangMemberThatComesBackIsStartedOnce(t *testing.T) {
+func TestRequeuedGangMemberStartsOnce(t *testing.T) {
 	for seed := range uint64(60) {
-		w := settled(t, seed)
+		w := newSettledWorld(t, seed)
 		r := w.publish(w.nodes[0], "work", "work", 0, workFile)
 		assert.Equal(t, r.Outcome, effect.Accepted, "%v", r)
 		w.run(time.Duration(50+20*(seed%20)) * time.Millisecond)
@@ -217,12 +217,12 @@
 		// stopped before it has started any.
 		w.nodes[seed%3].paused = true
 		w.run(4 * time.Second)
-		w.noFaults(t)
+		w.checkNoViolations(t)
 	}
 }
 
-func TestATaskThatWasOnlyStoppedHasAllItsRetries(t *testing.T) {
-	w := settled(t, 5)
+func TestStoppedAttemptsDoNotCountAsRetries(t *testing.T) {
+	w := newSettledWorld(t, 5)
 	one := "name: one\njobs:\n  - {name: one, team: t, count: 1, resources: {processors: 1}, command: [sleep, 2s], repeatable: true, retries: 1}\n"
 	r := w.publish(w.nodes[0], "one", "one", 0, one)
 	assert.Equal(t, r.Outcome, effect.Accepted, "%v", r)
@@ -231,32 +231,32 @@
 		for _, wk := range w.workers {
 			wk.FailAll = i == 2
 		}
-		w.replace(w.nodes[0], fmt.Sprint("drain", i), "cell", cellFile+"drain: ["+w.where("one")+"]\n")
+		w.replace(w.nodes[0], fmt.Sprint("drain", i), "cell", cellFile+"drain: ["+w.workerRunning("one")+"]\n")
 	}
 	w.run(500 * time.Millisecond)
 	for _, wk := range w.workers {
 		wk.FailAll = false
 	}
 	w.run(20 * time.Second)
-	assert.Equal(t, w.sum()["one"].Done, 1, "%+v", w.sum()["one"])
+	assert.Equal(t, w.totalWork()["one"].Done, 1, "%+v", w.totalWork()["one"])
 }
 
-func TestAJobPastItsDeadlineStartsNothing(t *testing.T) {
-	w := settled(t, 6)
+func TestJobPastDeadlineStartsNothing(t *testing.T) {
+	w := newSettledWorld(t, 6)
 	late := "name: late\njobs:\n  - {name: late, team: t, count: 200, resources: {processors: 1}, command: [sleep, 1s], repeatable: true, deadline: '" +
 		w.now.Add(3*time.Second).Format(time.RFC3339) + "'}\n"
 	r := w.publish(w.nodes[0], "late", "late", 0, late)
 	assert.Equal(t, r.Outcome, effect.Accepted, "%v", r)
 	w.run(10 * time.Second)
-	s := w.sum()["late"]
+	s := w.totalWork()["late"]
 	assert.Check(t, s.Done > 0 && s.Waiting > 0 && s.Running == 0, "%+v", s)
 	done := s.Done
 	w.run(10 * time.Second)
-	assert.Equal(t, w.sum()["late"].Done, done)
+	assert.Equal(t, w.totalWork()["late"].Done, done)
 }
 
-// where returns the worker on which a task of an object runs.
-func (w *world) where(object string) string {
+// workerRunning returns the worker on which a task of an object runs.
+func (w *world) workerRunning(object string) string {
 	for name, wk := range w.workers {
 		for _, id := range wk.Running() {
 			if id.Object.Name == object {
@@ -267,9 +267,9 @@
 	return "w9"
 }
 
-func TestAWorkerThatLeftTheFilesIsStillAskedByTheNextHolder(t *testing.T) {
+func TestNextHolderAdoptsWorkersRemovedFromFiles(t *testing.T) {
 	for seed := range uint64(20) {
-		w := settled(t, seed)
+		w := newSettledWorld(t, seed)
 		r := w.publish(w.nodes[0], "work", "work", 0, workFile)
 		assert.Equal(t, r.Outcome, effect.Accepted, "%v", r)
 		w.run(600 * time.Millisecond)
@@ -283,18 +283,18 @@
 			}
 		}
 		w.run(6 * time.Second)
-		w.noFaults(t)
+		w.checkNoViolations(t)
 		for _, n := range w.nodes {
 			w.resume(n)
 		}
 		w.run(10 * time.Second)
-		w.noFaults(t)
+		w.checkNoViolations(t)
 	}
 }
 
-func TestAHolderThatWakesWithoutTheLogStartsNothingThatALaterOneHas(t *testing.T) {
+func TestResumedHolderWithoutLogStartsNoTaskOfLaterHolder(t *testing.T) {
 	for seed := range uint64(150) {
-		w := settled(t, seed)
+		w := newSettledWorld(t, seed)
 		old := w.nodes[2]
 		r := w.publish(w.nodes[seed%2], "work", "work", 0, workFile)
 		assert.Equal(t, r.Outcome, effect.Accepted, "%v", r)
@@ -308,23 +308,23 @@
 		}
 		w.resume(old)
 		w.run(2500 * time.Millisecond)
-		w.noFaults(t)
+		w.checkNoViolations(t)
 	}
 }
 
-func TestWhateverFailsNothingRunsTwiceAndFilesNeverGoBack(t *testing.T) {
+func TestNoTaskRunsTwiceAndNoFileRevertsUnderRandomFaults(t *testing.T) {
 	total := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := settled(t, rapid.Uint64().Draw(t, "seed"))
+		w := newSettledWorld(t, rapid.Uint64().Draw(t, "seed"))
 		r := w.publish(w.nodes[0], "work", "work", 0, workFile)
 		assert.Equal(t, r.Outcome, effect.Accepted)
 		for i := range rapid.IntRange(1, 12).Draw(t, "faults") {
-			w.break1(t, i)
+			w.injectFault(t, i)
 			w.run(time.Duration(rapid.IntRange(50, 3000).Draw(t, "ms")) * time.Millisecond)
-			w.noFaults(t)
+			w.checkNoViolations(t)
 		}
-		w.heal(t)
-		w.noFaults(t)
+		w.healAndFinish(t)
+		w.checkNoViolations(t)
 		total += w.events
 	})
 	t.Logf("%d events", total)
@@ -337,8 +337,8 @@
 	}
 }
 
-// break1 breaks one thing, or mends it.
-func (w *world) break1(t *rapid.T, i int) {
+// injectFault breaks one thing, or mends it.
+func (w *world) injectFault(t *rapid.T, i int) {
 	n := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")]
 	switch rapid.SampledFrom([]string{
 		"pause", "resume", "kill", "loss", "log", "log of one", "peers", "worker", "publish", "kill others", "stop", "worker dies", "new form", "drain",
@@ -363,7 +363,7 @@
 	case "publish":
 		w.replace(n, fmt.Sprintf("p%d", i), "work", strings.Replace(workFile, "retries: 3", fmt.Sprintf("retries: %d", 4+i), 2))
 	case "stop":
-		w.tell(n, n.incarnation, event.Stop{})
+		w.deliver(n, n.incarnation, event.Stop{})
 		w.run(time.Duration(rapid.IntRange(50, 2000).Draw(t, "until the end")) * time.Millisecond)
 		w.boot(n)
 	case "worker dies":
--- a/services/core/publish.go
+++ b/services/core/publish.go
@@ -13,32 +13,32 @@
 	"saddlevane/services/ledger"
 )
 
-// publication is an operator who waits for the log's decision.
-type publication struct {
-	waiters []uint64
-	until   time.Time
+// pendingPublication is an operator who waits for the log's decision.
+type pendingPublication struct {
+	waiters  []uint64
+	deadline time.Time
 }
 
 func (c *Core) publishAsked(now time.Time, e event.PublishAsked) []effect.Effect {
 	p := e.Publish
 	if entry, ok := c.ledger.Entry(p.File); ok && entry.Publication() == p.ID {
-		return answer(e.Waiter, effect.PublishResult{Outcome: effect.Accepted, Revision: entry.Revision()})
+		return publishAnswer(e.Waiter, effect.PublishResult{Outcome: effect.Accepted, Revision: entry.Revision()})
 	}
-	if known, ok := c.waiting[p.ID]; ok {
+	if known, ok := c.publications[p.ID]; ok {
 		known.waiters = append(known.waiters, e.Waiter)
-		c.waiting[p.ID] = known
+		c.publications[p.ID] = known
 		return nil
 	}
-	if reasons := c.refusals(&p); len(reasons) > 0 {
-		return answer(e.Waiter, effect.PublishResult{Outcome: effect.Refused, Revision: c.ledger.Revision(p.File), Reasons: reasons})
+	if reasons := c.refusalReasons(&p); len(reasons) > 0 {
+		return publishAnswer(e.Waiter, effect.PublishResult{Outcome: effect.Refused, Revision: c.ledger.Revision(p.File), Reasons: reasons})
 	}
 	c.journal.Add(record.Entry{Publish: &p})
-	c.waiting[p.ID] = publication{waiters: []uint64{e.Waiter}, until: now.Add(e.Timeout)}
+	c.publications[p.ID] = pendingPublication{waiters: []uint64{e.Waiter}, deadline: now.Add(e.Timeout)}
 	return c.journal.Tick(now)
 }
 
-// refusals says why a publication is surely not applied, without asking the log.
-func (c *Core) refusals(p *record.Publish) []string {
+// refusalReasons says why a publication is surely not applied, without asking the log.
+func (c *Core) refusalReasons(p *record.Publish) []string {
 	switch {
 	case !c.reader.inForce:
 		return []string{"this entry box has no configuration in force yet"}
@@ -53,19 +53,19 @@
 	}
 }
 
-func (c *Core) publicationDecided(p *ledger.Publication) []effect.Effect {
-	waiting, ok := c.waiting[p.ID]
+func (c *Core) answerPublication(p *ledger.Publication) []effect.Effect {
+	waiting, ok := c.publications[p.ID]
 	if !ok {
 		return nil
 	}
-	delete(c.waiting, p.ID)
+	delete(c.publications, p.ID)
 	result := effect.PublishResult{Outcome: effect.Refused, Revision: p.Revision, Reasons: p.Reasons}
 	if p.Accepted {
 		result.Outcome = effect.Accepted
 	}
 	var effects []effect.Effect
 	for _, w := range waiting.waiters {
-		effects = append(effects, answer(w, result)...)
+		effects = append(effects, publishAnswer(w, result)...)
 	}
 	return effects
 }
@@ -74,13 +74,13 @@
 // not decided. The file may still come into force.
 func (c *Core) expirePublications(now time.Time) []effect.Effect {
 	var effects []effect.Effect
-	for id, p := range ordered.Map(c.waiting) {
-		if now.Before(p.until) {
+	for id, p := range ordered.Map(c.publications) {
+		if now.Before(p.deadline) {
 			continue
 		}
-		delete(c.waiting, id)
+		delete(c.publications, id)
 		for _, w := range p.waiters {
-			effects = append(effects, answer(w, effect.PublishResult{
+			effects = append(effects, publishAnswer(w, effect.PublishResult{
 				Outcome: effect.Unknown, Reasons: []string{"the log has not decided in time; publish again with the same id, or read back"},
 			})...)
 		}
@@ -88,6 +88,6 @@
 	return effects
 }
 
-func answer(waiter uint64, r effect.PublishResult) []effect.Effect {
+func publishAnswer(waiter uint64, r effect.PublishResult) []effect.Effect {
 	return []effect.Effect{effect.AnswerPublish{Waiter: waiter, Result: r}}
 }
--- a/services/core/reader.go
+++ b/services/core/reader.go
@@ -24,60 +24,60 @@
 	inForce bool
 	// head says that the end of the log has been read since the process started
 	// or last fell behind.
-	head bool
+	caughtUp bool
 	// seek is set while the records that follow on the ledger are gone from the
 	// log: it reads from the oldest record on until it finds a checkpoint.
-	seek     *ledger.Ledger
-	reading  bool
-	failing  string
-	failures int
-	retryAt  time.Time
-	fetchAt  time.Time
+	seek        *ledger.Ledger
+	reading     bool
+	lastFailure string
+	failures    int
+	retryAt     time.Time
+	fetchAt     time.Time
 	// began is when the read under way was asked for.
-	began time.Time
+	readStartedAt time.Time
 }
 
 // The waits of the reader.
 const (
-	readRetry     = 200 * time.Millisecond
-	readRetryMost = 2 * time.Second
-	fetchEvery    = 500 * time.Millisecond
+	readRetryDelay    = 200 * time.Millisecond
+	maxReadRetryDelay = 2 * time.Second
+	fetchInterval     = 500 * time.Millisecond
 )
 
-// known is how far this process can help peers: nowhere while nothing is in
+// knownOffset is how far this process can help peers: nowhere while nothing is in
 // force.
-func (c *Core) known() int64 {
+func (c *Core) knownOffset() int64 {
 	if !c.reader.inForce {
 		return 0
 	}
 	return c.ledger.Next()
 }
 
-// readOn returns the read that is due, and asks a peer that knows more while
+// dueReads returns the read that is due, and asks a peer that knows more while
 // the log cannot be read.
-func (c *Core) readOn(now time.Time) []effect.Effect {
+func (c *Core) dueReads(now time.Time) []effect.Effect {
 	r := &c.reader
 	var effects []effect.Effect
 	if !r.reading && !now.Before(r.retryAt) {
-		r.reading, r.began = true, now
-		effects = append(effects, effect.ReadLog{From: c.position()})
+		r.reading, r.readStartedAt = true, now
+		effects = append(effects, effect.ReadLog{From: c.readOffset()})
 	}
-	if (r.failing != "" || r.seek != nil) && !now.Before(r.fetchAt) {
-		r.fetchAt = now.Add(fetchEvery)
-		effects = append(effects, c.fetch(now)...)
+	if (r.lastFailure != "" || r.seek != nil) && !now.Before(r.fetchAt) {
+		r.fetchAt = now.Add(fetchInterval)
+		effects = append(effects, c.fetchSnapshot(now)...)
 	}
 	return effects
 }
 
-func (c *Core) position() int64 {
+func (c *Core) readOffset() int64 {
 	if c.reader.seek != nil {
 		return c.reader.seek.Next()
 	}
 	return c.ledger.Next()
 }
 
-// fetch asks the peer that has read furthest for its snapshot.
-func (c *Core) fetch(now time.Time) []effect.Effect {
+// fetchSnapshot asks the peer that has read furthest for its snapshot.
+func (c *Core) fetchSnapshot(now time.Time) []effect.Effect {
 	var best effect.FetchSnapshot
 	next := c.ledger.Next()
 	for name, m := range ordered.Map(c.members.Members()) {
@@ -94,8 +94,8 @@
 
 func (c *Core) logFailed(now time.Time, e event.LogFailed) []effect.Effect {
 	r := &c.reader
-	r.reading, r.failing = false, e.Reason
-	wait := min(readRetry<<min(r.failures, 8), readRetryMost)
+	r.reading, r.lastFailure = false, e.Reason
+	wait := min(readRetryDelay<<min(r.failures, 8), maxReadRetryDelay)
 	r.failures++
 	r.retryAt = now.Add(wait)
 	return nil
@@ -103,37 +103,37 @@
 
 func (c *Core) logRead(now time.Time, e event.LogRead) []effect.Effect {
 	r := &c.reader
-	r.reading, r.failing, r.failures = false, "", 0
-	if e.First > c.position() {
-		r.seek, r.head = ledger.Seek(e.First), false
-		return c.readOn(now)
+	r.reading, r.lastFailure, r.failures = false, "", 0
+	if e.First > c.readOffset() {
+		r.seek, r.caughtUp = ledger.Seek(e.First), false
+		return c.dueReads(now)
 	}
 	if r.seek != nil {
-		return c.seekOn(now, e)
+		return c.continueSeek(now, e)
 	}
 	effects := c.applyRecords(now, e.Records)
 	if e.AtEnd {
-		r.head = true
+		r.caughtUp = true
 		for _, h := range c.holders {
-			h.LogRead(r.began)
+			h.LogRead(r.readStartedAt)
 		}
-		effects = append(effects, c.comeIntoForce(now)...)
+		effects = append(effects, c.putInForce(now)...)
 	}
-	return append(effects, c.readOn(now)...)
+	return append(effects, c.dueReads(now)...)
 }
 
-// seekOn reads towards a checkpoint and goes on from it.
-func (c *Core) seekOn(now time.Time, e event.LogRead) []effect.Effect {
+// continueSeek reads towards a checkpoint and goes on from it.
+func (c *Core) continueSeek(now time.Time, e event.LogRead) []effect.Effect {
 	r := &c.reader
 	for _, rec := range e.Records {
 		r.seek.Apply(rec.Offset, rec.At, rec.Envelope)
 	}
 	s, ok := r.seek.Found(e.First)
 	if !ok || s.Next < c.ledger.Next() {
-		return c.readOn(now)
+		return c.dueReads(now)
 	}
 	effects := c.restore(now, s)
-	return append(effects, c.readOn(now)...)
+	return append(effects, c.dueReads(now)...)
 }
 
 // restore goes on from a snapshot.
@@ -147,29 +147,29 @@
 	if !c.reader.inForce {
 		return nil
 	}
-	return c.filesChanged(now)
+	return c.applyFiles(now)
 }
 
 // snapshotRead takes what a peer knows. It is taken over only while the log
 // cannot tell, and only if it is newer.
 func (c *Core) snapshotRead(now time.Time, e event.SnapshotRead) []effect.Effect {
 	r := &c.reader
-	if (r.failing == "" && r.seek == nil) || e.Snapshot.Next <= c.ledger.Next() {
+	if (r.lastFailure == "" && r.seek == nil) || e.Snapshot.Next <= c.ledger.Next() {
 		return nil
 	}
 	effects := c.restore(now, e.Snapshot)
 	if c.ledger.Next() == e.Snapshot.Next {
-		effects = append(effects, c.comeIntoForce(now)...)
+		effects = append(effects, c.putInForce(now)...)
 	}
 	return effects
 }
 
-func (c *Core) comeIntoForce(now time.Time) []effect.Effect {
+func (c *Core) putInForce(now time.Time) []effect.Effect {
 	if c.reader.inForce {
 		return nil
 	}
 	c.reader.inForce = true
-	return c.filesChanged(now)
+	return c.applyFiles(now)
 }
 
 func (c *Core) applyRecords(now time.Time, records []event.LogRecord) []effect.Effect {
@@ -181,38 +181,38 @@
 		for _, change := range applied.Changes {
 			files = files || change.Files
 			if change.Publication != nil {
-				effects = append(effects, c.publicationDecided(change.Publication)...)
+				effects = append(effects, c.answerPublication(change.Publication)...)
 			}
 		}
 	}
 	if files && c.reader.inForce {
-		effects = append(effects, c.filesChanged(now)...)
+		effects = append(effects, c.applyFiles(now)...)
 	}
 	return effects
 }
 
-// keepCheckpoint appends a checkpoint once the youngest in the log has grown
+// appendDueCheckpoint appends a checkpoint once the youngest in the log has grown
 // old. Boxes wait unlike times, so that mostly one of them does it; two that do
 // it at once do no harm, since a checkpoint says the same whoever writes it.
-func (c *Core) keepCheckpoint(now time.Time) {
-	if !c.reader.head || c.reader.failing != "" || !c.journal.Applied(c.checkpoint) || c.ledger.Next() == 0 {
+func (c *Core) appendDueCheckpoint(now time.Time) {
+	if !c.reader.caughtUp || c.reader.lastFailure != "" || !c.journal.Applied(c.checkpointEntry) || c.ledger.Next() == 0 {
 		return
 	}
 	since := c.ledger.CheckpointedAt()
 	if since.IsZero() {
 		since = c.started
 	}
-	rank := time.Duration(rankOf(c.self.Box, c.members.Live(now)))
+	rank := time.Duration(indexOf(c.self.Box, c.members.Live(now)))
 	if now.Sub(since) < c.settings.Retention/4+rank*c.settings.Retention/64 {
 		return
 	}
 	id := c.self.Box + "/" + c.self.Incarnation + "/" + strconv.FormatInt(c.ledger.Next(), 10)
 	for _, part := range ledger.Checkpoint(id, c.ledger.Snapshot()) {
-		c.checkpoint = c.journal.Add(record.Entry{Checkpoint: &part})
+		c.checkpointEntry = c.journal.Add(record.Entry{Checkpoint: &part})
 	}
 }
 
-func rankOf(name string, names []string) int {
+func indexOf(name string, names []string) int {
 	for i, n := range names {
 		if n == name {
 			return i
@@ -221,7 +221,7 @@
 	return len(names)
 }
 
-func notReady() request.Refusal {
+func notReadyRefusal() request.Refusal {
 	return request.Refusal{
 		Status: http.StatusServiceUnavailable, Verdict: verdict.NotRun,
 		Reason: "this entry box has no configuration in force yet", RetryAfter: time.Second,
--- a/services/core/status.go
+++ b/services/core/status.go
@@ -29,7 +29,7 @@
 		Box: c.self.Box, Incarnation: c.self.Incarnation, Domain: c.self.Domain, At: now,
 		InForce: c.reader.inForce, Stopping: c.members.Leaving(), Live: c.members.Live(now),
 		Log: status.Log{
-			Next: c.ledger.Next(), ReadFailing: c.reader.failing,
+			Next: c.ledger.Next(), ReadFailing: c.reader.lastFailure,
 			AppendFailing: c.journal.FailureReason(), Waiting: c.journal.Pending(),
 		},
 		Pools: c.router.Status(now),
--- a/services/core/stop.go
+++ b/services/core/stop.go
@@ -9,8 +9,8 @@
 	"saddlevane/models/effect"
 )
 
-// stopping is how far a planned stop has come.
-type stopping struct {
+// stopProgress is how far a planned stop has come.
+type stopProgress struct {
 	since time.Time
 	done  bool
 }
@@ -26,20 +26,20 @@
 	return c.members.Farewell()
 }
 
-// stopOn says when the ports may be closed: callers have had time to go
+// continueStop says when the ports may be closed: callers have had time to go
 // elsewhere, and leases are given back.
-func (c *Core) stopOn(now time.Time) []effect.Effect {
+func (c *Core) continueStop(now time.Time) []effect.Effect {
 	if c.stop.since.IsZero() || c.stop.done {
 		return nil
 	}
 	since := now.Sub(c.stop.since)
 	released := true
 	for _, h := range c.holders {
-		h.Leave(now)
-		released = released && h.Released(now)
+		h.ReleaseLeases(now)
+		released = released && h.AllLeasesReleased(now)
 	}
 	finished := since >= c.settings.StopGrace && released
-	if !finished && since < c.settings.StopMost {
+	if !finished && since < c.settings.MaxStopTime {
 		return nil
 	}
 	c.stop.done = true
--- a/services/core/world_test.go
+++ b/services/core/world_test.go
@@ -29,9 +29,9 @@
 
 // The times of the world.
 const (
-	step      = 50 * time.Millisecond
-	taskLease = 3 * time.Second
-	callLimit = 500 * time.Millisecond
+	step        = 50 * time.Millisecond
+	taskLease   = 3 * time.Second
+	callTimeout = 500 * time.Millisecond
 )
 
 func settings() core.Settings {
@@ -40,11 +40,11 @@
 		Membership: membership.Settings{Heartbeat: 200 * time.Millisecond, DeadAfter: time.Second},
 		Routing:    routing.Settings{KeyTTL: time.Minute, MaxKeys: 10, EjectAfter: 3, EjectFor: time.Second, EjectMost: time.Second},
 		Shard: shard.Settings{
-			Lease: 1500 * time.Millisecond, Renew: 300 * time.Millisecond, Margin: 100 * time.Millisecond, TaskLease: taskLease,
-			Settle: time.Second, GoneAfter: time.Hour, Backoff: 100 * time.Millisecond, BackoffMost: time.Second, GangPatience: time.Second,
+			Lease: 1500 * time.Millisecond, RenewInterval: 300 * time.Millisecond, ClockMargin: 100 * time.Millisecond, TaskLease: taskLease,
+			SettleTime: time.Second, GoneAfter: time.Hour, Backoff: 100 * time.Millisecond, MaxBackoff: time.Second, GangOvertakeTimeout: time.Second,
 			QuarantineAfter: 3, QuarantineFor: time.Second, PlacementsPerTick: 100, StopsPerTick: 20,
 		},
-		Retention: time.Hour, StopGrace: 0, StopMost: 10 * time.Second,
+		Retention: time.Hour, StopGrace: 0, MaxStopTime: 10 * time.Second,
 	}
 }
 
@@ -59,7 +59,7 @@
 	core        *core.Core
 	paused      bool
 	// held keeps what arrived during a pause.
-	held []event.Event
+	delayed []event.Event
 	// cutLog and cutPeers drop what the box sends there.
 	cutLog, cutPeers bool
 	cutWorkers       map[string]bool
@@ -95,18 +95,18 @@
 // simulator of load: it delays, loses, repeats and reorders what passes between
 // them.
 type world struct {
-	now     time.Time
-	random  *rand.Rand
-	nodes   []*node
-	workers map[string]*fake.Worker
-	log     []event.LogRecord
-	logDown bool
-	loss    float64
-	queue   messages
-	seq     int
-	dead    map[string]bool
-	events  int
-	faults  []string
+	now        time.Time
+	random     *rand.Rand
+	nodes      []*node
+	workers    map[string]*fake.Worker
+	log        []event.LogRecord
+	logDown    bool
+	loss       float64
+	queue      messages
+	seq        int
+	dead       map[string]bool
+	events     int
+	violations []string
 	// results holds what became of publications, by waiter.
 	results map[uint64]effect.PublishResult
 	// stopped holds the nodes whose planned stop is complete.
@@ -133,7 +133,7 @@
 // boot starts a node anew: all it knew is gone.
 func (w *world) boot(n *node) {
 	n.incarnation++
-	n.paused, n.held, n.highest = false, nil, map[string]int64{}
+	n.paused, n.delayed, n.highest = false, nil, map[string]int64{}
 	delete(w.stopped, n)
 	self := peer.Hello{Box: n.name, Incarnation: fmt.Sprintf("i%d", n.incarnation), Domain: "a", Address: n.name}
 	n.core = core.New(w.now, settings(), policies(), self, func(now time.Time) ulid.ULID { return ulid.ULID{} })
@@ -154,14 +154,14 @@
 	return l
 }
 
-func (w *world) after(d time.Duration, run func()) {
+func (w *world) schedule(d time.Duration, run func()) {
 	w.seq++
 	heap.Push(&w.queue, message{at: w.now.Add(d), seq: w.seq, run: run})
 }
 
 func (w *world) delay() time.Duration { return time.Duration(1+w.random.IntN(30)) * time.Millisecond }
 
-func (w *world) lost() bool { return w.random.Float64() < w.loss }
+func (w *world) isLost() bool { return w.random.Float64() < w.loss }
 
 // run lets the world go on for d.
 func (w *world) run(d time.Duration) {
@@ -174,43 +174,43 @@
 		}
 		w.now = next
 		for _, n := range w.nodes {
-			w.tell(n, n.incarnation, event.Tick{})
+			w.deliver(n, n.incarnation, event.Tick{})
 			if w.random.IntN(10) == 0 {
-				w.tell(n, n.incarnation, event.BoxesRead{List: w.boxes()})
+				w.deliver(n, n.incarnation, event.BoxesRead{List: w.boxes()})
 			}
 		}
-		w.check()
+		w.checkInvariants()
 	}
 }
 
-// tell hands an event to a node, unless the life that it is meant for is over.
-func (w *world) tell(n *node, incarnation int, e event.Event) {
+// deliver hands an event to a node, unless the life that it is meant for is over.
+func (w *world) deliver(n *node, incarnation int, e event.Event) {
 	if n.incarnation != incarnation {
 		return
 	}
 	if n.paused {
 		if _, tick := e.(event.Tick); !tick {
-			n.held = append(n.held, e)
+			n.delayed = append(n.delayed, e)
 		}
 		return
 	}
 	w.events++
 	for _, eff := range n.core.Handle(w.now, e) {
-		w.do(n, eff)
+		w.execute(n, eff)
 	}
 }
 
 // resume ends a pause; what arrived meanwhile is handled late.
 func (w *world) resume(n *node) {
 	n.paused = false
-	held := n.held
-	n.held = nil
+	held := n.delayed
+	n.delayed = nil
 	for _, e := range held {
-		w.tell(n, n.incarnation, e)
+		w.deliver(n, n.incarnation, e)
 	}
 }
 
-func (w *world) do(n *node, e effect.Effect) {
+func (w *world) execute(n *node, e effect.Effect) {
 	life := n.incarnation
 	switch e := e.(type) {
 	case effect.ReadLog:
@@ -220,9 +220,9 @@
 	case effect.SyncWorker:
 		w.sync(n, life, e)
 	case effect.SendHello:
-		w.hello(n, e)
+		w.sendHello(n, e)
 	case effect.FetchSnapshot:
-		w.fetch(n, life, e)
+		w.fetchSnapshot(n, life, e)
 	case effect.AnswerPublish:
 		w.results[e.Waiter] = e.Result
 	case effect.Stopped:
@@ -231,40 +231,40 @@
 }
 
 func (w *world) readLog(n *node, life int, from int64) {
-	if n.cutLog || w.logDown || w.lost() {
-		w.after(callLimit, func() { w.tell(n, life, event.LogFailed{Reason: "cut"}) })
+	if n.cutLog || w.logDown || w.isLost() {
+		w.schedule(callTimeout, func() { w.deliver(n, life, event.LogFailed{Reason: "cut"}) })
 		return
 	}
-	w.after(2*w.delay(), func() {
+	w.schedule(2*w.delay(), func() {
 		read := event.LogRead{AtEnd: true}
 		if from < int64(len(w.log)) {
 			read.Records = append(read.Records, w.log[from:]...)
 		}
-		w.tell(n, life, read)
+		w.deliver(n, life, read)
 	})
 }
 
 func (w *world) append(n *node, life int, e record.Envelope) {
 	ended := event.AppendEnded{ID: e.ID}
-	if n.cutLog || w.logDown || w.lost() {
+	if n.cutLog || w.logDown || w.isLost() {
 		ended.Failure = "cut"
-		w.after(callLimit, func() { w.tell(n, life, ended) })
+		w.schedule(callTimeout, func() { w.deliver(n, life, ended) })
 		return
 	}
-	w.after(w.delay(), func() {
+	w.schedule(w.delay(), func() {
 		w.log = append(w.log, event.LogRecord{Offset: int64(len(w.log)), At: w.now, Envelope: e})
-		if w.lost() {
+		if w.isLost() {
 			ended.Failure = "the answer was lost"
 		}
-		w.after(w.delay(), func() { w.tell(n, life, ended) })
+		w.schedule(w.delay(), func() { w.deliver(n, life, ended) })
 	})
 }
 
 func (w *world) sync(n *node, life int, e effect.SyncWorker) {
 	sentAt := w.now
 	failed := event.WorkerAnswered{Worker: e.Worker, Seq: e.Sync.Seq, SentAt: sentAt, Failure: "cut"}
-	if n.cutWorkers[e.Worker] || w.lost() || w.dead[e.Worker] {
-		w.after(callLimit, func() { w.tell(n, life, failed) })
+	if n.cutWorkers[e.Worker] || w.isLost() || w.dead[e.Worker] {
+		w.schedule(callTimeout, func() { w.deliver(n, life, failed) })
 		return
 	}
 	arrives := w.delay()
@@ -273,45 +273,45 @@
 		arrives += time.Duration(w.random.IntN(4000)) * time.Millisecond
 	}
 	answered := false
-	w.after(arrives, func() {
+	w.schedule(arrives, func() {
 		if w.dead[e.Worker] {
 			return
 		}
 		report := w.workers[e.Worker].Apply(w.now, e.Sync)
-		if w.lost() || n.cutWorkers[e.Worker] {
+		if w.isLost() || n.cutWorkers[e.Worker] {
 			return
 		}
-		w.after(w.delay(), func() {
+		w.schedule(w.delay(), func() {
 			if !answered {
 				answered = true
-				w.tell(n, life, event.WorkerAnswered{Worker: e.Worker, Seq: e.Sync.Seq, SentAt: sentAt, Report: report})
+				w.deliver(n, life, event.WorkerAnswered{Worker: e.Worker, Seq: e.Sync.Seq, SentAt: sentAt, Report: report})
 			}
 		})
 	})
-	w.after(callLimit, func() {
+	w.schedule(callTimeout, func() {
 		if !answered {
 			answered = true
-			w.tell(n, life, failed)
+			w.deliver(n, life, failed)
 		}
 	})
 }
 
-func (w *world) hello(n *node, e effect.SendHello) {
+func (w *world) sendHello(n *node, e effect.SendHello) {
 	to := w.node(e.Address)
-	if to == nil || n.cutPeers || to.cutPeers || w.lost() {
+	if to == nil || n.cutPeers || to.cutPeers || w.isLost() {
 		return
 	}
 	life := to.incarnation
-	w.after(w.delay(), func() { w.tell(to, life, event.HelloReceived{Hello: e.Hello}) })
+	w.schedule(w.delay(), func() { w.deliver(to, life, event.HelloReceived{Hello: e.Hello}) })
 }
 
-func (w *world) fetch(n *node, life int, e effect.FetchSnapshot) {
+func (w *world) fetchSnapshot(n *node, life int, e effect.FetchSnapshot) {
 	from := w.node(e.Box)
-	if from == nil || n.cutPeers || from.cutPeers || from.paused || w.lost() {
+	if from == nil || n.cutPeers || from.cutPeers || from.paused || w.isLost() {
 		return
 	}
 	s := from.core.Snapshot()
-	w.after(2*w.delay(), func() { w.tell(n, life, event.SnapshotRead{From: e.Box, Snapshot: s}) })
+	w.schedule(2*w.delay(), func() { w.deliver(n, life, event.SnapshotRead{From: e.Box, Snapshot: s}) })
 }
 
 func (w *world) node(name string) *node {
@@ -323,12 +323,12 @@
 	return nil
 }
 
-func (w *world) fault(format string, args ...any) {
-	w.faults = append(w.faults, fmt.Sprintf(format, args...))
+func (w *world) recordViolation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// check looks at what must hold at every moment.
-func (w *world) check() {
+// checkInvariants looks at what must hold at every moment.
+func (w *world) checkInvariants() {
 	places := map[task.Key]string{}
 	for name, wk := range ordered.Map(w.workers) {
 		if w.dead[name] {
@@ -337,38 +337,38 @@
 		wk.Advance(w.now)
 		for _, id := range wk.Running() {
 			if other, twice := places[id.Key()]; twice {
-				w.fault("%s: %s runs on %s and on %s", w.now.Format("05.000"), id.Key(), other, name)
+				w.recordViolation("%s: %s runs on %s and on %s", w.now.Format("05.000"), id.Key(), other, name)
 			}
 			places[id.Key()] = name
 		}
 		if wk.Excess() > 0 {
-			w.fault("%s was to be given more than it has", name)
+			w.recordViolation("%s was to be given more than it has", name)
 		}
 	}
 	for _, n := range w.nodes {
-		w.checkFiles(n)
+		w.checkRevisions(n)
 	}
 }
 
-// checkFiles looks that no file in force goes back to an older revision.
-func (w *world) checkFiles(n *node) {
+// checkRevisions looks that no file in force goes back to an older revision.
+func (w *world) checkRevisions(n *node) {
 	for _, name := range []string{"cell", "work"} {
 		f, ok := n.core.File(name)
 		if !ok {
 			if n.highest[name] > 0 {
-				w.fault("%s lost file %s", n.name, name)
+				w.recordViolation("%s lost file %s", n.name, name)
 			}
 			continue
 		}
 		if f.Revision < n.highest[name] {
-			w.fault("%s went back from revision %d of %s to %d", n.name, n.highest[name], name, f.Revision)
+			w.recordViolation("%s went back from revision %d of %s to %d", n.name, n.highest[name], name, f.Revision)
 		}
 		n.highest[name] = f.Revision
 	}
 }
 
-// starts counts how often each task of an object was started on any worker.
-func (w *world) starts(object string) map[task.Key]int {
+// startCounts counts how often each task of an object was started on any worker.
+func (w *world) startCounts(object string) map[task.Key]int {
 	n := map[task.Key]int{}
 	for _, wk := range w.workers {
 		for _, s := range wk.History() {
@@ -384,7 +384,7 @@
 func (w *world) publish(n *node, id, file string, replaces int64, data string) effect.PublishResult {
 	waiter := uint64(len(w.results) + 1000)
 	p := record.Publish{ID: id, File: file, Replaces: replaces, Data: data}
-	w.tell(n, n.incarnation, event.PublishAsked{Waiter: waiter, Publish: p, Timeout: 5 * time.Second})
+	w.deliver(n, n.incarnation, event.PublishAsked{Waiter: waiter, Publish: p, Timeout: 5 * time.Second})
 	for range 200 {
 		if r, ok := w.results[waiter]; ok {
 			return r
--- a/services/runtime/silent_test.go
+++ b/services/runtime/silent_test.go
@@ -196,11 +196,11 @@
 			EjectAfter: 3, EjectFor: 10 * time.Second, EjectMost: 10 * time.Second,
 		},
 		Shard: shard.Settings{
-			Lease: 1500 * time.Millisecond, Renew: 300 * time.Millisecond, Margin: 100 * time.Millisecond, TaskLease: 3 * time.Second,
-			Settle: time.Second, GoneAfter: time.Hour, Backoff: 100 * time.Millisecond, BackoffMost: time.Second, GangPatience: time.Second,
+			Lease: 1500 * time.Millisecond, RenewInterval: 300 * time.Millisecond, ClockMargin: 100 * time.Millisecond, TaskLease: 3 * time.Second,
+			SettleTime: time.Second, GoneAfter: time.Hour, Backoff: 100 * time.Millisecond, MaxBackoff: time.Second, GangOvertakeTimeout: time.Second,
 			QuarantineAfter: 3, QuarantineFor: time.Second, PlacementsPerTick: 100, StopsPerTick: 20,
 		},
-		Retention: time.Hour, StopMost: 10 * time.Second,
+		Retention: time.Hour, MaxStopTime: 10 * time.Second,
 	}
 }
 
--- a/services/shard/failure.go
+++ b/services/shard/failure.go
@@ -13,77 +13,77 @@
 	"saddlevane/services/ledger"
 )
 
-// learn takes a success into what is known of the object and the worker.
-func (h *Holder) learn(now time.Time, w *workerState, o *object, t *running) {
+// recordSuccess takes a success into what is known of the object and the worker.
+func (h *Holder) recordSuccess(now time.Time, w *workerState, o *object, t *attempt) {
 	o.failures, o.failedOn = 0, nil
-	w.streak, w.penalties = nil, 0
+	w.failureStreak, w.quarantineCount = nil, 0
 	if t == nil {
 		return
 	}
 	took := now.Sub(t.startedAt)
-	if o.mean == 0 {
-		o.mean = took
+	if o.meanRunTime == 0 {
+		o.meanRunTime = took
 		return
 	}
-	o.mean += (took - o.mean) / meanSmoothing
+	o.meanRunTime += (took - o.meanRunTime) / meanSmoothing
 }
 
 const meanSmoothing = 8
 
-// takeFailure decides what follows a failed or stopped attempt of a job or gang.
-func (h *Holder) takeFailure(now time.Time, w *workerState, o *object, item worker.Item) {
+// handleFailure decides what follows a failed or stopped attempt of a job or gang.
+func (h *Holder) handleFailure(now time.Time, w *workerState, o *object, item worker.Item) {
 	if item.State == task.Failed {
 		h.blame(now, w, o)
 	}
 	if o.spec.Cancelled() || !o.spec.Repeatable() {
-		h.outbox.end(w, item.Task, task.Failed)
+		h.outbox.addOutcome(w, item.Task, task.Failed)
 		return
 	}
-	if item.State == task.Failed && o.tried(item.Task.Index) > o.spec.Batch().Retries {
-		h.outbox.end(w, item.Task, task.Failed)
+	if item.State == task.Failed && o.countFailure(item.Task.Index) > o.spec.Batch().Retries {
+		h.outbox.addOutcome(w, item.Task, task.Failed)
 		return
 	}
 	w.acks = append(w.acks, item.Task)
 	h.requeueEnded(now, o, item)
-	h.disbandGang(o)
+	h.stopGang(o)
 }
 
-// tried counts one more failure of a task and returns how many there were. A new
+// countFailure counts one more failure of a task and returns how many there were. A new
 // holder counts from the start: it does not know why there were earlier attempts.
-func (o *object) tried(index int) int {
-	if o.failedTries == nil {
-		o.failedTries = map[int]int{}
+func (o *object) countFailure(index int) int {
+	if o.failuresByTask == nil {
+		o.failuresByTask = map[int]int{}
 	}
-	o.failedTries[index]++
-	return o.failedTries[index]
+	o.failuresByTask[index]++
+	return o.failuresByTask[index]
 }
 
 // requeueEnded puts a task whose attempt ended back in the queue. Attempts that
 // were stopped, not failed, do not count against it.
 func (h *Holder) requeueEnded(now time.Time, o *object, item worker.Item) {
-	if o.gone || o.spec.Cancelled() || !o.has(item.Task.Index) {
+	if o.removed || o.spec.Cancelled() || !o.hasTask(item.Task.Index) {
 		return
 	}
 	r := retry{index: item.Task.Index, attempt: item.Task.Attempt + 1}
 	if item.State != task.Stopped {
 		wait := h.settings.Backoff << min(item.Task.Attempt, maxDoublings)
-		r.notBefore = now.Add(min(wait, h.settings.BackoffMost))
+		r.notBefore = now.Add(min(wait, h.settings.MaxBackoff))
 	}
-	o.retry.put(r)
+	o.retries.pushBack(r)
 	h.enqueue(o)
 }
 
 const maxDoublings = 12
 
-// disbandGang stops what still runs of a gang, so that it can start together
+// stopGang stops what still runs of a gang, so that it can start together
 // again.
-func (h *Holder) disbandGang(o *object) {
+func (h *Holder) stopGang(o *object) {
 	if o.spec.Kind() != ledger.KindGang {
 		return
 	}
 	for _, t := range ordered.By(h.tasks, task.Key.Compare) {
 		if t.object == o {
-			h.stop(t, true)
+			h.stopAttempt(t, true)
 		}
 	}
 }
@@ -98,17 +98,17 @@
 	o.failures++
 	if len(o.failedOn) >= h.settings.QuarantineAfter {
 		wait := h.settings.Backoff << min(o.failures, maxDoublings)
-		o.notBefore = now.Add(min(wait, h.settings.BackoffMost))
+		o.notBefore = now.Add(min(wait, h.settings.MaxBackoff))
 		o.reason = "its tasks fail on every worker"
 		return
 	}
-	if id := o.spec.ID(); !slices.Contains(w.streak, id) {
-		w.streak = append(w.streak, id)
+	if id := o.spec.ID(); !slices.Contains(w.failureStreak, id) {
+		w.failureStreak = append(w.failureStreak, id)
 	}
-	if len(w.streak) >= h.settings.QuarantineAfter || (w.penalties > 0 && len(w.streak) > 0) {
-		w.quarantined = now.Add(h.settings.QuarantineFor << min(w.penalties, maxDoublings))
-		w.penalties++
-		w.streak = nil
-		h.index(now, w)
+	if len(w.failureStreak) >= h.settings.QuarantineAfter || (w.quarantineCount > 0 && len(w.failureStreak) > 0) {
+		w.quarantinedUntil = now.Add(h.settings.QuarantineFor << min(w.quarantineCount, maxDoublings))
+		w.quarantineCount++
+		w.failureStreak = nil
+		h.updateIndex(now, w)
 	}
 }
--- a/services/shard/holder.go
+++ b/services/shard/holder.go
@@ -26,9 +26,9 @@
 	// Lease is how long a worker's lease lasts.
 	Lease time.Duration
 	// Renew is the time between two Syncs with an idle worker.
-	Renew time.Duration
+	RenewInterval time.Duration
 	// Margin is taken off each lease against clocks that run unlike.
-	Margin time.Duration
+	ClockMargin time.Duration
 	// TaskLease is how long a worker runs its tasks after its lease has lapsed.
 	TaskLease time.Duration
 	// GoneAfter is how long the platform's list must not have named a worker before
@@ -36,14 +36,14 @@
 	GoneAfter time.Duration
 	// Settle is how long the set of live entry boxes must not have changed
 	// before a shard moves to another live box.
-	Settle time.Duration
+	SettleTime time.Duration
 	// Backoff is the wait before a failed task is tried again; it doubles up to
-	// BackoffMost.
-	Backoff     time.Duration
-	BackoffMost time.Duration
-	// GangPatience is how long a gang waits before smaller work stops overtaking
+	// MaxBackoff.
+	Backoff    time.Duration
+	MaxBackoff time.Duration
+	// GangOvertakeTimeout is how long a gang waits before smaller work stops overtaking
 	// it.
-	GangPatience time.Duration
+	GangOvertakeTimeout time.Duration
 	// QuarantineAfter is how many different objects in a row must fail on a
 	// worker before it gets no more work for QuarantineFor.
 	QuarantineAfter int
@@ -80,34 +80,34 @@
 	members  *membership.Membership
 	journal  *journal.Journal
 
-	phase     Phase
-	startedAt time.Time
-	ticket    journal.EntryNumber
-	suspect   suspicion
-	// headAt is when the last read began that reached the log's end.
-	headAt time.Time
+	phase        Phase
+	startedAt    time.Time
+	pendingEntry journal.EntryNumber
+	suspicion    suspicion
+	// logEndReadAt is when the last read began that reached the log's end.
+	logEndReadAt time.Time
 	// doubtful says that another box may have become the holder meanwhile.
-	doubtful bool
+	maybeSuperseded bool
 	// claim is the revision of this process's claim.
-	claim int64
+	claimRevision int64
 
 	workers map[string]*workerState
 	// order holds the workers by name.
-	order       []*workerState
-	plain       placement.Index
-	accelerated placement.Index
+	sortedWorkers    []*workerState
+	plainIndex       placement.Index
+	acceleratorIndex placement.Index
 
 	objects map[task.ObjectID]*object
 	teams   map[string]*team
-	tasks   map[task.Key]*running
+	tasks   map[task.Key]*attempt
 	total   totals
 
-	outbox outcomes
+	outbox logOutbox
 	// stops is how many more tasks may be stopped in this tick.
-	stops int
+	stopBudget int
 	// look says that some task may be unwanted.
-	look   bool
-	counts Counts
+	unwantedScanDue bool
+	counts          Counts
 }
 
 // Counts are what a holder has done since the process started.
@@ -126,8 +126,8 @@
 		settings: s, policy: p, id: id, ledger: l, members: m, journal: j,
 		phase: Idle, startedAt: now,
 		workers: map[string]*workerState{}, objects: map[task.ObjectID]*object{},
-		teams: map[string]*team{}, tasks: map[task.Key]*running{},
-		outbox: newOutcomes(),
+		teams: map[string]*team{}, tasks: map[task.Key]*attempt{},
+		outbox: newLogOutbox(),
 	}
 }
 
@@ -142,146 +142,146 @@
 
 // Tick decides what is due.
 func (h *Holder) Tick(now time.Time) []effect.Effect {
-	h.stops = h.settings.StopsPerTick
-	h.follow(now)
-	if h.holding() {
-		h.flushOutcomes(now)
-		h.advance(now)
+	h.stopBudget = h.settings.StopsPerTick
+	h.followClaim(now)
+	if h.isHolder() {
+		h.flushOutbox(now)
+		h.advancePhase(now)
 		h.stopUnwanted()
 		h.plan(now)
-		h.forgetFormer()
+		h.forgetDeadFormerWorkers()
 	}
-	return h.syncs(now)
+	return h.dueSyncs(now)
 }
 
-// holding says whether the log names this process as the holder.
-func (h *Holder) holding() bool {
+// isHolder says whether the log names this process as the holder.
+func (h *Holder) isHolder() bool {
 	return h.phase == Adopting || h.phase == Confirming || h.phase == Active
 }
 
-// follow brings the phase in line with the log.
-func (h *Holder) follow(now time.Time) {
+// followClaim brings the phase in line with the log.
+func (h *Holder) followClaim(now time.Time) {
 	claim, held := h.ledger.Claim(h.id)
 	self := h.members.Self()
 	mine := held && claim.Box() == self.Box && claim.Incarnation() == self.Incarnation
 	switch {
-	case mine && !h.holding():
-		h.begin(now, claim)
-	case !mine && h.holding():
-		h.lose(now)
+	case mine && !h.isHolder():
+		h.startAdoption(now, claim)
+	case !mine && h.isHolder():
+		h.releaseShard(now)
 	}
 	if !mine {
-		h.seek(now, claim, held)
+		h.claimIfDue(now, claim, held)
 	}
 }
 
-func (h *Holder) begin(now time.Time, claim ledger.Claim) {
-	h.phase, h.claim, h.ticket, h.doubtful = Adopting, claim.Revision(), 0, false
-	h.suspect = suspicion{}
+func (h *Holder) startAdoption(now time.Time, claim ledger.Claim) {
+	h.phase, h.claimRevision, h.pendingEntry, h.maybeSuperseded = Adopting, claim.Revision(), 0, false
+	h.suspicion = suspicion{}
 	h.counts.Takeovers++
 	h.SetWorkers(now)
 	h.SetObjects(now)
-	for _, w := range h.order {
+	for _, w := range h.sortedWorkers {
 		w.nextAt = now
 	}
 }
 
-// lose gives everything up to the next holder.
-func (h *Holder) lose(now time.Time) {
-	h.phase, h.ticket = Idle, 0
-	for _, w := range h.order {
-		w.release(now)
-		w.forget()
+// releaseShard gives everything up to the next holder.
+func (h *Holder) releaseShard(now time.Time) {
+	h.phase, h.pendingEntry = Idle, 0
+	for _, w := range h.sortedWorkers {
+		w.requestRelease(now)
+		w.reset()
 	}
 	h.objects = map[task.ObjectID]*object{}
 	h.teams = map[string]*team{}
-	h.tasks = map[task.Key]*running{}
-	h.outbox = newOutcomes()
+	h.tasks = map[task.Key]*attempt{}
+	h.outbox = newLogOutbox()
 }
 
-// seek claims the shard if this box should have it and nobody live has.
-func (h *Holder) seek(now time.Time, claim ledger.Claim, held bool) {
-	if h.phase == Claiming && h.journal.Applied(h.ticket) {
+// claimIfDue claims the shard if this box should have it and nobody live has.
+func (h *Holder) claimIfDue(now time.Time, claim ledger.Claim, held bool) {
+	if h.phase == Claiming && h.journal.Applied(h.pendingEntry) {
 		// The log took the claim in, yet another one came first.
-		h.phase, h.ticket = Idle, 0
+		h.phase, h.pendingEntry = Idle, 0
 	}
-	if !h.wanted(now) {
-		h.suspect = suspicion{}
+	if !h.isPreferredHolder(now) {
+		h.suspicion = suspicion{}
 		return
 	}
-	if h.phase == Claiming || !h.free(now, claim, held) {
+	if h.phase == Claiming || !h.isClaimable(now, claim, held) {
 		return
 	}
 	self := h.members.Self()
 	h.phase = Claiming
-	h.ticket = h.journal.Add(record.Entry{Claim: &record.Claim{
+	h.pendingEntry = h.journal.Add(record.Entry{Claim: &record.Claim{
 		Shard: h.id, Box: self.Box, Incarnation: self.Incarnation, Replaces: claim.Revision(),
 	}})
 }
 
-// wanted says whether this box is the one that should hold the shard.
-func (h *Holder) wanted(now time.Time) bool {
+// isPreferredHolder says whether this box is the one that should hold the shard.
+func (h *Holder) isPreferredHolder(now time.Time) bool {
 	return rendezvous.Pick(h.id.String(), h.members.Live(now)) == h.members.Self().Box
 }
 
-// free says whether the shard may be claimed: its holder is gone, or ready to
+// isClaimable says whether the shard may be claimed: its holder is gone, or ready to
 // give it up. A process that has just started has not heard of its peers yet, so
 // it waits first.
-func (h *Holder) free(now time.Time, claim ledger.Claim, held bool) bool {
+func (h *Holder) isClaimable(now time.Time, claim ledger.Claim, held bool) bool {
 	switch {
-	case now.Sub(h.startedAt) < h.settings.Settle/2:
+	case now.Sub(h.startedAt) < h.settings.SettleTime/2:
 		return false
 	case !held || h.members.Gone(claim.Box(), claim.Incarnation()):
 		return true
 	case h.members.Yields(claim.Box(), claim.Incarnation(), h.id.String()):
 		return true
 	case h.members.Alive(now, claim.Box(), claim.Incarnation()):
-		h.suspect = suspicion{}
+		h.suspicion = suspicion{}
 		return false
 	default:
-		return h.suspectHolder(now, claim)
+		return h.mayReplaceHolder(now, claim)
 	}
 }
 
-// advance moves from one phase of taking over to the next.
-func (h *Holder) advance(now time.Time) {
+// advancePhase moves from one phase of taking over to the next.
+func (h *Holder) advancePhase(now time.Time) {
 	switch h.phase {
 	case Adopting:
 		if !h.allAdopted() {
 			return
 		}
 		h.phase = Confirming
-		h.ticket = h.journal.Add(record.Entry{Mark: &record.Mark{}})
+		h.pendingEntry = h.journal.Add(record.Entry{Mark: &record.Mark{}})
 	case Confirming:
-		if h.journal.Applied(h.ticket) {
-			h.phase, h.ticket, h.doubtful = Active, 0, false
+		if h.journal.Applied(h.pendingEntry) {
+			h.phase, h.pendingEntry, h.maybeSuperseded = Active, 0, false
 			h.SetObjects(now)
 		}
 	}
 }
 
-// yielding says whether this holder is to give the shard up: the process stops,
+// isYielding says whether this holder is to give the shard up: the process stops,
 // or the set of live boxes has settled and another box should hold it.
-func (h *Holder) yielding(now time.Time) bool {
+func (h *Holder) isYielding(now time.Time) bool {
 	if h.members.Leaving() {
 		return true
 	}
-	return !h.wanted(now) && h.members.StableFor(now) >= h.settings.Settle
+	return !h.isPreferredHolder(now) && h.members.StableFor(now) >= h.settings.SettleTime
 }
 
 // Yields says whether the next holder may claim the shard. Whatever was recorded
 // as intended has been sent by then, so that a planned change of holders leaves no
 // task unknown.
 func (h *Holder) Yields(now time.Time) bool {
-	return h.holding() && h.yielding(now) && h.drained()
+	return h.isHolder() && h.isYielding(now) && h.allSent()
 }
 
-// drained says whether nothing is left to be sent.
-func (h *Holder) drained() bool {
-	if !h.outbox.empty() {
+// allSent says whether nothing is left to be sent.
+func (h *Holder) allSent() bool {
+	if !h.outbox.isEmpty() {
 		return false
 	}
-	for _, w := range h.order {
+	for _, w := range h.sortedWorkers {
 		if len(w.starts) > 0 || w.inflight != nil && len(w.inflight.Starts) > 0 {
 			return false
 		}
@@ -289,20 +289,20 @@
 	return true
 }
 
-// Leave gives leases back in a planned stop, once nothing is left to be sent.
-func (h *Holder) Leave(now time.Time) {
-	if !h.drained() {
+// ReleaseLeases gives leases back in a planned stop, once nothing is left to be sent.
+func (h *Holder) ReleaseLeases(now time.Time) {
+	if !h.allSent() {
 		return
 	}
-	for _, w := range h.order {
-		w.release(now)
+	for _, w := range h.sortedWorkers {
+		w.requestRelease(now)
 	}
 }
 
-// Released says whether no worker still has a lease from this holder.
-func (h *Holder) Released(now time.Time) bool {
+// AllLeasesReleased says whether no worker still has a lease from this holder.
+func (h *Holder) AllLeasesReleased(now time.Time) bool {
 	for _, w := range h.workers {
-		if w.held(now) {
+		if w.holdsLease(now) {
 			return false
 		}
 	}
--- a/services/shard/inventory.go
+++ b/services/shard/inventory.go
@@ -23,21 +23,21 @@
 	items := make(map[task.ID]bool, len(r.Tasks))
 	for _, item := range r.Tasks {
 		items[item.Task] = true
-		h.takeItem(now, w, item)
+		h.reconcileItem(now, w, item)
 	}
 	unsent := map[task.ID]bool{}
 	for _, start := range w.starts {
 		unsent[start.Task] = true
 	}
 	for id, t := range ordered.By(w.tasks, task.ID.Compare) {
-		if items[id] || unsent[id] || t.stage == stageIntending {
+		if items[id] || unsent[id] || t.stage == stageAwaitingIntent {
 			continue
 		}
 		if reason, ok := refused[id]; ok {
-			h.unstart(w, startsOf(s, id), reason)
+			h.withdrawStarts(w, startsOf(s, id), reason)
 			continue
 		}
-		h.lost(now, t, "the worker no longer has it")
+		h.handleLost(now, t, "the worker no longer has it")
 	}
 }
 
@@ -50,12 +50,12 @@
 	return []worker.Start{{Task: id}}
 }
 
-// takeItem takes one task of a worker's inventory.
-func (h *Holder) takeItem(now time.Time, w *workerState, item worker.Item) {
+// reconcileItem takes one task of a worker's inventory.
+func (h *Holder) reconcileItem(now time.Time, w *workerState, item worker.Item) {
 	t := w.tasks[item.Task]
 	switch {
 	case item.State != task.Running:
-		h.takeEnd(now, w, t, item)
+		h.handleEnded(now, w, t, item)
 	case t == nil:
 		h.adopt(now, w, item)
 	case t.stage == stageStarting:
@@ -66,7 +66,7 @@
 // adopt takes over a task that runs on a worker and is not known to this holder.
 func (h *Holder) adopt(now time.Time, w *workerState, item worker.Item) {
 	id := item.Task
-	t := &running{
+	t := &attempt{
 		id: id, object: h.objects[id.Object], worker: w, resources: item.Resources,
 		version: item.Version, stage: stageRunning, startedAt: now,
 	}
@@ -77,15 +77,15 @@
 		w.stops[id] = worker.Stop{Task: id}
 	case placed:
 		h.counts.Duplicates++
-		h.stop(other, false)
+		h.stopAttempt(other, false)
 	default:
 		h.track(t)
-		h.look = true
+		h.unwantedScanDue = true
 	}
 }
 
-// takeEnd takes an outcome that a worker reports.
-func (h *Holder) takeEnd(now time.Time, w *workerState, t *running, item worker.Item) {
+// handleEnded takes an outcome that a worker reports.
+func (h *Holder) handleEnded(now time.Time, w *workerState, t *attempt, item worker.Item) {
 	if t != nil {
 		h.untrack(t)
 	}
@@ -100,42 +100,42 @@
 		// It belongs to a file that this process has not read yet, so it has to be
 		// told again.
 		delete(w.ended, item.Task)
-		w.seen = 0
-	case o == nil || h.stale(t, item.Task, o):
+		w.inventoryVersion = 0
+	case o == nil || h.isStale(t, item.Task, o):
 		w.acks = append(w.acks, item.Task)
 	case o.spec.Kind() == ledger.KindService:
 		w.acks = append(w.acks, item.Task)
 		h.requeueEnded(now, o, item)
 	case item.State == task.Done:
-		h.learn(now, w, o, t)
-		h.outbox.end(w, item.Task, task.Done)
+		h.recordSuccess(now, w, o, t)
+		h.outbox.addOutcome(w, item.Task, task.Done)
 	default:
-		h.takeFailure(now, w, o, item)
+		h.handleFailure(now, w, o, item)
 	}
 }
 
-// stale says whether an outcome no longer matters: the task has ended, is none
+// isStale says whether an outcome no longer matters: the task has ended, is none
 // of the object's any more, or a later attempt has its place or waits for one.
-func (h *Holder) stale(t *running, id task.ID, o *object) bool {
+func (h *Holder) isStale(t *attempt, id task.ID, o *object) bool {
 	if h.ledger.Progress(id.Object).Ended(id.Index) {
 		return true
 	}
 	if other, ok := h.tasks[id.Key()]; ok && other != t {
 		return true
 	}
-	return !o.has(id.Index) || o.retry.has(id.Index)
+	return !o.hasTask(id.Index) || o.retries.has(id.Index)
 }
 
-func (o *object) has(index int) bool {
+func (o *object) hasTask(index int) bool {
 	return slices.ContainsFunc(o.ranges, func(s span) bool { return index >= s.from && index < s.to })
 }
 
-// lost takes note that an attempt ended without an outcome.
-func (h *Holder) lost(now time.Time, t *running, reason string) {
+// handleLost takes note that an attempt ended without an outcome.
+func (h *Holder) handleLost(now time.Time, t *attempt, reason string) {
 	h.untrack(t)
 	h.counts.Lost++
 	o := t.object
-	if o == nil || o.gone {
+	if o == nil || o.removed {
 		return
 	}
 	o.reason = reason
@@ -144,21 +144,21 @@
 		return
 	}
 	h.requeueEnded(now, o, worker.Item{Task: t.id, State: task.Stopped})
-	h.disbandGang(o)
+	h.stopGang(o)
 }
 
-// abandon gives up everything on a worker that surely runs nothing any more.
-func (h *Holder) abandon(now time.Time, w *workerState, reason string) {
-	w.seen = 0
-	w.starts, w.sent, w.acks = nil, 0, nil
+// abandonTasks gives up everything on a worker that surely runs nothing any more.
+func (h *Holder) abandonTasks(now time.Time, w *workerState, reason string) {
+	w.inventoryVersion = 0
+	w.starts, w.sentStarts, w.acks = nil, 0, nil
 	w.ended = map[task.ID]bool{}
 	for _, t := range ordered.By(w.tasks, task.ID.Compare) {
-		if t.stage == stageIntending {
-			h.outbox.withdraw(t)
+		if t.stage == stageAwaitingIntent {
+			h.outbox.withdrawIntent(t)
 			h.untrack(t)
-			h.putBack(t.object, retry{index: t.id.Index, attempt: t.id.Attempt})
+			h.requeueUnstarted(t.object, retry{index: t.id.Index, attempt: t.id.Attempt})
 			continue
 		}
-		h.lost(now, t, reason)
+		h.handleLost(now, t, reason)
 	}
 }
--- a/services/shard/object.go
+++ b/services/shard/object.go
@@ -19,31 +19,31 @@
 	team   *team
 	ranges []span
 	// cursor is the range and index to look at next for tasks never started.
-	cursor int
-	next   int
-	retry  retries
-	active int
+	rangeIndex int
+	nextIndex  int
+	retries    retries
+	active     int
 	// since is when tasks of the object began to wait.
-	since time.Time
+	waitingSince time.Time
 	// notBefore holds the object back after failures.
 	notBefore time.Time
 	failures  int
-	// failedTries counts the failures of each task that had any.
-	failedTries map[int]int
-	failedOn    []string
-	mean        time.Duration
-	reason      string
+	// failuresByTask counts the failures of each task that had any.
+	failuresByTask map[int]int
+	failedOn       []string
+	meanRunTime    time.Duration
+	reason         string
 	// preempted is when room was last made for the object, making how much of it
 	// is still to come.
-	preempted time.Time
-	making    int
-	gone      bool
+	preemptedAt    time.Time
+	expectedPlaces int
+	removed        bool
 	// onWorker and onRack count the places of a service that spreads.
 	onWorker, onRack map[string]int
 }
 
-// join counts a task's place.
-func (o *object) join(t *running) {
+// addPlacement counts a task's place.
+func (o *object) addPlacement(t *attempt) {
 	o.active++
 	if o.onWorker == nil {
 		o.onWorker, o.onRack = map[string]int{}, map[string]int{}
@@ -52,14 +52,14 @@
 	o.onRack[t.worker.node.Rack()]++
 }
 
-// leave ends join.
-func (o *object) leave(t *running) {
+// removePlacement ends join.
+func (o *object) removePlacement(t *attempt) {
 	o.active--
-	lower(o.onWorker, t.worker.name)
-	lower(o.onRack, t.worker.node.Rack())
+	decrement(o.onWorker, t.worker.name)
+	decrement(o.onRack, t.worker.node.Rack())
 }
 
-func lower(counts map[string]int, key string) {
+func decrement(counts map[string]int, key string) {
 	if counts[key]--; counts[key] <= 0 {
 		delete(counts, key)
 	}
@@ -81,11 +81,11 @@
 
 // SetObjects takes the objects in force.
 func (h *Holder) SetObjects(now time.Time) {
-	if !h.holding() {
+	if !h.isHolder() {
 		return
 	}
 	h.setTeams()
-	h.look = true
+	h.unwantedScanDue = true
 	seen := map[task.ObjectID]bool{}
 	for _, o := range h.ledger.Objects() {
 		ranges := h.homeRanges(o)
@@ -97,11 +97,11 @@
 	}
 	for id, o := range h.objects {
 		if !seen[id] {
-			o.gone = true
+			o.removed = true
 			delete(h.objects, id)
 		}
 	}
-	h.requeue()
+	h.rebuildQueues()
 }
 
 func (h *Holder) homeRanges(o *ledger.Object) []span {
@@ -117,18 +117,18 @@
 func (h *Holder) setObject(now time.Time, spec *ledger.Object, ranges []span) {
 	o := h.objects[spec.ID()]
 	if o == nil {
-		o = &object{since: now}
+		o = &object{waitingSince: now}
 		h.objects[spec.ID()] = o
 		for _, t := range h.tasks {
 			if t.id.Object == spec.ID() {
 				t.object = o
-				o.join(t)
+				o.addPlacement(t)
 			}
 		}
 	}
 	if !slices.Equal(o.ranges, ranges) || h.phase != Active {
-		o.ranges, o.cursor = ranges, 0
-		o.next = ranges[0].from
+		o.ranges, o.rangeIndex = ranges, 0
+		o.nextIndex = ranges[0].from
 	}
 	o.spec = spec
 	o.team = h.teams[spec.Work().Team]
@@ -148,8 +148,8 @@
 	h.total.capacity = h.ledger.Capacity(h.id)
 }
 
-// requeue sorts objects into their teams' queues, oldest first.
-func (h *Holder) requeue() {
+// rebuildQueues sorts objects into their teams' queues, oldest first.
+func (h *Holder) rebuildQueues() {
 	for _, t := range h.teams {
 		t.queues = [3][]*object{}
 	}
@@ -165,7 +165,7 @@
 
 // enqueue puts an object that has waiting tasks again back in its queue.
 func (h *Holder) enqueue(o *object) {
-	if o.team == nil || o.gone || o.spec.Cancelled() {
+	if o.team == nil || o.removed || o.spec.Cancelled() {
 		return
 	}
 	rank := o.spec.Work().Priority.Rank()
@@ -180,57 +180,57 @@
 
 // hasWaiting says whether a task of o has neither ended nor a place.
 func (h *Holder) hasWaiting(o *object) bool {
-	if o.retry.len() > 0 {
+	if o.retries.len() > 0 {
 		return true
 	}
-	_, ok := h.peekFresh(o)
+	_, ok := h.peekUnstarted(o)
 	return ok
 }
 
-// peekFresh returns the next task of o that was never started by this holder,
+// peekUnstarted returns the next task of o that was never started by this holder,
 // and moves the cursor up to it.
-func (h *Holder) peekFresh(o *object) (int, bool) {
+func (h *Holder) peekUnstarted(o *object) (int, bool) {
 	progress := h.ledger.Progress(o.spec.ID())
-	for o.cursor < len(o.ranges) {
-		for ; o.next < o.ranges[o.cursor].to; o.next++ {
-			if !progress.Ended(o.next) && !progress.Intended(o.next) && !h.placed(o, o.next) {
-				return o.next, true
+	for o.rangeIndex < len(o.ranges) {
+		for ; o.nextIndex < o.ranges[o.rangeIndex].to; o.nextIndex++ {
+			if !progress.Ended(o.nextIndex) && !progress.Intended(o.nextIndex) && !h.hasAttempt(o, o.nextIndex) {
+				return o.nextIndex, true
 			}
 		}
-		o.cursor++
-		if o.cursor < len(o.ranges) {
-			o.next = o.ranges[o.cursor].from
+		o.rangeIndex++
+		if o.rangeIndex < len(o.ranges) {
+			o.nextIndex = o.ranges[o.rangeIndex].from
 		}
 	}
 	return 0, false
 }
 
-// placed says whether a task has a place, had one and has ended, or is to be
+// hasAttempt says whether a task has a place, had one and has ended, or is to be
 // started again.
-func (h *Holder) placed(o *object, index int) bool {
-	key := keyOf(o, index)
+func (h *Holder) hasAttempt(o *object, index int) bool {
+	key := taskKey(o, index)
 	_, ok := h.tasks[key]
-	return ok || h.outbox.ending[key] || o.retry.has(index)
+	return ok || h.outbox.unrecorded[key] || o.retries.has(index)
 }
 
-// nextWaiting takes the next task of o from its queue.
-func (h *Holder) nextWaiting(now time.Time, o *object) (retry, bool) {
-	if r, ok := o.retry.next(now); ok {
+// popWaiting takes the next task of o from its queue.
+func (h *Holder) popWaiting(now time.Time, o *object) (retry, bool) {
+	if r, ok := o.retries.popDue(now); ok {
 		return r, true
 	}
-	index, ok := h.peekFresh(o)
+	index, ok := h.peekUnstarted(o)
 	if !ok {
 		return retry{}, false
 	}
-	o.next++
+	o.nextIndex++
 	return retry{index: index}, true
 }
 
-// putBack returns a task that was not started.
-func (h *Holder) putBack(o *object, r retry) {
-	if o.gone || o.spec.Cancelled() || !o.has(r.index) {
+// requeueUnstarted returns a task that was not started.
+func (h *Holder) requeueUnstarted(o *object, r retry) {
+	if o.removed || o.spec.Cancelled() || !o.hasTask(r.index) {
 		return
 	}
-	o.retry.putFirst(r)
+	o.retries.pushFront(r)
 	h.enqueue(o)
 }
--- a/services/shard/plan.go
+++ b/services/shard/plan.go
@@ -17,9 +17,9 @@
 // Policy is what varies between deployments and is measured against baselines.
 type Policy struct {
 	// Weights rate places for batch work.
-	Weights placement.Weights
+	BatchWeights placement.Weights
 	// Together rates places for services, whose spread counts more.
-	Together placement.Weights
+	ServiceWeights placement.Weights
 	// SpreadPenalty is added for each task of the same service in the group that
 	// the service should not share.
 	SpreadPenalty float64
@@ -27,67 +27,67 @@
 
 // DefaultPolicy is what the measurements favour.
 func DefaultPolicy() Policy {
-	return Policy{Weights: placement.DefaultWeights(), Together: placement.DefaultWeights(), SpreadPenalty: 10}
+	return Policy{BatchWeights: placement.DefaultWeights(), ServiceWeights: placement.DefaultWeights(), SpreadPenalty: 10}
 }
 
-// burst is how many tasks of one object are placed before teams are compared
+// maxTasksPerTurn is how many tasks of one object are placed before teams are compared
 // again.
-const burst = 16
+const maxTasksPerTurn = 16
 
-// looked is how many blocked objects of one team are passed over for smaller
+// maxBlockedObjects is how many blocked objects of one team are passed over for smaller
 // work behind them.
-const looked = 64
+const maxBlockedObjects = 64
 
-// round is one run of plan.
-type round struct {
-	now    time.Time
-	left   int
-	failed []resource.Vector
+// planPass is one run of plan.
+type planPass struct {
+	now         time.Time
+	remaining   int
+	unplaceable []resource.Vector
 	// closed is the rank from which on nothing may overtake a gang that has
 	// waited long.
-	closed int
+	closedRank int
 }
 
 // plan gives waiting tasks their places: by priority, then by the teams' shares
 // against their weights, then by age. Smaller work may pass what does not fit.
 func (h *Holder) plan(now time.Time) {
-	if h.yielding(now) {
+	if h.isYielding(now) {
 		return
 	}
 	h.pruneQueues()
-	r := &round{now: now, left: h.settings.PlacementsPerTick, closed: len(spec.Priorities)}
+	r := &planPass{now: now, remaining: h.settings.PlacementsPerTick, closedRank: len(spec.Priorities)}
 	for rank := range spec.Priorities {
-		if rank > r.closed {
+		if rank > r.closedRank {
 			return
 		}
 		h.planRank(r, rank)
 	}
 }
 
-func (h *Holder) planRank(r *round, rank int) {
+func (h *Holder) planRank(r *planPass, rank int) {
 	passed := map[*team]int{}
-	for r.left > 0 {
-		t := h.neediest(rank, passed)
+	for r.remaining > 0 {
+		t := h.leastServedTeam(rank, passed)
 		if t == nil {
 			return
 		}
 		o := t.queues[rank][passed[t]]
-		if placed := h.planObject(r, t, o); placed < burst {
+		if placed := h.planObject(r, t, o); placed < maxTasksPerTurn {
 			passed[t]++
 		}
-		if r.closed <= rank {
+		if r.closedRank <= rank {
 			return
 		}
 	}
 }
 
-// neediest returns the team with work of the rank and the smallest share for its
+// leastServedTeam returns the team with work of the rank and the smallest share for its
 // weight.
-func (h *Holder) neediest(rank int, passed map[*team]int) *team {
+func (h *Holder) leastServedTeam(rank int, passed map[*team]int) *team {
 	var best *team
 	least := 0.0
 	for _, t := range h.teams {
-		if at := passed[t]; at >= len(t.queues[rank]) || at >= looked {
+		if at := passed[t]; at >= len(t.queues[rank]) || at >= maxBlockedObjects {
 			continue
 		}
 		share := t.reserved.DominantShare(h.total.capacity) / t.spec.Weight
@@ -104,7 +104,7 @@
 		for rank, queue := range t.queues {
 			kept := queue[:0]
 			for _, o := range queue {
-				if !o.gone && !o.spec.Cancelled() && h.hasWaiting(o) {
+				if !o.removed && !o.spec.Cancelled() && h.hasWaiting(o) {
 					kept = append(kept, o)
 				}
 			}
@@ -115,8 +115,8 @@
 }
 
 // planObject places up to burst tasks of o and returns how many it placed.
-func (h *Holder) planObject(r *round, t *team, o *object) int {
-	if reason := h.heldBack(r.now, o); reason != "" {
+func (h *Holder) planObject(r *planPass, t *team, o *object) int {
+	if reason := h.holdReason(r.now, o); reason != "" {
 		o.reason = reason
 		return 0
 	}
@@ -124,35 +124,35 @@
 		return h.planGang(r, t, o)
 	}
 	placed := 0
-	for placed < burst && r.left > 0 {
-		w := h.findPlace(r, t, o)
+	for placed < maxTasksPerTurn && r.remaining > 0 {
+		w := h.findWorker(r, t, o)
 		if w == nil {
 			break
 		}
-		next, ok := h.nextWaiting(r.now, o)
+		next, ok := h.popWaiting(r.now, o)
 		if !ok {
 			break
 		}
-		h.place(r.now, o, next, w)
-		r.left--
+		h.placeTask(r.now, o, next, w)
+		r.remaining--
 		placed++
 	}
-	if placed > 0 && r.left > 0 && !h.hasWaiting(o) {
+	if placed > 0 && r.remaining > 0 && !h.hasWaiting(o) {
 		o.reason = ""
 	}
 	return placed
 }
 
-// heldBack says why no task of o may start now whatever is free, or "".
-func (h *Holder) heldBack(now time.Time, o *object) string {
+// holdReason says why no task of o may start now whatever is free, or "".
+func (h *Holder) holdReason(now time.Time, o *object) string {
 	switch {
-	case h.doubtful:
+	case h.maybeSuperseded:
 		return "another box has held workers of the shard, and the log has not told yet whether it is the holder now"
-	case h.phase != Active && o.spec.ID().Born <= h.claim:
+	case h.phase != Active && o.spec.ID().Born <= h.claimRevision:
 		return "this entry box is taking the shard over and does not know yet what runs"
 	case now.Before(o.notBefore):
 		return o.reason
-	case o.late(now):
+	case o.isPastDeadline(now):
 		return "its deadline has passed, so no task of it is started any more"
 	case !o.spec.Repeatable() && (h.journal.Full() || h.journal.FailureReason() != ""):
 		return "the log cannot be written, and the start of a task that may not be repeated must be recorded first"
@@ -161,40 +161,40 @@
 	}
 }
 
-// late says whether a job's deadline has passed.
-func (o *object) late(now time.Time) bool {
+// isPastDeadline says whether a job's deadline has passed.
+func (o *object) isPastDeadline(now time.Time) bool {
 	b := o.spec.Batch()
 	return b != nil && !b.Deadline.IsZero() && now.After(b.Deadline.Time)
 }
 
-// findPlace returns a worker for one task of o, or nil and the reason in o.
-func (h *Holder) findPlace(r *round, t *team, o *object) *workerState {
+// findWorker returns a worker for one task of o, or nil and the reason in o.
+func (h *Holder) findWorker(r *planPass, t *team, o *object) *workerState {
 	need := o.spec.Work().Resources
 	if !t.reserved.Plus(need).Fits(t.quota) {
 		o.reason = fmt.Sprintf("team %s has its quota of this shard in use", t.spec.Name)
 		return nil
 	}
-	if r.knownFull(need) {
-		o.reason = fullReason(need)
+	if r.isUnplaceable(need) {
+		o.reason = noCapacityReason(need)
 		return nil
 	}
-	n := h.search(o, need)
+	n := h.bestNode(o, need)
 	if n != nil {
 		return h.workers[n.Name()]
 	}
-	r.failed = append(r.failed, need)
-	o.reason = fullReason(need)
-	h.preempt(r.now, o, need)
+	r.unplaceable = append(r.unplaceable, need)
+	o.reason = noCapacityReason(need)
+	h.preemptFor(r.now, o, need)
 	return nil
 }
 
-func fullReason(need resource.Vector) string {
+func noCapacityReason(need resource.Vector) string {
 	return fmt.Sprintf("no worker of the shard has %s processors, %s of memory and %d accelerators free together",
 		need.Processors, need.Memory, need.Accelerators)
 }
 
-func (r *round) knownFull(need resource.Vector) bool {
-	for _, f := range r.failed {
+func (r *planPass) isUnplaceable(need resource.Vector) bool {
+	for _, f := range r.unplaceable {
 		if f.Fits(need) {
 			return true
 		}
@@ -202,23 +202,23 @@
 	return false
 }
 
-func (h *Holder) search(o *object, need resource.Vector) *placement.Node {
-	score := func(n *placement.Node) float64 { return h.policy.Weights.Score(n, need) }
+func (h *Holder) bestNode(o *object, need resource.Vector) *placement.Node {
+	score := func(n *placement.Node) float64 { return h.policy.BatchWeights.Score(n, need) }
 	if s := o.spec.Service(); s != nil && s.Spread != spec.SpreadNone {
 		score = func(n *placement.Node) float64 {
-			return h.policy.Together.Score(n, need) + h.policy.SpreadPenalty*float64(o.neighbours(n, s.Spread))
+			return h.policy.ServiceWeights.Score(n, need) + h.policy.SpreadPenalty*float64(o.countNeighbours(n, s.Spread))
 		}
 	}
 	if need.Accelerators == 0 {
-		if n := h.plain.Best(need, score); n != nil {
+		if n := h.plainIndex.Best(need, score); n != nil {
 			return n
 		}
 	}
-	return h.accelerated.Best(need, score)
+	return h.acceleratorIndex.Best(need, score)
 }
 
-// neighbours counts tasks of o in the group of n that they should not share.
-func (o *object) neighbours(n *placement.Node, s spec.Spread) int {
+// countNeighbours counts tasks of o in the group of n that they should not share.
+func (o *object) countNeighbours(n *placement.Node, s spec.Spread) int {
 	if s == spec.SpreadRack {
 		// Within a rack, workers that have none yet are still better.
 		return o.onRack[n.Rack()] + o.onWorker[n.Name()]
@@ -227,29 +227,29 @@
 }
 
 // planGang places all tasks of a gang or none.
-func (h *Holder) planGang(r *round, t *team, o *object) int {
+func (h *Holder) planGang(r *planPass, t *team, o *object) int {
 	if o.active > 0 {
 		o.reason = "the rest of the gang has not stopped yet"
 		return 0
 	}
 	need := o.spec.Work().Resources
-	waiting := h.takeWaiting(r.now, o)
-	if o.retry.len() > 0 || !t.reserved.Plus(need.Times(len(waiting))).Fits(t.quota) || !h.placeAll(r.now, o, waiting) {
-		h.returnAll(o, waiting)
-		h.gangWaits(r, t, o, len(waiting))
+	waiting := h.popAllWaiting(r.now, o)
+	if o.retries.len() > 0 || !t.reserved.Plus(need.Times(len(waiting))).Fits(t.quota) || !h.placeAll(r.now, o, waiting) {
+		h.requeueAll(o, waiting)
+		h.recordGangWait(r, t, o, len(waiting))
 		return 0
 	}
-	r.left -= len(waiting)
+	r.remaining -= len(waiting)
 	o.reason = ""
 	return len(waiting)
 }
 
-// takeWaiting takes all tasks of a gang from its queue, each once: one that comes
+// popAllWaiting takes all tasks of a gang from its queue, each once: one that comes
 // back from an earlier attempt may not have been passed by the cursor yet.
-func (h *Holder) takeWaiting(now time.Time, o *object) []retry {
+func (h *Holder) popAllWaiting(now time.Time, o *object) []retry {
 	var waiting []retry
 	taken := map[int]bool{}
-	for next, ok := h.nextWaiting(now, o); ok; next, ok = h.nextWaiting(now, o) {
+	for next, ok := h.popWaiting(now, o); ok; next, ok = h.popWaiting(now, o) {
 		if !taken[next.index] {
 			taken[next.index] = true
 			waiting = append(waiting, next)
@@ -258,9 +258,9 @@
 	return waiting
 }
 
-func (h *Holder) returnAll(o *object, waiting []retry) {
+func (h *Holder) requeueAll(o *object, waiting []retry) {
 	for _, r := range slices.Backward(waiting) {
-		o.retry.putFirst(r)
+		o.retries.pushFront(r)
 	}
 }
 
@@ -269,7 +269,7 @@
 	need := o.spec.Work().Resources
 	held := make([]*placement.Node, 0, len(waiting))
 	for range waiting {
-		n := h.search(o, need)
+		n := h.bestNode(o, need)
 		if n == nil {
 			break
 		}
@@ -283,36 +283,36 @@
 		return false
 	}
 	for i, n := range held {
-		h.place(now, o, waiting[i], h.workers[n.Name()])
+		h.placeTask(now, o, waiting[i], h.workers[n.Name()])
 	}
 	return true
 }
 
-// gangWaits notes why a gang waits. One that has waited long stops smaller work
+// recordGangWait notes why a gang waits. One that has waited long stops smaller work
 // of its own and lower priorities from overtaking it, so that room gathers.
-func (h *Holder) gangWaits(r *round, t *team, o *object, waiting int) {
+func (h *Holder) recordGangWait(r *planPass, t *team, o *object, waiting int) {
 	all := o.spec.Work().Resources.Times(waiting)
 	if !t.reserved.Plus(all).Fits(t.quota) {
 		o.reason = fmt.Sprintf("team %s has not enough of its quota of this shard free for all tasks together", t.spec.Name)
 		return
 	}
-	if !h.couldFit(r.now, o, waiting) {
+	if !h.fitsWithoutJobs(r.now, o, waiting) {
 		o.reason = "the workers that the shard has now could not hold all its tasks together beside its services"
 		return
 	}
 	o.reason = "the shard has not room for all its tasks together"
-	if r.now.Sub(o.since) >= h.settings.GangPatience {
-		r.closed = min(r.closed, o.spec.Work().Priority.Rank())
+	if r.now.Sub(o.waitingSince) >= h.settings.GangOvertakeTimeout {
+		r.closedRank = min(r.closedRank, o.spec.Work().Priority.Rank())
 		o.reason += "; smaller work no longer overtakes it"
 	}
 }
 
-// couldFit says whether so many tasks of o would fit if all jobs had ended. A gang
+// fitsWithoutJobs says whether so many tasks of o would fit if all jobs had ended. A gang
 // that could not must not hold others up.
-func (h *Holder) couldFit(now time.Time, o *object, waiting int) bool {
+func (h *Holder) fitsWithoutJobs(now time.Time, o *object, waiting int) bool {
 	need := o.spec.Work().Resources
-	for _, w := range h.order {
-		if !h.mayStart(now, w) {
+	for _, w := range h.sortedWorkers {
+		if !h.canStart(now, w) {
 			continue
 		}
 		room := w.node.Capacity()
--- a/services/shard/preempt.go
+++ b/services/shard/preempt.go
@@ -14,76 +14,76 @@
 	"saddlevane/services/ledger"
 )
 
-func keyOf(o *object, index int) task.Key {
+func taskKey(o *object, index int) task.Key {
 	return task.Key{Object: o.spec.ID(), Index: index}
 }
 
-// preemptAgain is how long room that was made counts as coming: the stopped tasks
+// preemptRetryDelay is how long room that was made counts as coming: the stopped tasks
 // need about as long to give their places up.
-const preemptAgain = 500 * time.Millisecond
+const preemptRetryDelay = 500 * time.Millisecond
 
-// sacrifice is tasks on one worker whose end makes room for one urgent task.
-type sacrifice struct{ victims []*running }
+// preemption is tasks on one worker whose end makes room for one urgent task.
+type preemption struct{ victims []*attempt }
 
-// preempt makes room for the waiting tasks of urgent work by stopping, with a
+// preemptFor makes room for the waiting tasks of urgent work by stopping, with a
 // checkpoint, the fewest tasks of jobs of the lowest priority that may be
 // repeated.
-func (h *Holder) preempt(now time.Time, o *object, need resource.Vector) {
+func (h *Holder) preemptFor(now time.Time, o *object, need resource.Vector) {
 	if o.spec.Work().Priority != spec.Urgent {
 		return
 	}
-	if now.Sub(o.preempted) >= preemptAgain {
-		o.making = 0
+	if now.Sub(o.preemptedAt) >= preemptRetryDelay {
+		o.expectedPlaces = 0
 	}
-	missing := min(h.waitingCount(o), h.settings.StopsPerTick) - o.making
+	missing := min(h.estimateWaiting(o), h.settings.StopsPerTick) - o.expectedPlaces
 	if missing <= 0 {
 		return
 	}
-	for _, s := range h.sacrifices(now, need) {
-		if missing <= 0 || h.stops < len(s.victims) {
+	for _, s := range h.possiblePreemptions(now, need) {
+		if missing <= 0 || h.stopBudget < len(s.victims) {
 			break
 		}
 		for _, t := range s.victims {
-			h.stop(t, true)
+			h.stopAttempt(t, true)
 			h.counts.Preemptions++
 		}
 		missing--
-		o.making++
-		o.preempted = now
+		o.expectedPlaces++
+		o.preemptedAt = now
 		o.reason = "waits for the tasks that it preempted to stop"
 	}
 }
 
-// waitingCount returns about how many tasks of o wait.
-func (h *Holder) waitingCount(o *object) int {
+// estimateWaiting returns about how many tasks of o wait.
+func (h *Holder) estimateWaiting(o *object) int {
 	p := h.ledger.Progress(o.spec.ID())
-	return max(o.size()-o.active-int(p.Done().GetCardinality()+p.Failed().GetCardinality()), 1)
+	return max(o.taskCount()-o.active-int(p.Done().GetCardinality()+p.Failed().GetCardinality()), 1)
 }
 
-// sacrifices returns what could be stopped on each worker, fewest tasks first.
-func (h *Holder) sacrifices(now time.Time, need resource.Vector) []sacrifice {
-	var all []sacrifice
-	for _, w := range h.order {
-		if !h.mayStart(now, w) || len(w.stops) > 0 || !need.Fits(w.node.Capacity()) {
+// possiblePreemptions returns what could be stopped on each worker, fewest tasks first.
+func (h *Holder) possiblePreemptions(now time.Time, need resource.Vector) []preemption {
+	var all []preemption
+	for _, w := range h.sortedWorkers {
+		if !h.canStart(now, w) || len(w.stops) > 0 || !need.Fits(w.node.Capacity()) {
 			continue
 		}
-		if v := victims(w, need); v != nil {
-			all = append(all, sacrifice{v})
+		if v := selectVictims(w, need); v != nil {
+			all = append(all, preemption{v})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b sacrifice) int { return len(a.victims) - len(b.victims) })
+	slices.SortStableFunc(all, func(a, b preemption) int { return len(a.victims) - len(b.victims) })
 	return all
 }
 
-// victims returns tasks on w whose end would make room for need, or nil.
-func victims(w *workerState, need resource.Vector) []*running {
+// selectVictims returns tasks on w whose end would make room for need, or nil.
+func selectVictims(w *workerState, need resource.Vector) []*attempt {
 	free := w.node.Free()
-	var stopped []*running
+	var stopped []*attempt
 	for _, t := range ordered.By(w.tasks, task.ID.Compare) {
 		if need.Fits(free) {
 			break
 		}
-		if t.preemptible() {
+		if t.isPreemptible() {
 			free = free.Plus(t.resources)
 			stopped = append(stopped, t)
 		}
@@ -94,7 +94,7 @@
 	return stopped
 }
 
-func (t *running) preemptible() bool {
+func (t *attempt) isPreemptible() bool {
 	return t.object != nil && t.stage == stageRunning && t.object.spec.Kind() == ledger.KindJob &&
 		t.object.spec.Work().Priority == spec.Bulk && t.object.spec.Repeatable()
 }
@@ -103,51 +103,51 @@
 // that are to move off a drained worker, or that a newer form replaces. Tasks are
 // looked through only after something changed, until none of these is left.
 func (h *Holder) stopUnwanted() {
-	if !h.look {
+	if !h.unwantedScanDue {
 		return
 	}
-	h.look = false
+	h.unwantedScanDue = false
 	looked := map[*object]bool{}
 	for _, t := range ordered.By(h.tasks, task.Key.Compare) {
-		why := h.unwanted(t)
-		if why == wanted {
+		why := h.dispositionOf(t)
+		if why == keepRunning {
 			continue
 		}
-		h.look = true
-		if h.stops <= 0 {
+		h.unwantedScanDue = true
+		if h.stopBudget <= 0 {
 			return
 		}
-		if t.stage != stageStopping && (why == unwantedNow || h.canSpareOne(t.object, looked)) {
-			h.stop(t, true)
+		if t.stage != stageStopping && (why == stopAtOnce || h.canSpareOne(t.object, looked)) {
+			h.stopAttempt(t, true)
 		}
 	}
 }
 
-// want is whether a task should go on.
-type want string
+// disposition is whether a task should go on.
+type disposition string
 
 const (
-	wanted want = "wanted"
-	// unwantedNow should stop at once.
-	unwantedNow want = "unwanted now"
-	// unwantedSoon should stop once the service can spare a task.
-	unwantedSoon want = "unwanted soon"
+	keepRunning disposition = "wanted"
+	// stopAtOnce should stop at once.
+	stopAtOnce disposition = "unwanted now"
+	// stopWhenSpare should stop once the service can spare a task.
+	stopWhenSpare disposition = "unwanted soon"
 )
 
-func (h *Holder) unwanted(t *running) want {
+func (h *Holder) dispositionOf(t *attempt) disposition {
 	o := t.object
 	switch {
 	case o == nil && t.id.Object.Born > h.ledger.Next():
 		// It belongs to a file that this process has not read yet.
-		return wanted
-	case o == nil || o.gone || o.spec.Cancelled() || !o.has(t.id.Index):
-		return unwantedNow
+		return keepRunning
+	case o == nil || o.removed || o.spec.Cancelled() || !o.hasTask(t.id.Index):
+		return stopAtOnce
 	case o.spec.Kind() == ledger.KindService && (t.worker.drained || t.version != o.spec.Version()):
-		return unwantedSoon
+		return stopWhenSpare
 	case t.worker.drained && o.spec.Repeatable():
-		return unwantedNow
+		return stopAtOnce
 	default:
-		return wanted
+		return keepRunning
 	}
 }
 
@@ -160,7 +160,7 @@
 	looked[o] = true
 	for _, s := range o.ranges {
 		for i := s.from; i < s.to; i++ {
-			if t, ok := h.tasks[keyOf(o, i)]; !ok || t.stage != stageRunning {
+			if t, ok := h.tasks[taskKey(o, i)]; !ok || t.stage != stageRunning {
 				return false
 			}
 		}
@@ -168,7 +168,7 @@
 	return true
 }
 
-func (o *object) size() int {
+func (o *object) taskCount() int {
 	n := 0
 	for _, s := range o.ranges {
 		n += s.to - s.from
--- a/services/shard/retry.go
+++ b/services/shard/retry.go
@@ -18,40 +18,40 @@
 // retries are the tasks of one object that go back to the queue, each once: a
 // task can be reported lost and, later, ended as well.
 type retries struct {
-	queue []retry
-	index map[int]bool
+	queue  []retry
+	queued map[int]bool
 }
 
 func (r *retries) len() int { return len(r.queue) }
 
-func (r *retries) has(index int) bool { return r.index[index] }
+func (r *retries) has(index int) bool { return r.queued[index] }
 
-func (r *retries) put(t retry) {
-	if r.add(t.index) {
+func (r *retries) pushBack(t retry) {
+	if r.markQueued(t.index) {
 		r.queue = append(r.queue, t)
 	}
 }
 
-// putFirst puts a task that was not started back where it came from.
-func (r *retries) putFirst(t retry) {
-	if r.add(t.index) {
+// pushFront puts a task that was not started back where it came from.
+func (r *retries) pushFront(t retry) {
+	if r.markQueued(t.index) {
 		r.queue = slices.Insert(r.queue, 0, t)
 	}
 }
 
-func (r *retries) add(index int) bool {
-	if r.index[index] {
+func (r *retries) markQueued(index int) bool {
+	if r.queued[index] {
 		return false
 	}
-	if r.index == nil {
-		r.index = map[int]bool{}
+	if r.queued == nil {
+		r.queued = map[int]bool{}
 	}
-	r.index[index] = true
+	r.queued[index] = true
 	return true
 }
 
-// next takes the first task whose wait is over.
-func (r *retries) next(now time.Time) (retry, bool) {
+// popDue takes the first task whose wait is over.
+func (r *retries) popDue(now time.Time) (retry, bool) {
 	for _, t := range r.queue {
 		if !now.Before(t.notBefore) {
 			r.remove(t.index)
@@ -63,9 +63,9 @@
 
 // remove takes a task out: it has a place after all.
 func (r *retries) remove(index int) {
-	if !r.index[index] {
+	if !r.queued[index] {
 		return
 	}
-	delete(r.index, index)
+	delete(r.queued, index)
 	r.queue = slices.DeleteFunc(r.queue, func(t retry) bool { return t.index == index })
 }
--- a/services/shard/status.go
+++ b/services/shard/status.go
@@ -20,26 +20,26 @@
 func (h *Holder) Status(now time.Time) status.Shard {
 	s := status.Shard{
 		ID: h.id.String(), Phase: string(h.phase), Workers: len(h.workers), Running: len(h.tasks),
-		Packed: h.packed(), Starts: h.counts.Starts, Lost: h.counts.Lost, Preemptions: h.counts.Preemptions,
+		Packed: h.packedRatio(), Starts: h.counts.Starts, Lost: h.counts.Lost, Preemptions: h.counts.Preemptions,
 		Takeovers: h.counts.Takeovers, Duplicates: h.counts.Duplicates,
 	}
 	if claim, ok := h.ledger.Claim(h.id); ok {
 		s.Holder = claim.Box()
 	}
 	for _, w := range h.workers {
-		if w.held(now) {
+		if w.holdsLease(now) {
 			s.Held++
 		}
 	}
 	for _, o := range h.objects {
-		s.Waiting += h.work(o).Waiting
+		s.Waiting += h.objectWork(o).Waiting
 	}
 	return s
 }
 
-// packed returns the largest part of any resource of the held workers that is
+// packedRatio returns the largest part of any resource of the held workers that is
 // reserved.
-func (h *Holder) packed() float64 {
+func (h *Holder) packedRatio() float64 {
 	var capacity, free resource.Vector
 	for _, w := range h.workers {
 		if w.adopted {
@@ -54,13 +54,13 @@
 	var all []status.Work
 	for _, s := range h.ledger.Objects() {
 		if o, ok := h.objects[s.ID()]; ok {
-			all = append(all, h.work(o))
+			all = append(all, h.objectWork(o))
 		}
 	}
 	return all
 }
 
-func (h *Holder) work(o *object) status.Work {
+func (h *Holder) objectWork(o *object) status.Work {
 	p := h.ledger.Progress(o.spec.ID())
 	home := roaring.New()
 	for _, s := range o.ranges {
@@ -69,34 +69,34 @@
 	w := status.Work{
 		Object: o.spec.ID().String(), Kind: string(o.spec.Kind()), Team: o.spec.Work().Team,
 		Priority: string(o.spec.Work().Priority), File: o.spec.File(), Shard: h.id.String(),
-		Tasks: o.size(), Running: o.active,
+		Tasks: o.taskCount(), Running: o.active,
 		Done:   int(roaring.And(home, p.Done()).GetCardinality()),
 		Failed: int(roaring.And(home, p.Failed()).GetCardinality()),
 	}
-	unknown := h.unknown(o, home, p)
+	unknown := h.unknownTasks(o, home, p)
 	w.Unknown = len(unknown)
-	for _, index := range unknown[:min(len(unknown), maxUnknownNamed)] {
-		w.UnknownTasks = append(w.UnknownTasks, keyOf(o, index).String())
+	for _, index := range unknown[:min(len(unknown), maxUnknownListed)] {
+		w.UnknownTasks = append(w.UnknownTasks, taskKey(o, index).String())
 	}
 	if o.spec.Cancelled() {
 		w.Reason = "cancelled"
 		return w
 	}
-	w.Waiting = max(w.Tasks-w.Running-w.Done-w.Failed-w.Unknown-h.ending(o), 0)
+	w.Waiting = max(w.Tasks-w.Running-w.Done-w.Failed-w.Unknown-h.countUnrecorded(o), 0)
 	if w.Waiting > 0 {
-		since := o.since
+		since := o.waitingSince
 		w.Since, w.Reason = &since, o.reason
 	}
 	return w
 }
 
-const maxUnknownNamed = 20
+const maxUnknownListed = 20
 
-// ending counts the tasks of o that have ended, though the log does not say so
+// countUnrecorded counts the tasks of o that have ended, though the log does not say so
 // yet.
-func (h *Holder) ending(o *object) int {
+func (h *Holder) countUnrecorded(o *object) int {
 	n := 0
-	for key := range h.outbox.ending {
+	for key := range h.outbox.unrecorded {
 		if key.Object == o.spec.ID() {
 			n++
 		}
@@ -104,8 +104,8 @@
 	return n
 }
 
-// unknown returns the tasks of o that may have run and have no outcome.
-func (h *Holder) unknown(o *object, home *roaring.Bitmap, p *ledger.Progress) []int {
+// unknownTasks returns the tasks of o that may have run and have no outcome.
+func (h *Holder) unknownTasks(o *object, home *roaring.Bitmap, p *ledger.Progress) []int {
 	if o.spec.Repeatable() || h.phase != Active {
 		return nil
 	}
@@ -113,7 +113,7 @@
 	var all []int
 	for it := open.Iterator(); it.HasNext(); {
 		index := int(it.Next())
-		if p.Intended(index) && !h.placed(o, index) {
+		if p.Intended(index) && !h.hasAttempt(o, index) {
 			all = append(all, index)
 		}
 	}
@@ -147,9 +147,9 @@
 		}
 		free := w.node.Free()
 		all = append(all, status.Worker{
-			Name: w.name, Held: w.held(now), Adopted: w.adopted, Epoch: w.epoch, Tasks: len(w.tasks),
+			Name: w.name, Held: w.holdsLease(now), Adopted: w.adopted, Epoch: w.epoch, Tasks: len(w.tasks),
 			Free:    fmt.Sprintf("%s processors, %s, %d accelerators", free.Processors, free.Memory, free.Accelerators),
-			Drained: w.drained, Quarantined: w.quarantined, Failing: w.failing,
+			Drained: w.drained, Quarantined: w.quarantinedUntil, Failing: w.lastFailure,
 		})
 	}
 	slices.SortFunc(all, func(a, b status.Worker) int {
@@ -165,7 +165,7 @@
 // not held here or the task is not at home in it.
 func (h *Holder) Explain(key task.Key) (status.Explanation, bool) {
 	o, ok := h.objects[key.Object]
-	if !ok || !o.has(key.Index) {
+	if !ok || !o.hasTask(key.Index) {
 		return status.Explanation{}, false
 	}
 	e := status.Explanation{Task: key.String()}
@@ -177,23 +177,23 @@
 	case p.Failed().Contains(i):
 		e.State, e.Why = string(task.Failed), "It failed or was cancelled, and has no tries left."
 	case placed:
-		e.State, e.Why = string(t.stage), h.whyHere(t)
-	case h.outbox.ending[key]:
+		e.State, e.Why = string(t.stage), h.placeReason(t)
+	case h.outbox.unrecorded[key]:
 		e.State, e.Why = string(task.Running), "It has ended, and waits for the log to take that in."
 	case o.spec.Cancelled():
 		e.State, e.Why = string(task.Stopped), "Its file says that it is cancelled."
-	case p.Intended(key.Index) && !o.retry.has(key.Index) && h.phase == Active:
+	case p.Intended(key.Index) && !o.retries.has(key.Index) && h.phase == Active:
 		e.State, e.Why = string(task.Unknown), "Its start was recorded, but no outcome is known; it may not be repeated, so it waits for an operator's file to settle it."
 	default:
-		e.State, e.Why = string(task.Waiting), h.whyWaiting(o)
+		e.State, e.Why = string(task.Waiting), h.waitingReason(o)
 	}
 	return e, true
 }
 
-func (h *Holder) whyHere(t *running) string {
+func (h *Holder) placeReason(t *attempt) string {
 	n := t.worker.node
 	switch t.stage {
-	case stageIntending:
+	case stageAwaitingIntent:
 		return fmt.Sprintf("It has a place on %s and waits for the log to take in that it may start.", t.worker.name)
 	case stageStopping:
 		return fmt.Sprintf("It was told to stop on %s and keeps its place until the worker confirms.", t.worker.name)
@@ -203,7 +203,7 @@
 	}
 }
 
-func (h *Holder) whyWaiting(o *object) string {
+func (h *Holder) waitingReason(o *object) string {
 	if o.reason == "" {
 		return "It has its turn after work of higher priority, of teams with a smaller share, or that is older."
 	}
--- a/services/shard/suspect.go
+++ b/services/shard/suspect.go
@@ -20,72 +20,72 @@
 	holder string
 	since  time.Time
 	// until is how long the holder's leases last that workers have told of.
-	until time.Time
+	leasesUntil time.Time
 }
 
-// looks is how many rounds of questions the workers get before their silence
+// maxUnansweredRounds is how many rounds of questions the workers get before their silence
 // counts.
-const looks = 2
+const maxUnansweredRounds = 2
 
-func (h *Holder) suspecting() bool { return h.suspect.holder != "" }
+func (h *Holder) isSuspecting() bool { return h.suspicion.holder != "" }
 
-// suspectHolder says whether a holder that is not heard may be replaced.
-func (h *Holder) suspectHolder(now time.Time, claim ledger.Claim) bool {
+// mayReplaceHolder says whether a holder that is not heard may be replaced.
+func (h *Holder) mayReplaceHolder(now time.Time, claim ledger.Claim) bool {
 	name := claim.Box() + "/" + claim.Incarnation()
-	if h.suspect.holder != name {
-		h.suspect = suspicion{holder: name, since: now}
+	if h.suspicion.holder != name {
+		h.suspicion = suspicion{holder: name, since: now}
 		for _, w := range h.workers {
 			w.nextAt = now
 		}
 	}
-	return h.asked(now) && now.After(h.suspect.until)
+	return h.workersConsulted(now) && now.After(h.suspicion.leasesUntil)
 }
 
-// asked says whether every worker has answered since the suspicion began, or has
+// workersConsulted says whether every worker has answered since the suspicion began, or has
 // had time enough.
-func (h *Holder) asked(now time.Time) bool {
-	if now.Sub(h.suspect.since) >= looks*h.settings.Renew {
+func (h *Holder) workersConsulted(now time.Time) bool {
+	if now.Sub(h.suspicion.since) >= maxUnansweredRounds*h.settings.RenewInterval {
 		return true
 	}
-	for _, w := range h.order {
-		if w.answeredAt.Before(h.suspect.since) && w.listed != box.Dead {
+	for _, w := range h.sortedWorkers {
+		if w.answeredAt.Before(h.suspicion.since) && w.listedState != box.Dead {
 			return false
 		}
 	}
 	return true
 }
 
-// caretaking says whether this box keeps the tasks of a shard alive whose holder
+// isCaretaker says whether this box keeps the tasks of a shard alive whose holder
 // is gone while the log cannot take the claim in. It starts nothing. It must see
 // every worker, and none may be another's: then a holder that lives on without
 // being heard can start nothing either, and learns of the caretaker when it gets
 // a lease again.
-func (h *Holder) caretaking(now time.Time) bool {
+func (h *Holder) isCaretaker(now time.Time) bool {
 	if h.phase != Claiming || h.journal.FailureReason() == "" {
 		return false
 	}
-	for _, w := range h.order {
-		if w.listed == box.Dead {
+	for _, w := range h.sortedWorkers {
+		if w.listedState == box.Dead {
 			continue
 		}
-		if now.Sub(w.answeredAt) > seenWithin*h.settings.Renew || now.Before(w.foreign) {
+		if now.Sub(w.answeredAt) > maxAnswerAgeRounds*h.settings.RenewInterval || now.Before(w.otherLeaseUntil) {
 			return false
 		}
 	}
 	return true
 }
 
-// seenWithin is how many rounds ago a caretaker must have seen each worker.
-const seenWithin = 4
+// maxAnswerAgeRounds is how many rounds ago a caretaker must have seen each worker.
+const maxAnswerAgeRounds = 4
 
-// seeHolder takes a worker's word on who has its lease.
-func (h *Holder) seeHolder(now time.Time, w *workerState, r worker.Report) {
-	w.foreign = time.Time{}
+// recordReportedHolder takes a worker's word on who has its lease.
+func (h *Holder) recordReportedHolder(now time.Time, w *workerState, r worker.Report) {
+	w.otherLeaseUntil = time.Time{}
 	if r.Holder == "" || r.Holder == h.holderName() || r.ExpiresIn <= 0 {
 		return
 	}
-	w.foreign = now.Add(r.ExpiresIn.Duration())
-	if h.suspecting() && r.Holder == h.suspect.holder && w.foreign.After(h.suspect.until) {
-		h.suspect.until = w.foreign
+	w.otherLeaseUntil = now.Add(r.ExpiresIn.Duration())
+	if h.isSuspecting() && r.Holder == h.suspicion.holder && w.otherLeaseUntil.After(h.suspicion.leasesUntil) {
+		h.suspicion.leasesUntil = w.otherLeaseUntil
 	}
 }
--- a/services/shard/task.go
+++ b/services/shard/task.go
@@ -16,8 +16,8 @@
 type stage string
 
 const (
-	// stageIntending waits for the log to take in the intent.
-	stageIntending stage = "intending"
+	// stageAwaitingIntent waits for the log to take in the intent.
+	stageAwaitingIntent stage = "intending"
 	// stageStarting was, or is about to be, sent to the worker.
 	stageStarting stage = "starting"
 	stageRunning  stage = "running"
@@ -25,21 +25,21 @@
 	stageStopping stage = "stopping"
 )
 
-// running is an attempt that has a place on a worker.
-type running struct {
-	id        task.ID
-	object    *object
-	worker    *workerState
-	resources resource.Vector
-	version   int64
-	stage     stage
-	intent    journal.EntryNumber
-	startedAt time.Time
+// attempt is an attempt that has a place on a worker.
+type attempt struct {
+	id          task.ID
+	object      *object
+	worker      *workerState
+	resources   resource.Vector
+	version     int64
+	stage       stage
+	intentEntry journal.EntryNumber
+	startedAt   time.Time
 }
 
-// place gives a task its place and queues the start.
-func (h *Holder) place(now time.Time, o *object, r retry, w *workerState) *running {
-	t := &running{
+// placeTask gives a task its place and queues the start.
+func (h *Holder) placeTask(now time.Time, o *object, r retry, w *workerState) *attempt {
+	t := &attempt{
 		id:     task.ID{Object: o.spec.ID(), Index: r.index, Attempt: r.attempt},
 		object: o, worker: w, resources: o.spec.Work().Resources, version: o.spec.Version(),
 		stage: stageStarting, startedAt: now,
@@ -49,12 +49,12 @@
 		h.queueStart(t)
 		return t
 	}
-	t.stage = stageIntending
-	h.outbox.intend(t)
+	t.stage = stageAwaitingIntent
+	h.outbox.addIntent(t)
 	return t
 }
 
-func (h *Holder) queueStart(t *running) {
+func (h *Holder) queueStart(t *attempt) {
 	t.stage = stageStarting
 	t.worker.starts = append(t.worker.starts, worker.Start{
 		Task: t.id, Resources: t.resources, Command: t.object.spec.Work().Command, Version: t.version,
@@ -62,22 +62,22 @@
 	h.counts.Starts++
 }
 
-func (h *Holder) track(t *running) {
+func (h *Holder) track(t *attempt) {
 	h.tasks[t.id.Key()] = t
 	t.worker.tasks[t.id] = t
 	t.worker.node.Reserve(t.resources)
 	if t.object == nil {
 		return
 	}
-	t.object.retry.remove(t.id.Index)
-	t.object.making = max(t.object.making-1, 0)
-	t.object.join(t)
+	t.object.retries.remove(t.id.Index)
+	t.object.expectedPlaces = max(t.object.expectedPlaces-1, 0)
+	t.object.addPlacement(t)
 	if t.object.team != nil {
 		t.object.team.reserved = t.object.team.reserved.Plus(t.resources)
 	}
 }
 
-func (h *Holder) untrack(t *running) {
+func (h *Holder) untrack(t *attempt) {
 	if h.tasks[t.id.Key()] == t {
 		delete(h.tasks, t.id.Key())
 	}
@@ -87,14 +87,14 @@
 	if t.object == nil {
 		return
 	}
-	t.object.leave(t)
+	t.object.removePlacement(t)
 	if t.object.team != nil {
 		t.object.team.reserved = t.object.team.reserved.Minus(t.resources)
 	}
 }
 
-// unstart takes back starts that a worker surely did not apply.
-func (h *Holder) unstart(w *workerState, starts []worker.Start, reason string) {
+// withdrawStarts takes back starts that a worker surely did not apply.
+func (h *Holder) withdrawStarts(w *workerState, starts []worker.Start, reason string) {
 	for _, s := range starts {
 		t, ok := w.tasks[s.Task]
 		if !ok || t.stage != stageStarting {
@@ -103,24 +103,24 @@
 		h.untrack(t)
 		if t.object != nil {
 			t.object.reason = reason
-			h.putBack(t.object, retry{index: t.id.Index, attempt: t.id.Attempt})
-			h.disbandGang(t.object)
+			h.requeueUnstarted(t.object, retry{index: t.id.Index, attempt: t.id.Attempt})
+			h.stopGang(t.object)
 		}
 	}
 }
 
-// stop asks for the end of an attempt.
-func (h *Holder) stop(t *running, checkpoint bool) {
+// stopAttempt asks for the end of an attempt.
+func (h *Holder) stopAttempt(t *attempt, checkpoint bool) {
 	if t.stage == stageStopping {
 		return
 	}
-	if t.stage == stageIntending {
-		h.outbox.withdraw(t)
+	if t.stage == stageAwaitingIntent {
+		h.outbox.withdrawIntent(t)
 		h.untrack(t)
-		h.putBack(t.object, retry{index: t.id.Index, attempt: t.id.Attempt})
+		h.requeueUnstarted(t.object, retry{index: t.id.Index, attempt: t.id.Attempt})
 		return
 	}
 	t.stage = stageStopping
 	t.worker.stops[t.id] = worker.Stop{Task: t.id, Checkpoint: checkpoint}
-	h.stops--
+	h.stopBudget--
 }
