--- a/cmd/saddlevane-bench/jobcell.go
+++ b/cmd/saddlevane-bench/jobcell.go
@@ -112,7 +112,7 @@
 		c.workers[w.Name] = w
 	}
 	c.core = dispatch.New(dispatch.Settings{
-		Authority: authority.Settings{Renew: 400 * time.Millisecond, HoldFor: 1400 * time.Millisecond, ClaimAfter: 1550 * time.Millisecond},
+		Authority: authority.Settings{RenewInterval: 400 * time.Millisecond, HoldFor: 1400 * time.Millisecond, ClaimAfter: 1550 * time.Millisecond},
 		Lease:     cellLease, RenewWait: renewWait, AppendInterval: gatherTime, EndedRetention: time.Minute, StopGrace: time.Second,
 		OrderTimeout: 300 * time.Millisecond,
 		Disabled:     without,
--- a/cmd/saddlevane-bench/measure.go
+++ b/cmd/saddlevane-bench/measure.go
@@ -118,7 +118,7 @@
 	apply := func(name, data string) {
 		p := &record.Publish{ID: name, File: name, Data: "name: " + name + "\n" + data}
 		p.Parse()
-		l.Apply(l.Next(), time.Time{}, record.Envelope{ID: name, From: "bench", Entries: []record.Entry{{Publish: p}}})
+		l.Apply(l.NextOffset(), time.Time{}, record.Envelope{ID: name, From: "bench", Entries: []record.Entry{{Publish: p}}})
 	}
 	for d := range sizeDomains {
 		var b strings.Builder
@@ -154,7 +154,7 @@
 		p := &record.Publish{ID: fmt.Sprint("again", i), File: "work0", Replaces: l.Revision("work0"), Data: "name: work0\n" + jobsFile(0)}
 		p.Parse()
 		begun := time.Now()
-		l.Apply(l.Next(), time.Time{}, record.Envelope{ID: p.ID, From: "bench", Entries: []record.Entry{{Publish: p}}})
+		l.Apply(l.NextOffset(), time.Time{}, record.Envelope{ID: p.ID, From: "bench", Entries: []record.Entry{{Publish: p}}})
 		total += time.Since(begun)
 	}
 	return total.Seconds() * 1e6 / times
@@ -213,12 +213,12 @@
 	hello := func(i int) peer.Hello {
 		return peer.Hello{Box: fmt.Sprint("e", i), Incarnation: "i", Domain: "a", Address: fmt.Sprintf("127.0.0.1:%d", i+1)}
 	}
-	m := membership.New(membership.Settings{Heartbeat: 500 * time.Millisecond, DeadAfter: 2 * time.Second}, hello(0))
+	m := membership.New(membership.Settings{HeartbeatInterval: 500 * time.Millisecond, DeadAfter: 2 * time.Second}, hello(0))
 	var l box.List
 	for i := range peers {
 		l.Boxes = append(l.Boxes, box.Box{Name: fmt.Sprint("e", i), Role: box.Entry, Domain: "a", Address: hello(i).Address, State: box.Live})
 	}
-	m.BoxesRead(now, l)
+	m.SetBoxes(now, l)
 	const seconds = 200
 	begun := time.Now()
 	for tick := range seconds * 40 {
@@ -226,7 +226,7 @@
 		m.Tick(now, 1)
 		if tick%20 == 0 {
 			for i := 1; i < peers; i++ {
-				m.HelloHeard(now, hello(i))
+				m.RecordHello(now, hello(i))
 			}
 		}
 	}
--- a/cmd/saddlevane-bench/rig.go
+++ b/cmd/saddlevane-bench/rig.go
@@ -49,7 +49,7 @@
 
 func newRig(workers, perTick int) *rig {
 	r := &rig{now: time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC), workers: map[string]*fake.Worker{}, ledger: ledger.New()}
-	r.members = membership.New(membership.Settings{Heartbeat: time.Second, DeadAfter: 5 * time.Second},
+	r.members = membership.New(membership.Settings{HeartbeatInterval: time.Second, DeadAfter: 5 * time.Second},
 		peer.Hello{Box: "e1", Incarnation: "i", Domain: "a", Address: "127.0.0.1:1"})
 	r.journal = journal.New(journal.Settings{Interval: 100 * time.Millisecond, RetryAfter: time.Second, Limit: 100_000}, "e1/i")
 	s := shard.Settings{
@@ -95,19 +95,19 @@
 		}
 	}
 	flush()
-	r.members.BoxesRead(r.now, list)
+	r.members.SetBoxes(r.now, list)
 }
 
 func (r *rig) publish(name, rest string) {
 	p := &record.Publish{ID: name, File: name, Replaces: r.ledger.Revision(name), Data: "name: " + name + "\n" + rest}
 	applied := r.apply(record.Envelope{ID: name, From: "bench", Entries: []record.Entry{{Publish: p}}})
-	if pub := applied.Changes[0].Publication; !pub.Accepted {
+	if pub := applied.Changes[0].PublishResult; !pub.Accepted {
 		panic(fmt.Sprint(name, pub.Reasons))
 	}
 	r.holder.SetObjects(r.now)
 }
 
-func (r *rig) apply(e record.Envelope) ledger.Applied {
+func (r *rig) apply(e record.Envelope) ledger.ApplyResult {
 	applied := r.ledger.Apply(r.next, r.now, e)
 	r.next++
 	return applied
--- a/cmd/saddlevane-standin/worker.go
+++ b/cmd/saddlevane-standin/worker.go
@@ -67,5 +67,5 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.worker.Advance(time.Now())
-	httpjson.Write(rw, http.StatusOK, history{Worker: w.name, Spans: w.worker.History(), Excess: w.worker.Excess()})
+	httpjson.Write(rw, http.StatusOK, history{Worker: w.name, Spans: w.worker.History(), Excess: w.worker.ExcessStarts()})
 }
--- a/cmd/saddlevaned/jobs.go
+++ b/cmd/saddlevaned/jobs.go
@@ -164,7 +164,7 @@
 	without, err := mechanism.Parse(j.Without)
 	return jobrun.Settings{
 		Dispatch: dispatch.Settings{
-			Authority: authority.Settings{Renew: j.Renew, HoldFor: j.HoldFor, ClaimAfter: j.ClaimAfter},
+			Authority: authority.Settings{RenewInterval: j.Renew, HoldFor: j.HoldFor, ClaimAfter: j.ClaimAfter},
 			Lease:     j.WorkerLease(), MaxLease: j.LeaseMost, RenewWait: j.Wait, AppendInterval: j.Gather,
 			OrderTimeout: j.OrderTimeout, EndedRetention: j.KeepEnded, StopGrace: j.StopGrace,
 			ConfigPropagation: j.ConfigWithin, ShareWindow: j.Share, Disabled: without,
--- a/cmd/saddlevaned/settings.go
+++ b/cmd/saddlevaned/settings.go
@@ -23,7 +23,7 @@
 			Interval: s.Platform.AppendEvery, RetryAfter: 5 * s.Platform.AppendEvery, Limit: journalLimit,
 		},
 		Membership: membership.Settings{
-			Heartbeat: s.Peers.Heartbeat, DeadAfter: s.Peers.DeadAfter, Seeds: s.Peers.Seeds,
+			HeartbeatInterval: s.Peers.Heartbeat, DeadAfter: s.Peers.DeadAfter, Seeds: s.Peers.Seeds,
 		},
 		Routing: routing.Settings{
 			KeyTTL: s.Requests.KeyTTL, MaxKeys: s.Requests.MaxKeys,
--- a/modules/httpclient/calls_test.go
+++ b/modules/httpclient/calls_test.go
@@ -31,7 +31,7 @@
 	const wait = 600 * time.Millisecond
 	r := newRig(t, slow(wait, waits), nil)
 	r.fill(2)
-	r.between.Silence()
+	r.between.Stall()
 	var calls sync.WaitGroup
 	calls.Go(func() {
 		_, err := r.call(repeatable(0), "beside it")
@@ -76,7 +76,7 @@
 	assert.Equal(t, r.served.Load(), int64(3+3))
 
 	// The first is made again, and the others once that was answered.
-	r.between.Silence()
+	r.between.Stall()
 	for range 3 {
 		calls.Go(func() {
 			_, err := r.call(inTurn, "text")
@@ -91,7 +91,7 @@
 func TestACallThatMayNotBeMadeAgainIsMadeOnceAndTheNextOneWorks(t *testing.T) {
 	r := newRig(t, echo, nil)
 	r.fill(1)
-	r.between.Silence(forward.Answers)
+	r.between.Stall(forward.Answers)
 	_, err := r.call(context.Background(), "lost answer")
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 	assert.Equal(t, r.served.Load(), int64(2))
@@ -230,7 +230,7 @@
 	const unused = 200 * time.Millisecond
 	r := newRig(t, echo, func(s *httpclient.Settings) { s.Unused = unused })
 	r.fill(4)
-	r.between.Silence()
+	r.between.Stall()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if n := r.open.Load(); n > 0 {
 			return poll.Continue("%d are open", n)
@@ -273,7 +273,7 @@
 	})
 	assert.Equal(t, r.open.Load(), int64(1))
 
-	r.between.Silence()
+	r.between.Stall()
 	began := time.Now()
 	var lost sync.WaitGroup
 	lost.Go(func() {
--- a/modules/httpclient/httpclient_test.go
+++ b/modules/httpclient/httpclient_test.go
@@ -33,7 +33,7 @@
 type rig struct {
 	t       *testing.T
 	client  *http.Client
-	between *forward.Forwarder
+	between *forward.Proxy
 	url     string
 	// served counts the calls that the service has taken.
 	served atomic.Int64
@@ -54,7 +54,7 @@
 		r.served.Add(1)
 		answer(w, req)
 	}))
-	address, err := r.between.Via(server.Listener.Addr().String())
+	address, err := r.between.Forward(server.Listener.Addr().String())
 	assert.NilError(t, err)
 	r.url = "http://" + address
 	s := httpclient.Settings{
@@ -195,7 +195,7 @@
 func testAPoolCostsOneCall(t *testing.T) {
 	r := newRig(t, echo, nil)
 	r.fill(8)
-	assert.Equal(t, r.between.Silence(), 8)
+	assert.Equal(t, r.between.Stall(), 8)
 
 	_, err := r.call(context.Background(), "lost")
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
@@ -215,7 +215,7 @@
 func testCallsUnderWayFail(t *testing.T) {
 	r := newRig(t, echo, nil)
 	r.fill(4)
-	r.between.Silence()
+	r.between.Stall()
 	var calls sync.WaitGroup
 	calls.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), within/8)
@@ -237,7 +237,7 @@
 func testARepeatableCallIsAnswered(t *testing.T) {
 	r := newRig(t, echo, nil)
 	r.fill(8)
-	r.between.Silence()
+	r.between.Stall()
 	for i := range 8 {
 		began := time.Now()
 		got, err := r.call(repeatable(0), fmt.Sprint(i))
@@ -274,7 +274,7 @@
 	read()
 	read()
 	assert.Equal(t, len(r.again), 0)
-	r.between.Silence()
+	r.between.Stall()
 	read()
 	assert.Equal(t, len(r.again), 1)
 }
@@ -312,7 +312,7 @@
 func testAGivenUpCallIsMadeAgain(t *testing.T) {
 	r := newRig(t, echo, nil)
 	r.fill(4)
-	r.between.Silence()
+	r.between.Stall()
 	var calls sync.WaitGroup
 	for _, expected := range []time.Duration{0, time.Minute, time.Minute, time.Minute} {
 		calls.Go(func() {
--- a/modules/peering/kept_test.go
+++ b/modules/peering/kept_test.go
@@ -76,9 +76,9 @@
 func TestALinkThatCarriesLargeMessagesSlowlyIsKept(t *testing.T) {
 	p := &pair{t: t, from: newBox(t), to: newBox(t), by: forward.New()}
 	t.Cleanup(p.by.Close)
-	p.by.Pace(slowRate)
+	p.by.SetRate(slowRate)
 	var err error
-	p.address, err = p.by.Via(p.to.address)
+	p.address, err = p.by.Forward(p.to.address)
 	assert.NilError(t, err)
 	_, repeated, err := p.from.ask(p.address, peering.Call{Method: "greet", Params: strings.Repeat("x", slowMessage)})
 	assert.Check(t, err == nil, "%v: %+v %+v", err, p.from.givenUp(), p.to.givenUp())
--- a/modules/peering/peering_test.go
+++ b/modules/peering/peering_test.go
@@ -33,7 +33,7 @@
 	links   *peering.Links
 	address string
 	// reset closes the connections on which a call comes the first time.
-	reset *forward.Forwarder
+	reset *forward.Proxy
 
 	// until is closed when calls that wait are to be answered.
 	until chan struct{}
@@ -144,7 +144,7 @@
 	a, b := newBox(t), newBox(t)
 	by := forward.New()
 	defer by.Close()
-	address, err := by.Via(b.address)
+	address, err := by.Forward(b.address)
 	assert.NilError(t, err)
 	for _, want := range []int{1, 1, 2} {
 		got, _, err := a.ask(address, peering.Call{Method: "greet"})
@@ -224,7 +224,7 @@
 		a, b := newBox(t), newBox(t)
 		b.reset = forward.New()
 		defer b.reset.Close()
-		address, err := b.reset.Via(b.address)
+		address, err := b.reset.Forward(b.address)
 		assert.NilError(t, err)
 		got, repeated, err := a.ask(address, peering.Call{Method: methodLose, Idempotent: idempotent})
 		_, calls := b.callsOn()
--- a/modules/peering/silent_test.go
+++ b/modules/peering/silent_test.go
@@ -96,7 +96,7 @@
 	t        *testing.T
 	from, to *box
 	address  string
-	by       *forward.Forwarder
+	by       *forward.Proxy
 }
 
 // newPair returns two boxes with an open connection.
@@ -105,7 +105,7 @@
 	p := &pair{t: t, from: newBox(t), to: newBox(t), by: forward.New()}
 	t.Cleanup(p.by.Close)
 	var err error
-	p.address, err = p.by.Via(p.to.address)
+	p.address, err = p.by.Forward(p.to.address)
 	assert.NilError(t, err)
 	p.answered(10 * time.Second)
 	return p
@@ -114,7 +114,7 @@
 // silence silences the open connection.
 func (p *pair) silence(directions ...forward.Direction) {
 	p.t.Helper()
-	assert.Equal(p.t, p.by.Silence(directions...), 1)
+	assert.Equal(p.t, p.by.Stall(directions...), 1)
 }
 
 // calls makes a call that may be made again, and returns its answer.
--- a/services/authority/authority.go
+++ b/services/authority/authority.go
@@ -20,7 +20,7 @@
 // Settings are the times of the authority.
 type Settings struct {
 	// Renew is the time between two renewals of the claim.
-	Renew time.Duration
+	RenewInterval time.Duration
 	// HoldFor is how long a holder may act after it sent the last renewal that
 	// the log has.
 	HoldFor time.Duration
@@ -32,10 +32,10 @@
 // claimKey is the only key of the stream of claims.
 const claimKey = "holder"
 
-// Append is a claim or renewal to append. Its end comes back by Appended.
-type Append struct {
+// ClaimAppend is a claim or renewal to append. Its end comes back by Appended.
+type ClaimAppend struct {
 	Claim  claim.Claim
-	Stream stream.Append
+	Append stream.Append
 }
 
 // Authority is one box's view of who holds. It is not safe for concurrent use.
@@ -45,48 +45,48 @@
 
 	current claim.Claim
 	// next is the end of the stream as far as it was read.
-	next int64
+	nextOffset int64
 	// read says that the stream was read to its end once.
-	read bool
-	// steadySince is since when all reads succeed, or zero after a failed one.
-	steadySince time.Time
-	// readAt is when the log last answered a read.
-	readAt time.Time
+	loaded bool
+	// logReachableSince is since when all reads succeed, or zero after a failed one.
+	logReachableSince time.Time
+	// logReadAt is when the log last answered a read.
+	logReadAt time.Time
 	// heardAt is when the last renewal was read.
-	heardAt time.Time
+	claimReadAt time.Time
 
 	// held is the epoch under which this process acts, or 0.
-	held int64
+	heldEpoch int64
 	// sentAt is when the last renewal that is known to be in the log was sent.
-	sentAt time.Time
+	confirmedSentAt time.Time
 	// invited is the epoch whose holder has asked this box to follow it.
-	invited int64
+	invitedEpoch int64
 	// pledgedUntil bounds a pledge to the holder not to claim.
 	pledgedUntil time.Time
 	// pending is the append under way, or nil.
-	pending *pending
-	// renewAt is when the claim is to be renewed, and renewal counts all appends of
+	pending *pendingAppend
+	// nextRenewalAt is when the claim is to be renewed, and renewal counts all appends of
 	// this process, so that each has its own number.
-	renewAt time.Time
-	renewal int64
+	nextRenewalAt time.Time
+	lastRenewal   int64
 	// unsure has each claim and renewal that may be in the log, or may come there yet.
-	unsure map[int64]sent
-	// spread is this box's part of claimSpread.
-	spread time.Duration
+	unconfirmed map[int64]sentClaim
+	// spread is this box's part of maxClaimJitter.
+	claimJitter time.Duration
 	// stopping says that this process must not claim again.
 	stopping bool
 	// largest is the size of the largest box that is known.
-	largest int64
+	largestSize int64
 }
 
-// sent is when a claim or renewal was sent, and the place in the log that it may take.
-type sent struct {
-	at    time.Time
-	place int64
+// sentClaim is when a claim or renewal was sent, and the place in the log that it may take.
+type sentClaim struct {
+	sentAt time.Time
+	offset int64
 }
 
-// pending is an append under way.
-type pending struct {
+// pendingAppend is an append under way.
+type pendingAppend struct {
 	claim  claim.Claim
 	sentAt time.Time
 }
@@ -94,8 +94,8 @@
 // New returns the view of a process that has read nothing.
 func New(s Settings, self claim.Member) *Authority {
 	return &Authority{
-		settings: s, self: self, unsure: map[int64]sent{},
-		spread: time.Duration(xxhash.Sum64String(self.Box) % uint64(claimSpread)),
+		settings: s, self: self, unconfirmed: map[int64]sentClaim{},
+		claimJitter: time.Duration(xxhash.Sum64String(self.Box) % uint64(maxClaimJitter)),
 	}
 }
 
@@ -103,58 +103,58 @@
 func (a *Authority) Current() claim.Claim { return a.current }
 
 // Epoch returns the epoch under which this process acts, or 0.
-func (a *Authority) Epoch() int64 { return a.held }
+func (a *Authority) Epoch() int64 { return a.heldEpoch }
 
-// Holds says whether this process may give orders at now.
-func (a *Authority) Holds(now time.Time) bool {
-	return a.held != 0 && a.current.Epoch <= a.held && now.Before(a.sentAt.Add(a.settings.HoldFor))
+// IsHolder says whether this process may give orders at now.
+func (a *Authority) IsHolder(now time.Time) bool {
+	return a.heldEpoch != 0 && a.current.Epoch <= a.heldEpoch && now.Before(a.confirmedSentAt.Add(a.settings.HoldFor))
 }
 
 // HoldsUntil returns when the authority ends unless it is renewed.
-func (a *Authority) HoldsUntil() time.Time { return a.sentAt.Add(a.settings.HoldFor) }
+func (a *Authority) HoldsUntil() time.Time { return a.confirmedSentAt.Add(a.settings.HoldFor) }
 
-// Busy says whether an append is under way.
-func (a *Authority) Busy() bool { return a.pending != nil }
+// IsAppending says whether an append is under way.
+func (a *Authority) IsAppending() bool { return a.pending != nil }
 
-// Steady says whether the log answers this process.
-func (a *Authority) Steady() bool { return !a.steadySince.IsZero() }
+// IsLogReachable says whether the log answers this process.
+func (a *Authority) IsLogReachable() bool { return !a.logReachableSince.IsZero() }
 
-// ReadAt returns when the log last answered a read of this process.
-func (a *Authority) ReadAt() time.Time { return a.readAt }
+// LogReadAt returns when the log last answered a read of this process.
+func (a *Authority) LogReadAt() time.Time { return a.logReadAt }
 
-// Start takes what the stream held when the process began to read.
-func (a *Authority) Start(now time.Time, records []stream.Record, next int64) {
-	a.read = true
-	a.Read(now, records, next)
+// ApplyFirst takes what the stream held when the process began to read.
+func (a *Authority) ApplyFirst(now time.Time, records []stream.Record, next int64) {
+	a.loaded = true
+	a.Apply(now, records, next)
 }
 
-// Read takes records that follow those read before.
-func (a *Authority) Read(now time.Time, records []stream.Record, next int64) {
-	if a.steadySince.IsZero() {
-		a.steadySince = now
+// Apply takes records that follow those read before.
+func (a *Authority) Apply(now time.Time, records []stream.Record, next int64) {
+	if a.logReachableSince.IsZero() {
+		a.logReachableSince = now
 	}
-	a.readAt = now
+	a.logReadAt = now
 	for _, r := range records {
 		var c claim.Claim
 		if r.Key != claimKey || json.Unmarshal(r.Value, &c) != nil || c.Check() != nil || c.Epoch < a.current.Epoch {
 			continue
 		}
-		a.take(now, c)
+		a.applyClaim(now, c)
 	}
-	a.next = max(a.next, next)
-	for n, s := range a.unsure {
-		if s.place < a.next {
+	a.nextOffset = max(a.nextOffset, next)
+	for n, s := range a.unconfirmed {
+		if s.offset < a.nextOffset {
 			// It was not among the records, so another one has its place.
-			delete(a.unsure, n)
+			delete(a.unconfirmed, n)
 		}
 	}
 }
 
-// take puts a claim in force that is in the log.
-func (a *Authority) take(now time.Time, c claim.Claim) {
+// applyClaim puts a claim in force that is in the log.
+func (a *Authority) applyClaim(now time.Time, c claim.Claim) {
 	if c != a.current {
 		// A renewal that is read again, after the log was away, is no sign of life.
-		a.heardAt = now
+		a.claimReadAt = now
 	}
 	a.current = c
 	mine := c.Box == a.self.Box && c.Incarnation == a.self.Incarnation
@@ -165,7 +165,7 @@
 
 // confirm notes that a claim or renewal of this process is in the log.
 func (a *Authority) confirm(c claim.Claim) {
-	sent, ok := a.unsure[c.Renewal]
+	sent, ok := a.unconfirmed[c.Renewal]
 	if !ok || a.stopping {
 		return
 	}
@@ -173,105 +173,105 @@
 		// The answer to this append is lost or late.
 		a.pending = nil
 	}
-	a.held = c.Epoch
-	if sent.at.After(a.sentAt) {
-		a.sentAt = sent.at
+	a.heldEpoch = c.Epoch
+	if sent.sentAt.After(a.confirmedSentAt) {
+		a.confirmedSentAt = sent.sentAt
 	}
-	for n := range a.unsure {
+	for n := range a.unconfirmed {
 		if n <= c.Renewal {
-			delete(a.unsure, n)
+			delete(a.unconfirmed, n)
 		}
 	}
 }
 
-// ReadFailed notes that the log did not answer.
-func (a *Authority) ReadFailed() { a.steadySince = time.Time{} }
+// RecordReadFailure notes that the log did not answer.
+func (a *Authority) RecordReadFailure() { a.logReachableSince = time.Time{} }
 
-// Pledged notes that every other box has promised not to claim, at a request
+// RecordPledges notes that every other box has promised not to claim, at a request
 // sent at sentAt.
-func (a *Authority) Pledged(sentAt time.Time, epoch int64) {
-	if a.held == epoch && sentAt.After(a.sentAt) {
-		a.sentAt = sentAt
+func (a *Authority) RecordPledges(sentAt time.Time, epoch int64) {
+	if a.heldEpoch == epoch && sentAt.After(a.confirmedSentAt) {
+		a.confirmedSentAt = sentAt
 	}
 }
 
 // Tick returns what to append now, or nil.
-func (a *Authority) Tick(now time.Time) *Append {
-	if a.pending != nil || !a.read {
+func (a *Authority) Tick(now time.Time) *ClaimAppend {
+	if a.pending != nil || !a.loaded {
 		return nil
 	}
-	if a.held != 0 {
+	if a.heldEpoch != 0 {
 		return a.renew(now)
 	}
 	if !a.mayClaim(now) {
 		return nil
 	}
-	return a.append(now, a.newClaim(a.current.Epoch+1))
+	return a.startAppend(now, a.newClaim(a.current.Epoch+1))
 }
 
 // renew returns the renewal of the claim, or nil if it is not due.
-func (a *Authority) renew(now time.Time) *Append {
-	if a.stopping || a.current.Epoch > a.held || now.Before(a.renewAt) {
+func (a *Authority) renew(now time.Time) *ClaimAppend {
+	if a.stopping || a.current.Epoch > a.heldEpoch || now.Before(a.nextRenewalAt) {
 		return nil
 	}
-	return a.append(now, a.newClaim(a.held))
+	return a.startAppend(now, a.newClaim(a.heldEpoch))
 }
 
 // newClaim returns a claim of this process or the next renewal of one.
 func (a *Authority) newClaim(epoch int64) claim.Claim {
-	a.renewal++
+	a.lastRenewal++
 	return claim.Claim{
-		Epoch: epoch, Box: a.self.Box, Incarnation: a.self.Incarnation, Address: a.self.Address, Renewal: a.renewal,
+		Epoch: epoch, Box: a.self.Box, Incarnation: a.self.Incarnation, Address: a.self.Address, Renewal: a.lastRenewal,
 	}
 }
 
 // Release returns the record that gives the claim up, or nil if there is none.
 // After it this process no longer holds.
-func (a *Authority) Release(now time.Time) *Append {
-	if a.held == 0 {
+func (a *Authority) Release(now time.Time) *ClaimAppend {
+	if a.heldEpoch == 0 {
 		return nil
 	}
-	c := a.newClaim(a.held)
+	c := a.newClaim(a.heldEpoch)
 	c.Released = true
 	a.StepDown()
-	return a.append(now, c)
+	return a.startAppend(now, c)
 }
 
 // Stop keeps this process from claiming again.
 func (a *Authority) Stop() { a.stopping = true }
 
-// Stopping says whether Stop was called.
-func (a *Authority) Stopping() bool { return a.stopping }
+// IsStopping says whether Stop was called.
+func (a *Authority) IsStopping() bool { return a.stopping }
 
 // StepDown ends the authority of this process.
 func (a *Authority) StepDown() {
-	a.held = 0
-	a.sentAt = time.Time{}
-	clear(a.unsure)
+	a.heldEpoch = 0
+	a.confirmedSentAt = time.Time{}
+	clear(a.unconfirmed)
 }
 
-// append returns the append of a claim. It takes effect only if the stream ends
+// startAppend returns the append of a claim. It takes effect only if the stream ends
 // where this process has read to, so nothing can come in between.
-func (a *Authority) append(now time.Time, c claim.Claim) *Append {
-	a.pending = &pending{claim: c, sentAt: now}
-	a.renewAt = now.Add(a.settings.Renew)
+func (a *Authority) startAppend(now time.Time, c claim.Claim) *ClaimAppend {
+	a.pending = &pendingAppend{claim: c, sentAt: now}
+	a.nextRenewalAt = now.Add(a.settings.RenewInterval)
 	if !c.Released {
-		a.unsure[c.Renewal] = sent{at: now, place: a.next}
+		a.unconfirmed[c.Renewal] = sentClaim{sentAt: now, offset: a.nextOffset}
 	}
 	value, err := json.Marshal(c)
 	if err != nil {
 		// A claim has only plain fields.
 		panic(err)
 	}
-	at := a.next
-	return &Append{Claim: c, Stream: stream.Append{
+	at := a.nextOffset
+	return &ClaimAppend{Claim: c, Append: stream.Append{
 		Stream: stream.Claims, Records: []stream.Record{{Key: claimKey, Value: value}}, ExpectedEnd: &at,
 	}}
 }
 
-// Appended takes the end of an append. It returns true if the append is in the
+// AppendEnded takes the end of an append. It returns true if the append is in the
 // log for sure; anything else is left to what is read.
-func (a *Authority) Appended(now time.Time, renewal, offset int64, err error) bool {
+func (a *Authority) AppendEnded(now time.Time, renewal, offset int64, err error) bool {
 	p := a.pending
 	if p == nil || p.claim.Renewal != renewal {
 		return false
@@ -279,12 +279,12 @@
 	a.pending = nil
 	if err != nil {
 		// A renewal that may be in the log is confirmed when it is read.
-		a.renewAt = now.Add(a.settings.Renew / 4)
+		a.nextRenewalAt = now.Add(a.settings.RenewInterval / 4)
 		return false
 	}
-	a.next = max(a.next, offset+1)
+	a.nextOffset = max(a.nextOffset, offset+1)
 	if p.claim.Epoch >= a.current.Epoch {
-		a.take(now, p.claim)
+		a.applyClaim(now, p.claim)
 	}
 	return true
 }
--- a/services/authority/authority_test.go
+++ b/services/authority/authority_test.go
@@ -15,28 +15,28 @@
 	"gotest.tools/v3/assert"
 )
 
-// former is the epoch of another box's claim.
-const former = 4
+// formerEpoch is the epoch of another box's claim.
+const formerEpoch = 4
 
-// record returns a claim as the log has it.
-func record(t *testing.T, c claim.Claim) []stream.Record {
+// claimRecords returns a claim as the log has it.
+func claimRecords(t *testing.T, c claim.Claim) []stream.Record {
 	t.Helper()
 	value, err := json.Marshal(c)
 	assert.NilError(t, err)
 	return []stream.Record{{Key: "holder", Value: value}}
 }
 
-// claiming returns a box that has just sent a claim in place of another box's, the
+// newClaimingBox returns a box that has just sent a claim in place of another box's, the
 // claim, and when.
-func claiming(t *testing.T) (*authority.Authority, *authority.Append, time.Time) {
+func newClaimingBox(t *testing.T) (*authority.Authority, *authority.ClaimAppend, time.Time) {
 	t.Helper()
-	s := authority.Settings{Renew: 100 * time.Millisecond, HoldFor: 400 * time.Millisecond, ClaimAfter: 500 * time.Millisecond}
+	s := authority.Settings{RenewInterval: 100 * time.Millisecond, HoldFor: 400 * time.Millisecond, ClaimAfter: 500 * time.Millisecond}
 	a := authority.New(s, claim.Member{Box: "b", Incarnation: "1", Domain: "a", Address: "b"})
 	now := time.Now()
-	a.Start(now, record(t, claim.Claim{Epoch: former, Box: "a", Incarnation: "1", Address: "a", Renewal: 1}), 1)
+	a.ApplyFirst(now, claimRecords(t, claim.Claim{Epoch: formerEpoch, Box: "a", Incarnation: "1", Address: "a", Renewal: 1}), 1)
 	for range 100 {
 		now = now.Add(20 * time.Millisecond)
-		a.Read(now, nil, 1)
+		a.Apply(now, nil, 1)
 		if claimed := a.Tick(now); claimed != nil {
 			return a, claimed, now
 		}
@@ -54,20 +54,20 @@
 // Cause: the box promised it, since no append of its own was under way any more.
 //
 // What settled it: reading the code when claims came to be made again.
-func TestABoxWhoseClaimMayBeInTheLogPromisesNothing(t *testing.T) {
-	a, claimed, now := claiming(t)
-	a.Appended(now, claimed.Claim.Renewal, 0, &stream.EndMismatchError{End: 2})
-	assert.Check(t, !a.Pledge(now, former), "it promised not to claim after it has")
+func TestBoxWithUnconfirmedClaimRefusesPledge(t *testing.T) {
+	a, claimed, now := newClaimingBox(t)
+	a.AppendEnded(now, claimed.Claim.Renewal, 0, &stream.EndMismatchError{End: 2})
+	assert.Check(t, !a.Pledge(now, formerEpoch), "it promised not to claim after it has")
 
-	a.Read(now, record(t, claimed.Claim), 2)
-	assert.Check(t, a.Holds(now), "a claim whose repeat was answered 'moved' is in the log")
+	a.Apply(now, claimRecords(t, claimed.Claim), 2)
+	assert.Check(t, a.IsHolder(now), "a claim whose repeat was answered 'moved' is in the log")
 }
 
-func TestABoxWhoseClaimIsNotInTheLogPromisesAgain(t *testing.T) {
-	a, claimed, now := claiming(t)
-	a.Appended(now, claimed.Claim.Renewal, 0, &stream.EndMismatchError{End: 2})
-	renewed := claim.Claim{Epoch: former, Box: "a", Incarnation: "1", Address: "a", Renewal: 2}
-	a.Read(now, record(t, renewed), 2)
-	assert.Check(t, !a.Holds(now))
-	assert.Check(t, a.Pledge(now, former), "another record has the place of its claim")
+func TestBoxPledgesAfterItsClaimIsRejected(t *testing.T) {
+	a, claimed, now := newClaimingBox(t)
+	a.AppendEnded(now, claimed.Claim.Renewal, 0, &stream.EndMismatchError{End: 2})
+	renewed := claim.Claim{Epoch: formerEpoch, Box: "a", Incarnation: "1", Address: "a", Renewal: 2}
+	a.Apply(now, claimRecords(t, renewed), 2)
+	assert.Check(t, !a.IsHolder(now))
+	assert.Check(t, a.Pledge(now, formerEpoch), "another record has the place of its claim")
 }
--- a/services/authority/boxes.go
+++ b/services/authority/boxes.go
@@ -34,8 +34,8 @@
 	return best
 }
 
-// Others returns where the other boxes are, in a fixed order.
-func (b Boxes) Others(self claim.Member) []string {
+// OtherAddresses returns where the other boxes are, in a fixed order.
+func (b Boxes) OtherAddresses(self claim.Member) []string {
 	var all []string
 	for _, m := range b {
 		if m.Box != self.Box {
@@ -46,6 +46,6 @@
 	return all
 }
 
-// MuchLarger says whether a box is so much larger than another that it should have the cell,
+// IsMuchLarger says whether a box is so much larger than another that it should have the cell,
 // as Small has it.
-func MuchLarger(m, than claim.Member) bool { return 2*than.Size <= m.Size }
+func IsMuchLarger(m, than claim.Member) bool { return 2*than.Size <= m.Size }
--- a/services/authority/boxes_test.go
+++ b/services/authority/boxes_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTheLargestOfTheBoxesIsFound(t *testing.T) {
+func TestLargestBoxIsSelected(t *testing.T) {
 	box := func(name string, size int64) claim.Member {
 		return claim.Member{Box: name, Address: "at-" + name, Size: size}
 	}
@@ -21,6 +21,6 @@
 	assert.Equal(t, boxes.Largest(box("d", 4)).Box, "d", "none is larger")
 	assert.Equal(t, boxes.LargestAt([]string{"at-a", "at-c"}).Box, "c")
 	assert.Equal(t, boxes.LargestAt(nil).Box, "")
-	assert.DeepEqual(t, boxes.Others(box("b", 4)), []string{"at-a", "at-c", "at-d"})
-	assert.Check(t, authority.MuchLarger(boxes["b"], box("x", 2)) && !authority.MuchLarger(boxes["c"], box("x", 2)))
+	assert.DeepEqual(t, boxes.OtherAddresses(box("b", 4)), []string{"at-a", "at-c", "at-d"})
+	assert.Check(t, authority.IsMuchLarger(boxes["b"], box("x", 2)) && !authority.IsMuchLarger(boxes["c"], box("x", 2)))
 }
--- a/services/core/core.go
+++ b/services/core/core.go
@@ -104,7 +104,7 @@
 	case event.BoxesRead:
 		return c.boxesRead(now, e.List)
 	case event.HelloReceived:
-		c.members.HelloHeard(now, e.Hello)
+		c.members.RecordHello(now, e.Hello)
 		return c.updateRouterPeers(now)
 	case event.SnapshotRead:
 		return c.snapshotRead(now, e)
@@ -170,7 +170,7 @@
 	var peers []routing.Peer
 	for name, m := range c.members.Members() {
 		h := m.Hello()
-		if address, ok := c.members.Find(now, name, h.Incarnation); ok && h.Domain == c.self.Domain {
+		if address, ok := c.members.AddressOf(now, name, h.Incarnation); ok && h.Domain == c.self.Domain {
 			peers = append(peers, routing.Peer{Box: name, Incarnation: h.Incarnation, Address: address})
 		}
 	}
@@ -178,7 +178,7 @@
 }
 
 func (c *Core) boxesRead(now time.Time, l box.List) []effect.Effect {
-	c.members.BoxesRead(now, l)
+	c.members.SetBoxes(now, l)
 	for _, h := range ordered.By(c.holders, spec.ShardID.Compare) {
 		h.SetWorkers(now)
 	}
--- a/services/core/publish.go
+++ b/services/core/publish.go
@@ -21,7 +21,7 @@
 
 func (c *Core) publishAsked(now time.Time, e event.PublishAsked) []effect.Effect {
 	p := e.Publish
-	if entry, ok := c.ledger.Entry(p.File); ok && entry.Publication() == p.ID {
+	if entry, ok := c.ledger.Entry(p.File); ok && entry.PublicationID() == p.ID {
 		return publishAnswer(e.Waiter, effect.PublishResult{Outcome: effect.Accepted, Revision: entry.Revision()})
 	}
 	if known, ok := c.publications[p.ID]; ok {
@@ -53,7 +53,7 @@
 	}
 }
 
-func (c *Core) answerPublication(p *ledger.Publication) []effect.Effect {
+func (c *Core) answerPublication(p *ledger.PublishResult) []effect.Effect {
 	waiting, ok := c.publications[p.ID]
 	if !ok {
 		return nil
--- a/services/core/reader.go
+++ b/services/core/reader.go
@@ -50,7 +50,7 @@
 	if !c.reader.inForce {
 		return 0
 	}
-	return c.ledger.Next()
+	return c.ledger.NextOffset()
 }
 
 // dueReads returns the read that is due, and asks a peer that knows more while
@@ -71,17 +71,17 @@
 
 func (c *Core) readOffset() int64 {
 	if c.reader.seek != nil {
-		return c.reader.seek.Next()
+		return c.reader.seek.NextOffset()
 	}
-	return c.ledger.Next()
+	return c.ledger.NextOffset()
 }
 
 // fetchSnapshot asks the peer that has read furthest for its snapshot.
 func (c *Core) fetchSnapshot(now time.Time) []effect.Effect {
 	var best effect.FetchSnapshot
-	next := c.ledger.Next()
+	next := c.ledger.NextOffset()
 	for name, m := range ordered.Map(c.members.Members()) {
-		address, ok := c.members.Find(now, name, m.Hello().Incarnation)
+		address, ok := c.members.AddressOf(now, name, m.Hello().Incarnation)
 		if ok && m.Hello().Next > next {
 			best, next = effect.FetchSnapshot{Box: name, Address: address}, m.Hello().Next
 		}
@@ -105,7 +105,7 @@
 	r := &c.reader
 	r.reading, r.lastFailure, r.failures = false, "", 0
 	if e.First > c.readOffset() {
-		r.seek, r.caughtUp = ledger.Seek(e.First), false
+		r.seek, r.caughtUp = ledger.NewCheckpointSearch(e.First), false
 		return c.dueReads(now)
 	}
 	if r.seek != nil {
@@ -128,8 +128,8 @@
 	for _, rec := range e.Records {
 		r.seek.Apply(rec.Offset, rec.At, rec.Envelope)
 	}
-	s, ok := r.seek.Found(e.First)
-	if !ok || s.Next < c.ledger.Next() {
+	s, ok := r.seek.FoundCheckpoint(e.First)
+	if !ok || s.Next < c.ledger.NextOffset() {
 		return c.dueReads(now)
 	}
 	effects := c.restore(now, s)
@@ -142,7 +142,7 @@
 	if err != nil {
 		return nil
 	}
-	c.ledger.Become(restored)
+	c.ledger.ReplaceWith(restored)
 	c.reader.seek = nil
 	if !c.reader.inForce {
 		return nil
@@ -154,11 +154,11 @@
 // cannot tell, and only if it is newer.
 func (c *Core) snapshotRead(now time.Time, e event.SnapshotRead) []effect.Effect {
 	r := &c.reader
-	if (r.lastFailure == "" && r.seek == nil) || e.Snapshot.Next <= c.ledger.Next() {
+	if (r.lastFailure == "" && r.seek == nil) || e.Snapshot.Next <= c.ledger.NextOffset() {
 		return nil
 	}
 	effects := c.restore(now, e.Snapshot)
-	if c.ledger.Next() == e.Snapshot.Next {
+	if c.ledger.NextOffset() == e.Snapshot.Next {
 		effects = append(effects, c.putInForce(now)...)
 	}
 	return effects
@@ -179,9 +179,9 @@
 		applied := c.ledger.Apply(rec.Offset, rec.At, rec.Envelope)
 		c.journal.RecordApplied(now, applied.ID)
 		for _, change := range applied.Changes {
-			files = files || change.Files
-			if change.Publication != nil {
-				effects = append(effects, c.answerPublication(change.Publication)...)
+			files = files || change.FilesChanged
+			if change.PublishResult != nil {
+				effects = append(effects, c.answerPublication(change.PublishResult)...)
 			}
 		}
 	}
@@ -195,7 +195,7 @@
 // old. Boxes wait unlike times, so that mostly one of them does it; two that do
 // it at once do no harm, since a checkpoint says the same whoever writes it.
 func (c *Core) appendDueCheckpoint(now time.Time) {
-	if !c.reader.caughtUp || c.reader.lastFailure != "" || !c.journal.Applied(c.checkpointEntry) || c.ledger.Next() == 0 {
+	if !c.reader.caughtUp || c.reader.lastFailure != "" || !c.journal.Applied(c.checkpointEntry) || c.ledger.NextOffset() == 0 {
 		return
 	}
 	since := c.ledger.CheckpointedAt()
@@ -206,8 +206,8 @@
 	if now.Sub(since) < c.settings.Retention/4+rank*c.settings.Retention/64 {
 		return
 	}
-	id := c.self.Box + "/" + c.self.Incarnation + "/" + strconv.FormatInt(c.ledger.Next(), 10)
-	for _, part := range ledger.Checkpoint(id, c.ledger.Snapshot()) {
+	id := c.self.Box + "/" + c.self.Incarnation + "/" + strconv.FormatInt(c.ledger.NextOffset(), 10)
+	for _, part := range ledger.SplitCheckpoint(id, c.ledger.Snapshot()) {
 		c.checkpointEntry = c.journal.Add(record.Entry{Checkpoint: &part})
 	}
 }
--- a/services/core/status.go
+++ b/services/core/status.go
@@ -29,7 +29,7 @@
 		Box: c.self.Box, Incarnation: c.self.Incarnation, Domain: c.self.Domain, At: now,
 		InForce: c.reader.inForce, Stopping: c.members.Leaving(), Live: c.members.Live(now),
 		Log: status.Log{
-			Next: c.ledger.Next(), ReadFailing: c.reader.lastFailure,
+			Next: c.ledger.NextOffset(), ReadFailing: c.reader.lastFailure,
 			AppendFailing: c.journal.FailureReason(), Waiting: c.journal.Pending(),
 		},
 		Pools: c.router.Status(now),
@@ -97,7 +97,7 @@
 		return task.Key{}, false
 	}
 	bare, _, _ := strings.Cut(object, "@")
-	o, ok := c.ledger.ObjectNamed(bare)
+	o, ok := c.ledger.ObjectByName(bare)
 	if !ok || (strings.Contains(object, "@") && o.ID().String() != object) {
 		return task.Key{}, false
 	}
--- a/services/core/stop.go
+++ b/services/core/stop.go
@@ -23,7 +23,7 @@
 	}
 	c.stop.since = now
 	c.members.Leave()
-	return c.members.Farewell()
+	return c.members.LeaveHellos()
 }
 
 // continueStop says when the ports may be closed: callers have had time to go
--- a/services/core/world_test.go
+++ b/services/core/world_test.go
@@ -37,7 +37,7 @@
 func settings() core.Settings {
 	return core.Settings{
 		Journal:    journal.Settings{Interval: 50 * time.Millisecond, RetryAfter: 200 * time.Millisecond, Limit: 1000},
-		Membership: membership.Settings{Heartbeat: 200 * time.Millisecond, DeadAfter: time.Second},
+		Membership: membership.Settings{HeartbeatInterval: 200 * time.Millisecond, DeadAfter: time.Second},
 		Routing:    routing.Settings{KeyTTL: time.Minute, MaxKeys: 10, EjectAfter: 3, EjectFor: time.Second, EjectMost: time.Second},
 		Shard: shard.Settings{
 			Lease: 1500 * time.Millisecond, RenewInterval: 300 * time.Millisecond, ClockMargin: 100 * time.Millisecond, TaskLease: taskLease,
@@ -341,7 +341,7 @@
 			}
 			places[id.Key()] = name
 		}
-		if wk.Excess() > 0 {
+		if wk.ExcessStarts() > 0 {
 			w.recordViolation("%s was to be given more than it has", name)
 		}
 	}
--- a/services/dispatch/claim.go
+++ b/services/dispatch/claim.go
@@ -13,7 +13,7 @@
 // the cell to a larger box, whichever is due.
 func (c *Core) updateClaim(now time.Time) {
 	if a := c.authority.Tick(now); a != nil {
-		c.emit(exchange.Append{Purpose: exchange.ForClaim, Number: a.Claim.Renewal, Append: a.Stream})
+		c.emit(exchange.Append{Purpose: exchange.ForClaim, Number: a.Claim.Renewal, Append: a.Append})
 	}
 	c.askPledges(now)
 	c.moveToLarger(now)
@@ -28,7 +28,7 @@
 		c.stepDown("another box holds the cell")
 		epoch = c.authority.Epoch()
 	}
-	if c.holding == nil && epoch != 0 && c.authority.Holds(now) {
+	if c.holding == nil && epoch != 0 && c.authority.IsHolder(now) {
 		c.holding = newHolderState(c, now, epoch)
 		c.holding.begin(now)
 	}
@@ -52,21 +52,21 @@
 // handleClaimsRead applies a part of the stream of claims, or the failure to read it.
 func (c *Core) handleClaimsRead(now time.Time, e exchange.ClaimsRead) {
 	if e.Failure != "" {
-		if c.authority.Steady() {
+		if c.authority.IsLogReachable() {
 			c.logEvent("the log does not answer", logField("reason", e.Failure))
 		}
-		c.authority.ReadFailed()
+		c.authority.RecordReadFailure()
 		return
 	}
 	before := c.authority.Current().Epoch
-	if !c.authority.Steady() {
+	if !c.authority.IsLogReachable() {
 		c.logRecoveredAt = now
 		c.logEvent("the log answers", logField("next", e.Next))
 	}
 	if e.First {
-		c.authority.Start(now, e.Records, e.Next)
+		c.authority.ApplyFirst(now, e.Records, e.Next)
 	} else {
-		c.authority.Read(now, e.Records, e.Next)
+		c.authority.Apply(now, e.Records, e.Next)
 	}
 	if cur := c.authority.Current(); cur.Epoch != before {
 		c.logEvent("a box holds the cell", logField("holder", cur.Box), logField("claim", cur.Epoch), logField("earlier_claim", before))
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -119,14 +119,14 @@
 // IsServing reports whether this process holds the cell at now and has completed the
 // takeover, so that it accepts calls for jobs.
 func (c *Core) IsServing(now time.Time) bool {
-	return c.holding != nil && c.holding.phase == phaseActive && c.authority.Holds(now)
+	return c.holding != nil && c.holding.phase == phaseActive && c.authority.IsHolder(now)
 }
 
 // IsLogReachable reports whether the log answers this process.
-func (c *Core) IsLogReachable() bool { return c.authority.Steady() }
+func (c *Core) IsLogReachable() bool { return c.authority.IsLogReachable() }
 
 // LogReadAt returns when the log last answered a read by this process.
-func (c *Core) LogReadAt() time.Time { return c.authority.ReadAt() }
+func (c *Core) LogReadAt() time.Time { return c.authority.LogReadAt() }
 
 // Handle applies one event. The effects it causes are returned by the next Decide.
 func (c *Core) Handle(now time.Time, e exchange.Event) {
@@ -313,7 +313,7 @@
 			c.logEvent("announcing this box failed", logField("error", e.Err.Error()))
 		}
 	case exchange.ForClaim:
-		if !c.authority.Appended(now, e.Number, e.Offset, e.Err) && e.Err != nil {
+		if !c.authority.AppendEnded(now, e.Number, e.Offset, e.Err) && e.Err != nil {
 			c.logEvent("a claim or renewal was not confirmed", logField("error", e.Err.Error()))
 		}
 		c.syncWithAuthority(now)
--- a/services/dispatch/handover.go
+++ b/services/dispatch/handover.go
@@ -12,7 +12,7 @@
 // beginStop starts a planned stop: the cell is released so that another box takes it over at
 // once, and this process goes on forwarding calls for the grace period.
 func (c *Core) beginStop(now time.Time) {
-	if c.authority.Stopping() {
+	if c.authority.IsStopping() {
 		return
 	}
 	c.authority.Stop()
@@ -28,10 +28,10 @@
 // load that waited for these too was never done, and went on refusing callers for half of its
 // grace period.
 func (c *Core) continueStop(now time.Time) {
-	if !c.authority.Stopping() || c.stopped {
+	if !c.authority.IsStopping() || c.stopped {
 		return
 	}
-	if h := c.holding; h != nil && !c.authority.Busy() &&
+	if h := c.holding; h != nil && !c.authority.IsAppending() &&
 		(!h.journal.hasWaitingCallers() || now.After(c.stopDeadline.Add(-c.settings.StopGrace/2))) {
 		c.handOver(now)
 	}
@@ -47,6 +47,6 @@
 	if release == nil {
 		return
 	}
-	c.emit(exchange.Append{Purpose: exchange.ForClaim, Number: release.Claim.Renewal, Append: release.Stream})
+	c.emit(exchange.Append{Purpose: exchange.ForClaim, Number: release.Claim.Renewal, Append: release.Append})
 	c.stepDown("handed over")
 }
--- a/services/dispatch/holding.go
+++ b/services/dispatch/holding.go
@@ -206,7 +206,7 @@
 // decide flushes the journal and, if a plan is due and allowed, places tasks.
 func (h *holderState) decide(now time.Time) {
 	h.flush(now)
-	if h.phase != phaseActive || h.shuttingDown || h.invitePending || !h.planDue || now.Before(h.nextPlanAt) || !h.core.authority.Holds(now) {
+	if h.phase != phaseActive || h.shuttingDown || h.invitePending || !h.planDue || now.Before(h.nextPlanAt) || !h.core.authority.IsHolder(now) {
 		return
 	}
 	h.planDue = false
--- a/services/dispatch/journal.go
+++ b/services/dispatch/journal.go
@@ -114,7 +114,7 @@
 		}
 		return
 	}
-	if j.isIdle() && !j.recentStarts.Due(now) || now.Before(j.nextSendAt) || (h.phase == phaseActive && !h.core.authority.Holds(now)) {
+	if j.isIdle() && !j.recentStarts.Due(now) || now.Before(j.nextSendAt) || (h.phase == phaseActive && !h.core.authority.IsHolder(now)) {
 		return
 	}
 	j.batch = h.composeBatch(now)
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -99,7 +99,7 @@
 // mayRenew reports whether leases may be extended. The next holder relies on it that the leases
 // given by this one expire after its authority has ended.
 func (h *holderState) mayRenew(now time.Time) bool {
-	return h.core.authority.Holds(now) && !h.invitePending
+	return h.core.authority.IsHolder(now) && !h.invitePending
 }
 
 // handleRenewEnded handles the end of a renewal call.
--- a/services/dispatch/listing.go
+++ b/services/dispatch/listing.go
@@ -74,7 +74,7 @@
 
 // entriesMayReturn reports whether entries may be missing only because of an outage of the log.
 func (h *holderState) entriesMayReturn(now time.Time) bool {
-	return !h.core.authority.Steady() || now.Sub(h.core.logRecoveredAt) < entryReturnTime
+	return !h.core.authority.IsLogReachable() || now.Sub(h.core.logRecoveredAt) < entryReturnTime
 }
 
 // dropMissing stops using the workers whose entries have not returned.
--- a/services/dispatch/move.go
+++ b/services/dispatch/move.go
@@ -18,7 +18,7 @@
 // there is a larger one: a small box cannot keep up with many workers.
 func (c *Core) moveToLarger(now time.Time) {
 	h := c.holding
-	if h == nil || h.phase != phaseActive || h.invitePending || h.shuttingDown || c.awaitingPledges || !c.authority.Small() ||
+	if h == nil || h.phase != phaseActive || h.invitePending || h.shuttingDown || c.awaitingPledges || !c.authority.IsSmall() ||
 		now.Before(c.moveRetryAt) {
 		return
 	}
@@ -27,7 +27,7 @@
 		return
 	}
 	c.awaitingPledges = true
-	c.emit(exchange.AskPledges{Epoch: h.epoch, Addresses: c.members.Others(c.self)})
+	c.emit(exchange.AskPledges{Epoch: h.epoch, Addresses: c.members.OtherAddresses(c.self)})
 }
 
 // inviteLargest invites the largest of the given boxes, which can reach the log, to take over the
@@ -39,9 +39,9 @@
 	switch {
 	case largest.Box == "" || h.invitePending || h.shuttingDown:
 		return
-	case !c.authority.Steady():
+	case !c.authority.IsLogReachable():
 		reason = "the log answers it and not this box"
-	case !authority.MuchLarger(largest, c.self):
+	case !authority.IsMuchLarger(largest, c.self):
 		return
 	}
 	h.invitePending = true
@@ -54,7 +54,7 @@
 // handleInviteAsked answers a holder that asks this box to claim the cell.
 func (c *Core) handleInviteAsked(now time.Time, e exchange.InviteAsked) {
 	a := exchange.Answer{Outcome: exchange.Unavailable}
-	if c.config != nil && c.announced && c.authority.Invite(e.Epoch) {
+	if c.config != nil && c.announced && c.authority.AcceptInvitation(e.Epoch) {
 		a.Outcome = exchange.OK
 	}
 	c.reply(e.Call, a)
@@ -78,7 +78,7 @@
 // handleMembersRead updates the known boxes. A box that has restarted can no longer act under a
 // claim of its earlier process.
 func (c *Core) handleMembersRead(now time.Time, members []claim.Member) {
-	defer func() { c.authority.SetLargest(c.members.Largest(c.self).Size) }()
+	defer func() { c.authority.SetLargestSize(c.members.Largest(c.self).Size) }()
 	for _, m := range members {
 		if m.Box == c.self.Box && m.Incarnation != c.self.Incarnation && c.announced {
 			// A delayed append of an earlier process of this box has replaced its entry, so the box
--- a/services/dispatch/outage.go
+++ b/services/dispatch/outage.go
@@ -16,23 +16,23 @@
 // askPledges asks the other boxes for pledges while the claim cannot be renewed.
 func (c *Core) askPledges(now time.Time) {
 	h := c.holding
-	if h == nil || h.invitePending || c.awaitingPledges || now.Before(c.pledgeRetryAt) || c.authority.Stopping() {
+	if h == nil || h.invitePending || c.awaitingPledges || now.Before(c.pledgeRetryAt) || c.authority.IsStopping() {
 		return
 	}
 	if len(c.members) == 0 {
 		// The list of boxes has not been read yet.
 		return
 	}
-	if c.authority.Steady() && c.authority.HoldsUntil().Sub(now) > c.settings.Authority.HoldFor/2 {
+	if c.authority.IsLogReachable() && c.authority.HoldsUntil().Sub(now) > c.settings.Authority.HoldFor/2 {
 		return
 	}
 	c.awaitingPledges = true
-	c.emit(exchange.AskPledges{Epoch: h.epoch, Addresses: c.members.Others(c.self)})
+	c.emit(exchange.AskPledges{Epoch: h.epoch, Addresses: c.members.OtherAddresses(c.self)})
 }
 
 // handlePledgeAsked answers a holder that asks this box not to claim the cell for some time.
 func (c *Core) handlePledgeAsked(now time.Time, e exchange.PledgeAsked) {
-	a := exchange.Answer{Outcome: exchange.Unavailable, LogReachable: c.authority.Steady() && !c.authority.Stopping() && c.config != nil}
+	a := exchange.Answer{Outcome: exchange.Unavailable, LogReachable: c.authority.IsLogReachable() && !c.authority.IsStopping() && c.config != nil}
 	if c.authority.Pledge(now, e.Epoch) {
 		a.Outcome = exchange.OK
 	}
@@ -42,9 +42,9 @@
 // handlePledged handles the answers of the other boxes.
 func (c *Core) handlePledged(e exchange.Pledged) {
 	c.awaitingPledges = false
-	c.pledgeRetryAt = e.SentAt.Add(c.settings.Authority.Renew / 2)
+	c.pledgeRetryAt = e.SentAt.Add(c.settings.Authority.RenewInterval / 2)
 	if e.All {
-		c.authority.Pledged(e.SentAt, e.Epoch)
+		c.authority.RecordPledges(e.SentAt, e.Epoch)
 	}
 	if h := c.holding; h != nil && h.epoch == e.Epoch {
 		c.inviteLargest(e.LogReachable)
--- a/services/jobrun/cut_test.go
+++ b/services/jobrun/cut_test.go
@@ -75,7 +75,7 @@
 	assert.Check(t, first.holdsCell() && first.loop.Ready())
 
 	cut.Store(true)
-	links.Refuse(true)
+	links.SetRefusing(true)
 	links.Reset()
 	waitUntil(t, "another box holds the cell", func() bool { return others[0].holdsCell() || others[1].holdsCell() })
 	waitUntil(t, "the box that is cut off is not ready", func() bool { return !first.loop.Ready() })
--- a/services/jobrun/jobrun_test.go
+++ b/services/jobrun/jobrun_test.go
@@ -43,7 +43,7 @@
 func settings() jobrun.Settings {
 	return jobrun.Settings{
 		Dispatch: dispatch.Settings{
-			Authority: authority.Settings{Renew: 100 * time.Millisecond, HoldFor: 400 * time.Millisecond, ClaimAfter: 500 * time.Millisecond},
+			Authority: authority.Settings{RenewInterval: 100 * time.Millisecond, HoldFor: 400 * time.Millisecond, ClaimAfter: 500 * time.Millisecond},
 			Lease:     2 * time.Second, RenewWait: 200 * time.Millisecond,
 			OrderTimeout: 300 * time.Millisecond, AppendInterval: 2 * time.Millisecond, EndedRetention: time.Minute, StopGrace: 100 * time.Millisecond,
 			ConfigPropagation: 3 * time.Second, ShareWindow: 5 * time.Second,
@@ -158,8 +158,8 @@
 	waitServed(t, left[0], jobrun.Request{State: "j0"}, job.Succeeded)
 	waitServed(t, left[1], jobrun.Request{Submit: submission("j9")}, "")
 	waitServed(t, left[0], jobrun.Request{State: "j9"}, job.Succeeded)
-	assert.Equal(t, on.Runs("j0.0.0.0"), 1)
-	assert.Equal(t, on.Runs("j9.0.1.0"), 1)
+	assert.Equal(t, on.StartCount("j0.0.0.0"), 1)
+	assert.Equal(t, on.StartCount("j9.0.1.0"), 1)
 }
 
 func TestCallsSucceedDuringPlannedHandover(t *testing.T) {
--- a/services/jobrun/late_test.go
+++ b/services/jobrun/late_test.go
@@ -38,7 +38,7 @@
 	waitServed(t, p, jobrun.Request{Submit: submission("late")}, "")
 	waitServed(t, p, jobrun.Request{State: "late"}, job.Succeeded)
 	for _, task := range []string{"late.0.0.0", "late.0.0.1", "late.0.0.2", "late.0.1.0"} {
-		assert.Equal(t, on.Runs(task), 1, "%s", task)
+		assert.Equal(t, on.StartCount(task), 1, "%s", task)
 	}
 }
 
--- a/services/jobrun/passed_test.go
+++ b/services/jobrun/passed_test.go
@@ -29,7 +29,7 @@
 
 // followFakeHolder has a box follow another that is reached by links and answers calls as the
 // test says.
-func followFakeHolder(t *testing.T, on jobrun.Platform, follower *testBox, by *forward.Forwarder, answer peerHandler) {
+func followFakeHolder(t *testing.T, on jobrun.Platform, follower *testBox, by *forward.Proxy, answer peerHandler) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/services/jobrun/reset_test.go
+++ b/services/jobrun/reset_test.go
@@ -19,7 +19,7 @@
 )
 
 // newForwarder returns what stands between boxes of a test.
-func newForwarder(t *testing.T) *forward.Forwarder {
+func newForwarder(t *testing.T) *forward.Proxy {
 	t.Helper()
 	f := forward.New()
 	t.Cleanup(f.Close)
@@ -27,10 +27,10 @@
 }
 
 // via returns how the boxes of a test reach each other through a forwarder.
-func via(t *testing.T, f *forward.Forwarder) func(address string) string {
+func via(t *testing.T, f *forward.Proxy) func(address string) string {
 	t.Helper()
 	return func(address string) string {
-		forwarded, err := f.Via(address)
+		forwarded, err := f.Forward(address)
 		assert.NilError(t, err)
 		return forwarded
 	}
@@ -63,7 +63,7 @@
 		for i := range 10 {
 			id := fmt.Sprintf("j%d-%d", round, i)
 			waitServed(t, other, jobrun.Request{State: job.ID(id)}, job.Succeeded)
-			assert.Equal(t, on.Runs(id+".0.0.0"), 1)
+			assert.Equal(t, on.StartCount(id+".0.0.0"), 1)
 		}
 	}
 }
--- a/services/jobrun/service_test.go
+++ b/services/jobrun/service_test.go
@@ -83,14 +83,14 @@
 	waitServed(t, p, jobrun.Request{Submit: submission("first")}, "")
 
 	for round := range 3 {
-		assert.Check(t, between.Silence() > 0)
+		assert.Check(t, between.Stall() > 0)
 		a := p.loop.Serve(context.Background(), jobrun.Request{Submit: submission(fmt.Sprint("silent", round))})
 		assert.Equal(t, a.Outcome, exchange.OK, "round %d: %+v", round, a)
 	}
 }
 
 // newAdviceService answers that all workers suit, unless hangs says so.
-func newAdviceService(t *testing.T, between *forward.Forwarder, hangs *atomic.Bool) *platform.Advice {
+func newAdviceService(t *testing.T, between *forward.Proxy, hangs *atomic.Bool) *platform.Advice {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var in struct {
@@ -139,12 +139,12 @@
 
 // checkAdviceAfterSilence fails the test unless a job is advised and done soon after the connections to
 // the advice service went silent.
-func checkAdviceAfterSilence(t *testing.T, holder *testBox, between *forward.Forwarder) {
+func checkAdviceAfterSilence(t *testing.T, holder *testBox, between *forward.Proxy) {
 	t.Helper()
 	waitServed(t, holder, jobrun.Request{Submit: submission("first")}, "")
 	waitServed(t, holder, jobrun.Request{State: "first"}, job.Succeeded)
 	for round := range 3 {
-		assert.Check(t, between.Silence() > 0)
+		assert.Check(t, between.Stall() > 0)
 		began := time.Now()
 		id := fmt.Sprint("silent", round)
 		waitServed(t, holder, jobrun.Request{Submit: submission(id)}, "")
--- a/services/jobrun/silent_test.go
+++ b/services/jobrun/silent_test.go
@@ -51,7 +51,7 @@
 	waitServed(t, holder, jobrun.Request{State: "first"}, job.Succeeded)
 
 	for round := range 3 {
-		assert.Check(t, links.Silence() > 0, "nothing was open in round %d", round)
+		assert.Check(t, links.Stall() > 0, "nothing was open in round %d", round)
 		id := fmt.Sprint("silent", round)
 		waitServed(t, holder, jobrun.Request{Submit: submission(id)}, "")
 		waitServed(t, holder, jobrun.Request{State: job.ID(id)}, job.Succeeded)
@@ -75,7 +75,7 @@
 	t.Run("refuses no caller while its holder answers", func(t *testing.T) {
 		links := newForwarder(t)
 		boxes, _ := startTypicalCell(t, newPlatform(t), links)
-		assert.Check(t, links.Silence() > 0)
+		assert.Check(t, links.Stall() > 0)
 		var callers sync.WaitGroup
 		for i := range 5 {
 			callers.Go(func() {
@@ -98,7 +98,7 @@
 		on.SetDown(true)
 		span := 2 * typicalSettings().Dispatch.Authority.HoldFor
 		checkHoldsCell(t, boxes[0], span)
-		assert.Check(t, links.Silence() > 0)
+		assert.Check(t, links.Stall() > 0)
 		checkHoldsCell(t, boxes[0], span)
 	})
 }
@@ -165,7 +165,7 @@
 func typicalSettings() jobrun.Settings {
 	s := settings()
 	s.Dispatch.Authority = authority.Settings{
-		Renew: 400 * time.Millisecond, HoldFor: 1400 * time.Millisecond, ClaimAfter: 1550 * time.Millisecond,
+		RenewInterval: 400 * time.Millisecond, HoldFor: 1400 * time.Millisecond, ClaimAfter: 1550 * time.Millisecond,
 	}
 	s.PeerTimeout = 700 * time.Millisecond
 	return s
@@ -173,7 +173,7 @@
 
 // startTypicalCell starts three boxes of which the first holds the cell and the others know
 // it. Those others can be cut off from the log.
-func startTypicalCell(t *testing.T, on *memory.Platform, links *forward.Forwarder) ([]*testBox, *atomic.Bool) {
+func startTypicalCell(t *testing.T, on *memory.Platform, links *forward.Proxy) ([]*testBox, *atomic.Bool) {
 	t.Helper()
 	boxes := make([]*testBox, 3)
 	calls, cut := disconnectableLog(on)
--- a/services/ledger/cell.go
+++ b/services/ledger/cell.go
@@ -12,10 +12,10 @@
 
 // cell is what all files in force say together.
 type cell struct {
-	racks map[string]spec.Rack
-	teams map[string]spec.Team
-	pools map[string]spec.Pool
-	drain map[string]bool
+	racks    map[string]spec.Rack
+	teams    map[string]spec.Team
+	pools    map[string]spec.Pool
+	draining map[string]bool
 	// shards holds what each shard has, total what all have together.
 	shards map[spec.ShardID]*shardCell
 	total  resource.Vector
@@ -27,21 +27,21 @@
 	racks    []spec.Rack
 	capacity resource.Vector
 	// sizes counts the workers of each size.
-	sizes map[resource.Vector]int
+	workersBySize map[resource.Vector]int
 }
 
 func (l *Ledger) rebuildCell() {
 	c := cell{
 		racks: map[string]spec.Rack{}, teams: map[string]spec.Team{}, pools: map[string]spec.Pool{},
-		drain: map[string]bool{}, shards: map[spec.ShardID]*shardCell{},
+		draining: map[string]bool{}, shards: map[spec.ShardID]*shardCell{},
 	}
 	for _, name := range l.Files() {
-		c.add(l.files[name].file)
+		c.addFile(l.files[name].file)
 	}
 	l.cell = c
 }
 
-func (c *cell) add(f *spec.File) {
+func (c *cell) addFile(f *spec.File) {
 	if f.Retired {
 		return
 	}
@@ -55,7 +55,7 @@
 		c.pools[p.Name] = p
 	}
 	for _, name := range f.Drain {
-		c.drain[name] = true
+		c.draining[name] = true
 	}
 }
 
@@ -63,13 +63,13 @@
 	c.racks[r.Name] = r
 	sc := c.shards[r.ShardID()]
 	if sc == nil {
-		sc = &shardCell{sizes: map[resource.Vector]int{}}
+		sc = &shardCell{workersBySize: map[resource.Vector]int{}}
 		c.shards[r.ShardID()] = sc
 	}
 	all := r.Each.Times(len(r.Workers))
 	sc.racks = append(sc.racks, r)
 	sc.capacity = sc.capacity.Plus(all)
-	sc.sizes[r.Each] += len(r.Workers)
+	sc.workersBySize[r.Each] += len(r.Workers)
 	c.total = c.total.Plus(all)
 }
 
@@ -100,4 +100,4 @@
 }
 
 // Draining says whether an operator wants the box emptied.
-func (l *Ledger) Draining(name string) bool { return l.cell.drain[name] }
+func (l *Ledger) Draining(name string) bool { return l.cell.draining[name] }
--- a/services/ledger/check.go
+++ b/services/ledger/check.go
@@ -10,22 +10,22 @@
 	"saddlevane/models/spec"
 )
 
-// checkTogether says what in file clashes with the other files in force, or
+// checkAgainstCell says what in file clashes with the other files in force, or
 // with promises made by the revision that it replaces.
-func (l *Ledger) checkTogether(file *spec.File) []string {
+func (l *Ledger) checkAgainstCell(file *spec.File) []string {
 	var reasons []string
 	refuse := func(format string, args ...any) { reasons = append(reasons, fmt.Sprintf(format, args...)) }
 	after := l.cellWith(file)
 	l.checkNames(file, refuse)
-	l.checkFormer(file, refuse)
+	l.checkFormerWorkers(file, refuse)
 	l.checkObjects(file, after, refuse)
-	l.checkOthers(file, after, refuse)
+	l.checkOtherFiles(file, after, refuse)
 	return reasons
 }
 
 // cellWith returns the cell as it would be with file in force.
 func (l *Ledger) cellWith(file *spec.File) *cell {
-	if !l.shapesCell(file) {
+	if !l.affectsCell(file) {
 		return &l.cell
 	}
 	trial := &Ledger{files: make(map[string]*Entry, len(l.files)+1)}
@@ -39,27 +39,27 @@
 
 // checkNames refuses names that another file in force has taken.
 func (l *Ledger) checkNames(file *spec.File, refuse func(string, ...any)) {
-	for _, key := range names(file) {
-		if other, ok := l.owners[key]; ok && other != file.Name {
+	for _, key := range declaredNames(file) {
+		if other, ok := l.fileOfName[key]; ok && other != file.Name {
 			refuse("%s is already in file %q", key, other)
 		}
 	}
 }
 
-// own notes which names a file takes, in place of those of the file that it
+// registerNames notes which names a file takes, in place of those of the file that it
 // replaces.
-func (l *Ledger) own(file, previous *spec.File) {
+func (l *Ledger) registerNames(file, previous *spec.File) {
 	if previous != nil {
-		for _, key := range names(previous) {
-			delete(l.owners, key)
+		for _, key := range declaredNames(previous) {
+			delete(l.fileOfName, key)
 		}
 	}
-	for _, key := range names(file) {
-		l.owners[key] = file.Name
+	for _, key := range declaredNames(file) {
+		l.fileOfName[key] = file.Name
 	}
 }
 
-func names(f *spec.File) []string {
+func declaredNames(f *spec.File) []string {
 	if f.Retired {
 		return nil
 	}
@@ -92,10 +92,10 @@
 		}
 	}
 	for _, o := range objectsOf(file) {
-		if reason := after.never(o); reason != "" {
+		if reason := after.unrunnableReason(o); reason != "" {
 			refuse("%s can never run: %s", o.work.Name, reason)
 		}
-		if old, lives := before[o.work.Name]; lives && o.kind != KindService && !sameFrozen(old, o) {
+		if old, lives := before[o.work.Name]; lives && o.kind != KindService && !sameImmutableFields(old, o) {
 			refuse("%s was published with another kind, count, command, domains or repeatable; use a new name", o.work.Name)
 		} else if lives && old.kind != o.kind {
 			refuse("%s was a %s; use a new name", o.work.Name, old.kind)
@@ -103,17 +103,17 @@
 	}
 }
 
-// checkOthers refuses a file that would take a team, or the last worker that is
+// checkOtherFiles refuses a file that would take a team, or the last worker that is
 // large enough, from work in another file, or move a rack between shards.
-func (l *Ledger) checkOthers(file *spec.File, after *cell, refuse func(string, ...any)) {
-	if !l.changesCell(file) {
+func (l *Ledger) checkOtherFiles(file *spec.File, after *cell, refuse func(string, ...any)) {
+	if !l.changesRacksOrTeams(file) {
 		return
 	}
 	for _, o := range l.Objects() {
 		if o.file == file.Name {
 			continue
 		}
-		if reason := after.never(o); reason != "" {
+		if reason := after.unrunnableReason(o); reason != "" {
 			refuse("%s, in file %q, could no longer run: %s", o.work.Name, o.file, reason)
 		}
 	}
@@ -131,9 +131,9 @@
 	}
 }
 
-// changesCell says whether file has other racks or teams than the revision that
+// changesRacksOrTeams says whether file has other racks or teams than the revision that
 // it replaces. Only then can it take something from work in other files.
-func (l *Ledger) changesCell(file *spec.File) bool {
+func (l *Ledger) changesRacksOrTeams(file *spec.File) bool {
 	before := &spec.File{}
 	if e, ok := l.files[file.Name]; ok {
 		before = e.file
@@ -142,9 +142,9 @@
 		!reflect.DeepEqual(file.Racks, before.Racks) || !reflect.DeepEqual(file.Teams, before.Teams)
 }
 
-// shapesCell says whether the cell depends on file or on the revision that it
+// affectsCell says whether the cell depends on file or on the revision that it
 // replaces. Most files hold only work, and the cell need not be made anew.
-func (l *Ledger) shapesCell(file *spec.File) bool {
+func (l *Ledger) affectsCell(file *spec.File) bool {
 	shapes := func(f *spec.File) bool {
 		return len(f.Racks) > 0 || len(f.Teams) > 0 || len(f.Pools) > 0 || len(f.Drain) > 0
 	}
@@ -152,8 +152,8 @@
 	return shapes(file) || (ok && shapes(e.file))
 }
 
-// never says why o can never run in the cell, or "".
-func (c *cell) never(o *Object) string {
+// unrunnableReason says why o can never run in the cell, or "".
+func (c *cell) unrunnableReason(o *Object) string {
 	team, ok := c.teams[o.work.Team]
 	if !ok {
 		return fmt.Sprintf("no team %q", o.work.Team)
@@ -165,7 +165,7 @@
 	if !need.Fits(team.Quota) {
 		return fmt.Sprintf("it needs more than the quota of team %q at once", team.Name)
 	}
-	if len(c.eligible(o)) == 0 {
+	if len(c.eligibleShards(o)) == 0 {
 		if o.kind == KindGang {
 			return "no shard has room for all its tasks together"
 		}
--- a/services/ledger/former.go
+++ b/services/ledger/former.go
@@ -15,26 +15,26 @@
 // holder that has not read so far. The next holder has to ask it, so the ledger
 // remembers it until a holder in force says that it surely runs nothing.
 
-// Former returns the workers of shard that no file names any more, with their
+// FormerWorkers returns the workers of shard that no file names any more, with their
 // racks; it must not be changed.
-func (l *Ledger) Former(shard spec.ShardID) map[string]string { return l.former[shard] }
+func (l *Ledger) FormerWorkers(shard spec.ShardID) map[string]string { return l.formerWorkers[shard] }
 
-func (l *Ledger) addFormer(shard spec.ShardID, worker, rack string) {
-	if l.former[shard] == nil {
-		l.former[shard] = map[string]string{}
+func (l *Ledger) addFormerWorker(shard spec.ShardID, worker, rack string) {
+	if l.formerWorkers[shard] == nil {
+		l.formerWorkers[shard] = map[string]string{}
 	}
-	l.former[shard][worker] = rack
+	l.formerWorkers[shard][worker] = rack
 }
 
-// noteFormer remembers the workers of before that the cell no longer has, and
+// updateFormerWorkers remembers the workers of before that the cell no longer has, and
 // forgets those that it has again.
-func (l *Ledger) noteFormer(before *cell) {
+func (l *Ledger) updateFormerWorkers(before *cell) {
 	now := map[string]bool{}
 	for id, sc := range l.cell.shards {
 		for _, r := range sc.racks {
 			for _, w := range r.Workers {
 				now[w] = true
-				delete(l.former[id], w)
+				delete(l.formerWorkers[id], w)
 			}
 		}
 	}
@@ -42,17 +42,17 @@
 		for _, r := range sc.racks {
 			for _, w := range r.Workers {
 				if !now[w] {
-					l.addFormer(id, w, r.Name)
+					l.addFormerWorker(id, w, r.Name)
 				}
 			}
 		}
 	}
 }
 
-// checkFormer refuses a worker that may still run tasks of another shard.
-func (l *Ledger) checkFormer(file *spec.File, refuse func(string, ...any)) {
+// checkFormerWorkers refuses a worker that may still run tasks of another shard.
+func (l *Ledger) checkFormerWorkers(file *spec.File, refuse func(string, ...any)) {
 	for _, r := range file.Racks {
-		for id, workers := range l.former {
+		for id, workers := range l.formerWorkers {
 			if id == r.ShardID() {
 				continue
 			}
@@ -70,14 +70,14 @@
 		return Change{}
 	}
 	for _, w := range f.Workers {
-		delete(l.former[f.Shard], w)
+		delete(l.formerWorkers[f.Shard], w)
 	}
-	return Change{Files: true}
+	return Change{FilesChanged: true}
 }
 
-func (l *Ledger) snapshotFormer() []record.FormerWorker {
+func (l *Ledger) snapshotFormerWorkers() []record.FormerWorker {
 	var all []record.FormerWorker
-	for id, workers := range l.former {
+	for id, workers := range l.formerWorkers {
 		for w, rack := range workers {
 			all = append(all, record.FormerWorker{Shard: id, Worker: w, Rack: rack})
 		}
--- a/services/ledger/homes.go
+++ b/services/ledger/homes.go
@@ -12,8 +12,8 @@
 	"saddlevane/models/spec"
 )
 
-// eligible returns the shards that could run o when empty, in order.
-func (c *cell) eligible(o *Object) []spec.ShardID {
+// eligibleShards returns the shards that could run o when empty, in order.
+func (c *cell) eligibleShards(o *Object) []spec.ShardID {
 	var all []spec.ShardID
 	for id, sc := range c.shards {
 		if len(o.work.Domains) > 0 && !slices.Contains(o.work.Domains, id.Domain) {
@@ -34,14 +34,16 @@
 	if o.kind == KindGang {
 		need, count = need.Times(o.work.Count), o.work.Count
 	}
-	quota := QuotaPart(c.teams[o.work.Team], c.part(id))
-	return sc.places(o.work.Resources) >= count && need.Fits(quota)
+	quota := ShardQuota(c.teams[o.work.Team], c.capacityShare(id))
+	return sc.taskCapacity(o.work.Resources) >= count && need.Fits(quota)
 }
 
-// Part is a shard's capacity and that of all shards.
-type Part struct{ shard, cell resource.Vector }
+// CapacityShare is a shard's capacity and that of all shards.
+type CapacityShare struct{ shard, cell resource.Vector }
 
-func (c *cell) part(id spec.ShardID) Part { return Part{shard: c.capacity(id), cell: c.total} }
+func (c *cell) capacityShare(id spec.ShardID) CapacityShare {
+	return CapacityShare{shard: c.capacity(id), cell: c.total}
+}
 
 func (c *cell) capacity(id spec.ShardID) resource.Vector {
 	if sc := c.shards[id]; sc != nil {
@@ -50,16 +52,16 @@
 	return resource.Vector{}
 }
 
-// Part returns what part of the cell shard is.
-func (l *Ledger) Part(shard spec.ShardID) Part { return l.cell.part(shard) }
+// CapacityShare returns what part of the cell shard is.
+func (l *Ledger) CapacityShare(shard spec.ShardID) CapacityShare { return l.cell.capacityShare(shard) }
 
 // Capacity returns what the workers of shard have together, as declared.
 func (l *Ledger) Capacity(shard spec.ShardID) resource.Vector { return l.cell.capacity(shard) }
 
-// QuotaPart returns a team's quota in one shard: of each resource the part of
+// ShardQuota returns a team's quota in one shard: of each resource the part of
 // the cell's that the shard has. The parts add up to no more than the quota, so
 // shards need not ask each other.
-func QuotaPart(t spec.Team, p Part) resource.Vector {
+func ShardQuota(t spec.Team, p CapacityShare) resource.Vector {
 	return resource.Vector{
 		Processors:   resource.Millis(scale(int64(t.Quota.Processors), int64(p.shard.Processors), int64(p.cell.Processors))),
 		Memory:       resource.Bytes(scale(int64(t.Quota.Memory), int64(p.shard.Memory), int64(p.cell.Memory))),
@@ -77,16 +79,16 @@
 	return int64(quotient)
 }
 
-// places returns how many tasks of size need fit on the shard when empty.
-func (sc *shardCell) places(need resource.Vector) int {
+// taskCapacity returns how many tasks of size need fit on the shard when empty.
+func (sc *shardCell) taskCapacity(need resource.Vector) int {
 	total := 0
-	for each, workers := range sc.sizes {
-		total += copies(each, need) * workers
+	for each, workers := range sc.workersBySize {
+		total += tasksPerWorker(each, need) * workers
 	}
 	return total
 }
 
-func copies(each, need resource.Vector) int {
+func tasksPerWorker(each, need resource.Vector) int {
 	n := int64(spec.MaxCount)
 	if need.Processors > 0 {
 		n = min(n, int64(each.Processors/need.Processors))
@@ -100,11 +102,11 @@
 	return int(n)
 }
 
-// homes shares the tasks of a new object out over the shards that can run it:
+// assignHomes shares the tasks of a new object out over the shards that can run it:
 // a gang to one shard, everything else by how many tasks each shard has room
 // for when empty.
-func (c *cell) homes(o *Object) []record.Home {
-	shards := c.eligible(o)
+func (c *cell) assignHomes(o *Object) []record.Home {
+	shards := c.eligibleShards(o)
 	if len(shards) == 0 {
 		return nil
 	}
@@ -114,15 +116,15 @@
 	}
 	weights, total := make([]int, len(shards)), 0
 	for i, id := range shards {
-		weights[i] = c.shards[id].places(o.work.Resources)
+		weights[i] = c.shards[id].taskCapacity(o.work.Resources)
 		total += weights[i]
 	}
-	return share(shards, weights, total, o)
+	return splitTasks(shards, weights, total, o)
 }
 
-// share cuts the tasks of o into one range a shard. Which shard comes first
+// splitTasks cuts the tasks of o into one range a shard. Which shard comes first
 // depends on the birth, so that many small jobs do not all land on one.
-func share(shards []spec.ShardID, weights []int, total int, o *Object) []record.Home {
+func splitTasks(shards []spec.ShardID, weights []int, total int, o *Object) []record.Home {
 	first := int(o.id.Born % int64(len(shards)))
 	var homes []record.Home
 	from, seen := 0, 0
@@ -138,9 +140,9 @@
 	return homes
 }
 
-// resize fits homes to a new count: the last range grows, or ranges are cut
+// resizeHomes fits homes to a new count: the last range grows, or ranges are cut
 // from the end. Tasks that stay keep their shard.
-func resize(homes []record.Home, count int) []record.Home {
+func resizeHomes(homes []record.Home, count int) []record.Home {
 	var kept []record.Home
 	for _, h := range homes {
 		if h.From >= count {
--- a/services/ledger/ledger.go
+++ b/services/ledger/ledger.go
@@ -20,9 +20,9 @@
 // Ledger is the state of the fold.
 type Ledger struct {
 	// next is the offset of the first record not yet applied.
-	next    int64
-	files   map[string]*Entry
-	objects map[task.ObjectID]*Object
+	nextOffset int64
+	files      map[string]*Entry
+	objects    map[task.ObjectID]*Object
 	// sorted holds the objects in the order of their births, or nil if it has to
 	// be made anew.
 	sorted   []*Object
@@ -30,24 +30,24 @@
 	progress map[task.ObjectID]*Progress
 	cell     cell
 	// former holds workers that no file names any more, with their racks.
-	former map[spec.ShardID]map[string]string
+	formerWorkers map[spec.ShardID]map[string]string
 	// owners says which file each name in force stands in.
-	owners map[string]string
+	fileOfName map[string]string
 	// checkpoints follows the parts of checkpoints as they are read.
-	checkpoints checkpoints
+	checkpoints checkpointTracker
 }
 
 // Entry is a file in force.
 type Entry struct {
-	revision    int64
-	publication string
-	data        string
-	file        *spec.File
-	objects     []task.ObjectID
+	revision      int64
+	publicationID string
+	data          string
+	file          *spec.File
+	objects       []task.ObjectID
 }
 
-// Publication returns the operator's id of the revision.
-func (e *Entry) Publication() string { return e.publication }
+// PublicationID returns the operator's id of the revision.
+func (e *Entry) PublicationID() string { return e.publicationID }
 
 // Revision returns the revision of the record that published the file.
 func (e *Entry) Revision() int64 { return e.revision }
@@ -77,18 +77,18 @@
 // New returns the fold of an empty log.
 func New() *Ledger {
 	return &Ledger{
-		files:       map[string]*Entry{},
-		objects:     map[task.ObjectID]*Object{},
-		claims:      map[spec.ShardID]Claim{},
-		progress:    map[task.ObjectID]*Progress{},
-		former:      map[spec.ShardID]map[string]string{},
-		owners:      map[string]string{},
-		checkpoints: newCheckpoints(),
+		files:         map[string]*Entry{},
+		objects:       map[task.ObjectID]*Object{},
+		claims:        map[spec.ShardID]Claim{},
+		progress:      map[task.ObjectID]*Progress{},
+		formerWorkers: map[spec.ShardID]map[string]string{},
+		fileOfName:    map[string]string{},
+		checkpoints:   newCheckpointTracker(),
 	}
 }
 
-// Next returns the offset of the first record not yet applied.
-func (l *Ledger) Next() int64 { return l.next }
+// NextOffset returns the offset of the first record not yet applied.
+func (l *Ledger) NextOffset() int64 { return l.nextOffset }
 
 // Entry returns the file in force under name.
 func (l *Ledger) Entry(name string) (*Entry, bool) {
@@ -108,8 +108,8 @@
 // Claims returns every shard that is held.
 func (l *Ledger) Claims() map[spec.ShardID]Claim { return l.claims }
 
-// Applied is what a record did.
-type Applied struct {
+// ApplyResult is what a record did.
+type ApplyResult struct {
 	// ID is the envelope's, or "" if the record is not ours or was a repeat.
 	ID      string
 	Changes []Change
@@ -118,17 +118,17 @@
 // Change is something that Apply altered.
 type Change struct {
 	// Publication is set for each publish that was decided.
-	Publication *Publication
+	PublishResult *PublishResult
 	// Files says that files in force changed.
-	Files bool
+	FilesChanged bool
 	// Claims says that a shard changed hands.
-	Claims bool
+	ClaimsChanged bool
 	// Progress names objects whose tasks moved on.
 	Progress []task.ObjectID
 }
 
-// Publication is the log's decision on a publish.
-type Publication struct {
+// PublishResult is the log's decision on a publish.
+type PublishResult struct {
 	// ID names the operator's publication.
 	ID       string
 	Accepted bool
@@ -141,16 +141,16 @@
 // Apply folds the record at offset, which the log took in at the given time.
 // Records before Next are repeats and change
 // nothing.
-func (l *Ledger) Apply(offset int64, at time.Time, envelope record.Envelope) Applied {
-	if offset < l.next {
-		return Applied{}
+func (l *Ledger) Apply(offset int64, at time.Time, envelope record.Envelope) ApplyResult {
+	if offset < l.nextOffset {
+		return ApplyResult{}
 	}
-	l.next = offset + 1
+	l.nextOffset = offset + 1
 	changes := make([]Change, 0, len(envelope.Entries))
 	for _, e := range envelope.Entries {
 		changes = append(changes, l.applyEntry(revisionAt(offset), at, e))
 	}
-	return Applied{ID: envelope.ID, Changes: changes}
+	return ApplyResult{ID: envelope.ID, Changes: changes}
 }
 
 // revisionAt returns the revision that the record at offset gives to what it
@@ -172,7 +172,7 @@
 	case e.Forget != nil:
 		return l.applyForget(e.Forget)
 	case e.Checkpoint != nil:
-		l.checkpoints.note(at, e.Checkpoint)
+		l.checkpoints.addPart(at, e.Checkpoint)
 	}
 	return Change{}
 }
@@ -182,5 +182,5 @@
 		return Change{}
 	}
 	l.claims[c.Shard] = Claim{box: c.Box, incarnation: c.Incarnation, revision: revision}
-	return Change{Claims: true}
+	return Change{ClaimsChanged: true}
 }
--- a/services/ledger/ledger_test.go
+++ b/services/ledger/ledger_test.go
@@ -33,13 +33,13 @@
   - {name: j, team: t, count: 10, resources: {processors: 1, memory: 1GiB}, command: [run], repeatable: false}
 `
 
-// writer plays a log that several processes append to.
-type writer struct {
+// testLog plays a log that several processes append to.
+type testLog struct {
 	t       *testing.T
 	records [][]byte
 }
 
-func (w *writer) append(entries ...record.Entry) int64 {
+func (w *testLog) append(entries ...record.Entry) int64 {
 	w.t.Helper()
 	offset := int64(len(w.records))
 	data, err := json.Marshal(record.Envelope{ID: strconv.FormatInt(offset, 10), From: "test", Entries: entries})
@@ -48,29 +48,29 @@
 	return offset
 }
 
-func (w *writer) publish(id, file string, replaces int64, data string) int64 {
+func (w *testLog) publish(id, file string, replaces int64, data string) int64 {
 	w.t.Helper()
 	return w.append(record.Entry{Publish: &record.Publish{ID: id, File: file, Replaces: replaces, Data: data}})
 }
 
-func (w *writer) read(l *ledger.Ledger) []ledger.Publication {
-	var decided []ledger.Publication
-	for i := l.Next(); i < int64(len(w.records)); i++ {
+func (w *testLog) read(l *ledger.Ledger) []ledger.PublishResult {
+	var decided []ledger.PublishResult
+	for i := l.NextOffset(); i < int64(len(w.records)); i++ {
 		envelope, err := record.Decode(w.records[i])
 		assert.NilError(w.t, err)
 		for _, c := range l.Apply(i, start, envelope).Changes {
-			if c.Publication != nil {
-				decided = append(decided, *c.Publication)
+			if c.PublishResult != nil {
+				decided = append(decided, *c.PublishResult)
 			}
 		}
 	}
 	return decided
 }
 
-// withWork returns a log and its fold with a cell and a job in force.
-func withWork(t *testing.T) (*writer, *ledger.Ledger) {
+// newLogWithJob returns a log and its fold with a cell and a job in force.
+func newLogWithJob(t *testing.T) (*testLog, *ledger.Ledger) {
 	t.Helper()
-	w, l := &writer{t: t}, ledger.New()
+	w, l := &testLog{t: t}, ledger.New()
 	w.publish("c", "cell", 0, cellFile)
 	w.publish("j", "work", 0, jobFile)
 	for _, p := range w.read(l) {
@@ -79,8 +79,8 @@
 	return w, l
 }
 
-func TestOfTwoOperatorsTheFirstInTheLogWins(t *testing.T) {
-	w, l := &writer{t: t}, ledger.New()
+func TestFirstOfTwoConflictingPublicationsIsAccepted(t *testing.T) {
+	w, l := &testLog{t: t}, ledger.New()
 	w.publish("one", "cell", 0, cellFile)
 	w.publish("two", "cell", 0, cellFile)
 	decided := w.read(l)
@@ -88,7 +88,7 @@
 	assert.Check(t, decided[0].Accepted)
 	assert.Check(t, !decided[1].Accepted, "the second replaced nothing, yet was accepted")
 	e, _ := l.Entry("cell")
-	assert.Equal(t, e.Publication(), "one")
+	assert.Equal(t, e.PublicationID(), "one")
 }
 
 // An operator's file was refused with "replaces revision 0, but 9 is in force", and 9 was the
@@ -96,8 +96,8 @@
 // the second did not have it yet and appended it too, then took its ledger from a peer
 // that had, and read its own record of the file after that. Nothing told that both are
 // one publication.
-func TestAPublicationThatTwoBoxesAppendIsAcceptedTwice(t *testing.T) {
-	w, l := withWork(t)
+func TestPublicationAppendedByTwoBoxesIsAcceptedOnce(t *testing.T) {
+	w, l := newLogWithJob(t)
 	revision := w.publish("x", "more", 0, strings.ReplaceAll(strings.ReplaceAll(jobFile, "work", "more"), "name: j", "name: k")) + 1
 	first := w.read(l)
 	w.publish("x", "more", 0, strings.ReplaceAll(strings.ReplaceAll(jobFile, "work", "more"), "name: j", "name: k"))
@@ -108,8 +108,8 @@
 	assert.Equal(t, second[0].Revision, revision, "it came into force once")
 }
 
-func TestOfTwoBoxesTheFirstClaimInTheLogWins(t *testing.T) {
-	w, l := &writer{t: t}, ledger.New()
+func TestFirstOfTwoConflictingClaimsHolds(t *testing.T) {
+	w, l := &testLog{t: t}, ledger.New()
 	shard := spec.ShardID{Domain: "a"}
 	for _, box := range []string{"first", "second"} {
 		w.append(record.Entry{Claim: &record.Claim{Shard: shard, Box: box, Incarnation: "i"}})
@@ -119,8 +119,8 @@
 	assert.Equal(t, c.Box(), "first")
 }
 
-func TestRepeatedRecordsChangeNothing(t *testing.T) {
-	w, l := &writer{t: t}, ledger.New()
+func TestRepeatedRecordsAreIgnored(t *testing.T) {
+	w, l := &testLog{t: t}, ledger.New()
 	first := w.publish("one", "cell", 0, cellFile)
 	w.records = append(w.records, w.records[first])
 	decided := w.read(l)
@@ -132,18 +132,18 @@
 	assert.Equal(t, len(l.Apply(0, start, envelope).Changes), 0)
 }
 
-func TestAReaderThatStartsAtACheckpointAgreesWithOneThatReadAll(t *testing.T) {
-	w, whole := &writer{t: t}, ledger.New()
+func TestReaderFromCheckpointMatchesFullReader(t *testing.T) {
+	w, whole := &testLog{t: t}, ledger.New()
 	w.publish("c", "cell", 0, cellFile)
 	w.publish("j", "work", 0, jobFile)
 	w.read(whole)
-	o, ok := whole.ObjectNamed("j")
+	o, ok := whole.ObjectByName("j")
 	assert.Assert(t, ok)
 	w.append(record.Entry{Claim: &record.Claim{Shard: spec.ShardID{Domain: "a"}, Box: "x", Incarnation: "i"}})
 	w.append(record.Entry{Intents: &record.Tasks{Object: o.ID(), Ranges: []record.Range{{From: 0, To: 4}}}})
 	w.append(record.Entry{Done: &record.Tasks{Object: o.ID(), Ranges: []record.Range{{From: 1, To: 3}}}})
 	w.read(whole)
-	for _, part := range ledger.Checkpoint("cp", whole.Snapshot()) {
+	for _, part := range ledger.SplitCheckpoint("cp", whole.Snapshot()) {
 		w.append(record.Entry{Checkpoint: &part})
 	}
 	w.append(record.Entry{Done: &record.Tasks{Object: o.ID(), Ranges: []record.Range{{From: 3, To: 4}}}})
@@ -151,9 +151,9 @@
 	w.read(whole)
 
 	const first = 4 // everything before is gone
-	seek := ledger.Seek(first)
+	seek := ledger.NewCheckpointSearch(first)
 	w.read(seek)
-	s, ok := seek.Found(first)
+	s, ok := seek.FoundCheckpoint(first)
 	assert.Assert(t, ok)
 	late, err := ledger.Restore(s)
 	assert.NilError(t, err)
@@ -161,21 +161,21 @@
 	assert.DeepEqual(t, late.Snapshot(), whole.Snapshot())
 }
 
-func TestACheckpointThatIsOlderThanTheLogIsNotGoneOnFrom(t *testing.T) {
-	w, l := &writer{t: t}, ledger.New()
+func TestCheckpointOlderThanRetainedLogIsNotUsed(t *testing.T) {
+	w, l := &testLog{t: t}, ledger.New()
 	w.publish("c", "cell", 0, cellFile)
 	w.read(l)
-	stale := ledger.Checkpoint("cp", l.Snapshot())
+	stale := ledger.SplitCheckpoint("cp", l.Snapshot())
 	w.publish("j", "work", 0, jobFile)
 	w.append(record.Entry{Checkpoint: &stale[0]})
 	const first = 2
-	seek := ledger.Seek(first)
+	seek := ledger.NewCheckpointSearch(first)
 	w.read(seek)
-	_, ok := seek.Found(first)
+	_, ok := seek.FoundCheckpoint(first)
 	assert.Check(t, !ok)
 }
 
-func TestFilesThatCannotHoldAreRefusedWithTheReason(t *testing.T) {
+func TestInvalidFilesAreRefusedWithReason(t *testing.T) {
 	job := func(lines string) string { return "name: work\njobs:\n  - {name: j, command: [run], " + lines + "}\n" }
 	for _, test := range []struct{ name, file, data, want string }{
 		{"no team", "work", job("team: nobody, count: 1, resources: {processors: 1}"), "no team"},
@@ -186,7 +186,7 @@
 		{"another name inside", "work", jobFile[:0] + strings.Replace(jobFile, "name: work", "name: else", 1), "the file says name"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w, l := &writer{t: t}, ledger.New()
+			w, l := &testLog{t: t}, ledger.New()
 			w.publish("c", "cell", 0, cellFile)
 			w.publish("x", test.file, 0, test.data)
 			decided := w.read(l)
@@ -197,8 +197,8 @@
 	}
 }
 
-func TestAFileCannotBreakWhatAnotherPromises(t *testing.T) {
-	w, l := withWork(t)
+func TestFileThatBreaksWorkOfAnotherFileIsRefused(t *testing.T) {
+	w, l := newLogWithJob(t)
 	e, _ := l.Entry("cell")
 	noTeam := strings.Split(cellFile, "teams:")[0]
 	w.publish("c2", "cell", e.Revision(), noTeam)
@@ -209,9 +209,9 @@
 	}
 }
 
-func TestHomesCoverEachTaskOnceAndStayWithAnUnchangedObject(t *testing.T) {
-	w, l := withWork(t)
-	o, _ := l.ObjectNamed("j")
+func TestHomesCoverEachTaskOnceAndAreStable(t *testing.T) {
+	w, l := newLogWithJob(t)
+	o, _ := l.ObjectByName("j")
 	next := 0
 	for _, h := range o.Homes() {
 		assert.Equal(t, h.From, next)
@@ -221,14 +221,14 @@
 	e, _ := l.Entry("work")
 	w.publish("j2", "work", e.Revision(), strings.Replace(jobFile, "team: t", "team: t, priority: urgent", 1))
 	w.read(l)
-	again, _ := l.ObjectNamed("j")
+	again, _ := l.ObjectByName("j")
 	assert.Equal(t, again.ID(), o.ID())
 	assert.DeepEqual(t, again.Homes(), o.Homes())
 }
 
-func TestANameThatComesBackBeginsANewLife(t *testing.T) {
-	w, l := withWork(t)
-	o, _ := l.ObjectNamed("j")
+func TestRepublishedNameIsNewObject(t *testing.T) {
+	w, l := newLogWithJob(t)
+	o, _ := l.ObjectByName("j")
 	w.append(record.Entry{Done: &record.Tasks{Object: o.ID(), Ranges: []record.Range{{From: 0, To: 10}}}})
 	e, _ := l.Entry("work")
 	w.publish("gone", "work", e.Revision(), "name: work\n")
@@ -236,14 +236,14 @@
 	e, _ = l.Entry("work")
 	w.publish("back", "work", e.Revision(), jobFile)
 	w.read(l)
-	again, _ := l.ObjectNamed("j")
+	again, _ := l.ObjectByName("j")
 	assert.Check(t, again.ID() != o.ID())
 	assert.Check(t, !l.Progress(again.ID()).Ended(0))
 }
 
-func TestOnlyUnknownTasksAreSettled(t *testing.T) {
-	w, l := withWork(t)
-	o, _ := l.ObjectNamed("j")
+func TestOnlyTasksWithUnknownOutcomeAreSettled(t *testing.T) {
+	w, l := newLogWithJob(t)
+	o, _ := l.ObjectByName("j")
 	w.append(record.Entry{Intents: &record.Tasks{Object: o.ID(), Ranges: []record.Range{{From: 0, To: 3}}}})
 	w.append(record.Entry{Done: &record.Tasks{Object: o.ID(), Ranges: []record.Range{{From: 0, To: 1}}}})
 	e, _ := l.Entry("work")
@@ -257,22 +257,22 @@
 	p := l.Progress(o.ID())
 	assert.Check(t, p.Done().Contains(0), "a finished task was settled anew")
 	assert.Check(t, p.Done().Contains(1))
-	assert.Check(t, !p.Intended(2) && !p.Ended(2), "rerun did not free the task")
+	assert.Check(t, !p.MayHaveStarted(2) && !p.Ended(2), "rerun did not free the task")
 	assert.Check(t, !p.Ended(3), "a task that never started was settled")
 }
 
-func TestAWorkerThatLeftIsRememberedUntilItsHolderForgetsIt(t *testing.T) {
-	w, l := &writer{t: t}, ledger.New()
+func TestFormerWorkerIsKeptUntilCurrentHolderForgetsIt(t *testing.T) {
+	w, l := &testLog{t: t}, ledger.New()
 	shard := spec.ShardID{Domain: "a"}
 	w.publish("c", "cell", 0, cellFile)
 	claim := w.append(record.Entry{Claim: &record.Claim{Shard: shard, Box: "x", Incarnation: "i"}}) + 1
 	w.read(l)
 	w.publish("c2", "cell", l.Revision("cell"), strings.Replace(cellFile, "[w1, w2]", "[w1]", 1))
 	w.read(l)
-	assert.DeepEqual(t, l.Former(shard), map[string]string{"w2": "r1"})
+	assert.DeepEqual(t, l.FormerWorkers(shard), map[string]string{"w2": "r1"})
 	restored, err := ledger.Restore(l.Snapshot())
 	assert.NilError(t, err)
-	assert.DeepEqual(t, restored.Former(shard), l.Former(shard))
+	assert.DeepEqual(t, restored.FormerWorkers(shard), l.FormerWorkers(shard))
 
 	moved := strings.NewReplacer("[w1, w2]", "[w1]", "[w3, w4]", "[w3, w4, w2]").Replace(cellFile)
 	w.publish("c3", "cell", l.Revision("cell"), moved)
@@ -280,8 +280,8 @@
 
 	w.append(record.Entry{Forget: &record.Forget{Shard: shard, Claim: claim - 1, Workers: []string{"w2"}}})
 	w.read(l)
-	assert.Equal(t, len(l.Former(shard)), 1, "an earlier holder was believed")
+	assert.Equal(t, len(l.FormerWorkers(shard)), 1, "an earlier holder was believed")
 	w.append(record.Entry{Forget: &record.Forget{Shard: shard, Claim: claim, Workers: []string{"w2"}}})
 	w.read(l)
-	assert.Equal(t, len(l.Former(shard)), 0)
+	assert.Equal(t, len(l.FormerWorkers(shard)), 0)
 }
--- a/services/ledger/progress.go
+++ b/services/ledger/progress.go
@@ -43,8 +43,8 @@
 	return p.done.Contains(i) || p.failed.Contains(i)
 }
 
-// Intended says whether the task at index may have been started.
-func (p *Progress) Intended(index int) bool {
+// MayHaveStarted says whether the task at index may have been started.
+func (p *Progress) MayHaveStarted(index int) bool {
 	return p.intents.Contains(uint32(index)) && !p.rerun.Contains(uint32(index))
 }
 
@@ -92,16 +92,16 @@
 	return ranges
 }
 
-// settle applies an operator's word on tasks whose fate is unknown. Only a task
+// applySettlements applies an operator's word on tasks whose fate is unknown. Only a task
 // with an intent and no outcome is unknown; a word on any other does nothing.
-func (l *Ledger) settle(file *spec.File) {
+func (l *Ledger) applySettlements(file *spec.File) {
 	for _, s := range file.Settled {
 		key, err := s.Key()
 		if err != nil {
 			continue
 		}
 		p, ok := l.progress[key.Object]
-		if !ok || !p.Intended(key.Index) || p.Ended(key.Index) {
+		if !ok || !p.MayHaveStarted(key.Index) || p.Ended(key.Index) {
 			continue
 		}
 		switch i := uint32(key.Index); s.As {
--- a/services/ledger/publish.go
+++ b/services/ledger/publish.go
@@ -84,8 +84,8 @@
 	return l.sorted
 }
 
-// ObjectNamed returns the object in force under name.
-func (l *Ledger) ObjectNamed(name string) (*Object, bool) {
+// ObjectByName returns the object in force under name.
+func (l *Ledger) ObjectByName(name string) (*Object, bool) {
 	for _, o := range l.objects {
 		if o.id.Name == name {
 			return o, true
@@ -107,7 +107,7 @@
 	if file.Name != p.File {
 		return []string{fmt.Sprintf("the file says name %q, but was published as %q", file.Name, p.File)}
 	}
-	return l.checkTogether(file)
+	return l.checkAgainstCell(file)
 }
 
 // Revision returns the revision in force under name, or 0 if there is none.
@@ -119,31 +119,31 @@
 }
 
 func (l *Ledger) applyPublish(revision int64, p *record.Publish) Change {
-	if e, ok := l.files[p.File]; ok && e.publication == p.ID {
+	if e, ok := l.files[p.File]; ok && e.publicationID == p.ID {
 		// Another box has appended it too, since the first one asked gave no answer.
-		return Change{Publication: &Publication{ID: p.ID, Accepted: true, Revision: e.revision}}
+		return Change{PublishResult: &PublishResult{ID: p.ID, Accepted: true, Revision: e.revision}}
 	}
 	if reasons := l.Check(p); len(reasons) > 0 {
-		return Change{Publication: &Publication{ID: p.ID, Revision: l.Revision(p.File), Reasons: reasons}}
+		return Change{PublishResult: &PublishResult{ID: p.ID, Revision: l.Revision(p.File), Reasons: reasons}}
 	}
 	file, _ := p.Parse()
-	previous, reshape := l.files[p.File], l.shapesCell(file)
-	l.files[p.File] = &Entry{revision: revision, publication: p.ID, data: p.Data, file: file}
+	previous, reshape := l.files[p.File], l.affectsCell(file)
+	l.files[p.File] = &Entry{revision: revision, publicationID: p.ID, data: p.Data, file: file}
 	if previous == nil {
-		l.own(file, nil)
+		l.registerNames(file, nil)
 	} else {
-		l.own(file, previous.file)
+		l.registerNames(file, previous.file)
 	}
 	if reshape {
 		before := l.cell
 		l.rebuildCell()
 		if len(file.Racks) > 0 || (previous != nil && len(previous.file.Racks) > 0) {
-			l.noteFormer(&before)
+			l.updateFormerWorkers(&before)
 		}
 	}
 	l.replaceObjects(revision, p.File, previous)
-	l.settle(file)
-	return Change{Files: true, Publication: &Publication{ID: p.ID, Accepted: true, Revision: revision}}
+	l.applySettlements(file)
+	return Change{FilesChanged: true, PublishResult: &PublishResult{ID: p.ID, Accepted: true, Revision: revision}}
 }
 
 func (l *Ledger) dropObjects(e *Entry) {
@@ -174,10 +174,10 @@
 		case !lives:
 			o.id = task.ObjectID{Name: o.work.Name, Born: revision}
 			o.version = revision
-			o.homes = l.cell.homes(o)
+			o.homes = l.cell.assignHomes(o)
 		default:
 			o.id, o.version = old.id, old.version
-			o.homes = resize(old.homes, o.work.Count)
+			o.homes = resizeHomes(old.homes, o.work.Count)
 			if !sameTemplate(old, o) {
 				o.version = revision
 			}
@@ -216,9 +216,9 @@
 	return a.work.Resources == b.work.Resources && slices.Equal(a.work.Command, b.work.Command)
 }
 
-// frozen is the part of a job or gang that must not change once it is
+// immutableFields is the part of a job or gang that must not change once it is
 // published: what its finished tasks meant.
-type frozen struct {
+type immutableFields struct {
 	Kind       Kind
 	Count      int
 	Command    []string
@@ -226,8 +226,10 @@
 	Repeatable bool
 }
 
-func frozenOf(o *Object) frozen {
-	return frozen{o.kind, o.work.Count, o.work.Command, o.work.Domains, o.Repeatable()}
+func immutableFieldsOf(o *Object) immutableFields {
+	return immutableFields{o.kind, o.work.Count, o.work.Command, o.work.Domains, o.Repeatable()}
 }
 
-func sameFrozen(a, b *Object) bool { return reflect.DeepEqual(frozenOf(a), frozenOf(b)) }
+func sameImmutableFields(a, b *Object) bool {
+	return reflect.DeepEqual(immutableFieldsOf(a), immutableFieldsOf(b))
+}
--- a/services/ledger/snapshot.go
+++ b/services/ledger/snapshot.go
@@ -16,7 +16,7 @@
 
 // Snapshot returns what the records read so far come to.
 func (l *Ledger) Snapshot() record.Snapshot {
-	s := record.Snapshot{Next: l.next}
+	s := record.Snapshot{Next: l.nextOffset}
 	for _, name := range l.Files() {
 		s.Files = append(s.Files, l.snapshotFile(name))
 	}
@@ -31,14 +31,14 @@
 			Object: id, Intents: Ranges(p.intents), Done: Ranges(p.done), Failed: Ranges(p.failed), Rerun: Ranges(p.rerun),
 		})
 	}
-	s.Former = l.snapshotFormer()
+	s.Former = l.snapshotFormerWorkers()
 	slices.SortFunc(s.Progress, func(a, b record.Progress) int { return a.Object.Compare(b.Object) })
 	return s
 }
 
 func (l *Ledger) snapshotFile(name string) record.File {
 	e := l.files[name]
-	f := record.File{Name: name, Revision: e.revision, Publication: e.publication, Data: e.data}
+	f := record.File{Name: name, Revision: e.revision, Publication: e.publicationID, Data: e.data}
 	for _, id := range e.objects {
 		o := l.objects[id]
 		f.Objects = append(f.Objects, record.Object{ID: id, Version: o.version, Homes: o.homes})
@@ -49,7 +49,7 @@
 // Restore returns the fold that s describes.
 func Restore(s record.Snapshot) (*Ledger, error) {
 	l := New()
-	l.next = s.Next
+	l.nextOffset = s.Next
 	for i := range s.Files {
 		if err := l.restoreFile(&s.Files[i]); err != nil {
 			return nil, err
@@ -60,11 +60,11 @@
 		l.claims[c.Shard] = Claim{box: c.Box, incarnation: c.Incarnation, revision: c.Revision}
 	}
 	for _, f := range s.Former {
-		l.addFormer(f.Shard, f.Worker, f.Rack)
+		l.addFormerWorker(f.Shard, f.Worker, f.Rack)
 	}
 	for _, p := range s.Progress {
 		l.progress[p.Object] = &Progress{
-			intents: setOf(p.Intents), done: setOf(p.Done), failed: setOf(p.Failed), rerun: setOf(p.Rerun),
+			intents: bitmapOf(p.Intents), done: bitmapOf(p.Done), failed: bitmapOf(p.Failed), rerun: bitmapOf(p.Rerun),
 		}
 	}
 	return l, nil
@@ -75,9 +75,9 @@
 	if len(problems) > 0 {
 		return fmt.Errorf("snapshot: file %s: %w", f.Name, problems)
 	}
-	e := &Entry{revision: f.Revision, publication: f.Publication, data: f.Data, file: file}
+	e := &Entry{revision: f.Revision, publicationID: f.Publication, data: f.Data, file: file}
 	l.files[f.Name] = e
-	l.own(file, nil)
+	l.registerNames(file, nil)
 	decided := map[string]record.Object{}
 	for _, o := range f.Objects {
 		decided[o.ID.Name] = o
@@ -94,7 +94,7 @@
 	return nil
 }
 
-func setOf(ranges []record.Range) *roaring.Bitmap {
+func bitmapOf(ranges []record.Range) *roaring.Bitmap {
 	set := roaring.New()
 	for _, r := range ranges {
 		set.AddRange(uint64(r.From), uint64(r.To))
@@ -102,15 +102,15 @@
 	return set
 }
 
-// partBytes is about how much of a snapshot one part of a checkpoint carries.
-const partBytes = 1 << 20
+// maxPartBytes is about how much of a snapshot one part of a checkpoint carries.
+const maxPartBytes = 1 << 20
 
-// Checkpoint cuts a snapshot into parts of bounded size.
-func Checkpoint(id string, s record.Snapshot) []record.Checkpoint {
+// SplitCheckpoint cuts a snapshot into parts of bounded size.
+func SplitCheckpoint(id string, s record.Snapshot) []record.Checkpoint {
 	parts := []record.Checkpoint{{ID: id, Snapshot: record.Snapshot{Next: s.Next}}}
 	size := 0
 	last := func(bytes int) *record.Snapshot {
-		if size > 0 && size+bytes > partBytes {
+		if size > 0 && size+bytes > maxPartBytes {
 			parts = append(parts, record.Checkpoint{ID: id, Snapshot: record.Snapshot{Next: s.Next}})
 			size = 0
 		}
@@ -145,77 +145,79 @@
 	rangeBytes  = 32
 )
 
-// checkpoints follows checkpoints through the log.
-type checkpoints struct {
-	open map[string]*assembly
+// checkpointTracker follows checkpoints through the log.
+type checkpointTracker struct {
+	incomplete map[string]*partialCheckpoint
 	// youngest is when the log took in the last part of the youngest checkpoint.
-	youngest time.Time
+	newestAt time.Time
 	// wanted keeps the contents of parts, for a reader that must go on from one.
-	wanted bool
-	whole  *record.Snapshot
+	keepContents bool
+	newest       *record.Snapshot
 }
 
-// assembly is a checkpoint of which not all parts have been read.
-type assembly struct {
-	have     map[int]bool
+// partialCheckpoint is a checkpoint of which not all parts have been read.
+type partialCheckpoint struct {
+	received map[int]bool
 	snapshot record.Snapshot
 }
 
-// maxOpen bounds how many checkpoints are followed at a time.
-const maxOpen = 8
+// maxIncomplete bounds how many checkpoints are followed at a time.
+const maxIncomplete = 8
 
-func newCheckpoints() checkpoints { return checkpoints{open: map[string]*assembly{}} }
+func newCheckpointTracker() checkpointTracker {
+	return checkpointTracker{incomplete: map[string]*partialCheckpoint{}}
+}
 
-func (c *checkpoints) note(at time.Time, part *record.Checkpoint) {
+func (c *checkpointTracker) addPart(at time.Time, part *record.Checkpoint) {
 	if part.Check() != nil {
 		return
 	}
-	a := c.open[part.ID]
+	a := c.incomplete[part.ID]
 	if a == nil {
-		if len(c.open) >= maxOpen {
-			clear(c.open)
+		if len(c.incomplete) >= maxIncomplete {
+			clear(c.incomplete)
 		}
-		a = &assembly{have: map[int]bool{}, snapshot: record.Snapshot{Next: part.Snapshot.Next}}
-		c.open[part.ID] = a
+		a = &partialCheckpoint{received: map[int]bool{}, snapshot: record.Snapshot{Next: part.Snapshot.Next}}
+		c.incomplete[part.ID] = a
 	}
-	if a.have[part.Part] {
+	if a.received[part.Part] {
 		return
 	}
-	a.have[part.Part] = true
-	if c.wanted {
+	a.received[part.Part] = true
+	if c.keepContents {
 		a.snapshot.Files = append(a.snapshot.Files, part.Snapshot.Files...)
 		a.snapshot.Former = append(a.snapshot.Former, part.Snapshot.Former...)
 		a.snapshot.Claims = append(a.snapshot.Claims, part.Snapshot.Claims...)
 		a.snapshot.Progress = append(a.snapshot.Progress, part.Snapshot.Progress...)
 	}
-	if len(a.have) == part.Parts {
-		c.youngest = at
-		c.whole = &a.snapshot
-		delete(c.open, part.ID)
+	if len(a.received) == part.Parts {
+		c.newestAt = at
+		c.newest = &a.snapshot
+		delete(c.incomplete, part.ID)
 	}
 }
 
 // CheckpointedAt returns when the log took in the youngest whole checkpoint that
 // this process has read; zero if it has read none.
-func (l *Ledger) CheckpointedAt() time.Time { return l.checkpoints.youngest }
+func (l *Ledger) CheckpointedAt() time.Time { return l.checkpoints.newestAt }
 
-// Become makes l the fold that o is.
-func (l *Ledger) Become(o *Ledger) { *l = *o }
+// ReplaceWith makes l the fold that o is.
+func (l *Ledger) ReplaceWith(o *Ledger) { *l = *o }
 
-// Seek returns a fold for a reader that starts at offset first, with records
+// NewCheckpointSearch returns a fold for a reader that starts at offset first, with records
 // before it gone. It is not whole: nothing in it is in force until Found returns
 // a checkpoint to go on from.
-func Seek(first int64) *Ledger {
+func NewCheckpointSearch(first int64) *Ledger {
 	l := New()
-	l.next = first
-	l.checkpoints.wanted = true
+	l.nextOffset = first
+	l.checkpoints.keepContents = true
 	return l
 }
 
-// Found returns the checkpoint that a seeking reader can go on from, if it has
+// FoundCheckpoint returns the checkpoint that a seeking reader can go on from, if it has
 // read one that describes the log from a record on that can still be read.
-func (l *Ledger) Found(first int64) (record.Snapshot, bool) {
-	if w := l.checkpoints.whole; w != nil && w.Next >= first {
+func (l *Ledger) FoundCheckpoint(first int64) (record.Snapshot, bool) {
+	if w := l.checkpoints.newest; w != nil && w.Next >= first {
 		return *w, true
 	}
 	return record.Snapshot{}, false
--- a/services/membership/membership.go
+++ b/services/membership/membership.go
@@ -18,7 +18,7 @@
 // Settings are the times of the peers' heartbeats.
 type Settings struct {
 	// Heartbeat is the time between two heartbeats to one peer.
-	Heartbeat time.Duration
+	HeartbeatInterval time.Duration
 	// DeadAfter is how long a peer may be silent.
 	DeadAfter time.Duration
 	// Seeds are peers' addresses to greet when the list cannot be read.
@@ -27,8 +27,8 @@
 
 // Member is a peer in the same or another domain.
 type Member struct {
-	hello   peer.Hello
-	heardAt time.Time
+	hello      peer.Hello
+	receivedAt time.Time
 }
 
 // Hello returns the peer's last heartbeat.
@@ -36,15 +36,15 @@
 
 // Membership is the state. It is not safe for concurrent use.
 type Membership struct {
-	settings Settings
-	self     peer.Hello
-	boxes    map[string]box.Box
-	listedAt time.Time
-	members  map[string]Member
-	helloAt  time.Time
-	// changedAt is when the set of live peers last changed.
-	changedAt time.Time
-	live      []string
+	settings    Settings
+	self        peer.Hello
+	boxes       map[string]box.Box
+	listReadAt  time.Time
+	members     map[string]Member
+	nextHelloAt time.Time
+	// liveChangedAt is when the set of live peers last changed.
+	liveChangedAt time.Time
+	live          []string
 }
 
 // New returns the state of a process that has seen nobody but itself.
@@ -70,17 +70,17 @@
 // Leaving says whether this process is stopping.
 func (m *Membership) Leaving() bool { return m.self.Leaving }
 
-// BoxesRead takes the platform's list.
-func (m *Membership) BoxesRead(now time.Time, l box.List) {
-	m.listedAt = now
+// SetBoxes takes the platform's list.
+func (m *Membership) SetBoxes(now time.Time, l box.List) {
+	m.listReadAt = now
 	m.boxes = make(map[string]box.Box, len(l.Boxes))
 	for _, b := range l.Boxes {
 		m.boxes[b.Name] = b
 	}
 }
 
-// ListedAt returns when the list was last read; zero if never.
-func (m *Membership) ListedAt() time.Time { return m.listedAt }
+// ListReadAt returns when the list was last read; zero if never.
+func (m *Membership) ListReadAt() time.Time { return m.listReadAt }
 
 // Box returns the list's entry of name.
 func (m *Membership) Box(name string) (box.Box, bool) {
@@ -91,28 +91,28 @@
 // Boxes returns the list's entries by name; it must not be changed.
 func (m *Membership) Boxes() map[string]box.Box { return m.boxes }
 
-// HelloHeard takes a heartbeat.
-func (m *Membership) HelloHeard(now time.Time, h peer.Hello) {
+// RecordHello takes a heartbeat.
+func (m *Membership) RecordHello(now time.Time, h peer.Hello) {
 	if h.Box == m.self.Box {
 		return
 	}
-	m.members[h.Box] = Member{hello: h, heardAt: now}
+	m.members[h.Box] = Member{hello: h, receivedAt: now}
 }
 
 // Tick returns the heartbeats that are due.
 func (m *Membership) Tick(now time.Time, next int64) []effect.Effect {
 	m.self.Next = next
-	m.note(now)
-	if now.Before(m.helloAt) {
+	m.updateMembers(now)
+	if now.Before(m.nextHelloAt) {
 		return nil
 	}
-	m.helloAt = now.Add(m.settings.Heartbeat)
+	m.nextHelloAt = now.Add(m.settings.HeartbeatInterval)
 	return m.hellos()
 }
 
-// Farewell returns heartbeats to all peers at once, so that they hear of a
+// LeaveHellos returns heartbeats to all peers at once, so that they hear of a
 // planned stop without waiting for the next round.
-func (m *Membership) Farewell() []effect.Effect { return m.hellos() }
+func (m *Membership) LeaveHellos() []effect.Effect { return m.hellos() }
 
 func (m *Membership) hellos() []effect.Effect {
 	var effects []effect.Effect
@@ -159,25 +159,25 @@
 	return member.hello.Address
 }
 
-// note keeps when the set of live peers last changed, and forgets peers that
+// updateMembers keeps when the set of live peers last changed, and forgets peers that
 // have been silent for long.
-func (m *Membership) note(now time.Time) {
+func (m *Membership) updateMembers(now time.Time) {
 	live := m.Live(now)
 	if !slices.Equal(live, m.live) {
 		m.live = live
-		m.changedAt = now
+		m.liveChangedAt = now
 	}
 	for name, member := range m.members {
-		if now.Sub(member.heardAt) > forgetAfter*m.settings.DeadAfter {
+		if now.Sub(member.receivedAt) > forgetFactor*m.settings.DeadAfter {
 			delete(m.members, name)
 		}
 	}
 }
 
-const forgetAfter = 20
+const forgetFactor = 20
 
 // StableFor returns how long the set of live peers has not changed.
-func (m *Membership) StableFor(now time.Time) time.Duration { return now.Sub(m.changedAt) }
+func (m *Membership) StableFor(now time.Time) time.Duration { return now.Sub(m.liveChangedAt) }
 
 // Live returns the entry boxes of the own domain that take work, this one
 // included, sorted by name.
@@ -187,7 +187,7 @@
 		names = append(names, m.self.Box)
 	}
 	for name, member := range m.members {
-		if member.hello.Domain == m.self.Domain && m.takesWork(now, member) {
+		if member.hello.Domain == m.self.Domain && m.acceptsWork(now, member) {
 			names = append(names, name)
 		}
 	}
@@ -195,29 +195,29 @@
 	return names
 }
 
-// takesWork says whether a peer has been heard of lately and is not leaving, by
+// acceptsWork says whether a peer has been heard of lately and is not leaving, by
 // its own word or the list's.
-func (m *Membership) takesWork(now time.Time, member Member) bool {
-	if member.hello.Leaving || now.Sub(member.heardAt) > m.settings.DeadAfter {
+func (m *Membership) acceptsWork(now time.Time, member Member) bool {
+	if member.hello.Leaving || now.Sub(member.receivedAt) > m.settings.DeadAfter {
 		return false
 	}
 	b, listed := m.boxes[member.hello.Box]
 	return !listed || b.State == box.Live
 }
 
-// Alive says whether the given incarnation of a peer, or of this process, has
+// IsLive says whether the given incarnation of a peer, or of this process, has
 // been heard of lately and takes work.
-func (m *Membership) Alive(now time.Time, name, incarnation string) bool {
+func (m *Membership) IsLive(now time.Time, name, incarnation string) bool {
 	if name == m.self.Box {
 		return incarnation == m.self.Incarnation && !m.self.Leaving
 	}
 	member, ok := m.members[name]
-	return ok && member.hello.Incarnation == incarnation && m.takesWork(now, member)
+	return ok && member.hello.Incarnation == incarnation && m.acceptsWork(now, member)
 }
 
-// Gone says whether an incarnation of a box has surely ended: by a later life of
+// HasEnded says whether an incarnation of a box has surely ended: by a later life of
 // the same box, or the list's word.
-func (m *Membership) Gone(name, incarnation string) bool {
+func (m *Membership) HasEnded(name, incarnation string) bool {
 	if name == m.self.Box {
 		return incarnation != m.self.Incarnation
 	}
@@ -228,11 +228,11 @@
 	return ok && member.hello.Incarnation != incarnation
 }
 
-// Find returns the address of an incarnation of a peer that has been heard of
+// AddressOf returns the address of an incarnation of a peer that has been heard of
 // lately, leaving or not.
-func (m *Membership) Find(now time.Time, name, incarnation string) (string, bool) {
+func (m *Membership) AddressOf(now time.Time, name, incarnation string) (string, bool) {
 	member, ok := m.members[name]
-	if !ok || member.hello.Incarnation != incarnation || now.Sub(member.heardAt) > m.settings.DeadAfter {
+	if !ok || member.hello.Incarnation != incarnation || now.Sub(member.receivedAt) > m.settings.DeadAfter {
 		return "", false
 	}
 	return m.address(name, member), true
--- a/services/runtime/silent_test.go
+++ b/services/runtime/silent_test.go
@@ -106,7 +106,7 @@
 	requests *runtime.Requests
 	log      *platformLog
 	// toLog and toTarget stand before the log and the target.
-	toLog, toTarget *forward.Forwarder
+	toLog, toTarget *forward.Proxy
 	// gate, if set, is what requests at the target wait for.
 	mu   sync.Mutex
 	gate *sync.WaitGroup
@@ -142,10 +142,10 @@
 }
 
 // serve has a handler answer behind a forwarder and returns its address.
-func (r *rig) serve(f *forward.Forwarder, h http.Handler) string {
+func (r *rig) serve(f *forward.Proxy, h http.Handler) string {
 	r.t.Helper()
 	server := httptest.NewServer(h)
-	address, err := f.Via(server.Listener.Addr().String())
+	address, err := f.Forward(server.Listener.Addr().String())
 	assert.NilError(r.t, err)
 	r.t.Cleanup(func() {
 		f.Close()
@@ -190,7 +190,7 @@
 func settings() core.Settings {
 	return core.Settings{
 		Journal:    journal.Settings{Interval: 10 * time.Millisecond, RetryAfter: 50 * time.Millisecond, Limit: 1000},
-		Membership: membership.Settings{Heartbeat: 200 * time.Millisecond, DeadAfter: time.Second},
+		Membership: membership.Settings{HeartbeatInterval: 200 * time.Millisecond, DeadAfter: time.Second},
 		Routing: routing.Settings{
 			KeyTTL: time.Minute, MaxKeys: 100, RetryRatio: 0.1, RetryBurst: 10, LeastAttempt: 100 * time.Millisecond,
 			EjectAfter: 3, EjectFor: 10 * time.Second, EjectMost: 10 * time.Second,
@@ -291,7 +291,7 @@
 func testATargetsPoolCostsOneRequest(t *testing.T) {
 	r := newRig(t)
 	r.fill(6)
-	assert.Check(t, r.toTarget.Silence() >= 6)
+	assert.Check(t, r.toTarget.Stall() >= 6)
 	assert.Equal(t, r.ask().Verdict, verdict.MayHaveRun)
 	for i := range 6 {
 		result := r.ask()
@@ -302,7 +302,7 @@
 func testRequestsUnderWayDoNotEject(t *testing.T) {
 	r := newRig(t)
 	r.fill(6)
-	r.toTarget.Silence()
+	r.toTarget.Stall()
 	for _, result := range r.together(4) {
 		assert.Equal(t, result.Verdict, verdict.MayHaveRun)
 	}
@@ -313,7 +313,7 @@
 func testTheLogIsReadAndWritten(t *testing.T) {
 	r := newRig(t)
 	for round := range 3 {
-		assert.Check(t, r.toLog.Silence() > 0)
+		assert.Check(t, r.toLog.Stall() > 0)
 		began := time.Now()
 		name := "f" + strconv.Itoa(round)
 		r.published(name, "name: "+name+"\n")
--- a/services/shard/holder.go
+++ b/services/shard/holder.go
@@ -231,11 +231,11 @@
 	switch {
 	case now.Sub(h.startedAt) < h.settings.SettleTime/2:
 		return false
-	case !held || h.members.Gone(claim.Box(), claim.Incarnation()):
+	case !held || h.members.HasEnded(claim.Box(), claim.Incarnation()):
 		return true
 	case h.members.Yields(claim.Box(), claim.Incarnation(), h.id.String()):
 		return true
-	case h.members.Alive(now, claim.Box(), claim.Incarnation()):
+	case h.members.IsLive(now, claim.Box(), claim.Incarnation()):
 		h.suspicion = suspicion{}
 		return false
 	default:
--- a/services/shard/inventory.go
+++ b/services/shard/inventory.go
@@ -96,7 +96,7 @@
 	w.ended[item.Task] = true
 	o := h.objects[item.Task.Object]
 	switch {
-	case o == nil && item.Task.Object.Born > h.ledger.Next():
+	case o == nil && item.Task.Object.Born > h.ledger.NextOffset():
 		// It belongs to a file that this process has not read yet, so it has to be
 		// told again.
 		delete(w.ended, item.Task)
--- a/services/shard/object.go
+++ b/services/shard/object.go
@@ -137,13 +137,13 @@
 // setTeams takes the teams in force. A team's quota in the shard is its quota in
 // the cell by the shard's part of the cell.
 func (h *Holder) setTeams() {
-	part := h.ledger.Part(h.id)
+	part := h.ledger.CapacityShare(h.id)
 	for name, t := range h.ledger.Teams() {
 		if h.teams[name] == nil {
 			h.teams[name] = &team{}
 		}
 		h.teams[name].spec = t
-		h.teams[name].quota = ledger.QuotaPart(t, part)
+		h.teams[name].quota = ledger.ShardQuota(t, part)
 	}
 	h.total.capacity = h.ledger.Capacity(h.id)
 }
@@ -193,7 +193,7 @@
 	progress := h.ledger.Progress(o.spec.ID())
 	for o.rangeIndex < len(o.ranges) {
 		for ; o.nextIndex < o.ranges[o.rangeIndex].to; o.nextIndex++ {
-			if !progress.Ended(o.nextIndex) && !progress.Intended(o.nextIndex) && !h.hasAttempt(o, o.nextIndex) {
+			if !progress.Ended(o.nextIndex) && !progress.MayHaveStarted(o.nextIndex) && !h.hasAttempt(o, o.nextIndex) {
 				return o.nextIndex, true
 			}
 		}
--- a/services/shard/preempt.go
+++ b/services/shard/preempt.go
@@ -137,7 +137,7 @@
 func (h *Holder) dispositionOf(t *attempt) disposition {
 	o := t.object
 	switch {
-	case o == nil && t.id.Object.Born > h.ledger.Next():
+	case o == nil && t.id.Object.Born > h.ledger.NextOffset():
 		// It belongs to a file that this process has not read yet.
 		return keepRunning
 	case o == nil || o.removed || o.spec.Cancelled() || !o.hasTask(t.id.Index):
--- a/services/shard/status.go
+++ b/services/shard/status.go
@@ -113,7 +113,7 @@
 	var all []int
 	for it := open.Iterator(); it.HasNext(); {
 		index := int(it.Next())
-		if p.Intended(index) && !h.hasAttempt(o, index) {
+		if p.MayHaveStarted(index) && !h.hasAttempt(o, index) {
 			all = append(all, index)
 		}
 	}
@@ -182,7 +182,7 @@
 		e.State, e.Why = string(task.Running), "It has ended, and waits for the log to take that in."
 	case o.spec.Cancelled():
 		e.State, e.Why = string(task.Stopped), "Its file says that it is cancelled."
-	case p.Intended(key.Index) && !o.retries.has(key.Index) && h.phase == Active:
+	case p.MayHaveStarted(key.Index) && !o.retries.has(key.Index) && h.phase == Active:
 		e.State, e.Why = string(task.Unknown), "Its start was recorded, but no outcome is known; it may not be repeated, so it waits for an operator's file to settle it."
 	default:
 		e.State, e.Why = string(task.Waiting), h.waitingReason(o)
--- a/services/shard/worker.go
+++ b/services/shard/worker.go
@@ -109,7 +109,7 @@
 			h.refreshWorker(now, w)
 		}
 	}
-	for name, rack := range ordered.Map(h.ledger.Former(h.id)) {
+	for name, rack := range ordered.Map(h.ledger.FormerWorkers(h.id)) {
 		seen[name] = true
 		w := h.workers[name]
 		if w == nil {
@@ -169,7 +169,7 @@
 	switch {
 	case ok:
 		w.address, w.listedState, w.absentSince = b.Address, b.State, time.Time{}
-	case h.members.ListedAt().IsZero():
+	case h.members.ListReadAt().IsZero():
 	case w.absentSince.IsZero():
 		w.absentSince = now
 	case now.Sub(w.absentSince) >= h.settings.GoneAfter:
--- a/tests/fake/worker.go
+++ b/tests/fake/worker.go
@@ -30,24 +30,24 @@
 	// FailAll makes it fail all that it starts, Leaving say that it leaves.
 	FailAll, Leaving bool
 
-	holder  string
-	epoch   int64
-	until   time.Time
-	seq     map[string]int64
-	tasks   map[task.ID]*played
-	history []*Span
-	excess  int64
+	holder       string
+	epoch        int64
+	leaseEnd     time.Time
+	lastSeq      map[string]int64
+	tasks        map[task.ID]*taskEntry
+	history      []*Span
+	excessStarts int64
 	// version counts changes of the inventory.
 	version int64
 }
 
-// played is a task at a worker.
-type played struct {
-	start worker.Start
-	state task.State
-	endAt time.Time
-	fails bool
-	span  *Span
+// taskEntry is a task at a worker.
+type taskEntry struct {
+	start    worker.Start
+	state    task.State
+	endAt    time.Time
+	willFail bool
+	span     *Span
 }
 
 // Span is when a task ran, in milliseconds since 1970; End is 0 while it runs.
@@ -62,7 +62,7 @@
 func NewWorker(name string, capacity resource.Vector, taskLease time.Duration) *Worker {
 	return &Worker{
 		name: name, capacity: capacity, taskLease: taskLease,
-		seq: map[string]int64{}, tasks: map[task.ID]*played{}, version: 1,
+		lastSeq: map[string]int64{}, tasks: map[task.ID]*taskEntry{}, version: 1,
 	}
 }
 
@@ -70,16 +70,16 @@
 func (w *Worker) Apply(now time.Time, s worker.Sync) worker.Report {
 	w.Advance(now)
 	report := worker.Report{Worker: w.name, Capacity: w.capacity, Leaving: w.Leaving}
-	if reason := w.refusal(now, s); reason != "" {
+	if reason := w.refusalReason(now, s); reason != "" {
 		report.Reason = reason
 	} else {
 		report.Granted = true
-		report.Refused = w.take(now, s)
+		report.Refused = w.applyGranted(now, s)
 	}
-	w.seq[s.Holder] = max(w.seq[s.Holder], s.Seq)
+	w.lastSeq[s.Holder] = max(w.lastSeq[s.Holder], s.Seq)
 	report.Epoch, report.Holder = w.epoch, w.holder
-	if now.Before(w.until) {
-		report.ExpiresIn = worker.MillisecondsOf(w.until.Sub(now))
+	if now.Before(w.leaseEnd) {
+		report.ExpiresIn = worker.MillisecondsOf(w.leaseEnd.Sub(now))
 	}
 	report.Version = w.version
 	if report.Granted && s.KnownVersion == w.version && len(report.Refused) == 0 {
@@ -94,11 +94,11 @@
 	return report
 }
 
-// refusal says why a Sync is not applied, or "".
-func (w *Worker) refusal(now time.Time, s worker.Sync) string {
-	live := w.holder != "" && now.Before(w.until)
+// refusalReason says why a Sync is not applied, or "".
+func (w *Worker) refusalReason(now time.Time, s worker.Sync) string {
+	live := w.holder != "" && now.Before(w.leaseEnd)
 	switch {
-	case s.Seq <= w.seq[s.Holder]:
+	case s.Seq <= w.lastSeq[s.Holder]:
 		return "an older sync of the same holder"
 	case s.TTL <= 0:
 		return "only a report was asked for"
@@ -113,12 +113,12 @@
 	}
 }
 
-func (w *Worker) take(now time.Time, s worker.Sync) []worker.Refusal {
+func (w *Worker) applyGranted(now time.Time, s worker.Sync) []worker.Refusal {
 	if s.Epoch == 0 {
 		w.epoch++
 		w.holder = s.Holder
 	}
-	w.until = now.Add(s.TTL.Duration())
+	w.leaseEnd = now.Add(s.TTL.Duration())
 	for _, id := range s.Acks {
 		if t, ok := w.tasks[id]; ok && t.state != task.Running {
 			delete(w.tasks, id)
@@ -137,7 +137,7 @@
 		}
 	}
 	if s.Release {
-		w.holder, w.until = "", now
+		w.holder, w.leaseEnd = "", now
 	}
 	return refused
 }
@@ -153,20 +153,20 @@
 		}
 	}
 	if !used.Fits(w.capacity) {
-		w.excess++
+		w.excessStarts++
 		return "the worker has not that much free"
 	}
-	t := &played{start: s, state: task.Running, span: &Span{Task: s.Task, Start: now.UnixMilli(), State: task.Running}}
-	t.endAt, t.fails = plan(now, s.Command)
-	t.fails = t.fails || w.FailAll
+	t := &taskEntry{start: s, state: task.Running, span: &Span{Task: s.Task, Start: now.UnixMilli(), State: task.Running}}
+	t.endAt, t.willFail = simulate(now, s.Command)
+	t.willFail = t.willFail || w.FailAll
 	w.tasks[s.Task] = t
 	w.version++
 	w.history = append(w.history, t.span)
 	return ""
 }
 
-// plan says when a command ends, and whether it fails.
-func plan(now time.Time, command []string) (time.Time, bool) {
+// simulate says when a command ends, and whether it fails.
+func simulate(now time.Time, command []string) (time.Time, bool) {
 	switch command[0] {
 	case commandServe:
 		return now.Add(365 * 24 * time.Hour), false
@@ -183,28 +183,28 @@
 // Advance ends what has ended by now, and stops everything once the lease has
 // been gone too long.
 func (w *Worker) Advance(now time.Time) {
-	lapsed := !w.until.IsZero() && now.Sub(w.until) > w.taskLease
+	lapsed := !w.leaseEnd.IsZero() && now.Sub(w.leaseEnd) > w.taskLease
 	for _, t := range w.tasks {
 		switch {
 		case t.state != task.Running:
-		case !now.Before(t.endAt) && t.fails:
+		case !now.Before(t.endAt) && t.willFail:
 			w.end(t.endAt, t, task.Failed)
 		case !now.Before(t.endAt):
 			w.end(t.endAt, t, task.Done)
 		case lapsed:
-			w.end(w.until.Add(w.taskLease), t, task.Stopped)
+			w.end(w.leaseEnd.Add(w.taskLease), t, task.Stopped)
 		}
 	}
 }
 
-func (w *Worker) end(at time.Time, t *played, state task.State) {
+func (w *Worker) end(at time.Time, t *taskEntry, state task.State) {
 	t.state = state
 	w.version++
 	t.span.End, t.span.State = max(at.UnixMilli(), t.span.Start), state
 }
 
-// Excess returns how many starts would have given the worker more than it has.
-func (w *Worker) Excess() int64 { return w.excess }
+// ExcessStarts returns how many starts would have given the worker more than it has.
+func (w *Worker) ExcessStarts() int64 { return w.excessStarts }
 
 // History returns when each task ran, in order of start.
 func (w *Worker) History() []Span {
--- a/tests/forward/forward.go
+++ b/tests/forward/forward.go
@@ -25,39 +25,39 @@
 	Answers  Direction = "answers"
 )
 
-// Forwarder forwards connections to any number of addresses. It may be used by
+// Proxy forwards connections to any number of addresses. It may be used by
 // several goroutines.
-type Forwarder struct {
-	tasks conc.WaitGroup
-
-	mu        sync.Mutex
-	listeners []net.Listener
-	pairs     map[*pair]struct{}
-	refuses   bool
-	closed    bool
+type Proxy struct {
+	goroutines conc.WaitGroup
+
+	mu          sync.Mutex
+	listeners   []net.Listener
+	connections map[*connection]struct{}
+	refusing    bool
+	closed      bool
 	// rate is how many bytes a second pass in each direction of a connection, or 0 for
 	// all that come.
 	rate int
 }
 
 // New returns a forwarder; Close ends it.
-func New() *Forwarder { return &Forwarder{pairs: map[*pair]struct{}{}} }
+func New() *Proxy { return &Proxy{connections: map[*connection]struct{}{}} }
 
-// pair is a forwarded connection: the one taken, and the one opened for it.
-type pair struct {
+// connection is a forwarded connection: the one taken, and the one opened for it.
+type connection struct {
 	in, out net.Conn
 	// requests and answers say whether that direction is silent.
-	requests, answers atomic.Bool
+	requestsStalled, answersStalled atomic.Bool
 }
 
 // close closes both ends.
-func (p *pair) close() {
+func (p *connection) close() {
 	_ = p.in.Close()
 	_ = p.out.Close()
 }
 
-// Via forwards to an address and returns where it listens.
-func (f *Forwarder) Via(address string) (string, error) {
+// Forward forwards to an address and returns where it listens.
+func (f *Proxy) Forward(address string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -65,12 +65,12 @@
 	f.mu.Lock()
 	f.listeners = append(f.listeners, l)
 	f.mu.Unlock()
-	f.tasks.Go(func() { f.accept(l, address) })
+	f.goroutines.Go(func() { f.accept(l, address) })
 	return l.Addr().String(), nil
 }
 
 // accept takes connections until the forwarder is closed.
-func (f *Forwarder) accept(l net.Listener, address string) {
+func (f *Proxy) accept(l net.Listener, address string) {
 	for {
 		in, err := l.Accept()
 		if err != nil {
@@ -81,45 +81,45 @@
 			_ = in.Close()
 			continue
 		}
-		f.begin(&pair{in: in, out: out})
+		f.startForwarding(&connection{in: in, out: out})
 	}
 }
 
-// begin forwards both directions of a connection.
-func (f *Forwarder) begin(p *pair) {
+// startForwarding forwards both directions of a connection.
+func (f *Proxy) startForwarding(p *connection) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.closed || f.refuses {
+	if f.closed || f.refusing {
 		p.close()
 		return
 	}
-	f.pairs[p] = struct{}{}
+	f.connections[p] = struct{}{}
 	rate := f.rate
 	if rate > 0 {
-		p.bound()
+		p.limitBuffers()
 	}
-	f.tasks.Go(func() { f.copy(p, p.out, p.in, &p.requests, rate) })
-	f.tasks.Go(func() { f.copy(p, p.in, p.out, &p.answers, rate) })
+	f.goroutines.Go(func() { f.copy(p, p.out, p.in, &p.requestsStalled, rate) })
+	f.goroutines.Go(func() { f.copy(p, p.in, p.out, &p.answersStalled, rate) })
 }
 
-// Pace sets how many bytes a second pass in each direction of connections that are
+// SetRate sets how many bytes a second pass in each direction of connections that are
 // opened from now on.
-func (f *Forwarder) Pace(rate int) {
+func (f *Proxy) SetRate(rate int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.rate = rate
 }
 
-// paceBuffer is how many bytes the system is asked to hold for a connection whose rate
+// rateLimitBuffer is how many bytes the system is asked to hold for a connection whose rate
 // is bounded: what it holds passes at once.
-const paceBuffer = 32 << 10
+const rateLimitBuffer = 32 << 10
 
-// bound bounds what the system holds of a connection.
-func (p *pair) bound() {
+// limitBuffers bounds what the system holds of a connection.
+func (p *connection) limitBuffers() {
 	for _, c := range []net.Conn{p.in, p.out} {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetReadBuffer(paceBuffer)
-			_ = tcp.SetWriteBuffer(paceBuffer)
+			_ = tcp.SetReadBuffer(rateLimitBuffer)
+			_ = tcp.SetWriteBuffer(rateLimitBuffer)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 
 // copy forwards one direction. Once that is silent nothing is read any more, and
 // neither bytes nor the end of the connection are passed on.
-func (f *Forwarder) copy(p *pair, to, from net.Conn, silent *atomic.Bool, rate int) {
+func (f *Proxy) copy(p *connection, to, from net.Conn, silent *atomic.Bool, rate int) {
 	buffer := make([]byte, copySize)
 	for {
 		n, err := from.Read(buffer)
@@ -144,71 +144,71 @@
 		}
 		if err != nil {
 			_ = to.Close()
-			f.ended(p)
+			f.removeEnded(p)
 			return
 		}
 	}
 }
 
-// ended forgets a connection that is over in a direction that is not silent.
-func (f *Forwarder) ended(p *pair) {
-	if p.requests.Load() || p.answers.Load() {
+// removeEnded forgets a connection that is over in a direction that is not silent.
+func (f *Proxy) removeEnded(p *connection) {
+	if p.requestsStalled.Load() || p.answersStalled.Load() {
 		return
 	}
 	p.close()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.pairs, p)
+	delete(f.connections, p)
 }
 
-// Silence silences all open connections in some directions, in both if none is named.
+// Stall silences all open connections in some directions, in both if none is named.
 // It returns how many there were.
-func (f *Forwarder) Silence(directions ...Direction) int {
+func (f *Proxy) Stall(directions ...Direction) int {
 	if len(directions) == 0 {
 		directions = []Direction{Requests, Answers}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for p := range f.pairs {
+	for p := range f.connections {
 		for _, d := range directions {
 			switch d {
 			case Requests:
-				p.requests.Store(true)
+				p.requestsStalled.Store(true)
 			case Answers:
-				p.answers.Store(true)
+				p.answersStalled.Store(true)
 			}
 		}
 	}
-	return len(f.pairs)
+	return len(f.connections)
 }
 
 // Reset closes all open connections at both ends.
-func (f *Forwarder) Reset() {
+func (f *Proxy) Reset() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for p := range f.pairs {
+	for p := range f.connections {
 		p.close()
-		delete(f.pairs, p)
+		delete(f.connections, p)
 	}
 }
 
-// Refuse closes new connections at once, or takes them again.
-func (f *Forwarder) Refuse(refuses bool) {
+// SetRefusing closes new connections at once, or takes them again.
+func (f *Proxy) SetRefusing(refuses bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.refuses = refuses
+	f.refusing = refuses
 }
 
 // Close closes all connections, silent ones too, and waits for what is under way.
-func (f *Forwarder) Close() {
+func (f *Proxy) Close() {
 	f.mu.Lock()
 	f.closed = true
 	for _, l := range f.listeners {
 		_ = l.Close()
 	}
-	for p := range f.pairs {
+	for p := range f.connections {
 		p.close()
 	}
 	f.mu.Unlock()
-	f.tasks.Wait()
+	f.goroutines.Wait()
 }
--- a/tests/integration/silent_test.go
+++ b/tests/integration/silent_test.go
@@ -60,7 +60,7 @@
 // forwards are the forwarders of a cell, one before each address.
 type forwards struct {
 	mu  sync.Mutex
-	all map[string]*forward.Forwarder
+	all map[string]*forward.Proxy
 	// at has where each listens.
 	at map[string]string
 }
@@ -72,7 +72,7 @@
 		defer f.mu.Unlock()
 		if f.all[name] == nil {
 			w := forward.New()
-			at, err := w.Via(next(name, address))
+			at, err := w.Forward(next(name, address))
 			assert.Check(t, err == nil, "%v", err)
 			f.all[name], f.at[name] = w, at
 			t.Cleanup(w.Close)
@@ -87,7 +87,7 @@
 	defer f.mu.Unlock()
 	n := 0
 	for _, w := range f.all {
-		n += w.Silence()
+		n += w.Stall()
 	}
 	return n
 }
@@ -106,7 +106,7 @@
 // What settled it: with all unused connections closed after the first request that
 // failed, the same number of requests has whole answers as before.
 func TestABoxServesOnAfterItsOpenConnectionsWentSilent(t *testing.T) {
-	ways := &forwards{all: map[string]*forward.Forwarder{}, at: map[string]string{}}
+	ways := &forwards{all: map[string]*forward.Proxy{}, at: map[string]string{}}
 	f := newFixture(t, func(o *cell.Options) { o.Via = ways.via(t, o.Via) }, domain("a"), domain("b"))
 	f.republish("cell", deadlines.ReplaceAllString(f.CellFile("cell"), "deadline: "+requestDeadline.String()))
 	f.inForce("cell", f.Entries()...)
--- a/tests/memory/log.go
+++ b/tests/memory/log.go
@@ -21,13 +21,13 @@
 		return 0, &stream.EndMismatchError{End: end}
 	}
 	if w := a.Writer; w != nil {
-		if w.Epoch < p.epoch {
+		if w.Epoch < p.writerEpoch {
 			return 0, stream.ErrFenced
 		}
-		if w.Epoch == p.epoch && w.Sequence < p.next {
+		if w.Epoch == p.writerEpoch && w.Sequence < p.nextSequence {
 			return 0, stream.ErrDuplicateSequence
 		}
-		p.epoch, p.next = w.Epoch, w.Sequence+1
+		p.writerEpoch, p.nextSequence = w.Epoch, w.Sequence+1
 	}
 	for _, r := range a.Records {
 		r.Offset = int64(len(p.streams[a.Stream]))
--- a/tests/memory/memory.go
+++ b/tests/memory/memory.go
@@ -27,11 +27,11 @@
 	streams map[stream.Name][]stream.Record
 	// epoch and next are the writer's epoch and the sequence number that it is to
 	// use next; they fence all streams together.
-	epoch   int64
-	next    int64
-	workers map[string]*worker
+	writerEpoch  int64
+	nextSequence int64
+	workers      map[string]*worker
 	// runs counts how often each task was started.
-	runs map[string]int
+	startCounts map[string]int
 	// down makes the log refuse all calls.
 	down bool
 }
@@ -39,7 +39,7 @@
 // New returns a platform with a configuration and some workers.
 func New(config job.Config, workers int) (*Platform, error) {
 	p := &Platform{
-		changed: make(chan struct{}), streams: map[stream.Name][]stream.Record{}, workers: map[string]*worker{}, runs: map[string]int{},
+		changed: make(chan struct{}), streams: map[stream.Name][]stream.Record{}, workers: map[string]*worker{}, startCounts: map[string]int{},
 	}
 	value, err := json.Marshal(config)
 	if err != nil {
--- a/tests/memory/workers.go
+++ b/tests/memory/workers.go
@@ -16,17 +16,17 @@
 	fence   int64
 	running map[order.Run]bool
 	ended   []order.End
-	last    int64
+	lastEnd int64
 }
 
-// taskTime is how long a task runs.
-const taskTime = 30 * time.Millisecond
+// taskDuration is how long a task runs.
+const taskDuration = 30 * time.Millisecond
 
-// Runs returns how often a task was started.
-func (p *Platform) Runs(task string) int {
+// StartCount returns how often a task was started.
+func (p *Platform) StartCount(task string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.runs[task]
+	return p.startCounts[task]
 }
 
 // listing names all workers; the records are not looked at.
@@ -44,7 +44,7 @@
 func (p *Platform) renew(ctx context.Context, _ string, of order.Incarnation, r order.Renew) (order.Report, order.Answer) {
 	deadline := time.Now().Add(r.MaxWait.Duration())
 	for {
-		report, answer, done := p.look(of.Name, r)
+		report, answer, done := p.renewOnce(of.Name, r)
 		if done || !time.Now().Before(deadline) {
 			return report, answer
 		}
@@ -56,7 +56,7 @@
 	}
 }
 
-func (p *Platform) look(id string, r order.Renew) (order.Report, order.Answer, bool) {
+func (p *Platform) renewOnce(id string, r order.Renew) (order.Report, order.Answer, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	w := p.workers[id]
@@ -83,14 +83,14 @@
 	if s.Fence < w.fence {
 		return order.Answer{Outcome: order.Refused, Reason: order.Fenced}
 	}
-	p.runs[s.Task.String()]++
+	p.startCounts[s.Task.String()]++
 	w.running[s.Run] = true
-	time.AfterFunc(taskTime, func() {
+	time.AfterFunc(taskDuration, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		delete(w.running, s.Run)
-		w.last++
-		w.ended = append(w.ended, order.End{Number: w.last, Run: s.Run, Status: order.Done})
+		w.lastEnd++
+		w.ended = append(w.ended, order.End{Number: w.lastEnd, Run: s.Run, Status: order.Done})
 	})
 	return order.Answer{Outcome: order.CarriedOut, Clock: order.WorkerClock(time.Now().UnixMilli())}
 }
--- a/tests/soak/rig.go
+++ b/tests/soak/rig.go
@@ -31,7 +31,7 @@
 	platform *standin.Platform
 	proxies  *cell.Proxies
 	// ways has what silences open connections, by name.
-	ways    map[string]*forward.Forwarder
+	ways    map[string]*forward.Proxy
 	boxes   []*box
 	workers []*standin.Worker
 	// holdFor and claimAfter are times of the claim on the cell.
@@ -111,7 +111,7 @@
 		return nil, err
 	}
 	r := &Rig{
-		dir: dir, daemon: daemon, platform: p, proxies: cell.NewProxies(), ways: map[string]*forward.Forwarder{},
+		dir: dir, daemon: daemon, platform: p, proxies: cell.NewProxies(), ways: map[string]*forward.Proxy{},
 		holdFor: shortHold, claimAfter: shortClaim,
 	}
 	for _, o := range options {
@@ -170,7 +170,7 @@
 func (r *Rig) via(name, address string) (string, error) {
 	f := forward.New()
 	r.ways[name] = f
-	return f.Via(address)
+	return f.Forward(address)
 }
 
 // Silence silences all connections that are open now, for good, in some directions or
@@ -178,7 +178,7 @@
 func (r *Rig) Silence(directions ...forward.Direction) int {
 	n := 0
 	for _, f := range r.ways {
-		n += f.Silence(directions...)
+		n += f.Stall(directions...)
 	}
 	return n
 }
--- a/tests/soak/silences.go
+++ b/tests/soak/silences.go
@@ -84,7 +84,7 @@
 	ways := directions[f.silences.Intn(len(directions))]
 	return func() int {
 		for _, i := range order {
-			if n := f.rig.ways[all[i]].Silence(ways...); n > 0 {
+			if n := f.rig.ways[all[i]].Stall(ways...); n > 0 {
 				f.tell("%s: %d open connections silent: %v", all[i], n, ways)
 				return n
 			}
