--- a/services/dispatch/caps_test.go
+++ b/services/dispatch/caps_test.go
@@ -28,19 +28,19 @@
 // belong to workspaces with changing caps. At each start, the worker checks what is running of the
 // workspace on all workers.
 func TestWorkspacesStayWithinCaps(t *testing.T) {
-	for seed := range seeds() {
+	for seed := range seedCount() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(t, 81000+seed, 3, 8)
 			w.useWorkspaces()
-			w.lateShare = []float64{0, 0, 0.05}[w.rng.Intn(3)]
+			w.lateOrderShare = []float64{0, 0, 0.05}[w.rng.Intn(3)]
 			w.waitUntilServing()
 			for range 4 {
 				w.after(time.Duration(w.rng.Intn(15000))*time.Millisecond, w.changeCaps)
 			}
 			// Remove all caps at the end, so that every job fits.
 			w.after(18*time.Second, func() { w.publishCaps(0) })
-			w.plays()
+			w.runWithFaults()
 		})
 	}
 }
@@ -105,7 +105,7 @@
 func (w *world) maxCap(name string) resource.Vector {
 	most := w.config.Workspaces[name].Cap
 	window := time.Second
-	if w.lateShare > 0 {
+	if w.lateOrderShare > 0 {
 		window = maxOrderDelay
 	}
 	for _, f := range w.formerCaps {
@@ -140,7 +140,7 @@
 	}
 	most := w.maxCap(name)
 	if most.Processors > 0 && running.Processors > most.Processors || most.Memory > 0 && running.Memory > most.Memory {
-		w.breaks("start of %v exceeds a cap: workspace %s has %v running, its cap is %v", s.Task, name, running, most)
+		w.violationf("start of %v exceeds a cap: workspace %s has %v running, its cap is %v", s.Task, name, running, most)
 	}
 }
 
@@ -179,12 +179,12 @@
 func (w *world) callHolder(e exchange.Event) (got exchange.Answer) {
 	w.t.Helper()
 	answered := false
-	w.holder().ask(func(id exchange.CallID) exchange.Event {
+	w.holder().call(func(id exchange.CallID) exchange.Event {
 		switch e := e.(type) {
 		case exchange.Submitted:
 			e.Call = id
-			w.jobs[e.Submission.ID] = &asked{
-				sub: e.Submission, mayRun: true, done: map[job.TaskID]bool{}, noted: map[job.TaskID]bool{}, failures: map[job.TaskID]int{},
+			w.jobs[e.Submission.ID] = &submittedJob{
+				sub: e.Submission, mayRun: true, done: map[job.TaskID]bool{}, acknowledged: map[job.TaskID]bool{}, acknowledgedFailures: map[job.TaskID]int{},
 			}
 			return e
 		case exchange.StateAsked:
@@ -201,7 +201,7 @@
 			return nil
 		}
 	}, func(a exchange.Answer) { got, answered = a, true })
-	w.until(time.Second, "the call is answered", func() bool { return answered })
+	w.waitUntil(time.Second, "the call is answered", func() bool { return answered })
 	return got
 }
 
@@ -225,7 +225,7 @@
 	// The next holder knows the job's workspace, also after the job has ended.
 	for range 2 {
 		w.killBox(w.holder(), 500*time.Millisecond)
-		w.until(10*time.Second, "a holder serves", func() bool { return w.holder() != nil })
+		w.waitUntil(10*time.Second, "a holder serves", func() bool { return w.holder() != nil })
 		assert.Equal(t, w.callHolder(exchange.StateAsked{Caller: as("free"), Job: "j"}).Outcome, exchange.NoJob)
 		assert.Equal(t, w.callHolder(exchange.StateAsked{Caller: as("small"), Job: "j"}).Outcome, exchange.OK)
 		w.run(10 * time.Second)
@@ -292,23 +292,23 @@
 			first.Steps[0].Need.Processors = minCap * resource.Processor / 4
 			a := w.submit(first)
 			running := func() int { return w.runningCount("first") }
-			w.until(2*time.Second, "the first job runs", func() bool { return running() == 2 })
+			w.waitUntil(2*time.Second, "the first job runs", func() bool { return running() == 2 })
 			for _, f := range w.workers {
-				f.cut = len(f.runs) > 0
+				f.unreachable = len(f.runs) > 0
 			}
 			if ends {
 				w.cancel(a)
-				w.until(time.Second, "it is cancelled", func() bool { return !a.cancelled.IsZero() })
+				w.waitUntil(time.Second, "it is cancelled", func() bool { return !a.cancelled.IsZero() })
 			}
 			w.killBox(w.holder(), 500*time.Millisecond)
-			w.until(10*time.Second, "another box holds the cell", func() bool { return w.holder() != nil })
+			w.waitUntil(10*time.Second, "another box holds the cell", func() bool { return w.holder() != nil })
 			assert.Equal(t, running(), 2)
 			next := oneStep("next", "quick", 4, false)
 			next.Workspace = "small"
 			next.Steps[0].Need.Processors = minCap * resource.Processor / 4
 			w.submit(next)
-			w.until(10*time.Second, "all its tasks have started", func() bool {
-				w.check()
+			w.waitUntil(10*time.Second, "all its tasks have started", func() bool {
+				w.requireNoViolations()
 				return w.jobs["next"].accepted && w.runningCount("next")+len(w.jobs["next"].done) == 4
 			})
 		})
--- a/services/dispatch/crash_test.go
+++ b/services/dispatch/crash_test.go
@@ -35,16 +35,16 @@
 // claim (200004 to 200009), so no takeover had to forget anything.
 func TestTasksThatCrashTheirWorkers(t *testing.T) {
 	t.Run("one by itself", func(t *testing.T) {
-		w := crashWorld(t, 1, 8)
+		w := newCrashWorld(t, 1, 8)
 		a := w.submit(oneStep("guilty", "quick", 1, false))
-		w.blames(a, 0, 0, 10*time.Millisecond)
+		w.makeGuilty(a, 0, 0, 10*time.Millisecond)
 		told := map[string]bool{}
-		w.until(30*time.Second, "the job is given up", func() bool {
-			w.states()
-			w.explains(a, told)
+		w.waitUntil(30*time.Second, "the job is given up", func() bool {
+			w.queryStates()
+			w.collectReasons(a, told)
 			return a.state == job.Failed
 		})
-		w.explains(a, told)
+		w.collectReasons(a, told)
 		w.run(100 * time.Millisecond)
 		var all []string
 		for why := range told {
@@ -53,27 +53,27 @@
 		sentences := strings.Join(all, "; ")
 		assert.Check(t, strings.Contains(sentences, "it is tried apart"), sentences)
 		assert.Check(t, strings.Contains(sentences, "workers crashed under task guilty.0.0.0"), sentences)
-		w.check()
+		w.requireNoViolations()
 	})
-	for seed := range crashSeeds() {
+	for seed := range crashSeedCount() {
 		t.Run(fmt.Sprint("among others ", seed), func(t *testing.T) {
 			t.Parallel()
-			crashesAmongOthers(t, 9000+seed)
+			runWorldWithGuiltyTasks(t, 9000+seed)
 		})
 	}
 }
 
-// crashSeeds returns how many worlds are played.
-func crashSeeds() int64 {
+// crashSeedCount returns how many worlds are played.
+func crashSeedCount() int64 {
 	if n, err := strconv.ParseInt(os.Getenv("SADDLEVANE_CRASH_SEEDS"), 10, 64); err == nil {
 		return n
 	}
-	return seeds()
+	return seedCount()
 }
 
-// explains notes what the holder says of why a job and its steps are as they are.
-func (w *world) explains(a *asked, told map[string]bool) {
-	w.holder().ask(func(id exchange.CallID) exchange.Event { return exchange.ExplanationAsked{Call: id, Job: a.sub.ID} }, func(got exchange.Answer) {
+// collectReasons notes what the holder says of why a job and its steps are as they are.
+func (w *world) collectReasons(a *submittedJob, told map[string]bool) {
+	w.holder().call(func(id exchange.CallID) exchange.Event { return exchange.ExplanationAsked{Call: id, Job: a.sub.ID} }, func(got exchange.Answer) {
 		if x := got.Explanation; x != nil {
 			told[x.FailureReason] = true
 			for _, s := range x.Steps {
@@ -84,95 +84,95 @@
 }
 
 const (
-	// crashesFirst and startsAfter bound how often a task is started that crashes its
+	// crashThreshold and restartLimit bound how often a task is started that crashes its
 	// workers: after this many crashes, fewer than that many times more.
-	crashesFirst = 3
-	startsAfter  = 3
-	// crashBack is how long a worker is away that a task has crashed.
-	crashBack = 1300 * time.Millisecond
+	crashThreshold = 3
+	restartLimit   = 3
+	// crashDowntime is how long a worker is away that a task has crashed.
+	crashDowntime = 1300 * time.Millisecond
 )
 
 // crashRecord is what became of a task that crashes its workers.
 type crashRecord struct {
 	crashes int
-	// more counts the starts after crashesFirst crashes.
-	more int
+	// more counts the starts after crashThreshold crashes.
+	restarts int
 }
 
-// crashWorld returns a world that serves, in which crashes are seen at once.
-func crashWorld(t *testing.T, seed int64, workers int) *world {
+// newCrashWorld returns a world that serves, in which crashes are seen at once.
+func newCrashWorld(t *testing.T, seed int64, workers int) *world {
 	t.Helper()
 	w := newWorld(t, seed, 3, workers)
-	w.crashesSeen = true
+	w.crashesVisible = true
 	w.waitUntilServing()
 	return w
 }
 
-// blames makes a task of a job crash each worker some time after it begins there.
-func (w *world) blames(a *asked, step, index int, after time.Duration) {
-	w.guilty[job.TaskID{StepID: job.StepID{Job: a.sub.ID, Step: step}, Index: index}] = after
+// makeGuilty makes a task of a job crash each worker some time after it begins there.
+func (w *world) makeGuilty(a *submittedJob, step, index int, after time.Duration) {
+	w.guiltyTasks[job.TaskID{StepID: job.StepID{Job: a.sub.ID, Step: step}, Index: index}] = after
 }
 
-// startsGuilty crashes a worker that starts a task which crashes its workers, and notes
+// guiltyTaskStarted crashes a worker that starts a task which crashes its workers, and notes
 // what that breaks.
-func (w *world) startsGuilty(f *fakeWorker, run order.Run) {
-	after, guilty := w.guilty[run.Task]
+func (w *world) guiltyTaskStarted(f *fakeWorker, run order.Run) {
+	after, guilty := w.guiltyTasks[run.Task]
 	if !guilty {
 		return
 	}
-	if w.guiltyBegins != nil {
-		w.guiltyBegins()
+	if w.onGuiltyStart != nil {
+		w.onGuiltyStart()
 	}
-	f.runs[run].lasts = max(f.runs[run].lasts, after+time.Second)
-	r := w.crashes[run.Task]
+	f.runs[run].duration = max(f.runs[run].duration, after+time.Second)
+	r := w.crashRecords[run.Task]
 	if r == nil {
 		r = &crashRecord{}
-		w.crashes[run.Task] = r
+		w.crashRecords[run.Task] = r
 	}
-	if r.crashes >= crashesFirst {
-		if r.more++; r.more >= startsAfter {
-			w.breaks("%v is started %d times more after %d workers had crashed under it", run.Task, r.more, crashesFirst)
+	if r.crashes >= crashThreshold {
+		if r.restarts++; r.restarts >= restartLimit {
+			w.violationf("%v is started %d times more after %d workers had crashed under it", run.Task, r.restarts, crashThreshold)
 		}
 	}
 	w.after(after, func() {
 		if f.alive && f.runs[run] != nil {
 			r.crashes++
-			w.trace = append(w.trace, fmt.Sprintf("%v %s crashes under %v", w.now.Sub(w.begin), f.life, run))
-			f.crash(crashBack)
+			w.trace = append(w.trace, fmt.Sprintf("%v %s crashes under %v", w.now.Sub(w.startedAt), f.incarnation, run))
+			f.crash(crashDowntime)
 		}
 	})
 }
 
-// entryLingers is how long the entry of a worker that has crashed is still listed: three
+// staleEntryLifetime is how long the entry of a worker that has crashed is still listed: three
 // heartbeats.
-const entryLingers = 1200 * time.Millisecond
+const staleEntryLifetime = 1200 * time.Millisecond
 
-// lingering returns the entries of workers that have crashed and are still listed.
-func (w *world) lingering() []order.Worker {
+// staleEntries returns the entries of workers that have crashed and are still listed.
+func (w *world) staleEntries() []order.Worker {
 	var all []order.Worker
 	for _, f := range w.workers {
-		if w.crashesSeen && !f.crashedAt.IsZero() && w.now.Sub(f.crashedAt) < entryLingers {
-			all = append(all, f.last)
+		if w.crashesVisible && !f.crashedAt.IsZero() && w.now.Sub(f.crashedAt) < staleEntryLifetime {
+			all = append(all, f.formerEntry)
 		}
 	}
 	return all
 }
 
-// listed returns the entries of workers. There is one for each name: the last life's, until
+// listedWorkers returns the entries of workers. There is one for each name: the last life's, until
 // that of the present one is written.
-func (w *world) listed() []order.Worker {
+func (w *world) listedWorkers() []order.Worker {
 	var all []order.Worker
 	for _, f := range w.workers {
 		switch {
-		case f.hidden:
-		case f.alive && (w.renames || !w.now.Before(f.listedAt)):
+		case f.unlisted:
+		case f.alive && (w.uniqueIncarnationNames || !w.now.Before(f.listedAt)):
 			all = append(all, f.entry())
-		case !w.renames && !f.crashedAt.IsZero() && w.now.Sub(f.crashedAt) < entryLingers:
-			all = append(all, f.last)
+		case !w.uniqueIncarnationNames && !f.crashedAt.IsZero() && w.now.Sub(f.crashedAt) < staleEntryLifetime:
+			all = append(all, f.formerEntry)
 		}
 	}
-	if w.renames {
-		all = append(all, w.lingering()...)
+	if w.uniqueIncarnationNames {
+		all = append(all, w.staleEntries()...)
 	}
 	return all
 }
@@ -180,14 +180,14 @@
 // entry returns what the list says of a worker.
 func (f *fakeWorker) entry() order.Worker {
 	return order.Worker{
-		Incarnation: f.life, Address: f.name, Pool: pool, Domain: "a", Rack: f.rack, Labels: []string{"a", f.rack},
+		Incarnation: f.incarnation, Address: f.name, Pool: pool, Domain: "a", Rack: f.rack, Labels: []string{"a", f.rack},
 		Capacity: f.capacity, Leaving: f.leaving,
 	}
 }
 
-// isGuilty says whether a task of a job crashes its workers.
-func (w *world) isGuilty(a *asked) bool {
-	for task := range w.guilty {
+// hasGuiltyTask says whether a task of a job crashes its workers.
+func (w *world) hasGuiltyTask(a *submittedJob) bool {
+	for task := range w.guiltyTasks {
 		if task.Job == a.sub.ID {
 			return true
 		}
@@ -197,54 +197,54 @@
 
 // checkFailed notes a job that is shown as failed although none of its tasks failed too
 // often or crashes its workers.
-func (w *world) checkFailed(a *asked) {
-	if a.state != job.Failed || w.isGuilty(a) {
+func (w *world) checkFailed(a *submittedJob) {
+	if a.state != job.Failed || w.hasGuiltyTask(a) {
 		return
 	}
 	for _, n := range a.failedRuns {
-		if n >= w.attemptsOf(a.sub.Queue) {
+		if n >= w.maxAttempts(a.sub.Queue) {
 			return
 		}
 	}
-	w.breaks("%s is shown as failed after %v", a.sub.ID, a.failures)
+	w.violationf("%s is shown as failed after %v", a.sub.ID, a.acknowledgedFailures)
 }
 
-// crashesAmongOthers plays a world in which a few tasks crash their workers, beside many
+// runWorldWithGuiltyTasks plays a world in which a few tasks crash their workers, beside many
 // that crash nothing, workers that crash by themselves, alone and together, and boxes
 // that are killed, one or all.
-func crashesAmongOthers(t *testing.T, seed int64) {
-	w := crashWorld(t, seed, 24)
+func runWorldWithGuiltyTasks(t *testing.T, seed int64) {
+	w := newCrashWorld(t, seed, 24)
 	if dir := os.Getenv("SADDLEVANE_CRASH_TRACE"); dir != "" {
 		t.Cleanup(func() { os.WriteFile(fmt.Sprintf("%s/%d", dir, seed), []byte(strings.Join(w.trace, "\n")), 0o600) })
 	}
 	for i := range 60 {
 		w.after(time.Duration(w.rng.Intn(25000))*time.Millisecond, func() { w.submit(w.randomJob(i)) })
 	}
-	lasts := w.submitLasting(6)
+	lasts := w.submitService(6)
 	for i := range 3 {
-		w.after(time.Duration(w.rng.Intn(15000))*time.Millisecond, func() { w.submitGuilty(i) })
+		w.after(time.Duration(w.rng.Intn(15000))*time.Millisecond, func() { w.submitGuiltyJob(i) })
 	}
 	for range 4 {
-		w.after(time.Duration(w.rng.Intn(25000))*time.Millisecond, w.crashTrouble)
+		w.after(time.Duration(w.rng.Intn(25000))*time.Millisecond, w.injectCrashes)
 	}
-	w.watch(150)
+	w.runChecked(150)
 	w.cancel(lasts)
-	w.untilEnded()
-	for task, r := range w.crashes {
-		assert.Check(t, r.crashes <= crashesFirst+startsAfter-1, "%v crashed %d workers", task, r.crashes)
+	w.runUntilEnded()
+	for task, r := range w.crashRecords {
+		assert.Check(t, r.crashes <= crashThreshold+restartLimit-1, "%v crashed %d workers", task, r.crashes)
 	}
 }
 
-// submitLasting hands in a job whose tasks run until it is cancelled.
-func (w *world) submitLasting(tasks int) *asked {
+// submitService hands in a job whose tasks run until it is cancelled.
+func (w *world) submitService(tasks int) *submittedJob {
 	s := oneStep("lasting", "quick", tasks, false)
 	s.Steps[0].Service, s.Steps[0].Estimate = true, 600_000
 	return w.submit(s)
 }
 
-// submitGuilty hands in a job with a task that crashes its workers: one of many, a member
+// submitGuiltyJob hands in a job with a task that crashes its workers: one of many, a member
 // of a gang, one that lasts, or one of a job with times.
-func (w *world) submitGuilty(n int) {
+func (w *world) submitGuiltyJob(n int) {
 	s := oneStep(fmt.Sprintf("guilty%d", n), "quick", 1+w.rng.Intn(8), false)
 	s.Steps[0].Need = resource.Vector{Processors: resource.Millis(2000 + w.rng.Intn(12000)), Memory: resource.GiB}
 	switch w.rng.Intn(4) {
@@ -256,11 +256,11 @@
 		s.Repeat = job.Repeat{Times: 2, FirstUnixMilli: w.now.Add(time.Second).UnixMilli(), Interval: 1500}
 	}
 	after := []time.Duration{10 * time.Millisecond, 10 * time.Millisecond, 600 * time.Millisecond}[w.rng.Intn(3)]
-	w.blames(w.submit(s), 0, w.rng.Intn(s.Steps[0].Tasks), after)
+	w.makeGuilty(w.submit(s), 0, w.rng.Intn(s.Steps[0].Tasks), after)
 }
 
-// crashTrouble crashes workers, or kills boxes.
-func (w *world) crashTrouble() {
+// injectCrashes crashes workers, or kills boxes.
+func (w *world) injectCrashes() {
 	back := time.Duration(500+w.rng.Intn(4000)) * time.Millisecond
 	switch w.rng.Intn(5) {
 	case 0:
@@ -291,11 +291,11 @@
 
 // Workers that crash by themselves, one after the other, must cost no job that crashes
 // nothing: here each does so every 100 or 250 seconds.
-func TestJobsAreNotGivenUpWhereWorkersCrashByThemselves(t *testing.T) {
-	for seed := range crashSeeds() {
+func TestJobsSurviveSpontaneousWorkerCrashes(t *testing.T) {
+	for seed := range crashSeedCount() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			crashesByThemselves(t, 50000+seed, []time.Duration{4 * time.Second, 10 * time.Second}[seed%2], 1)
+			runWorldWithSpontaneousCrashes(t, 50000+seed, []time.Duration{4 * time.Second, 10 * time.Second}[seed%2], 1)
 		})
 	}
 }
@@ -311,20 +311,20 @@
 //
 // The odds that were enough fell with the number of crashes, and such a number proves
 // nothing where workers crash that often anyway.
-func TestJobsAreNotGivenUpWhereWorkersCrashEveryMinute(t *testing.T) {
+func TestJobsSurviveFrequentSpontaneousWorkerCrashes(t *testing.T) {
 	for seed := range int64(300) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			every := []time.Duration{300, 600, 1200, 2500}[seed%4] * time.Millisecond
-			crashesByThemselves(t, 50000+seed, every, 2)
+			runWorldWithSpontaneousCrashes(t, 50000+seed, every, 2)
 		})
 	}
 }
 
-// crashesByThemselves plays a world in which workers crash, some time apart on average, and
+// runWorldWithSpontaneousCrashes plays a world in which workers crash, some time apart on average, and
 // no task is guilty. Tasks take longer than usual by a factor.
-func crashesByThemselves(t *testing.T, seed int64, every time.Duration, longer job.Milliseconds) {
-	w := crashWorld(t, seed, 24)
+func runWorldWithSpontaneousCrashes(t *testing.T, seed int64, every time.Duration, longer job.Milliseconds) {
+	w := newCrashWorld(t, seed, 24)
 	for i := range 60 {
 		w.after(time.Duration(w.rng.Intn(25000))*time.Millisecond, func() {
 			s := w.randomJob(i)
@@ -334,11 +334,11 @@
 			w.submit(s)
 		})
 	}
-	lasts := w.submitLasting(12)
-	w.after(time.Second, func() { w.crashOften(every) })
-	w.watch(160)
+	lasts := w.submitService(12)
+	w.after(time.Second, func() { w.crashPeriodically(every) })
+	w.runChecked(160)
 	w.cancel(lasts)
-	w.untilEnded()
+	w.runUntilEnded()
 }
 
 // Boxes were lost two or three times while these tasks crashed their workers. A crash that
@@ -348,18 +348,18 @@
 	for _, seed := range []int64{9121, 9188, 9234, 9315, 9385, 9481, 9570, 9795, 9835} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			crashesAmongOthers(t, seed)
+			runWorldWithGuiltyTasks(t, seed)
 		})
 	}
 }
 
-// crashOften crashes a worker now, and others after it, some time apart on average.
-func (w *world) crashOften(every time.Duration) {
-	if w.now.Sub(w.begin) > 30*time.Second {
+// crashPeriodically crashes a worker now, and others after it, some time apart on average.
+func (w *world) crashPeriodically(every time.Duration) {
+	if w.now.Sub(w.startedAt) > 30*time.Second {
 		return
 	}
-	w.workers[w.rng.Intn(len(w.workers))].crash(crashBack)
-	w.after(time.Duration(w.rng.Int63n(int64(2*every))), func() { w.crashOften(every) })
+	w.workers[w.rng.Intn(len(w.workers))].crash(crashDowntime)
+	w.after(time.Duration(w.rng.Int63n(int64(2*every))), func() { w.crashPeriodically(every) })
 }
 
 // Four tasks of a job were lost with a worker that had crashed by itself. Each was a little
@@ -369,13 +369,13 @@
 //
 //	00:43:06 a suspected task is tried beside=0 task=job185.0.1.0 worker=worker-0-2
 //	00:43:16 a suspected task is tried beside=0 task=job185.0.1.3 worker=worker-4-4
-func TestTasksThatAreHardlySuspectedDoNotWaitForEachOther(t *testing.T) {
-	w := crashWorld(t, 3, 6)
+func TestWeaklySuspectedTasksDoNotWaitForEachOther(t *testing.T) {
+	w := newCrashWorld(t, 3, 6)
 	s := oneStep("j", "quick", 4, false)
 	s.Steps[0].Estimate = 4000
 	w.submit(s)
 	var on *fakeWorker
-	w.until(time.Second, "all tasks run on one worker", func() bool {
+	w.waitUntil(time.Second, "all tasks run on one worker", func() bool {
 		for _, f := range w.workers {
 			if len(f.runs) == 4 {
 				on = f
@@ -384,13 +384,13 @@
 		return on != nil
 	})
 	w.run(400 * time.Millisecond)
-	on.crash(crashBack)
-	w.until(5*time.Second, "all tasks are at work again", func() bool {
+	on.crash(crashDowntime)
+	w.waitUntil(5*time.Second, "all tasks are at work again", func() bool {
 		running := 0
 		for _, f := range w.workers {
 			running += len(f.runs)
 		}
 		return running == 4
 	})
-	w.untilEnded()
+	w.runUntilEnded()
 }
--- a/services/dispatch/crashcases_test.go
+++ b/services/dispatch/crashcases_test.go
@@ -18,27 +18,27 @@
 
 // Scenarios of crashes, written out: which worker crashes when, and which box is lost when.
 
-// runs returns the worker on which a task of a job runs, and when it began there, or nil.
-func (w *world) runs(id job.ID) (*fakeWorker, time.Time) {
+// workerRunning returns the worker on which a task of a job runs, and when it began there, or nil.
+func (w *world) workerRunning(id job.ID) (*fakeWorker, time.Time) {
 	for _, f := range w.workers {
 		for run, r := range f.runs {
 			if f.alive && run.Task.Job == id {
-				return f, r.present
+				return f, r.arrivedAt
 			}
 		}
 	}
 	return nil, time.Time{}
 }
 
-// crashesUnder crashes the worker of a job's only task each time after it has been at work for
+// crashWorkersUnder crashes the worker of a job's only task each time after it has been at work for
 // some time, and returns when it has.
-func (w *world) crashesUnder(id job.ID, worked ...time.Duration) {
+func (w *world) crashWorkersUnder(id job.ID, worked ...time.Duration) {
 	w.t.Helper()
 	for _, after := range worked {
-		w.until(30*time.Second, "the task is at work", func() bool { f, _ := w.runs(id); return f != nil })
-		f, began := w.runs(id)
+		w.waitUntil(30*time.Second, "the task is at work", func() bool { f, _ := w.workerRunning(id); return f != nil })
+		f, began := w.workerRunning(id)
 		w.run(began.Add(after).Sub(w.now))
-		f.crash(crashBack)
+		f.crash(crashDowntime)
 	}
 }
 
@@ -54,16 +54,16 @@
 // The cause: crashes of workers are learned while they happen, so the first of them were
 // judged by one in an hour, and each only once. By the rate that was known at the verdict the
 // three are worth odds of about 100.
-func TestAJobIsNotGivenUpForThreeCrashesWhereWorkersCrashByThemselves(t *testing.T) {
-	w := crashWorld(t, 1, 24)
-	w.neverFails = true
+func TestJobSurvivesThreeSpontaneousWorkerCrashes(t *testing.T) {
+	w := newCrashWorld(t, 1, 24)
+	w.noRandomFailures = true
 	// One after the other, the first while there is nothing to learn from.
 	next := 0
 	var others func()
 	others = func() {
 		f := w.workers[(7*next)%len(w.workers)]
-		if on, _ := w.runs("sound"); on != f {
-			f.crash(crashBack)
+		if on, _ := w.workerRunning("sound"); on != f {
+			f.crash(crashDowntime)
 		}
 		if next++; next < 25 {
 			w.after(1200*time.Millisecond, others)
@@ -74,25 +74,25 @@
 	s := oneStep("sound", "quick", 1, false)
 	s.Steps[0].Estimate = 8000
 	a := w.submit(s)
-	w.crashesUnder("sound", 919*time.Millisecond, 886*time.Millisecond, 813*time.Millisecond)
-	w.until(60*time.Second, "the job has ended", func() bool { w.states(); return a.state.IsFinal() })
+	w.crashWorkersUnder("sound", 919*time.Millisecond, 886*time.Millisecond, 813*time.Millisecond)
+	w.waitUntil(60*time.Second, "the job has ended", func() bool { w.queryStates(); return a.state.IsFinal() })
 	assert.Equal(t, a.state, job.Succeeded)
-	w.check()
+	w.requireNoViolations()
 }
 
-// guiltyAlone hands in a job of one task that crashes its workers, too large for others to
+// submitLargeGuiltyJob hands in a job of one task that crashes its workers, too large for others to
 // begin beside it by chance.
-func (w *world) guiltyAlone(after time.Duration) *asked {
+func (w *world) submitLargeGuiltyJob(after time.Duration) *submittedJob {
 	s := oneStep("guilty", "quick", 1, false)
 	s.Steps[0].Need = resource.Vector{Processors: 40 * resource.Processor, Memory: resource.GiB}
 	a := w.submit(s)
-	w.blames(a, 0, 0, after)
+	w.makeGuilty(a, 0, 0, after)
 	return a
 }
 
-// crashed returns how many workers the guilty task has crashed.
-func (w *world) crashed() int {
-	if r := w.crashes[job.TaskID{StepID: job.StepID{Job: "guilty"}}]; r != nil {
+// guiltyCrashCount returns how many workers the guilty task has crashed.
+func (w *world) guiltyCrashCount() int {
+	if r := w.crashRecords[job.TaskID{StepID: job.StepID{Job: "guilty"}}]; r != nil {
 		return r.crashes
 	}
 	return 0
@@ -111,14 +111,14 @@
 // and told the log what ran there, but not for how long. For a run that only the log told of
 // the next holder reckoned with a whole lease of work, and with others beside it that nobody
 // had named, also where the log had the very start as a trial.
-func TestATaskThatCrashesItsWorkersIsFoundOverTakeovers(t *testing.T) {
-	w := crashWorld(t, 1, 24)
-	a := w.guiltyAlone(600 * time.Millisecond)
-	lasts := w.submitLasting(12)
+func TestGuiltyTaskIsFoundAcrossTakeovers(t *testing.T) {
+	w := newCrashWorld(t, 1, 24)
+	a := w.submitLargeGuiltyJob(600 * time.Millisecond)
+	lasts := w.submitService(12)
 	for crashes := 1; crashes <= 5; crashes++ {
-		w.until(30*time.Second, "a worker has crashed, or the job is given up", func() bool {
-			w.states()
-			return w.crashed() == crashes || a.state == job.Failed
+		w.waitUntil(30*time.Second, "a worker has crashed, or the job is given up", func() bool {
+			w.queryStates()
+			return w.guiltyCrashCount() == crashes || a.state == job.Failed
 		})
 		if a.state == job.Failed {
 			break
@@ -126,9 +126,9 @@
 		w.run(400 * time.Millisecond)
 		w.killBox(w.holder(), 500*time.Millisecond)
 	}
-	w.until(30*time.Second, "the job is given up", func() bool { w.states(); return a.state == job.Failed })
+	w.waitUntil(30*time.Second, "the job is given up", func() bool { w.queryStates(); return a.state == job.Failed })
 	w.cancel(lasts)
-	w.check()
+	w.requireNoViolations()
 }
 
 // A task crashed its workers after 0.6 s, and the first three times the box that held the cell
@@ -144,19 +144,19 @@
 //
 // The cause: only suspects and silent workers had records that name what runs where. The log
 // is told of the last starts since.
-func TestCrashesThatNoHolderSawAreCounted(t *testing.T) {
-	w := crashWorld(t, 1, 24)
-	a := w.guiltyAlone(600 * time.Millisecond)
-	lasts := w.submitLasting(12)
+func TestCrashesDuringTakeoversAreCounted(t *testing.T) {
+	w := newCrashWorld(t, 1, 24)
+	a := w.submitLargeGuiltyJob(600 * time.Millisecond)
+	lasts := w.submitService(12)
 	for crashes := range 3 {
-		w.until(30*time.Second, "the task is at work", func() bool { f, _ := w.runs("guilty"); return f != nil })
+		w.waitUntil(30*time.Second, "the task is at work", func() bool { f, _ := w.workerRunning("guilty"); return f != nil })
 		w.run(300 * time.Millisecond)
 		w.killBox(w.holder(), 500*time.Millisecond)
-		w.until(30*time.Second, "it has crashed its worker", func() bool { return w.crashed() == crashes+1 })
+		w.waitUntil(30*time.Second, "it has crashed its worker", func() bool { return w.guiltyCrashCount() == crashes+1 })
 	}
-	w.until(60*time.Second, "the job is given up", func() bool { w.states(); return a.state == job.Failed })
+	w.waitUntil(60*time.Second, "the job is given up", func() bool { w.queryStates(); return a.state == job.Failed })
 	w.cancel(lasts)
-	w.check()
+	w.requireNoViolations()
 }
 
 // A task crashed its workers after 0.6 s, a little more than half of what its like usually
@@ -171,7 +171,7 @@
 // not over; after that it counted as one without an answer, and the crash as one at any time
 // since the look before. Looks wait for half of a task's usual time, so this comes again and
 // again for the same task.
-func TestALookThatBreaksOffTellsWhenItsWorkerCrashed(t *testing.T) {
+func TestBrokenRenewalDeterminesTimeOfCrash(t *testing.T) {
 	d, looks := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	starts := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("guilty", "quick", 1, false)))
 	assert.Equal(t, len(starts), 1)
@@ -184,11 +184,11 @@
 	again := effectsOf[exchange.Renew](d.handle(exchange.RenewEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Renewal: waiting[0].Renewal, Answer: broke}))
 	assert.Equal(t, len(again), 1)
 	lost := d.handle(exchange.RenewEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Renewal: again[0].Renewal, Answer: order.Answer{Outcome: order.WrongIncarnation}})
-	assert.DeepEqual(t, noted(lost, "a worker crashed under a task", "late"), []any{"0s"})
+	assert.DeepEqual(t, logFieldValues(lost, "a worker crashed under a task", "late"), []any{"0s"})
 }
 
-// noted returns the values of a field in the notes of some message.
-func noted(effects []exchange.Effect, message, name string) []any {
+// logFieldValues returns the values of a field in the notes of some message.
+func logFieldValues(effects []exchange.Effect, message, name string) []any {
 	var all []any
 	for _, n := range effectsOf[exchange.LogEvent](effects) {
 		for _, f := range n.Fields {
@@ -213,23 +213,23 @@
 //
 // The cause: that a suspect was tried, and where, was told to the log with the start, not
 // before it.
-func TestATrialIsInTheLogBeforeItBegins(t *testing.T) {
+func TestTrialIsLoggedBeforeItBegins(t *testing.T) {
 	for seed := range int64(8) {
-		w := crashWorld(t, seed, 24)
+		w := newCrashWorld(t, seed, 24)
 		// Each append waits for the one before, and there always is one.
-		w.logSlow = 200 * time.Millisecond
+		w.appendDelay = 200 * time.Millisecond
 		for i := range 200 {
 			w.after(time.Duration(i)*100*time.Millisecond, func() { w.submit(oneStep(fmt.Sprint("other", i), "quick", 1, false)) })
 		}
-		a := w.guiltyAlone(300 * time.Millisecond)
+		a := w.submitLargeGuiltyJob(300 * time.Millisecond)
 		begun := 0
-		w.guiltyBegins = func() {
+		w.onGuiltyStart = func() {
 			if begun++; begun >= 3 && begun <= 5 {
 				w.killBox(w.holder(), 500*time.Millisecond)
 			}
 		}
-		w.until(60*time.Second, "the job is given up", func() bool { w.states(); return a.state == job.Failed })
-		w.check()
+		w.waitUntil(60*time.Second, "the job is given up", func() bool { w.queryStates(); return a.state == job.Failed })
+		w.requireNoViolations()
 	}
 }
 
@@ -245,23 +245,23 @@
 //
 // The cause: one member that had been on its worker for 2 s cleared the whole gang, whatever was
 // known of the others.
-func TestAGangIsNotClearedByTheMembersThatAreLeft(t *testing.T) {
-	w := crashWorld(t, 1, 24)
+func TestGangIsNotClearedByItsRemainingMembers(t *testing.T) {
+	w := newCrashWorld(t, 1, 24)
 	s := oneStep("guilty", "quick", 4, true)
 	s.Steps[0].Need = resource.Vector{Processors: 40 * resource.Processor, Memory: resource.GiB}
 	a := w.submit(s)
-	w.blames(a, 0, 3, 0)
-	w.guiltyBegins = func() { w.after(20*time.Millisecond, w.hideCrashed) }
-	w.until(90*time.Second, "the job is given up", func() bool { w.states(); return a.state == job.Failed })
-	w.check()
+	w.makeGuilty(a, 0, 3, 0)
+	w.onGuiltyStart = func() { w.after(20*time.Millisecond, w.cutOffCrashedWorkers) }
+	w.waitUntil(90*time.Second, "the job is given up", func() bool { w.queryStates(); return a.state == job.Failed })
+	w.requireNoViolations()
 }
 
-// hideCrashed has the workers that have crashed answer nobody for 3 s.
-func (w *world) hideCrashed() {
+// cutOffCrashedWorkers has the workers that have crashed answer nobody for 3 s.
+func (w *world) cutOffCrashedWorkers() {
 	for _, f := range w.workers {
 		if !f.alive {
-			f.cut = true
-			w.after(3*time.Second, func() { f.cut = false })
+			f.unreachable = true
+			w.after(3*time.Second, func() { f.unreachable = false })
 		}
 	}
 }
--- a/services/dispatch/dispatch_test.go
+++ b/services/dispatch/dispatch_test.go
@@ -27,59 +27,59 @@
 
 // waitUntilServing waits until a box holds the cell, and then a second until it serves the jobs.
 func (w *world) waitUntilServing() {
-	w.until(5*time.Second, "a box holds the cell", func() bool { return w.holder() != nil })
+	w.waitUntil(5*time.Second, "a box holds the cell", func() bool { return w.holder() != nil })
 	w.run(time.Second)
 }
 
 func TestGangCompletesOnceWhenAllMembersSucceed(t *testing.T) {
 	w := newServingWorld(t, 1, 1, 6)
 	s := oneStep("j", "quick", 4, true)
-	s.Steps = append(s.Steps, job.Step{Tasks: 2, Need: need, Estimate: 500, After: []int{0}})
+	s.Steps = append(s.Steps, job.Step{Tasks: 2, Need: defaultNeed, Estimate: 500, After: []int{0}})
 	w.submit(s)
-	w.until(20*time.Second, "the job has ended", w.ended)
-	w.check()
+	w.waitUntil(20*time.Second, "the job has ended", w.allEnded)
+	w.requireNoViolations()
 }
 
 func TestTasksOfLostWorkerStartElsewhere(t *testing.T) {
 	w := newServingWorld(t, 2, 1, 2)
 	a := w.submit(oneStep("j", "quick", 12, false))
-	w.until(5*time.Second, "tasks run", func() bool { return len(w.workers[0].runs) > 0 || len(w.workers[1].runs) > 0 })
+	w.waitUntil(5*time.Second, "tasks run", func() bool { return len(w.workers[0].runs) > 0 || len(w.workers[1].runs) > 0 })
 	lost := w.workers[0]
 	if len(lost.runs) == 0 {
 		lost = w.workers[1]
 	}
 	lost.alive, lost.runs = false, map[order.Run]*fakeRun{}
-	w.until(25*time.Second, "the job has ended", w.ended)
+	w.waitUntil(25*time.Second, "the job has ended", w.allEnded)
 	assert.Check(t, a.state.IsFinal())
-	w.check()
+	w.requireNoViolations()
 }
 
 func TestFailuresReportedToTwoHoldersCountOnce(t *testing.T) {
 	for seed := range int64(12) {
 		w := newServingWorld(t, 100+seed, 3, 4)
-		w.workers[0].failAll = true
+		w.workers[0].failsAllTasks = true
 		for i := range 6 {
 			w.submit(oneStep(fmt.Sprintf("j%d", i), "wide", 4, false))
 		}
 		w.run(1300 * time.Millisecond)
 		w.holder().kill()
 		w.run(4 * time.Second)
-		w.workers[0].failAll = false
-		w.until(40*time.Second, "the jobs have ended", w.ended)
-		w.states()
+		w.workers[0].failsAllTasks = false
+		w.waitUntil(40*time.Second, "the jobs have ended", w.allEnded)
+		w.queryStates()
 		w.run(100 * time.Millisecond)
 		for _, a := range w.jobs {
 			if a.state == job.Failed && !reachedMaxFailures(a) {
-				w.fail("%s is shown as failed after %v", a.sub.ID, a.failures)
+				w.fatalf("%s is shown as failed after %v", a.sub.ID, a.acknowledgedFailures)
 			}
 		}
-		w.check()
+		w.requireNoViolations()
 	}
 }
 
 // reachedMaxFailures reports whether some task of a job has failed as often as its queue allows.
-func reachedMaxFailures(a *asked) bool {
-	for _, n := range a.failures {
+func reachedMaxFailures(a *submittedJob) bool {
+	for _, n := range a.acknowledgedFailures {
 		if n >= config().Queues[a.sub.Queue].Attempts {
 			return true
 		}
@@ -96,44 +96,44 @@
 			a := w.submit(s)
 			w.after(time.Duration(600+100*i)*time.Millisecond, func() { w.cancel(a) })
 		}
-		w.until(30*time.Second, "the jobs have ended", w.ended)
-		w.check()
+		w.waitUntil(30*time.Second, "the jobs have ended", w.allEnded)
+		w.requireNoViolations()
 	}
 }
 
 func TestCellMovesToBoxThatReachesTheLog(t *testing.T) {
 	w := newServingWorld(t, 3, 3, 4)
 	first := w.holder()
-	first.noLog = true
-	w.until(1500*time.Millisecond, "another box holds the cell", func() bool {
+	first.logUnreachable = true
+	w.waitUntil(1500*time.Millisecond, "another box holds the cell", func() bool {
 		h := w.holder()
 		return h != nil && h != first
 	})
 	w.submit(oneStep("j", "quick", 3, false))
-	w.until(10*time.Second, "the job has ended", w.ended)
-	w.check()
+	w.waitUntil(10*time.Second, "the job has ended", w.allEnded)
+	w.requireNoViolations()
 }
 
 func TestCallersAreAnsweredWhileLogIsSilent(t *testing.T) {
 	w := newServingWorld(t, 8, 1, 2)
-	w.logSilent = true
+	w.dropsJournalAppends = true
 	for i := range 20 {
 		w.after(time.Duration(100*i)*time.Millisecond, func() {
 			askedAt := w.now
 			s := oneStep(fmt.Sprintf("j%d", i), "quick", 1, false)
-			w.jobs[s.ID] = &asked{sub: s, mayRun: true, done: map[job.TaskID]bool{}, noted: map[job.TaskID]bool{}, failures: map[job.TaskID]int{}}
-			w.holder().ask(func(id exchange.CallID) exchange.Event { return exchange.Submitted{Call: id, Submission: s} },
+			w.jobs[s.ID] = &submittedJob{sub: s, mayRun: true, done: map[job.TaskID]bool{}, acknowledged: map[job.TaskID]bool{}, acknowledgedFailures: map[job.TaskID]int{}}
+			w.holder().call(func(id exchange.CallID) exchange.Event { return exchange.Submitted{Call: id, Submission: s} },
 				func(a exchange.Answer) {
-					w.answers++
+					w.answerCount++
 					if took := w.now.Sub(askedAt); took > 500*time.Millisecond || a.Outcome == exchange.OK {
-						w.breaks("%s was answered %s after %v", s.ID, a.Outcome, took)
+						w.violationf("%s was answered %s after %v", s.ID, a.Outcome, took)
 					}
 				})
 		})
 	}
 	w.run(4 * time.Second)
-	assert.Equal(t, w.answers, 20)
-	w.check()
+	assert.Equal(t, w.answerCount, 20)
+	w.requireNoViolations()
 }
 
 func TestPlannedStopHandsOverTheCell(t *testing.T) {
@@ -141,20 +141,20 @@
 	s := oneStep("j", "quick", 8, false)
 	s.Steps[0].Estimate = 8000
 	a := w.submit(s)
-	w.until(2*time.Second, "tasks run", func() bool { return len(w.workers[0].runs) > 0 })
+	w.waitUntil(2*time.Second, "tasks run", func() bool { return len(w.workers[0].runs) > 0 })
 	first := w.holder()
 	first.post(exchange.Stop{})
-	w.until(500*time.Millisecond, "another box holds the cell", func() bool {
+	w.waitUntil(500*time.Millisecond, "another box holds the cell", func() bool {
 		h := w.holder()
 		return h != nil && h != first
 	})
-	w.until(2*time.Second, "the stop is complete", func() bool { return first.stopped })
-	w.until(30*time.Second, "the job has ended", w.ended)
+	w.waitUntil(2*time.Second, "the stop is complete", func() bool { return first.stopped })
+	w.waitUntil(30*time.Second, "the job has ended", w.allEnded)
 	assert.Equal(t, a.state, job.Succeeded)
 	for task, n := range w.starts {
-		assert.Check(t, n == 1+a.failures[task], "%v started %d times", task, n)
+		assert.Check(t, n == 1+a.acknowledgedFailures[task], "%v started %d times", task, n)
 	}
-	w.check()
+	w.requireNoViolations()
 }
 
 func TestOlderConfigurationIsIgnored(t *testing.T) {
@@ -179,12 +179,12 @@
 	w.run(time.Second)
 	held := 0
 	for _, f := range w.workers {
-		assert.Check(t, len(f.runs) == 0 || f.rack == "r1", "%s of rack %s", f.life, f.rack)
-		assert.Check(t, len(f.runs) <= 2, "%s holds %d", f.life, len(f.runs))
+		assert.Check(t, len(f.runs) == 0 || f.rack == "r1", "%s of rack %s", f.incarnation, f.rack)
+		assert.Check(t, len(f.runs) <= 2, "%s holds %d", f.incarnation, len(f.runs))
 		held += len(f.runs)
 	}
 	assert.Equal(t, held, 4)
-	w.check()
+	w.requireNoViolations()
 }
 
 func TestInstancesStartWhenDue(t *testing.T) {
@@ -200,11 +200,11 @@
 	assert.Equal(t, len(w.starts), 2)
 	// The next holder must start the instances that are left.
 	w.holder().kill()
-	w.until(30*time.Second, "the job has ended", w.ended)
+	w.waitUntil(30*time.Second, "the job has ended", w.allEnded)
 	assert.Equal(t, a.state, job.Succeeded)
 	assert.Equal(t, len(w.starts), 8)
 	assert.Check(t, w.now.After(first.Add(4500*time.Millisecond)))
-	w.check()
+	w.requireNoViolations()
 }
 
 func TestServiceTasksRestartUntilJobIsCancelled(t *testing.T) {
@@ -213,14 +213,14 @@
 	s.Steps[0].Service, s.Steps[0].Estimate = true, 400
 	a := w.submit(s)
 	w.run(8 * time.Second)
-	w.states()
+	w.queryStates()
 	w.run(50 * time.Millisecond)
 	assert.Equal(t, a.state, job.Running)
 	for task, n := range w.starts {
 		assert.Check(t, n > 5, "%v started %d times", task, n)
 	}
 	w.cancel(a)
-	w.until(5*time.Second, "the job has ended", w.ended)
+	w.waitUntil(5*time.Second, "the job has ended", w.allEnded)
 	w.run(time.Second)
 	for _, f := range w.workers {
 		assert.Equal(t, len(f.runs), 0)
@@ -237,16 +237,16 @@
 	}
 	w.run(500 * time.Millisecond)
 	a := w.submit(oneStep("j", "wide", 2, false))
-	w.until(10*time.Second, "a job that fits is done", func() bool { return len(a.done) == 2 })
-	w.check()
+	w.waitUntil(10*time.Second, "a job that fits is done", func() bool { return len(a.done) == 2 })
+	w.requireNoViolations()
 }
 
 func TestAcceptedJobsRunAfterTheirQueueIsRemoved(t *testing.T) {
 	w := newServingWorld(t, 15, 3, 3)
 	s := oneStep("j", "wide", 2, false)
-	s.Steps = append(s.Steps, job.Step{Tasks: 2, Need: need, Estimate: 1000, After: []int{0}})
+	s.Steps = append(s.Steps, job.Step{Tasks: 2, Need: defaultNeed, Estimate: 1000, After: []int{0}})
 	a := w.submit(s)
-	w.until(2*time.Second, "the job is accepted", func() bool { return a.accepted })
+	w.waitUntil(2*time.Second, "the job is accepted", func() bool { return a.accepted })
 	w.config.Version = 2
 	w.config.Queues = map[string]job.Queue{"quick": w.config.Queues["quick"]}
 	for _, b := range w.boxes {
@@ -256,9 +256,9 @@
 	for _, b := range w.boxes {
 		w.killBox(b, 500*time.Millisecond)
 	}
-	w.until(30*time.Second, "the job has ended", w.ended)
+	w.waitUntil(30*time.Second, "the job has ended", w.allEnded)
 	assert.Check(t, a.state == job.Succeeded || reachedMaxFailures(a), "%s", a.state)
-	w.check()
+	w.requireNoViolations()
 }
 
 func TestGangsNeverStartIncompleteWithoutFaults(t *testing.T) {
@@ -272,51 +272,51 @@
 			w.after(time.Duration(w.rng.Intn(8000))*time.Millisecond, func() { w.submit(s) })
 		}
 		w.run(9 * time.Second)
-		w.untilEnded()
-		assert.Equal(t, w.alone, 0)
+		w.runUntilEnded()
+		assert.Equal(t, w.incompleteGangEnds, 0)
 	}
 }
 
 func TestCellMovesToLargerBox(t *testing.T) {
 	w := newWorld(t, 7, 4, 4)
-	w.boxes[2].size = 8
+	w.boxes[2].extraSize = 8
 	w.boxes[2].kill()
-	w.until(5*time.Second, "a small box holds the cell", func() bool { return w.holder() != nil })
+	w.waitUntil(5*time.Second, "a small box holds the cell", func() bool { return w.holder() != nil })
 	w.submit(oneStep("j", "quick", 6, false))
 	w.boxes[2].start()
-	w.until(10*time.Second, "the large box holds it", func() bool { return w.holder() == w.boxes[2] })
-	w.until(10*time.Second, "the job has ended", w.ended)
-	w.check()
+	w.waitUntil(10*time.Second, "the large box holds it", func() bool { return w.holder() == w.boxes[2] })
+	w.waitUntil(10*time.Second, "the job has ended", w.allEnded)
+	w.requireNoViolations()
 }
 
 func TestLargestBoxThatReachesTheLogTakesOver(t *testing.T) {
 	w := newWorld(t, 11, 5, 4)
 	for _, i := range []int{0, 2, 4} {
-		w.boxes[i].size = 8
+		w.boxes[i].extraSize = 8
 		w.boxes[i].kill()
 		w.boxes[i].start()
 	}
-	w.until(5*time.Second, "a large box holds the cell", func() bool { return w.holder() != nil && w.holder().size > 0 })
+	w.waitUntil(5*time.Second, "a large box holds the cell", func() bool { return w.holder() != nil && w.holder().extraSize > 0 })
 	w.run(time.Second)
 	first := w.holder()
-	first.noLog = true
-	w.until(1500*time.Millisecond, "another box holds the cell", func() bool {
+	first.logUnreachable = true
+	w.waitUntil(1500*time.Millisecond, "another box holds the cell", func() bool {
 		h := w.holder()
 		return h != nil && h != first
 	})
-	assert.Equal(t, w.holder().size, int64(8), "box %s holds the cell", w.holder().name)
-	w.check()
+	assert.Equal(t, w.holder().extraSize, int64(8), "box %s holds the cell", w.holder().name)
+	w.requireNoViolations()
 }
 
 func TestSmallHolderInvitesNoUnreachableBox(t *testing.T) {
 	w := newWorld(t, 12, 3, 4)
-	w.boxes[2].size = 8
+	w.boxes[2].extraSize = 8
 	w.boxes[2].kill()
 	w.boxes[2].start()
-	w.until(5*time.Second, "the large box is known and holds the cell", func() bool { return w.holder() == w.boxes[2] })
-	w.boxes[2].noLog, w.boxes[2].noPeers = true, true
+	w.waitUntil(5*time.Second, "the large box is known and holds the cell", func() bool { return w.holder() == w.boxes[2] })
+	w.boxes[2].logUnreachable, w.boxes[2].peersUnreachable = true, true
 	before := len(w.trace)
-	w.until(10*time.Second, "a small box holds the cell", func() bool { return w.holder() != nil && w.holder() != w.boxes[2] })
+	w.waitUntil(10*time.Second, "a small box holds the cell", func() bool { return w.holder() != nil && w.holder() != w.boxes[2] })
 	for range 40 {
 		w.run(200 * time.Millisecond)
 		assert.Check(t, w.holder() != nil && w.holder() != w.boxes[2])
@@ -330,16 +330,16 @@
 	w := newServingWorld(t, 4, 3, 4)
 	s := oneStep("j", "quick", 2, false)
 	for i := 1; i < 5; i++ {
-		s.Steps = append(s.Steps, job.Step{Tasks: 1, Need: need, Estimate: 1000, After: []int{i - 1}})
+		s.Steps = append(s.Steps, job.Step{Tasks: 1, Need: defaultNeed, Estimate: 1000, After: []int{i - 1}})
 	}
 	a := w.submit(s)
-	w.until(2*time.Second, "the job is accepted", func() bool { return a.accepted })
+	w.waitUntil(2*time.Second, "the job is accepted", func() bool { return a.accepted })
 	w.logDown = true
 	last := job.TaskID{StepID: job.StepID{Job: "j", Step: 4}}
-	w.until(15*time.Second, "the last step is done without the log", func() bool { return a.done[last] })
+	w.waitUntil(15*time.Second, "the last step is done without the log", func() bool { return a.done[last] })
 	w.logDown = false
-	w.until(5*time.Second, "the job is shown as ended", w.ended)
-	w.check()
+	w.waitUntil(5*time.Second, "the job is shown as ended", w.allEnded)
+	w.requireNoViolations()
 }
 
 func TestCancelledJobStartsNoMoreTasks(t *testing.T) {
@@ -352,6 +352,6 @@
 	if h := w.holder(); h != nil {
 		h.kill()
 	}
-	w.until(30*time.Second, "the jobs have ended", w.ended)
-	w.check()
+	w.waitUntil(30*time.Second, "the jobs have ended", w.allEnded)
+	w.requireNoViolations()
 }
--- a/services/dispatch/gangs_test.go
+++ b/services/dispatch/gangs_test.go
@@ -53,7 +53,7 @@
 
 // endedWithPrefix reports whether all jobs whose IDs have the prefix have ended.
 func (w *world) endedWithPrefix(prefix string) bool {
-	w.states()
+	w.queryStates()
 	for id, a := range w.jobs {
 		if strings.HasPrefix(string(id), prefix) && !a.state.IsFinal() {
 			return false
@@ -77,7 +77,7 @@
 func newGangWorld(t *testing.T, seed int64) *world {
 	w := newWorld(t, seed, 24, 90)
 	w.config = gangConfig()
-	w.stopTakes = 900 * time.Millisecond
+	w.stopDuration = 900 * time.Millisecond
 	for _, b := range w.boxes {
 		b.kill()
 		b.start()
@@ -252,12 +252,12 @@
 			}
 			w.run(time.Second)
 			began := w.now
-			w.until(30*time.Second, "all gangs have ended", func() bool { return w.endedWithPrefix("gang") })
+			w.waitUntil(30*time.Second, "all gangs have ended", func() bool { return w.endedWithPrefix("gang") })
 			t.Logf("all gangs had ended after %v", w.now.Sub(began))
-			w.until(60*time.Second, "all jobs have ended", w.ended)
+			w.waitUntil(60*time.Second, "all jobs have ended", w.allEnded)
 			t.Logf("all jobs had ended after %v", w.now.Sub(began))
-			w.check()
-			assert.Equal(t, w.alone, 0)
+			w.requireNoViolations()
+			assert.Equal(t, w.incompleteGangEnds, 0)
 			t.Logf("gangs released %d reservations without starting", w.countLines("a gang gives room back"))
 		})
 	}
--- a/services/dispatch/handover_test.go
+++ b/services/dispatch/handover_test.go
@@ -19,14 +19,14 @@
 		w.after(time.Duration(i)*25*time.Millisecond, func() { w.submit(s) })
 	}
 	w.run(1500 * time.Millisecond)
-	w.logSlow = 200 * time.Millisecond
+	w.appendDelay = 200 * time.Millisecond
 	w.run(500 * time.Millisecond)
 	first := w.holder()
 	first.post(exchange.Stop{})
 	// At most two appends to the journal are waited for: the one in flight and one with jobs
 	// submitted before. Half of the grace period of the stop is 750 ms.
-	w.until(600*time.Millisecond, "the box has handed the cell over", func() bool { return !first.core.IsServing(w.now) })
-	w.logSlow = 0
-	w.until(30*time.Second, "the jobs have ended", w.ended)
-	w.check()
+	w.waitUntil(600*time.Millisecond, "the box has handed the cell over", func() bool { return !first.core.IsServing(w.now) })
+	w.appendDelay = 0
+	w.waitUntil(30*time.Second, "the jobs have ended", w.allEnded)
+	w.requireNoViolations()
 }
--- a/services/dispatch/livesworld_test.go
+++ b/services/dispatch/livesworld_test.go
@@ -25,13 +25,13 @@
 // between, together with gangs, wide steps, late orders and takeovers. No task that is done may run
 // again, and no job may wait forever while there is room.
 func TestGangsAndWideStepsWhileWorkersRestart(t *testing.T) {
-	for seed := range seeds() {
+	for seed := range seedCount() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(t, 120_000+seed, 3, 24)
 			w.scheduleRestarts()
-			w.watch(int(restartPeriod / (200 * time.Millisecond)))
-			w.lateShare, w.lateHolds = 0, false
+			w.runChecked(int(restartPeriod / (200 * time.Millisecond)))
+			w.lateOrderShare, w.lateOrdersIncludeRenewals = 0, false
 			w.run(settleTime)
 			w.runUntilEndedWithoutIdleWaits()
 		})
@@ -46,8 +46,8 @@
 		b.start()
 	}
 	w.waitUntilServing()
-	w.lateShare = []float64{0, 0.02, 0.05}[w.rng.Intn(3)]
-	w.lateHolds = w.rng.Intn(2) == 0
+	w.lateOrderShare = []float64{0, 0.02, 0.05}[w.rng.Intn(3)]
+	w.lateOrdersIncludeRenewals = w.rng.Intn(2) == 0
 	for i := range 60 {
 		w.after(time.Duration(w.rng.Int63n(int64(restartPeriod))), func() { w.submit(w.wideJob(i)) })
 	}
@@ -106,11 +106,11 @@
 	since := map[job.ID]time.Time{}
 	for range 600 {
 		w.run(100 * time.Millisecond)
-		if w.ended() {
-			w.check()
+		if w.allEnded() {
+			w.requireNoViolations()
 			return
 		}
-		for _, id := range w.order {
+		for _, id := range w.jobIDs {
 			a := w.jobs[id]
 			if !a.accepted || a.state.IsFinal() || !w.couldRun(a) {
 				delete(since, id)
@@ -120,16 +120,16 @@
 				since[id] = w.now
 			}
 			if w.now.Sub(since[id]) > maxIdleWait {
-				w.fail("%s could run but does not, with most of the room free: %+v, done %v", id, a.sub.Steps, a.done)
+				w.fatalf("%s could run but does not, with most of the room free: %+v, done %v", id, a.sub.Steps, a.done)
 			}
 		}
 	}
-	w.fail("not all jobs have ended")
+	w.fatalf("not all jobs have ended")
 }
 
 // couldRun reports whether no task of a job runs although one of its steps is ready, the workers
 // have room for it twice over and at most half of all processors are in use.
-func (w *world) couldRun(a *asked) bool {
+func (w *world) couldRun(a *submittedJob) bool {
 	var used, all resource.Vector
 	for _, f := range w.workers {
 		all = all.Plus(f.startLimit())
@@ -152,7 +152,7 @@
 }
 
 // isReady reports whether a step has tasks that are not done, and all steps it depends on are done.
-func (w *world) isReady(a *asked, step int) bool {
+func (w *world) isReady(a *submittedJob, step int) bool {
 	unfinished := func(i int) int {
 		n := 0
 		for index := range a.sub.Steps[i].Tasks {
@@ -174,7 +174,7 @@
 func (w *world) hasRoomForTwice(id job.StepID, s job.Step, queue string) bool {
 	slots := 0
 	for _, f := range w.workers {
-		if !f.alive || w.config.Queues[queue].Advice != nil && !suits(id, f.name) {
+		if !f.alive || w.config.Queues[queue].Advice != nil && !adviserAllows(id, f.name) {
 			continue
 		}
 		free := f.startLimit()
@@ -192,17 +192,17 @@
 
 // The platform may give each incarnation a name of its own and no birth time.
 func TestRandomWorldsWithUniqueNamePerIncarnation(t *testing.T) {
-	for seed := range seeds() / 2 {
+	for seed := range seedCount() / 2 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(t, 130_000+seed, 3, 8)
-			w.renames = true
+			w.uniqueIncarnationNames = true
 			for _, f := range w.workers {
-				f.life = order.Incarnation{Name: f.name + "-1"}
+				f.incarnation = order.Incarnation{Name: f.name + "-1"}
 			}
 			w.waitUntilServing()
-			w.lateShare = []float64{0, 0, 0.05}[w.rng.Intn(3)]
-			w.plays()
+			w.lateOrderShare = []float64{0, 0, 0.05}[w.rng.Intn(3)]
+			w.runWithFaults()
 		})
 	}
 }
--- a/services/dispatch/mechanism_test.go
+++ b/services/dispatch/mechanism_test.go
@@ -36,7 +36,7 @@
 	for i, m := range mechanism.All() {
 		t.Run(string(m), func(t *testing.T) {
 			t.Parallel()
-			randomWorldWithout(t, int64(700+i), m)
+			runRandomWorldWithout(t, int64(700+i), m)
 		})
 	}
 }
--- a/services/dispatch/random_test.go
+++ b/services/dispatch/random_test.go
@@ -15,8 +15,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// seeds returns how many random worlds are played.
-func seeds() int64 {
+// seedCount returns how many random worlds are played.
+func seedCount() int64 {
 	if os.Getenv("SADDLEVANE_FREE_SEEDS") != "" {
 		return 400
 	}
@@ -29,17 +29,17 @@
 	if text := os.Getenv("SADDLEVANE_SEED"); text != "" {
 		seed, err := strconv.ParseInt(text, 10, 64)
 		assert.NilError(t, err)
-		randomWorld(t, seed)
+		runRandomWorld(t, seed)
 		return
 	}
 	base := int64(0)
 	if os.Getenv("SADDLEVANE_FREE_SEEDS") != "" {
 		base = time.Now().UnixNano() % 1_000_000_000
 	}
-	for seed := range seeds() {
+	for seed := range seedCount() {
 		t.Run(fmt.Sprint(base+seed), func(t *testing.T) {
 			t.Parallel()
-			randomWorld(t, base+seed)
+			runRandomWorld(t, base+seed)
 		})
 	}
 }
@@ -47,37 +47,37 @@
 // TestRandomWorldsWithLateAnswers plays worlds in which many answers to looks come
 // seconds late and in bunches, as under a holder that is slow or whose link is full.
 func TestRandomWorldsWithLateAnswers(t *testing.T) {
-	for seed := range seeds() {
+	for seed := range seedCount() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(t, 7000+seed, 3, 8)
-			w.lateLooks = []float64{0.1, 0.4, 0.8}[w.rng.Intn(3)]
+			w.lateAnswerShare = []float64{0.1, 0.4, 0.8}[w.rng.Intn(3)]
 			w.waitUntilServing()
-			w.plays()
+			w.runWithFaults()
 		})
 	}
 }
 
-func randomWorld(t *testing.T, seed int64) { randomWorldWithout(t, seed) }
+func runRandomWorld(t *testing.T, seed int64) { runRandomWorldWithout(t, seed) }
 
-// randomWorldWithout plays a random world whose boxes do without some mechanisms.
-func randomWorldWithout(t *testing.T, seed int64, without ...mechanism.Mechanism) {
+// runRandomWorldWithout plays a random world whose boxes do without some mechanisms.
+func runRandomWorldWithout(t *testing.T, seed int64, without ...mechanism.Mechanism) {
 	w := newWorld(t, seed, 3, 8)
-	w.without = map[mechanism.Mechanism]bool{}
+	w.disabled = map[mechanism.Mechanism]bool{}
 	for _, m := range without {
-		w.without[m] = true
+		w.disabled[m] = true
 	}
 	for _, b := range w.boxes {
 		b.kill()
 		b.start()
 	}
 	w.waitUntilServing()
-	w.lateShare = []float64{0, 0, 0.05}[w.rng.Intn(3)]
-	w.plays()
+	w.lateOrderShare = []float64{0, 0, 0.05}[w.rng.Intn(3)]
+	w.runWithFaults()
 }
 
-// plays hands random jobs in while things fail, and checks the promises.
-func (w *world) plays() {
+// runWithFaults hands random jobs in while things fail, and checks the promises.
+func (w *world) runWithFaults() {
 	w.t.Helper()
 	for i := range 40 {
 		w.after(time.Duration(w.rng.Intn(15000))*time.Millisecond, func() {
@@ -88,43 +88,43 @@
 		})
 	}
 	for range 6 {
-		w.after(time.Duration(w.rng.Intn(15000))*time.Millisecond, w.trouble)
+		w.after(time.Duration(w.rng.Intn(15000))*time.Millisecond, w.injectFault)
 	}
-	w.watch(100)
-	w.lateShare, w.lateLooks = 0, 0
-	w.untilEnded()
+	w.runChecked(100)
+	w.lateOrderShare, w.lateAnswerShare = 0, 0
+	w.runUntilEnded()
 }
 
-// watch lets time pass, in steps of 200 ms, and checks the promises after each.
-func (w *world) watch(steps int) {
+// runChecked lets time pass, in steps of 200 ms, and checks the promises after each.
+func (w *world) runChecked(steps int) {
 	w.t.Helper()
 	for range steps {
 		w.run(200 * time.Millisecond)
-		w.states()
-		w.check()
+		w.queryStates()
+		w.requireNoViolations()
 	}
 }
 
-// untilEnded waits until no accepted job is left, and names those that are.
-func (w *world) untilEnded() {
+// runUntilEnded waits until no accepted job is left, and names those that are.
+func (w *world) runUntilEnded() {
 	w.t.Helper()
 	for range 1500 {
 		w.run(100 * time.Millisecond)
-		if w.ended() {
-			w.check()
+		if w.allEnded() {
+			w.requireNoViolations()
 			return
 		}
 	}
-	for _, id := range w.order {
+	for _, id := range w.jobIDs {
 		if a := w.jobs[id]; a.accepted && !a.state.IsFinal() {
 			w.t.Logf("%s is %s: %+v, done %v", id, a.state, a.sub, a.done)
 		}
 	}
-	w.fail("jobs have not ended")
+	w.fatalf("jobs have not ended")
 }
 
-// trouble makes one thing fail for a while.
-func (w *world) trouble() {
+// injectFault makes one thing fail for a while.
+func (w *world) injectFault() {
 	lasts := time.Duration(500+w.rng.Intn(6000)) * time.Millisecond
 	b := w.boxes[w.rng.Intn(len(w.boxes))]
 	if h := w.holder(); h != nil && w.rng.Intn(2) == 0 {
@@ -134,32 +134,32 @@
 	switch w.rng.Intn(11) {
 	case 10:
 		// Such a run never ends by itself, so only a policy that moves it gets on.
-		f.stalls = !w.without[mechanism.MovedRuns]
-		w.after(lasts, func() { f.stalls = false })
+		f.stallsRuns = !w.disabled[mechanism.MovedRuns]
+		w.after(lasts, func() { f.stallsRuns = false })
 	case 0:
 		w.killBox(b, lasts)
 	case 1:
 		b.pausedUntil = w.now.Add(lasts)
 	case 2:
-		b.noLog = true
-		w.after(lasts, func() { b.noLog = false })
+		b.logUnreachable = true
+		w.after(lasts, func() { b.logUnreachable = false })
 	case 3:
-		b.noLog, b.noPeers = true, true
-		w.after(lasts, func() { b.noLog, b.noPeers = false, false })
+		b.logUnreachable, b.peersUnreachable = true, true
+		w.after(lasts, func() { b.logUnreachable, b.peersUnreachable = false, false })
 	case 4:
 		w.logDown = true
 		w.after(lasts, func() { w.logDown = false })
 	case 5:
-		w.logLoses = 0.4
-		w.after(lasts, func() { w.logLoses = 0 })
+		w.unansweredAppendShare = 0.4
+		w.after(lasts, func() { w.unansweredAppendShare = 0 })
 	case 6:
 		f.crash(lasts)
 	case 7:
-		f.cut = true
-		w.after(lasts, func() { f.cut = false })
+		f.unreachable = true
+		w.after(lasts, func() { f.unreachable = false })
 	case 8:
-		f.hidden = true
-		w.after(lasts, func() { f.hidden = false })
+		f.unlisted = true
+		w.after(lasts, func() { f.unlisted = false })
 	case 9:
 		for _, other := range w.boxes {
 			w.killBox(other, lasts)
--- a/services/dispatch/runtimes_test.go
+++ b/services/dispatch/runtimes_test.go
@@ -19,7 +19,7 @@
 	w.t.Helper()
 	var slack time.Duration
 	answered := false
-	w.holder().ask(func(call exchange.CallID) exchange.Event { return exchange.ExplanationAsked{Call: call, Job: id} },
+	w.holder().call(func(call exchange.CallID) exchange.Event { return exchange.ExplanationAsked{Call: call, Job: id} },
 		func(a exchange.Answer) { slack, answered = a.Explanation.Slack.Duration(), true })
 	w.run(50 * time.Millisecond)
 	assert.Assert(w.t, answered)
@@ -29,7 +29,7 @@
 func TestLearnedRunTimesSurviveTakeover(t *testing.T) {
 	w := newServingWorld(t, 31, 3, 6)
 	for _, f := range w.workers {
-		f.slowBy = 4
+		f.slowdown = 4
 	}
 	slackOfNew := func(id string) time.Duration {
 		// The objective is 1.5 times the expected work, plus 250 ms.
@@ -45,7 +45,7 @@
 	w.run(8 * time.Second)
 	assert.Check(t, slackOfNew("learned") > 4*time.Second, "tasks have taken 2 to 6 s")
 	w.holder().kill()
-	w.until(10*time.Second, "another box holds the cell", func() bool { return w.holder() != nil })
+	w.waitUntil(10*time.Second, "another box holds the cell", func() bool { return w.holder() != nil })
 	w.run(time.Second)
 	assert.Check(t, slackOfNew("inherited") > 4*time.Second, "the next holder has the learned run times")
 }
--- a/services/dispatch/shrink_test.go
+++ b/services/dispatch/shrink_test.go
@@ -22,7 +22,7 @@
 // startLimit returns the capacity that starts on the worker may use.
 func (f *fakeWorker) startLimit() resource.Vector {
 	if f.w.now.Sub(f.shrunkAt) < shrinkDelay {
-		return f.capacity.Max(f.before)
+		return f.capacity.Max(f.formerCapacity)
 	}
 	return f.capacity
 }
@@ -30,14 +30,14 @@
 // resize changes the worker's capacity. The list shows a smaller capacity at once, while checks use
 // it only after shrinkDelay.
 func (f *fakeWorker) resize(to resource.Vector) {
-	f.before, f.shrunkAt = f.startLimit(), f.w.now
+	f.formerCapacity, f.shrunkAt = f.startLimit(), f.w.now
 	f.capacity = to
 }
 
 // TestRandomWorldsWithChangingCapacity changes the capacity of workers while tasks run, capacity is
 // reserved for gangs, and workers and boxes are lost.
 func TestRandomWorldsWithChangingCapacity(t *testing.T) {
-	for seed := range seeds() {
+	for seed := range seedCount() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(t, 11000+seed, 3, 8)
@@ -49,13 +49,13 @@
 				w.after(time.Duration(w.rng.Intn(18000))*time.Millisecond, w.resizeRandomWorker)
 			}
 			for range 2 {
-				w.after(time.Duration(w.rng.Intn(15000))*time.Millisecond, w.crashTrouble)
+				w.after(time.Duration(w.rng.Intn(15000))*time.Millisecond, w.injectCrashes)
 			}
-			w.watch(100)
+			w.runChecked(100)
 			for _, f := range w.workers {
 				f.resize(workerCapacity)
 			}
-			w.untilEnded()
+			w.runUntilEnded()
 		})
 	}
 }
--- a/services/dispatch/silence_test.go
+++ b/services/dispatch/silence_test.go
@@ -22,31 +22,31 @@
 	w := newWorld(t, 1, 2, 9)
 	w.waitUntilServing()
 	lost := w.submit(longJob("lost", 1))
-	w.until(time.Second, "the first job runs", func() bool { return w.runningCount("lost") == 1 })
+	w.waitUntil(time.Second, "the first job runs", func() bool { return w.runningCount("lost") == 1 })
 	cutOff := w.workers[0]
 	for _, f := range w.workers {
 		if len(f.runs) > 0 {
 			cutOff = f
 		}
 	}
-	cutOff.cut = true
+	cutOff.unreachable = true
 	w.run(3 * time.Second)
 	w.submit(longJob("long", 9))
-	w.until(time.Second, "the second runs", func() bool { return w.runningCount("long") > 5 })
+	w.waitUntil(time.Second, "the second runs", func() bool { return w.runningCount("long") > 5 })
 	// There is no room for all tasks of the next job, so some of them wait.
 	w.submit(longJob("next", 7))
 	w.run(500 * time.Millisecond)
 	assert.Check(t, w.runningCount("next") < 7)
 	w.killBox(w.holder(), 500*time.Millisecond)
-	w.until(10*time.Second, "another box holds the cell", func() bool { return w.holder() != nil })
+	w.waitUntil(10*time.Second, "another box holds the cell", func() bool { return w.holder() != nil })
 	tookOver := w.now
 	w.cancel(w.jobs["long"])
-	w.until(10*time.Second, "the waiting tasks run", func() bool { return w.runningCount("next") == 7 })
+	w.waitUntil(10*time.Second, "the waiting tasks run", func() bool { return w.runningCount("next") == 7 })
 	assert.Check(t, w.now.Sub(tookOver) < 1500*time.Millisecond, "after %v", w.now.Sub(tookOver))
 	// The task on the unresponsive worker is started again only when its lease has expired.
 	assert.Equal(t, w.runningCount("lost"), 1)
-	w.until(10*time.Second, "its task has started again", func() bool { return w.starts[job.TaskID{StepID: job.StepID{Job: "lost"}}] == 2 })
-	w.check()
+	w.waitUntil(10*time.Second, "its task has started again", func() bool { return w.starts[job.TaskID{StepID: job.StepID{Job: "lost"}}] == 2 })
+	w.requireNoViolations()
 	w.cancel(lost)
 }
 
@@ -61,13 +61,13 @@
 // Workers repeatedly stop answering and answer again while the holder changes. No task may run
 // twice because of an outdated record of an unresponsive worker.
 func TestUnresponsiveWorkersAcrossTakeovers(t *testing.T) {
-	for seed := range seeds() {
+	for seed := range seedCount() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(t, 91000+seed, 3, 10)
 			w.useWorkspaces()
 			w.publishCaps(0)
-			w.lateShare = []float64{0, 0, 0.05}[w.rng.Intn(3)]
+			w.lateOrderShare = []float64{0, 0, 0.05}[w.rng.Intn(3)]
 			w.waitUntilServing()
 			for range 12 {
 				f := w.workers[w.rng.Intn(len(w.workers))]
@@ -77,8 +77,8 @@
 						f.crash(duration)
 						return
 					}
-					f.cut = true
-					w.after(duration, func() { f.cut = false })
+					f.unreachable = true
+					w.after(duration, func() { f.unreachable = false })
 				})
 			}
 			for range 4 {
@@ -88,7 +88,7 @@
 					}
 				})
 			}
-			w.plays()
+			w.runWithFaults()
 		})
 	}
 }
--- a/services/dispatch/silent_test.go
+++ b/services/dispatch/silent_test.go
@@ -89,13 +89,13 @@
 
 func TestStalledRunsAreMoved(t *testing.T) {
 	w := newServingWorld(t, 31, 1, 3)
-	w.workers[0].stalls = true
+	w.workers[0].stallsRuns = true
 	for i := range 12 {
 		w.submit(oneStep(string(rune('a'+i)), "quick", 2, false))
 	}
-	w.until(8*time.Second, "the jobs have ended", w.ended)
-	assert.Check(t, w.workers[0].begun > 0, "no run started on the worker whose runs stall")
-	w.check()
+	w.waitUntil(8*time.Second, "the jobs have ended", w.allEnded)
+	assert.Check(t, w.workers[0].startCount > 0, "no run started on the worker whose runs stall")
+	w.requireNoViolations()
 }
 
 func TestCellIsTakenOverSoonAfterLogReturns(t *testing.T) {
@@ -104,14 +104,14 @@
 	w.logDown = true
 	w.run(2 * time.Second)
 	// The holder loses its network before the log recovers.
-	first.noLog, first.noPeers = true, true
+	first.logUnreachable, first.peersUnreachable = true, true
 	w.run(3 * time.Second)
 	w.logDown = false
-	w.until(1100*time.Millisecond, "another box holds the cell", func() bool {
+	w.waitUntil(1100*time.Millisecond, "another box holds the cell", func() bool {
 		h := w.holder()
 		return h != nil && h != first
 	})
-	w.check()
+	w.requireNoViolations()
 }
 
 func TestStartIsNotResentWithoutAuthority(t *testing.T) {
--- a/services/dispatch/speed_test.go
+++ b/services/dispatch/speed_test.go
@@ -14,21 +14,21 @@
 func TestSlowWorkerGetsFewTasksAndIsRetried(t *testing.T) {
 	w := newServingWorld(t, 21, 1, 4)
 	countStarts := func(name string, jobs int) (slow, all int) {
-		before := w.workers[0].begun
+		before := w.workers[0].startCount
 		for i := range jobs {
 			w.submit(oneStep(fmt.Sprintf("%s%d", name, i), "quick", 2, false))
 			w.run(100 * time.Millisecond)
 		}
-		return w.workers[0].begun - before, 2 * jobs
+		return w.workers[0].startCount - before, 2 * jobs
 	}
-	w.workers[0].slowBy = 6
+	w.workers[0].slowdown = 6
 	countStarts("warm", 60)
 	slow, all := countStarts("slow", 60)
 	assert.Check(t, slow < all/10, "%d of %d tasks were started on the slow worker", slow, all)
 
-	w.workers[0].slowBy = 1
+	w.workers[0].slowdown = 1
 	w.run(11 * time.Second)
 	slow, all = countStarts("usual", 100)
 	assert.Check(t, slow > all/10, "%d of %d tasks were started on the worker that is no longer slow", slow, all)
-	w.check()
+	w.requireNoViolations()
 }
--- a/services/dispatch/throttle_test.go
+++ b/services/dispatch/throttle_test.go
@@ -28,7 +28,7 @@
 	d, looks := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	s := oneStep("j", "quick", 1, false)
 	s.Steps[0].Service, s.Steps[0].TailTarget = true, 100
-	s.Steps = append(s.Steps, job.Step{Tasks: 1, Need: need, Filler: true})
+	s.Steps = append(s.Steps, job.Step{Tasks: 1, Need: defaultNeed, Filler: true})
 	starts := effectsOf[exchange.StartRun](d.submitAndLog(s))
 	assert.Equal(t, len(starts), 2)
 	for _, start := range starts {
--- a/services/dispatch/turns_test.go
+++ b/services/dispatch/turns_test.go
@@ -41,7 +41,7 @@
 }
 
 // startsWithin reports whether a job's first task starts within a time.
-func (w *world) startsWithin(limit time.Duration, a *asked) bool {
+func (w *world) startsWithin(limit time.Duration, a *submittedJob) bool {
 	first := job.TaskID{StepID: job.StepID{Job: a.sub.ID}}
 	for end := w.now.Add(limit); w.now.Before(end); {
 		if w.starts[first] > 0 {
@@ -72,6 +72,6 @@
 		}
 		// The next holder has to work off the backlog.
 		w.killBox(w.holder(), time.Second)
-		w.untilEnded()
+		w.runUntilEnded()
 	}
 }
--- a/services/dispatch/worldbox_test.go
+++ b/services/dispatch/worldbox_test.go
@@ -19,48 +19,48 @@
 type fakeBox struct {
 	w           *world
 	name        string
-	life        int
-	size        int64
+	incarnation int
+	extraSize   int64
 	core        *dispatch.Core
 	alive       bool
 	pausedUntil time.Time
-	// noLog cuts the box off from the log, noPeers from the other boxes.
-	noLog, noPeers bool
-	started        bool
-	nextClaim      int64
-	nextMember     int64
-	follow         bool
-	calls          map[exchange.CallID]func(exchange.Answer)
-	lastCall       exchange.CallID
+	// logUnreachable cuts the box off from the log, peersUnreachable from the other boxes.
+	logUnreachable, peersUnreachable bool
+	hasReadClaims                    bool
+	nextClaimOffset                  int64
+	nextMemberOffset                 int64
+	followsWorkers                   bool
+	pendingCalls                     map[exchange.CallID]func(exchange.Answer)
+	lastCall                         exchange.CallID
 	// stopped says that a planned stop is complete.
 	stopped bool
 }
 
 func (b *fakeBox) start() {
-	b.life++
-	b.alive, b.started, b.follow = true, false, false
+	b.incarnation++
+	b.alive, b.hasReadClaims, b.followsWorkers = true, false, false
 	b.pausedUntil = time.Time{}
-	b.nextClaim, b.nextMember = 0, 0
-	b.calls = map[exchange.CallID]func(exchange.Answer){}
-	self := claim.Member{Box: b.name, Incarnation: fmt.Sprintf("%s/%d", b.name, b.life), Domain: "a", Address: b.name, Size: 1 + b.size}
+	b.nextClaimOffset, b.nextMemberOffset = 0, 0
+	b.pendingCalls = map[exchange.CallID]func(exchange.Answer){}
+	self := claim.Member{Box: b.name, Incarnation: fmt.Sprintf("%s/%d", b.name, b.incarnation), Domain: "a", Address: b.name, Size: 1 + b.extraSize}
 	s := settings()
-	s.Disabled = b.w.without
+	s.Disabled = b.w.disabled
 	b.core = dispatch.New(s, self)
 	b.post(exchange.ConfigRead{Config: b.w.config})
-	b.tick(b.life)
-	b.poll(b.life)
+	b.tick(b.incarnation)
+	b.pollStreams(b.incarnation)
 }
 
 func (b *fakeBox) kill() { b.alive = false }
 
 func (b *fakeBox) post(e exchange.Event) {
-	life := b.life
+	life := b.incarnation
 	b.w.after(0, func() { b.deliver(life, e) })
 }
 
 // deliver gives the reducer an event, once the box is no longer paused.
 func (b *fakeBox) deliver(life int, e exchange.Event) {
-	if !b.alive || b.life != life {
+	if !b.alive || b.incarnation != life {
 		return
 	}
 	if b.w.now.Before(b.pausedUntil) {
@@ -69,75 +69,75 @@
 	}
 	b.core.Handle(b.w.now, e)
 	for _, eff := range b.core.Decide(b.w.now) {
-		b.do(life, eff)
+		b.perform(life, eff)
 	}
 }
 
 func (b *fakeBox) tick(life int) {
-	if !b.alive || b.life != life {
+	if !b.alive || b.incarnation != life {
 		return
 	}
 	b.deliver(life, exchange.Tick{})
 	b.w.after(20*time.Millisecond, func() { b.tick(life) })
 }
 
-// poll reads the streams that every box follows.
-func (b *fakeBox) poll(life int) {
-	if !b.alive || b.life != life {
+// pollStreams reads the streams that every box follows.
+func (b *fakeBox) pollStreams(life int) {
+	if !b.alive || b.incarnation != life {
 		return
 	}
-	b.w.after(30*time.Millisecond, func() { b.poll(life) })
-	if b.w.logDown || b.noLog {
+	b.w.after(30*time.Millisecond, func() { b.pollStreams(life) })
+	if b.w.logDown || b.logUnreachable {
 		b.deliver(life, exchange.ClaimsRead{Failure: "down"})
 		return
 	}
 	b.readMembers(life)
-	claims := b.w.log[stream.Claims]
+	claims := b.w.streams[stream.Claims]
 	next := int64(len(claims.records))
-	if b.started && next == b.nextClaim && b.core.IsLogReachable() {
+	if b.hasReadClaims && next == b.nextClaimOffset && b.core.IsLogReachable() {
 		return
 	}
-	records := slices.Clone(claims.records[b.nextClaim:])
-	start := !b.started
-	b.nextClaim, b.started = next, true
+	records := slices.Clone(claims.records[b.nextClaimOffset:])
+	start := !b.hasReadClaims
+	b.nextClaimOffset, b.hasReadClaims = next, true
 	b.w.after(b.w.delay(), func() { b.deliver(life, exchange.ClaimsRead{First: start, Records: records, Next: next}) })
 }
 
 func (b *fakeBox) readMembers(life int) {
-	records := b.w.log[stream.Boxes].records
-	if int64(len(records)) == b.nextMember {
+	records := b.w.streams[stream.Boxes].records
+	if int64(len(records)) == b.nextMemberOffset {
 		return
 	}
 	var members []claim.Member
-	for _, r := range records[b.nextMember:] {
+	for _, r := range records[b.nextMemberOffset:] {
 		var m claim.Member
 		if json.Unmarshal(r.Value, &m) == nil {
 			members = append(members, m)
 		}
 	}
-	b.nextMember = int64(len(records))
+	b.nextMemberOffset = int64(len(records))
 	b.w.after(b.w.delay(), func() { b.deliver(life, exchange.MembersRead{Members: members}) })
 }
 
-func (b *fakeBox) do(life int, e exchange.Effect) {
+func (b *fakeBox) perform(life int, e exchange.Effect) {
 	w := b.w
 	back := func(d time.Duration, e exchange.Event) { w.after(d, func() { b.deliver(life, e) }) }
 	switch e := e.(type) {
 	case exchange.Append:
 		w.append(b, e, back)
 	case exchange.LoadJobs:
-		w.load(b, e, back)
+		w.loadJobs(b, e, back)
 	case exchange.FollowWorkers:
-		b.follow = e.On
+		b.followsWorkers = e.On
 		if e.On {
 			b.followWorkers(life)
 		}
 	case exchange.Renew:
 		w.renew(b, e, back)
 	case exchange.StartRun:
-		w.start(b, e, back)
+		w.startRun(b, e, back)
 	case exchange.StopRun:
-		w.stop(b, e, back)
+		w.stopRun(b, e, back)
 	case exchange.Advise:
 		w.advise(e, back)
 	case exchange.AskPledges:
@@ -145,35 +145,35 @@
 	case exchange.Invite:
 		w.invite(b, e, back)
 	case exchange.Reply:
-		if f := b.calls[e.Call]; f != nil {
-			delete(b.calls, e.Call)
+		if f := b.pendingCalls[e.Call]; f != nil {
+			delete(b.pendingCalls, e.Call)
 			f(e.Answer)
 		}
 	case exchange.Stopped:
 		b.stopped = true
 	case exchange.LogEvent:
-		w.trace = append(w.trace, fmt.Sprintf("%v %s %s %v", w.now.Sub(w.begin), b.name, e.Message, e.Fields))
+		w.trace = append(w.trace, fmt.Sprintf("%v %s %s %v", w.now.Sub(w.startedAt), b.name, e.Message, e.Fields))
 	}
 }
 
 func (b *fakeBox) followWorkers(life int) {
-	if !b.alive || b.life != life || !b.follow {
+	if !b.alive || b.incarnation != life || !b.followsWorkers {
 		return
 	}
 	b.w.after(300*time.Millisecond, func() { b.followWorkers(life) })
-	if b.w.logDown || b.noLog {
+	if b.w.logDown || b.logUnreachable {
 		return
 	}
 	l := order.Listing{Complete: true}
-	l.Present = b.w.listed()
+	l.Present = b.w.listedWorkers()
 	b.w.after(b.w.delay(), func() { b.deliver(life, exchange.WorkersRead{Listing: l}) })
 }
 
-// ask makes a call at a box and tells the answer.
-func (b *fakeBox) ask(event func(exchange.CallID) exchange.Event, answer func(exchange.Answer)) {
+// call makes a call at a box and tells the answer.
+func (b *fakeBox) call(event func(exchange.CallID) exchange.Event, answer func(exchange.Answer)) {
 	b.lastCall++
 	id := b.lastCall
-	b.calls[id] = answer
+	b.pendingCalls[id] = answer
 	b.post(event(id))
 }
 
@@ -202,9 +202,9 @@
 			}
 		}
 		w.after(400*time.Millisecond, func() { take(exchange.Answer{}) })
-		if other := w.box(name); other.alive && !b.noPeers && !other.noPeers {
+		if other := w.box(name); other.alive && !b.peersUnreachable && !other.peersUnreachable {
 			w.after(w.delay(), func() {
-				other.ask(func(id exchange.CallID) exchange.Event { return exchange.PledgeAsked{Call: id, Epoch: e.Epoch} }, take)
+				other.call(func(id exchange.CallID) exchange.Event { return exchange.PledgeAsked{Call: id, Epoch: e.Epoch} }, take)
 			})
 		}
 	}
@@ -219,8 +219,8 @@
 		}
 	}
 	w.after(400*time.Millisecond, func() { ended(false) })
-	if other := w.box(e.Address); other.alive && !b.noPeers && !other.noPeers {
-		other.ask(func(id exchange.CallID) exchange.Event { return exchange.InviteAsked{Call: id, Epoch: e.Epoch} },
+	if other := w.box(e.Address); other.alive && !b.peersUnreachable && !other.peersUnreachable {
+		other.call(func(id exchange.CallID) exchange.Event { return exchange.InviteAsked{Call: id, Epoch: e.Epoch} },
 			func(a exchange.Answer) { ended(a.Outcome != exchange.OK) })
 	}
 }
@@ -231,7 +231,7 @@
 			return b
 		}
 	}
-	w.fail("no box %s", name)
+	w.fatalf("no box %s", name)
 	return nil
 }
 
--- a/services/dispatch/worldcheck_test.go
+++ b/services/dispatch/worldcheck_test.go
@@ -14,9 +14,9 @@
 	"saddlevane/modules/ordered"
 )
 
-// attemptsOf returns how often a task of a queue may fail. Jobs of a queue that is
+// maxAttempts returns how often a task of a queue may fail. Jobs of a queue that is
 // gone keep what held before.
-func (w *world) attemptsOf(queue string) int {
+func (w *world) maxAttempts(queue string) int {
 	if q, ok := w.config.Queues[queue]; ok {
 		return q.Attempts
 	}
@@ -27,7 +27,7 @@
 func (w *world) checkStart(f *fakeWorker, s order.Start) {
 	a := w.jobs[s.Task.Job]
 	if a == nil || !a.mayRun {
-		w.breaks("%v was refused or never asked for, and starts", s.Task)
+		w.violationf("%v was refused or never asked for, and starts", s.Task)
 		return
 	}
 	step := a.sub.Steps[s.Task.Step]
@@ -38,12 +38,12 @@
 		}
 	}
 	if !used.Fits(f.startLimit()) {
-		w.breaks("%v on %s: %v is more than there is, %v (%v before, until %v ago); runs %v", s.Task, f.life, used, f.capacity, f.before, w.now.Sub(f.shrunkAt), slices.Collect(maps.Keys(f.runs)))
+		w.violationf("%v on %s: %v is more than there is, %v (%v before, until %v ago); runs %v", s.Task, f.incarnation, used, f.capacity, f.formerCapacity, w.now.Sub(f.shrunkAt), slices.Collect(maps.Keys(f.runs)))
 	}
 	for _, other := range w.workers {
 		for run, r := range ordered.By(other.runs, order.Run.Compare) {
 			if other.alive && run.Task == s.Task && !r.unreached {
-				w.breaks("%v runs on %s as %d and starts on %s as %d (fence %d, carried out late: %v)", s.Task, other.life, run.Number, f.life, s.Number, s.Fence, w.carriesLate)
+				w.violationf("%v runs on %s as %d and starts on %s as %d (fence %d, carried out late: %v)", s.Task, other.incarnation, run.Number, f.incarnation, s.Number, s.Fence, w.executingLateOrder)
 			}
 		}
 	}
@@ -52,39 +52,39 @@
 	if step.Gang {
 		id.Index = 0
 	}
-	if a.noted[id] {
-		w.breaks("%v starts again as %d on %s after its end was noted (fence %d, carried out late: %v)", s.Task, s.Number, f.life, s.Fence, w.carriesLate)
+	if a.acknowledged[id] {
+		w.violationf("%v starts again as %d on %s after its end was noted (fence %d, carried out late: %v)", s.Task, s.Number, f.incarnation, s.Fence, w.executingLateOrder)
 	}
-	if most := w.attemptsOf(a.sub.Queue); a.failures[id] >= most {
-		w.breaks("%v starts again after %d failed runs", s.Task, a.failures[id])
+	if most := w.maxAttempts(a.sub.Queue); a.acknowledgedFailures[id] >= most {
+		w.violationf("%v starts again after %d failed runs", s.Task, a.acknowledgedFailures[id])
 	}
 	for _, before := range step.After {
 		for i := range a.sub.Steps[before].Tasks {
 			if !a.done[job.TaskID{StepID: job.StepID{Job: s.Task.Job, Step: before}, Index: i}] {
-				w.breaks("%v starts before step %d is done", s.Task, before)
+				w.violationf("%v starts before step %d is done", s.Task, before)
 			}
 		}
 	}
 	if !a.cancelled.IsZero() && w.now.Sub(a.cancelled) > 3*time.Second {
-		w.breaks("%v starts %v after its job was cancelled", s.Task, w.now.Sub(a.cancelled))
+		w.violationf("%v starts %v after its job was cancelled", s.Task, w.now.Sub(a.cancelled))
 	}
 }
 
-func (w *world) fail(format string, args ...any) {
+func (w *world) fatalf(format string, args ...any) {
 	w.t.Helper()
-	for _, line := range w.trace[max(0, len(w.trace)-traceShown):] {
+	for _, line := range w.trace[max(0, len(w.trace)-maxTraceLines):] {
 		w.t.Log(line)
 	}
-	w.t.Fatalf("seed %d at %v: %s", w.seed, w.now.Sub(w.begin), fmt.Sprintf(format, args...))
+	w.t.Fatalf("seed %d at %v: %s", w.seed, w.now.Sub(w.startedAt), fmt.Sprintf(format, args...))
 }
 
-func (w *world) breaks(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf("at %v: ", w.now.Sub(w.begin))+fmt.Sprintf(format, args...))
+func (w *world) violationf(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf("at %v: ", w.now.Sub(w.startedAt))+fmt.Sprintf(format, args...))
 }
 
-func (w *world) check() {
+func (w *world) requireNoViolations() {
 	w.t.Helper()
-	if len(w.broken) > 0 {
-		w.fail("%v", w.broken[0])
+	if len(w.violations) > 0 {
+		w.fatalf("%v", w.violations[0])
 	}
 }
--- a/services/dispatch/worldjobs_test.go
+++ b/services/dispatch/worldjobs_test.go
@@ -13,18 +13,18 @@
 )
 
 // submit hands a job in at some box until it is accepted.
-func (w *world) submit(s job.Submission) *asked {
-	a := &asked{
-		sub: s, done: map[job.TaskID]bool{}, noted: map[job.TaskID]bool{}, failures: map[job.TaskID]int{},
+func (w *world) submit(s job.Submission) *submittedJob {
+	a := &submittedJob{
+		sub: s, done: map[job.TaskID]bool{}, acknowledged: map[job.TaskID]bool{}, acknowledgedFailures: map[job.TaskID]int{},
 	}
 	w.jobs[s.ID] = a
-	w.order = append(w.order, s.ID)
-	w.handIn(a)
+	w.jobIDs = append(w.jobIDs, s.ID)
+	w.trySubmit(a)
 	return a
 }
 
-func (w *world) handIn(a *asked) {
-	again := func() { w.after(200*time.Millisecond, func() { w.handIn(a) }) }
+func (w *world) trySubmit(a *submittedJob) {
+	again := func() { w.after(200*time.Millisecond, func() { w.trySubmit(a) }) }
 	b := w.boxes[w.rng.Intn(len(w.boxes))]
 	if h := w.holder(); h != nil {
 		b = h
@@ -42,7 +42,7 @@
 			again()
 		}
 	})
-	b.ask(func(id exchange.CallID) exchange.Event { return exchange.Submitted{Call: id, Submission: a.sub} },
+	b.call(func(id exchange.CallID) exchange.Event { return exchange.Submitted{Call: id, Submission: a.sub} },
 		func(got exchange.Answer) {
 			if answered {
 				return
@@ -56,13 +56,13 @@
 		})
 }
 
-func (w *world) cancel(a *asked) {
+func (w *world) cancel(a *submittedJob) {
 	h := w.holder()
 	if h == nil {
 		w.after(100*time.Millisecond, func() { w.cancel(a) })
 		return
 	}
-	h.ask(func(id exchange.CallID) exchange.Event { return exchange.CancelAsked{Call: id, Job: a.sub.ID} },
+	h.call(func(id exchange.CallID) exchange.Event { return exchange.CancelAsked{Call: id, Job: a.sub.ID} },
 		func(got exchange.Answer) {
 			if got.Outcome == exchange.OK && got.State == job.Cancelled {
 				a.cancelled = w.now
@@ -70,18 +70,18 @@
 		})
 }
 
-// states asks the holder for the state of all jobs.
-func (w *world) states() {
+// queryStates asks the holder for the state of all jobs.
+func (w *world) queryStates() {
 	h := w.holder()
 	if h == nil {
 		return
 	}
-	for _, id := range w.order {
+	for _, id := range w.jobIDs {
 		a := w.jobs[id]
-		h.ask(func(call exchange.CallID) exchange.Event { return exchange.StateAsked{Call: call, Job: id} },
+		h.call(func(call exchange.CallID) exchange.Event { return exchange.StateAsked{Call: call, Job: id} },
 			func(got exchange.Answer) {
 				if got.Outcome == exchange.NoJob && a.accepted {
-					w.breaks("%s was accepted and is not known", id)
+					w.violationf("%s was accepted and is not known", id)
 				}
 				a.state = got.State
 				w.checkState(a)
@@ -89,7 +89,7 @@
 	}
 }
 
-func (w *world) checkState(a *asked) {
+func (w *world) checkState(a *submittedJob) {
 	w.checkFailed(a)
 	if a.state != job.Succeeded {
 		return
@@ -97,14 +97,14 @@
 	for i, s := range a.sub.Steps {
 		for index := range s.Tasks {
 			if !a.done[job.TaskID{StepID: job.StepID{Job: a.sub.ID, Step: i}, Index: index}] {
-				w.breaks("%s is shown as succeeded and step %d task %d is not done", a.sub.ID, i, index)
+				w.violationf("%s is shown as succeeded and step %d task %d is not done", a.sub.ID, i, index)
 			}
 		}
 	}
 }
 
-func (w *world) ended() bool {
-	w.states()
+func (w *world) allEnded() bool {
+	w.queryStates()
 	for _, a := range w.jobs {
 		if a.accepted && !a.state.IsFinal() {
 			return false
@@ -115,7 +115,7 @@
 
 func oneStep(id string, queue string, tasks int, gang bool) job.Submission {
 	return job.Submission{ID: job.ID(id), Queue: queue, Spec: "x", Steps: []job.Step{
-		{Tasks: tasks, Need: need, Estimate: 1000, Gang: gang},
+		{Tasks: tasks, Need: defaultNeed, Estimate: 1000, Gang: gang},
 	}}
 }
 
