--- a/services/ledger/ledger_test.go
+++ b/services/ledger/ledger_test.go
@@ -53,7 +53,7 @@
 	return w.append(record.Entry{Publish: &record.Publish{ID: id, File: file, Replaces: replaces, Data: data}})
 }
 
-func (w *testLog) read(l *ledger.Ledger) []ledger.PublishResult {
+func (w *testLog) apply(l *ledger.Ledger) []ledger.PublishResult {
 	var decided []ledger.PublishResult
 	for i := l.NextOffset(); i < int64(len(w.records)); i++ {
 		envelope, err := record.Decode(w.records[i])
@@ -73,7 +73,7 @@
 	w, l := &testLog{t: t}, ledger.New()
 	w.publish("c", "cell", 0, cellFile)
 	w.publish("j", "work", 0, jobFile)
-	for _, p := range w.read(l) {
+	for _, p := range w.apply(l) {
 		assert.Assert(t, p.Accepted, "%v", p.Reasons)
 	}
 	return w, l
@@ -83,7 +83,7 @@
 	w, l := &testLog{t: t}, ledger.New()
 	w.publish("one", "cell", 0, cellFile)
 	w.publish("two", "cell", 0, cellFile)
-	decided := w.read(l)
+	decided := w.apply(l)
 	assert.Equal(t, len(decided), 2)
 	assert.Check(t, decided[0].Accepted)
 	assert.Check(t, !decided[1].Accepted, "the second replaced nothing, yet was accepted")
@@ -96,12 +96,12 @@
 // the second did not have it yet and appended it too, then took its ledger from a peer
 // that had, and read its own record of the file after that. Nothing told that both are
 // one publication.
-func TestPublicationAppendedByTwoBoxesIsAcceptedOnce(t *testing.T) {
+func TestPublicationAppendedByTwoBoxesTakesEffectOnce(t *testing.T) {
 	w, l := newLogWithJob(t)
 	revision := w.publish("x", "more", 0, strings.ReplaceAll(strings.ReplaceAll(jobFile, "work", "more"), "name: j", "name: k")) + 1
-	first := w.read(l)
+	first := w.apply(l)
 	w.publish("x", "more", 0, strings.ReplaceAll(strings.ReplaceAll(jobFile, "work", "more"), "name: j", "name: k"))
-	second := w.read(l)
+	second := w.apply(l)
 	assert.Equal(t, len(first), 1)
 	assert.Equal(t, len(second), 1)
 	assert.Check(t, first[0].Accepted && second[0].Accepted, "%+v, %+v", first[0], second[0])
@@ -114,7 +114,7 @@
 	for _, box := range []string{"first", "second"} {
 		w.append(record.Entry{Claim: &record.Claim{Shard: shard, Box: box, Incarnation: "i"}})
 	}
-	w.read(l)
+	w.apply(l)
 	c, _ := l.Claim(shard)
 	assert.Equal(t, c.Box(), "first")
 }
@@ -123,7 +123,7 @@
 	w, l := &testLog{t: t}, ledger.New()
 	first := w.publish("one", "cell", 0, cellFile)
 	w.records = append(w.records, w.records[first])
-	decided := w.read(l)
+	decided := w.apply(l)
 	assert.Check(t, decided[0].Accepted)
 	assert.DeepEqual(t, decided[1], decided[0])
 	assert.Equal(t, l.Revision("cell"), decided[0].Revision)
@@ -136,41 +136,41 @@
 	w, whole := &testLog{t: t}, ledger.New()
 	w.publish("c", "cell", 0, cellFile)
 	w.publish("j", "work", 0, jobFile)
-	w.read(whole)
+	w.apply(whole)
 	o, ok := whole.ObjectByName("j")
 	assert.Assert(t, ok)
 	w.append(record.Entry{Claim: &record.Claim{Shard: spec.ShardID{Domain: "a"}, Box: "x", Incarnation: "i"}})
 	w.append(record.Entry{Intents: &record.Tasks{Object: o.ID(), Ranges: []record.Range{{From: 0, To: 4}}}})
 	w.append(record.Entry{Done: &record.Tasks{Object: o.ID(), Ranges: []record.Range{{From: 1, To: 3}}}})
-	w.read(whole)
+	w.apply(whole)
 	for _, part := range ledger.SplitCheckpoint("cp", whole.Snapshot()) {
 		w.append(record.Entry{Checkpoint: &part})
 	}
 	w.append(record.Entry{Done: &record.Tasks{Object: o.ID(), Ranges: []record.Range{{From: 3, To: 4}}}})
 	w.publish("j2", "work", whole.Snapshot().Files[1].Revision, strings.Replace(jobFile, "team: t", "team: t, priority: urgent", 1))
-	w.read(whole)
+	w.apply(whole)
 
 	const first = 4 // everything before is gone
 	seek := ledger.NewCheckpointSearch(first)
-	w.read(seek)
+	w.apply(seek)
 	s, ok := seek.FoundCheckpoint(first)
 	assert.Assert(t, ok)
 	late, err := ledger.Restore(s)
 	assert.NilError(t, err)
-	w.read(late)
+	w.apply(late)
 	assert.DeepEqual(t, late.Snapshot(), whole.Snapshot())
 }
 
 func TestCheckpointOlderThanRetainedLogIsNotUsed(t *testing.T) {
 	w, l := &testLog{t: t}, ledger.New()
 	w.publish("c", "cell", 0, cellFile)
-	w.read(l)
+	w.apply(l)
 	stale := ledger.SplitCheckpoint("cp", l.Snapshot())
 	w.publish("j", "work", 0, jobFile)
 	w.append(record.Entry{Checkpoint: &stale[0]})
 	const first = 2
 	seek := ledger.NewCheckpointSearch(first)
-	w.read(seek)
+	w.apply(seek)
 	_, ok := seek.FoundCheckpoint(first)
 	assert.Check(t, !ok)
 }
@@ -189,7 +189,7 @@
 			w, l := &testLog{t: t}, ledger.New()
 			w.publish("c", "cell", 0, cellFile)
 			w.publish("x", test.file, 0, test.data)
-			decided := w.read(l)
+			decided := w.apply(l)
 			assert.Check(t, !decided[1].Accepted)
 			assert.Check(t, strings.Contains(strings.Join(decided[1].Reasons, "; "), test.want), "reasons: %q", decided[1].Reasons)
 			assert.Equal(t, len(l.Files()), 1)
@@ -204,7 +204,7 @@
 	w.publish("c2", "cell", e.Revision(), noTeam)
 	moved := strings.Replace(cellFile, "domain: a, shard: 0", "domain: a, shard: 1", 1)
 	w.publish("c3", "cell", e.Revision(), moved)
-	for _, p := range w.read(l) {
+	for _, p := range w.apply(l) {
 		assert.Check(t, !p.Accepted, p.ID)
 	}
 }
@@ -220,7 +220,7 @@
 	assert.Equal(t, next, 10)
 	e, _ := l.Entry("work")
 	w.publish("j2", "work", e.Revision(), strings.Replace(jobFile, "team: t", "team: t, priority: urgent", 1))
-	w.read(l)
+	w.apply(l)
 	again, _ := l.ObjectByName("j")
 	assert.Equal(t, again.ID(), o.ID())
 	assert.DeepEqual(t, again.Homes(), o.Homes())
@@ -232,10 +232,10 @@
 	w.append(record.Entry{Done: &record.Tasks{Object: o.ID(), Ranges: []record.Range{{From: 0, To: 10}}}})
 	e, _ := l.Entry("work")
 	w.publish("gone", "work", e.Revision(), "name: work\n")
-	w.read(l)
+	w.apply(l)
 	e, _ = l.Entry("work")
 	w.publish("back", "work", e.Revision(), jobFile)
-	w.read(l)
+	w.apply(l)
 	again, _ := l.ObjectByName("j")
 	assert.Check(t, again.ID() != o.ID())
 	assert.Check(t, !l.Progress(again.ID()).Ended(0))
@@ -253,7 +253,7 @@
 		settled += "  - {task: '" + key.String() + "', as: " + as + "}\n"
 	}
 	w.publish("s", "work", e.Revision(), settled)
-	w.read(l)
+	w.apply(l)
 	p := l.Progress(o.ID())
 	assert.Check(t, p.Done().Contains(0), "a finished task was settled anew")
 	assert.Check(t, p.Done().Contains(1))
@@ -266,9 +266,9 @@
 	shard := spec.ShardID{Domain: "a"}
 	w.publish("c", "cell", 0, cellFile)
 	claim := w.append(record.Entry{Claim: &record.Claim{Shard: shard, Box: "x", Incarnation: "i"}}) + 1
-	w.read(l)
+	w.apply(l)
 	w.publish("c2", "cell", l.Revision("cell"), strings.Replace(cellFile, "[w1, w2]", "[w1]", 1))
-	w.read(l)
+	w.apply(l)
 	assert.DeepEqual(t, l.FormerWorkers(shard), map[string]string{"w2": "r1"})
 	restored, err := ledger.Restore(l.Snapshot())
 	assert.NilError(t, err)
@@ -276,12 +276,12 @@
 
 	moved := strings.NewReplacer("[w1, w2]", "[w1]", "[w3, w4]", "[w3, w4, w2]").Replace(cellFile)
 	w.publish("c3", "cell", l.Revision("cell"), moved)
-	assert.Check(t, !w.read(l)[0].Accepted, "it may still run tasks of its old shard")
+	assert.Check(t, !w.apply(l)[0].Accepted, "it may still run tasks of its old shard")
 
 	w.append(record.Entry{Forget: &record.Forget{Shard: shard, Claim: claim - 1, Workers: []string{"w2"}}})
-	w.read(l)
+	w.apply(l)
 	assert.Equal(t, len(l.FormerWorkers(shard)), 1, "an earlier holder was believed")
 	w.append(record.Entry{Forget: &record.Forget{Shard: shard, Claim: claim, Workers: []string{"w2"}}})
-	w.read(l)
+	w.apply(l)
 	assert.Equal(t, len(l.FormerWorkers(shard)), 0)
 }
