--- a/cmd/saddlevane-bench/rig.go
+++ b/cmd/saddlevane-bench/rig.go
@@ -101,7 +101,7 @@
 func (r *rig) publish(name, rest string) {
 	p := &record.Publish{ID: name, File: name, Replaces: r.ledger.Revision(name), Data: "name: " + name + "\n" + rest}
 	applied := r.apply(record.Envelope{ID: name, From: "bench", Entries: []record.Entry{{Publish: p}}})
-	if pub := applied.Changes[0].PublishResult; !pub.Accepted {
+	if pub := applied.Changes[0].PublishDecision; !pub.Accepted {
 		panic(fmt.Sprint(name, pub.Reasons))
 	}
 	r.holder.SetObjects(r.now)
--- a/services/core/publish.go
+++ b/services/core/publish.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func (c *Core) answerPublication(p *ledger.PublishResult) []effect.Effect {
+func (c *Core) answerPublication(p *ledger.PublishDecision) []effect.Effect {
 	waiting, ok := c.publications[p.ID]
 	if !ok {
 		return nil
--- a/services/core/reader.go
+++ b/services/core/reader.go
@@ -180,8 +180,8 @@
 		c.journal.RecordApplied(now, applied.ID)
 		for _, change := range applied.Changes {
 			files = files || change.FilesChanged
-			if change.PublishResult != nil {
-				effects = append(effects, c.answerPublication(change.PublishResult)...)
+			if change.PublishDecision != nil {
+				effects = append(effects, c.answerPublication(change.PublishDecision)...)
 			}
 		}
 	}
--- a/services/ledger/ledger.go
+++ b/services/ledger/ledger.go
@@ -118,7 +118,7 @@
 // Change is something that Apply altered.
 type Change struct {
 	// Publication is set for each publish that was decided.
-	PublishResult *PublishResult
+	PublishDecision *PublishDecision
 	// Files says that files in force changed.
 	FilesChanged bool
 	// Claims says that a shard changed hands.
@@ -127,8 +127,8 @@
 	Progress []task.ObjectID
 }
 
-// PublishResult is the log's decision on a publish.
-type PublishResult struct {
+// PublishDecision is the log's decision on a publish.
+type PublishDecision struct {
 	// ID names the operator's publication.
 	ID       string
 	Accepted bool
--- a/services/ledger/ledger_test.go
+++ b/services/ledger/ledger_test.go
@@ -53,14 +53,14 @@
 	return w.append(record.Entry{Publish: &record.Publish{ID: id, File: file, Replaces: replaces, Data: data}})
 }
 
-func (w *testLog) apply(l *ledger.Ledger) []ledger.PublishResult {
-	var decided []ledger.PublishResult
+func (w *testLog) apply(l *ledger.Ledger) []ledger.PublishDecision {
+	var decided []ledger.PublishDecision
 	for i := l.NextOffset(); i < int64(len(w.records)); i++ {
 		envelope, err := record.Decode(w.records[i])
 		assert.NilError(w.t, err)
 		for _, c := range l.Apply(i, start, envelope).Changes {
-			if c.PublishResult != nil {
-				decided = append(decided, *c.PublishResult)
+			if c.PublishDecision != nil {
+				decided = append(decided, *c.PublishDecision)
 			}
 		}
 	}
--- a/services/ledger/publish.go
+++ b/services/ledger/publish.go
@@ -121,10 +121,10 @@
 func (l *Ledger) applyPublish(revision int64, p *record.Publish) Change {
 	if e, ok := l.files[p.File]; ok && e.publicationID == p.ID {
 		// Another box has appended it too, since the first one asked gave no answer.
-		return Change{PublishResult: &PublishResult{ID: p.ID, Accepted: true, Revision: e.revision}}
+		return Change{PublishDecision: &PublishDecision{ID: p.ID, Accepted: true, Revision: e.revision}}
 	}
 	if reasons := l.Check(p); len(reasons) > 0 {
-		return Change{PublishResult: &PublishResult{ID: p.ID, Revision: l.Revision(p.File), Reasons: reasons}}
+		return Change{PublishDecision: &PublishDecision{ID: p.ID, Revision: l.Revision(p.File), Reasons: reasons}}
 	}
 	file, _ := p.Parse()
 	previous, reshape := l.files[p.File], l.affectsCell(file)
@@ -143,7 +143,7 @@
 	}
 	l.replaceObjects(revision, p.File, previous)
 	l.applySettlements(file)
-	return Change{FilesChanged: true, PublishResult: &PublishResult{ID: p.ID, Accepted: true, Revision: revision}}
+	return Change{FilesChanged: true, PublishDecision: &PublishDecision{ID: p.ID, Accepted: true, Revision: revision}}
 }
 
 func (l *Ledger) dropObjects(e *Entry) {
