--- a/cmd/saddlevane-bench/measure.go
+++ b/cmd/saddlevane-bench/measure.go
@@ -171,7 +171,7 @@
 
 func routeCost(targets int) float64 {
 	now := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
-	r := routing.New(routing.Settings{KeyTTL: time.Minute, MaxKeys: 1, EjectAfter: 3, EjectFor: time.Second, EjectMost: time.Second},
+	r := routing.New(routing.Settings{KeyTTL: time.Minute, MaxKeys: 1, EjectAfter: 3, EjectFor: time.Second, MaxEjectFor: time.Second},
 		routing.DefaultPolicy(), "e1", "i", func(time.Time) ulid.ULID { return ulid.ULID{} })
 	r.SetPeers(now, []string{"e1"}, nil)
 	r.SetPools(now, map[string]spec.Pool{"p": {Name: "p", Slots: 8, Connections: 60, Classes: []spec.Class{
--- a/cmd/saddlevaned/jobs.go
+++ b/cmd/saddlevaned/jobs.go
@@ -170,7 +170,7 @@
 			ConfigPropagation: j.ConfigWithin, ShareWindow: j.Share, Disabled: without,
 		},
 		Tick: jobTick, ReadWait: claimsWait, WorkersInterval: workersEvery, CallTimeout: logCall,
-		Relays: relay.Limits{From: j.RelayFrom, PerRelay: j.RelayWorkers}, PeerTimeout: j.PeerTimeout, Probe: c.Probe, Answer: c.Answer,
+		Relays: relay.Limits{MinWorkers: j.RelayFrom, WorkersPerRelay: j.RelayWorkers}, PeerTimeout: j.PeerTimeout, Probe: c.Probe, Answer: c.Answer,
 	}, err
 }
 
@@ -189,7 +189,7 @@
 	advice := platform.NewAdvice(s.Jobs.Advice, client("advice service"))
 	return jobrun.Platform{
 		Log:     jobrun.Log{Append: log.Append, Read: log.Read, Newest: log.Newest},
-		Workers: relay.Workers{Renew: workers.Renew, Start: workers.Start, Stop: workers.Stop, Throttle: workers.Throttle},
+		Workers: relay.WorkerCalls{Renew: workers.Renew, Start: workers.Start, Stop: workers.Stop, Throttle: workers.Throttle},
 		Advise:  advice.Ask, Config: platform.Config, Listing: platform.Listing,
 	}
 }
--- a/cmd/saddlevaned/settings.go
+++ b/cmd/saddlevaned/settings.go
@@ -28,8 +28,8 @@
 		Routing: routing.Settings{
 			KeyTTL: s.Requests.KeyTTL, MaxKeys: s.Requests.MaxKeys,
 			RetryRatio: s.Requests.RetryRatio, RetryBurst: s.Requests.RetryBurst,
-			EjectAfter: s.Requests.EjectAfter, EjectFor: s.Requests.EjectFor, EjectMost: s.Requests.EjectMost,
-			LeastAttempt: s.Requests.LeastAttempt,
+			EjectAfter: s.Requests.EjectAfter, EjectFor: s.Requests.EjectFor, MaxEjectFor: s.Requests.EjectMost,
+			MinAttemptTimeout: s.Requests.LeastAttempt,
 		},
 		Shard:     shardSettings(s),
 		Retention: s.Platform.Retention, StopGrace: s.Stop.Grace, MaxStopTime: s.Stop.Most,
@@ -51,7 +51,7 @@
 	weights := placement.Weights{Tight: p.Tight, Balance: p.Balance}
 	routes := routing.DefaultPolicy()
 	if p.Routing == setting.RoutingPlain {
-		routes = routing.PlainPolicy()
+		routes = routing.BaselinePolicy()
 	}
 	return core.Policies{
 		Routing: routes,
--- a/routers/callers.go
+++ b/routers/callers.go
@@ -37,35 +37,35 @@
 		r.Handle(method, "/v1/pools/:pool/:class/*path", c.serve)
 	}
 	r.POST("/v1/keys", c.issueKey)
-	r.GET("/healthz", healthy)
-	r.GET("/readyz", ready(loop))
+	r.GET("/healthz", handleHealth)
+	r.GET("/readyz", readinessHandler(loop))
 	return r
 }
 
 func (c *Callers) serve(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	in, refused := c.incoming(r, p)
+	in, refused := c.parseRequest(r, p)
 	if refused != nil {
-		c.render(w, runtime.Result{Status: refused.Status, Verdict: refused.Verdict, Refusal: refused})
+		c.writeResult(w, runtime.Result{Status: refused.Status, Verdict: refused.Verdict, Refusal: refused})
 		return
 	}
 	result, ok := c.requests.Serve(r.Context(), in)
 	if !ok {
 		return
 	}
-	c.render(w, result)
+	c.writeResult(w, result)
 }
 
-func (c *Callers) incoming(r *http.Request, p httprouter.Params) (runtime.Incoming, *request.Refusal) {
+func (c *Callers) parseRequest(r *http.Request, p httprouter.Params) (runtime.Incoming, *request.Refusal) {
 	key, err := request.ParseKey(r.Header.Get(request.HeaderKey))
 	if err != nil {
-		return runtime.Incoming{}, notRun(http.StatusBadRequest, err.Error())
+		return runtime.Incoming{}, notRunRefusal(http.StatusBadRequest, err.Error())
 	}
 	body, err := httpjson.ReadAll(r.Body, c.maxBody)
 	if errors.Is(err, httpjson.ErrTooLarge) {
-		return runtime.Incoming{}, notRun(http.StatusRequestEntityTooLarge, "the body is too large")
+		return runtime.Incoming{}, notRunRefusal(http.StatusRequestEntityTooLarge, "the body is too large")
 	}
 	if err != nil {
-		return runtime.Incoming{}, notRun(http.StatusBadRequest, "the body could not be read")
+		return runtime.Incoming{}, notRunRefusal(http.StatusBadRequest, "the body could not be read")
 	}
 	path := p.ByName("path")
 	if r.URL.RawQuery != "" {
@@ -77,11 +77,11 @@
 	}, nil
 }
 
-func notRun(status int, reason string) *request.Refusal {
+func notRunRefusal(status int, reason string) *request.Refusal {
 	return &request.Refusal{Status: status, Verdict: verdict.NotRun, Reason: reason}
 }
 
-func (c *Callers) render(w http.ResponseWriter, result runtime.Result) {
+func (c *Callers) writeResult(w http.ResponseWriter, result runtime.Result) {
 	for name, values := range runtime.ResultHeader(result) {
 		w.Header()[name] = values
 	}
--- a/routers/health.go
+++ b/routers/health.go
@@ -19,12 +19,12 @@
 	OK bool `json:"ok"`
 }
 
-func healthy(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+func handleHealth(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	httpjson.Write(w, http.StatusOK, health{OK: true})
 }
 
-// ready answers whether the balancer should send callers here.
-func ready(loop *runtime.Loop) httprouter.Handle {
+// readinessHandler answers whether the balancer should send callers here.
+func readinessHandler(loop *runtime.Loop) httprouter.Handle {
 	return func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		ok := false
 		loop.Query(func(_ time.Time, c *core.Core) { ok = c.Ready() })
--- a/routers/jobs.go
+++ b/routers/jobs.go
@@ -35,10 +35,10 @@
 	r.GET("/v1/jobs/:id", j.state)
 	r.DELETE("/v1/jobs/:id", j.cancel)
 	r.GET("/v1/jobs/:id/explain", j.explain)
-	r.GET("/v1/queues/:name", j.count)
-	r.GET("/v1/cell", j.cell)
+	r.GET("/v1/queues/:name", j.queueStatus)
+	r.GET("/v1/cell", j.cellStatus)
 	r.GET("/v1/version", j.version)
-	r.GET("/healthz", healthy)
+	r.GET("/healthz", handleHealth)
 	r.GET("/readyz", j.ready)
 	r.Handler(http.MethodGet, "/metrics", promhttp.HandlerFor(loop.Metrics().Gatherer(), promhttp.HandlerOpts{}))
 	return r
@@ -63,27 +63,27 @@
 			return
 		}
 	}
-	j.answer(w, j.loop.Serve(r.Context(), jobrun.Request{Submit: &s}))
+	j.writeAnswer(w, j.loop.Serve(r.Context(), jobrun.Request{Submit: &s}))
 }
 
 func (j *Jobs) state(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	j.answer(w, j.loop.Serve(r.Context(), jobrun.Request{State: job.ID(p.ByName("id"))}))
+	j.writeAnswer(w, j.loop.Serve(r.Context(), jobrun.Request{State: job.ID(p.ByName("id"))}))
 }
 
 func (j *Jobs) cancel(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	j.answer(w, j.loop.Serve(r.Context(), jobrun.Request{Cancel: job.ID(p.ByName("id"))}))
+	j.writeAnswer(w, j.loop.Serve(r.Context(), jobrun.Request{Cancel: job.ID(p.ByName("id"))}))
 }
 
 func (j *Jobs) explain(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	j.answer(w, j.loop.Serve(r.Context(), jobrun.Request{Explain: job.ID(p.ByName("id"))}))
+	j.writeAnswer(w, j.loop.Serve(r.Context(), jobrun.Request{Explain: job.ID(p.ByName("id"))}))
 }
 
-func (j *Jobs) count(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	j.answer(w, j.loop.Serve(r.Context(), jobrun.Request{Count: p.ByName("name")}))
+func (j *Jobs) queueStatus(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
+	j.writeAnswer(w, j.loop.Serve(r.Context(), jobrun.Request{Count: p.ByName("name")}))
 }
 
-// cell tells what this box knows of the cell.
-func (j *Jobs) cell(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+// cellStatus tells what this box knows of the cell.
+func (j *Jobs) cellStatus(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	var s job.CellStatus
 	if !j.loop.Query(func(now time.Time, c *dispatch.Core) { s = c.Status(now) }) {
 		httpjson.Error(w, http.StatusServiceUnavailable, "this entry box has stopped")
@@ -106,8 +106,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// answer renders what became of a call.
-func (j *Jobs) answer(w http.ResponseWriter, a exchange.Answer) {
+// writeAnswer renders what became of a call.
+func (j *Jobs) writeAnswer(w http.ResponseWriter, a exchange.Answer) {
 	switch a.Outcome {
 	case exchange.OK:
 		httpjson.Write(w, http.StatusOK, a)
--- a/routers/metrics.go
+++ b/routers/metrics.go
@@ -18,23 +18,23 @@
 
 // collector reads the reducer's state when metrics are asked for.
 type collector struct {
-	loop     *runtime.Loop
-	requests *prometheus.Desc
-	waiting  *prometheus.Desc
-	inflight *prometheus.Desc
-	slots    *prometheus.Desc
-	ejected  *prometheus.Desc
-	files    *prometheus.Desc
-	logNext  *prometheus.Desc
-	logDown  *prometheus.Desc
-	journal  *prometheus.Desc
-	held     *prometheus.Desc
-	running  *prometheus.Desc
-	queued   *prometheus.Desc
-	packed   *prometheus.Desc
-	starts   *prometheus.Desc
-	lost     *prometheus.Desc
-	double   *prometheus.Desc
+	loop         *runtime.Loop
+	requests     *prometheus.Desc
+	waiting      *prometheus.Desc
+	inflight     *prometheus.Desc
+	slots        *prometheus.Desc
+	ejected      *prometheus.Desc
+	fileRevision *prometheus.Desc
+	logNext      *prometheus.Desc
+	logFailing   *prometheus.Desc
+	logWaiting   *prometheus.Desc
+	workersHeld  *prometheus.Desc
+	running      *prometheus.Desc
+	queued       *prometheus.Desc
+	packedRatio  *prometheus.Desc
+	starts       *prometheus.Desc
+	lost         *prometheus.Desc
+	duplicates   *prometheus.Desc
 }
 
 // NewMetrics returns the registry of a process.
@@ -50,31 +50,31 @@
 		return prometheus.NewDesc("saddlevane_"+name, help, labels, nil)
 	}
 	return &collector{
-		loop:     loop,
-		requests: desc("requests_total", "Requests ended, by verdict and status.", "pool", "class", "verdict", "status"),
-		waiting:  desc("requests_waiting", "Requests that wait for a target.", "pool", "class"),
-		inflight: desc("requests_inflight", "Requests at targets.", "pool"),
-		slots:    desc("target_slots", "Requests this box may have at healthy targets.", "pool"),
-		ejected:  desc("targets_ejected", "Targets that only get probes.", "pool"),
-		files:    desc("file_revision", "Revision in force.", "file"),
-		logNext:  desc("log_next_offset", "Offset of the first record not read."),
-		logDown:  desc("log_failing", "1 if the last read (or append) of the log failed.", "call"),
-		journal:  desc("log_entries_waiting", "Entries not yet known to be in the log."),
-		held:     desc("workers_held", "Workers whose lease this box has.", "shard"),
-		running:  desc("tasks_running", "Tasks with a place.", "shard"),
-		queued:   desc("tasks_waiting", "Tasks that wait.", "shard"),
-		packed:   desc("packed_ratio", "Largest part of any resource that is reserved.", "shard"),
-		starts:   desc("task_starts_total", "Starts sent to workers.", "shard"),
-		lost:     desc("tasks_lost_total", "Attempts that ended without an outcome.", "shard"),
-		double:   desc("tasks_duplicate_total", "Tasks found in two places. Must stay 0.", "shard"),
+		loop:         loop,
+		requests:     desc("requests_total", "Requests ended, by verdict and status.", "pool", "class", "verdict", "status"),
+		waiting:      desc("requests_waiting", "Requests that wait for a target.", "pool", "class"),
+		inflight:     desc("requests_inflight", "Requests at targets.", "pool"),
+		slots:        desc("target_slots", "Requests this box may have at healthy targets.", "pool"),
+		ejected:      desc("targets_ejected", "Targets that only get probes.", "pool"),
+		fileRevision: desc("file_revision", "Revision in force.", "file"),
+		logNext:      desc("log_next_offset", "Offset of the first record not read."),
+		logFailing:   desc("log_failing", "1 if the last read (or append) of the log failed.", "call"),
+		logWaiting:   desc("log_entries_waiting", "Entries not yet known to be in the log."),
+		workersHeld:  desc("workers_held", "Workers whose lease this box has.", "shard"),
+		running:      desc("tasks_running", "Tasks with a place.", "shard"),
+		queued:       desc("tasks_waiting", "Tasks that wait.", "shard"),
+		packedRatio:  desc("packed_ratio", "Largest part of any resource that is reserved.", "shard"),
+		starts:       desc("task_starts_total", "Starts sent to workers.", "shard"),
+		lost:         desc("tasks_lost_total", "Attempts that ended without an outcome.", "shard"),
+		duplicates:   desc("tasks_duplicate_total", "Tasks found in two places. Must stay 0.", "shard"),
 	}
 }
 
 // Describe sends the description of each metric.
 func (c *collector) Describe(out chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{
-		c.requests, c.waiting, c.inflight, c.slots, c.ejected, c.files, c.logNext, c.logDown, c.journal,
-		c.held, c.running, c.queued, c.packed, c.starts, c.lost, c.double,
+		c.requests, c.waiting, c.inflight, c.slots, c.ejected, c.fileRevision, c.logNext, c.logFailing, c.logWaiting,
+		c.workersHeld, c.running, c.queued, c.packedRatio, c.starts, c.lost, c.duplicates,
 	} {
 		out <- d
 	}
@@ -103,12 +103,12 @@
 
 func (c *collector) collectLog(out chan<- prometheus.Metric, s status.Process) {
 	for _, f := range s.Files {
-		out <- gauge(c.files, float64(f.Revision), f.Name)
+		out <- gauge(c.fileRevision, float64(f.Revision), f.Name)
 	}
 	out <- gauge(c.logNext, float64(s.Log.Next))
-	out <- gauge(c.logDown, boolean(s.Log.ReadFailing != ""), "read")
-	out <- gauge(c.logDown, boolean(s.Log.AppendFailing != ""), "append")
-	out <- gauge(c.journal, float64(s.Log.Waiting))
+	out <- gauge(c.logFailing, boolToFloat(s.Log.ReadFailing != ""), "read")
+	out <- gauge(c.logFailing, boolToFloat(s.Log.AppendFailing != ""), "append")
+	out <- gauge(c.logWaiting, float64(s.Log.Waiting))
 }
 
 func (c *collector) collectPools(out chan<- prometheus.Metric, pools []status.Pool) {
@@ -130,13 +130,13 @@
 
 func (c *collector) collectShards(out chan<- prometheus.Metric, shards []status.Shard) {
 	for _, s := range shards {
-		out <- gauge(c.held, float64(s.Held), s.ID)
+		out <- gauge(c.workersHeld, float64(s.Held), s.ID)
 		out <- gauge(c.running, float64(s.Running), s.ID)
 		out <- gauge(c.queued, float64(s.Waiting), s.ID)
-		out <- gauge(c.packed, s.Packed, s.ID)
+		out <- gauge(c.packedRatio, s.Packed, s.ID)
 		out <- counter(c.starts, s.Starts, s.ID)
 		out <- counter(c.lost, s.Lost, s.ID)
-		out <- counter(c.double, s.Duplicates, s.ID)
+		out <- counter(c.duplicates, s.Duplicates, s.ID)
 	}
 }
 
@@ -148,7 +148,7 @@
 	return prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(v), labels...)
 }
 
-func boolean(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/routers/operators.go
+++ b/routers/operators.go
@@ -23,8 +23,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// publishPatience is how long an operator waits for the log's decision.
-const publishPatience = 10 * time.Second
+// publishTimeout is how long an operator waits for the log's decision.
+const publishTimeout = 10 * time.Second
 
 // Operators serves the operators' tool, metrics and dumps.
 type Operators struct{ loop *runtime.Loop }
@@ -33,22 +33,22 @@
 func NewOperators(loop *runtime.Loop, metrics prometheus.Gatherer) http.Handler {
 	o := &Operators{loop: loop}
 	r := httprouter.New()
-	r.GET("/v1/status", read(loop, func(now time.Time, c *core.Core) status.Process { return c.Status(now) }))
-	r.GET("/v1/queue", read(loop, func(_ time.Time, c *core.Core) []status.Work { return c.Work() }))
-	r.GET("/v1/places", read(loop, func(_ time.Time, c *core.Core) []status.Place { return c.Places(status.MaxListed) }))
-	r.GET("/v1/dump", read(loop, func(now time.Time, c *core.Core) status.Dump { return c.Dump(now) }))
+	r.GET("/v1/status", queryHandler(loop, func(now time.Time, c *core.Core) status.Process { return c.Status(now) }))
+	r.GET("/v1/queue", queryHandler(loop, func(_ time.Time, c *core.Core) []status.Work { return c.Work() }))
+	r.GET("/v1/places", queryHandler(loop, func(_ time.Time, c *core.Core) []status.Place { return c.Places(status.MaxListed) }))
+	r.GET("/v1/dump", queryHandler(loop, func(now time.Time, c *core.Core) status.Dump { return c.Dump(now) }))
 	r.GET("/v1/files/:name", o.file)
 	r.POST("/v1/files/:name", o.publish)
 	r.GET("/v1/explain", o.explain)
 	r.GET("/v1/version", o.version)
-	r.GET("/healthz", healthy)
-	r.GET("/readyz", ready(loop))
+	r.GET("/healthz", handleHealth)
+	r.GET("/readyz", readinessHandler(loop))
 	r.Handler(http.MethodGet, "/metrics", promhttp.HandlerFor(metrics, promhttp.HandlerOpts{}))
 	return r
 }
 
-// read answers with what f reads from the reducer.
-func read[T any](loop *runtime.Loop, f func(time.Time, *core.Core) T) httprouter.Handle {
+// queryHandler answers with what f reads from the reducer.
+func queryHandler[T any](loop *runtime.Loop, f func(time.Time, *core.Core) T) httprouter.Handle {
 	return func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		var v T
 		if !loop.Query(func(now time.Time, c *core.Core) { v = f(now, c) }) {
@@ -92,7 +92,7 @@
 	}
 	result := o.loop.Publish(r.Context(), record.Publish{
 		ID: id, File: p.ByName("name"), Replaces: replaces, Data: string(data),
-	}, publishPatience)
+	}, publishTimeout)
 	httpjson.Write(w, publishStatus(result.Outcome), result)
 }
 
--- a/services/core/status.go
+++ b/services/core/status.go
@@ -108,7 +108,7 @@
 func (c *Core) Dump(now time.Time) status.Dump {
 	d := status.Dump{
 		Process: c.Status(now), Work: c.Work(), Places: c.Places(status.MaxListed),
-		Requests: c.router.Requests(), Keys: c.router.Keys(),
+		Requests: c.router.UnansweredCount(), Keys: c.router.KeyCount(),
 	}
 	for _, id := range c.shardIDs() {
 		d.Workers = append(d.Workers, c.holders[id].Workers(now, status.MaxListed-len(d.Workers))...)
--- a/services/core/stop.go
+++ b/services/core/stop.go
@@ -47,4 +47,4 @@
 }
 
 // Idle says whether every request has been answered.
-func (c *Core) Idle() bool { return c.router.Idle() }
+func (c *Core) Idle() bool { return c.router.IsIdle() }
--- a/services/core/world_test.go
+++ b/services/core/world_test.go
@@ -38,7 +38,7 @@
 	return core.Settings{
 		Journal:    journal.Settings{Interval: 50 * time.Millisecond, RetryAfter: 200 * time.Millisecond, Limit: 1000},
 		Membership: membership.Settings{HeartbeatInterval: 200 * time.Millisecond, DeadAfter: time.Second},
-		Routing:    routing.Settings{KeyTTL: time.Minute, MaxKeys: 10, EjectAfter: 3, EjectFor: time.Second, EjectMost: time.Second},
+		Routing:    routing.Settings{KeyTTL: time.Minute, MaxKeys: 10, EjectAfter: 3, EjectFor: time.Second, MaxEjectFor: time.Second},
 		Shard: shard.Settings{
 			Lease: 1500 * time.Millisecond, RenewInterval: 300 * time.Millisecond, ClockMargin: 100 * time.Millisecond, TaskLease: taskLease,
 			SettleTime: time.Second, GoneAfter: time.Hour, Backoff: 100 * time.Millisecond, MaxBackoff: time.Second, GangOvertakeTimeout: time.Second,
--- a/services/jobrun/follow.go
+++ b/services/jobrun/follow.go
@@ -124,7 +124,7 @@
 		members = append(members, m)
 	}
 	if len(members) > 0 {
-		l.relays.Boxes(members)
+		l.relays.AddBoxes(members)
 		l.post(exchange.MembersRead{Members: members})
 	}
 }
@@ -147,7 +147,7 @@
 				listing := l.platform.Listing(p.Records)
 				listing.Complete = whole
 				if whole || len(p.Records) > 0 {
-					l.relays.Workers(listing)
+					l.relays.UpdateWorkers(listing)
 					l.post(exchange.WorkersRead{Listing: listing})
 				}
 			},
--- a/services/jobrun/loop.go
+++ b/services/jobrun/loop.go
@@ -36,7 +36,7 @@
 // Platform is what the process reaches outside the cell's entry boxes.
 type Platform struct {
 	Log     Log
-	Workers relay.Workers
+	Workers relay.WorkerCalls
 	Advise  func(ctx context.Context, step job.StepID, workers []string) ([]order.Ticket, error)
 	// Config returns the configuration that the records hold, if any does.
 	Config func(records []stream.Record) (job.Config, bool, error)
@@ -90,10 +90,10 @@
 	gate  overload.Gate
 	peers *Peers
 	// relays says which boxes carry orders to workers, carrier gives them.
-	relays      *relay.Roster
+	relays      *relay.Selector
 	relayClient *relay.Client
 	// workers gives orders through relays.
-	workers  relay.Workers
+	workers  relay.WorkerCalls
 	ctx      context.Context
 	cancel   context.CancelFunc
 	tasks    conc.WaitGroup
@@ -134,10 +134,10 @@
 		events: make(chan queuedEvent, eventQueueSize), queries: make(chan func(time.Time, *dispatch.Core)),
 		metrics: newMetrics(), ctx: ctx, cancel: cancel,
 		stopped: make(chan struct{}), calls: map[exchange.CallID]chan exchange.Answer{},
-		relays: relay.NewRoster(s.Relays, self.Box),
+		relays: relay.NewSelector(s.Relays, self.Box),
 	}
 	l.relayClient = relay.NewClient(self, l.now, l.relays, p.Workers, l.batchSender(methodCarry))
-	l.workers = l.relayClient.Workers()
+	l.workers = l.relayClient.WorkerCalls()
 	return l
 }
 
--- a/services/jobrun/reborn_test.go
+++ b/services/jobrun/reborn_test.go
@@ -41,7 +41,7 @@
 	log := platform.NewLog(on.Log(), newClient(t, "log"))
 	p := startBoxVia(t, jobrun.Platform{
 		Log:     jobrun.Log{Append: log.Append, Read: log.Read, Newest: log.Newest},
-		Workers: relay.Workers{Renew: workers.Renew, Start: workers.Start, Stop: workers.Stop, Throttle: workers.Throttle},
+		Workers: relay.WorkerCalls{Renew: workers.Renew, Start: workers.Start, Stop: workers.Stop, Throttle: workers.Throttle},
 		Config:  platform.Config, Listing: platform.Listing,
 	}, "a", io.Discard, func(address string) string { return address })
 
--- a/services/jobrun/relays.go
+++ b/services/jobrun/relays.go
@@ -17,18 +17,18 @@
 // batchSender returns what sends batches to other boxes by a method. The ends of orders may
 // be told of twice; orders may not be given twice, as the second could be taken for a new
 // one of the same holder.
-func (l *Loop) batchSender(method string) func(context.Context, claim.Member, relay.Batch) relay.Fate {
-	return func(ctx context.Context, box claim.Member, b relay.Batch) relay.Fate {
+func (l *Loop) batchSender(method string) func(context.Context, claim.Member, relay.Batch) relay.DeliveryStatus {
+	return func(ctx context.Context, box claim.Member, b relay.Batch) relay.DeliveryStatus {
 		_, err := l.peers.links.Call(ctx, box.Address, peering.Call{Method: method, Params: b, Idempotent: method == methodCarried})
 		failed, _ := errors.AsType[*peering.NoAnswerError](err)
 		switch {
 		case err == nil:
-			return relay.Arrived
+			return relay.Delivered
 		case failed != nil && failed.Sent:
-			return relay.Lost
+			return relay.DeliveryUnknown
 		default:
 			// A box that refuses a batch, such as one of an earlier version, gives none of it.
-			return relay.Unsent
+			return relay.NotSent
 		}
 	}
 }
@@ -42,17 +42,17 @@
 	if !holds {
 		return nil
 	}
-	return l.relays.Relays(l.now())
+	return l.relays.WorkersByRelay(l.now())
 }
 
 // handleBatch takes a batch of another box: orders to carry, or the ends of those that this
 // box has sent.
 func (p *Peers) handleBatch(method string, b relay.Batch) error {
 	if method == methodCarried {
-		p.loop.relayClient.Ended(b)
+		p.loop.relayClient.HandleResults(b)
 		return nil
 	}
-	if err := p.relayServer.Carry(b); err != nil {
+	if err := p.relayServer.HandleOrders(b); err != nil {
 		return &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: err.Error()}
 	}
 	return nil
--- a/services/jobrun/relays_test.go
+++ b/services/jobrun/relays_test.go
@@ -22,7 +22,7 @@
 // relaySettings returns settings with which even a small cell has relays.
 func relaySettings() jobrun.Settings {
 	s := settings()
-	s.Relays = relay.Limits{From: 1, PerRelay: 48}
+	s.Relays = relay.Limits{MinWorkers: 1, WorkersPerRelay: 48}
 	return s
 }
 
--- a/services/relay/bench_test.go
+++ b/services/relay/bench_test.go
@@ -16,41 +16,41 @@
 	"saddlevane/services/relay"
 )
 
-// BenchmarkLook measures what a look through a relay costs the holder, encoding and
+// BenchmarkRenewal measures what a look through a relay costs the holder, encoding and
 // decoding included and the link left out: 48 looks share a batch, and each worker runs
 // five tasks.
-func BenchmarkLook(b *testing.B) {
+func BenchmarkRenewal(b *testing.B) {
 	var report order.Report
 	for i := range 5 {
 		report.Running = append(report.Running, order.Running{Run: run(int64(100_000 + i)), Checkpoint: "00000bb87a21d94b", Progress: 40, Measurement: 16000})
 	}
 	var client *relay.Client
-	send := func(_ context.Context, _ claim.Member, sent relay.Batch) relay.Fate {
+	send := func(_ context.Context, _ claim.Member, sent relay.Batch) relay.DeliveryStatus {
 		if _, err := json.Marshal(sent); err != nil {
 			b.Error(err)
 		}
-		back := relay.Batch{From: sent.From, Life: sent.Life}
+		back := relay.Batch{From: sent.From, Incarnation: sent.Incarnation}
 		for _, o := range sent.Orders {
-			back.Ended = append(back.Ended, relay.Answered{ID: o.ID, Answer: order.Answer{Outcome: order.CarriedOut, Clock: 7}, Report: &report})
+			back.Results = append(back.Results, relay.Result{ID: o.ID, Answer: order.Answer{Outcome: order.CarriedOut, Clock: 7}, Report: &report})
 		}
 		data, err := json.Marshal(back)
 		if err != nil {
 			b.Error(err)
 		}
-		b.SetBytes(int64(len(data) / len(back.Ended)))
+		b.SetBytes(int64(len(data) / len(back.Results)))
 		var got relay.Batch
 		if err := json.Unmarshal(data, &got); err != nil {
 			b.Error(err)
 		}
-		client.Ended(got)
-		return relay.Arrived
+		client.HandleResults(got)
+		return relay.Delivered
 	}
-	roster := relay.NewRoster(relay.Limits{From: 1, PerRelay: 48}, "a-00")
-	roster.Boxes([]claim.Member{member("b", 0)})
-	roster.Workers(listing(48, "b"))
-	client = relay.NewClient(member("a", 0), time.Now, roster, relay.Workers{}, send)
+	roster := relay.NewSelector(relay.Limits{MinWorkers: 1, WorkersPerRelay: 48}, "a-00")
+	roster.AddBoxes([]claim.Member{member("b", 0)})
+	roster.UpdateWorkers(listing(48, "b"))
+	client = relay.NewClient(member("a", 0), time.Now, roster, relay.WorkerCalls{}, send)
 	defer client.Close()
-	workers := client.Workers()
+	workers := client.WorkerCalls()
 	for b.Loop() {
 		var calls sync.WaitGroup
 		for i := range 48 {
--- a/services/relay/client.go
+++ b/services/relay/client.go
@@ -16,57 +16,57 @@
 	"github.com/sourcegraph/conc"
 )
 
-// way is how much sooner than the sender a relay gives an order up, so that the sender
+// relayMargin is how much sooner than the sender a relay gives an order up, so that the sender
 // hears of it and does not take the relay for silent.
-const way = 50 * time.Millisecond
+const relayMargin = 50 * time.Millisecond
 
 // Client gives orders to workers through relays, and directly where none carries them.
 type Client struct {
-	self   claim.Member
-	now    func() time.Time
-	roster *Roster
-	direct Workers
-	send   func(ctx context.Context, box claim.Member, b Batch) Fate
-	ctx    context.Context
-	cancel context.CancelFunc
-	tasks  conc.WaitGroup
+	self       claim.Member
+	now        func() time.Time
+	selector   *Selector
+	direct     WorkerCalls
+	send       func(ctx context.Context, box claim.Member, b Batch) DeliveryStatus
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines conc.WaitGroup
 
 	mu     sync.Mutex
 	lastID uint64
-	// waiting has the orders whose answers are waited for, heardAt when each box last
+	// waiting has the orders whose answers are waited for, lastAnswerAt when each box last
 	// told of any.
-	waiting  map[uint64]*pending
-	heardAt  map[string]time.Time
-	outboxes map[string]*outbox[Order]
+	pending      map[uint64]*pendingOrder
+	lastAnswerAt map[string]time.Time
+	outboxes     map[string]*outbox[Order]
 }
 
-// pending is an order whose answer is waited for.
-type pending struct {
+// pendingOrder is an order whose answer is waited for.
+type pendingOrder struct {
 	box string
 	// done gets the answer.
-	done chan Answered
+	done chan Result
 }
 
 // NewClient returns a client that sends batches by send.
-func NewClient(self claim.Member, now func() time.Time, r *Roster, direct Workers, send func(context.Context, claim.Member, Batch) Fate) *Client {
+func NewClient(self claim.Member, now func() time.Time, r *Selector, direct WorkerCalls, send func(context.Context, claim.Member, Batch) DeliveryStatus) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Client{
-		self: self, now: now, roster: r, direct: direct, send: send, ctx: ctx, cancel: cancel,
-		waiting: map[uint64]*pending{}, heardAt: map[string]time.Time{}, outboxes: map[string]*outbox[Order]{},
+		self: self, now: now, selector: r, direct: direct, send: send, ctx: ctx, cancel: cancel,
+		pending: map[uint64]*pendingOrder{}, lastAnswerAt: map[string]time.Time{}, outboxes: map[string]*outbox[Order]{},
 	}
 }
 
 // Close ends what is under way and waits for it.
 func (c *Client) Close() {
 	c.cancel()
-	c.tasks.Wait()
+	c.goroutines.Wait()
 }
 
-// Workers returns the calls to workers by way of relays.
-func (c *Client) Workers() Workers {
-	return Workers{
+// WorkerCalls returns the calls to workers by way of relays.
+func (c *Client) WorkerCalls() WorkerCalls {
+	return WorkerCalls{
 		Renew: func(ctx context.Context, address string, worker order.Incarnation, r order.Renew) (order.Report, order.Answer) {
-			a, ok := c.carry(ctx, Order{Worker: worker, Address: address, Renew: &r})
+			a, ok := c.sendViaRelay(ctx, Order{Worker: worker, Address: address, Renew: &r})
 			if !ok {
 				return c.direct.Renew(ctx, address, worker, r)
 			}
@@ -77,19 +77,19 @@
 			return *a.Report, a.Answer
 		},
 		Start: func(ctx context.Context, address string, worker order.Incarnation, s order.Start) order.Answer {
-			if a, ok := c.carry(ctx, Order{Worker: worker, Address: address, Start: &s}); ok {
+			if a, ok := c.sendViaRelay(ctx, Order{Worker: worker, Address: address, Start: &s}); ok {
 				return a.Answer
 			}
 			return c.direct.Start(ctx, address, worker, s)
 		},
 		Stop: func(ctx context.Context, address string, worker order.Incarnation, s order.Stop) order.Answer {
-			if a, ok := c.carry(ctx, Order{Worker: worker, Address: address, Stop: &s}); ok {
+			if a, ok := c.sendViaRelay(ctx, Order{Worker: worker, Address: address, Stop: &s}); ok {
 				return a.Answer
 			}
 			return c.direct.Stop(ctx, address, worker, s)
 		},
 		Throttle: func(ctx context.Context, address string, worker order.Incarnation, t order.Throttle) order.Answer {
-			if a, ok := c.carry(ctx, Order{Worker: worker, Address: address, Throttle: &t}); ok {
+			if a, ok := c.sendViaRelay(ctx, Order{Worker: worker, Address: address, Throttle: &t}); ok {
 				return a.Answer
 			}
 			return c.direct.Throttle(ctx, address, worker, t)
@@ -97,117 +97,117 @@
 	}
 }
 
-// carry gives an order through a relay and waits for its answer. It returns false if it
+// sendViaRelay gives an order through a relay and waits for its answer. It returns false if it
 // has surely not been given and none of its time was lost, so that it can be given
 // directly.
-func (c *Client) carry(ctx context.Context, o Order) (Answered, bool) {
-	box, ok := c.roster.Pick(c.now(), o.Worker.Name)
+func (c *Client) sendViaRelay(ctx context.Context, o Order) (Result, bool) {
+	box, ok := c.selector.Pick(c.now(), o.Worker.Name)
 	deadline, bounded := ctx.Deadline()
 	if !ok || !bounded {
-		return Answered{}, false
+		return Result{}, false
 	}
 	within := deadline.Sub(c.now())
-	o.Within = job.Milliseconds((within - min(way, within/4)).Milliseconds())
-	if o.Within <= 0 {
-		return Answered{}, false
+	o.AnswerTimeout = job.Milliseconds((within - min(relayMargin, within/4)).Milliseconds())
+	if o.AnswerTimeout <= 0 {
+		return Result{}, false
 	}
 	overdue, ok := httpclient.OverdueOf(ctx)
 	if !ok {
 		overdue = within
 	}
-	o.Overdue = job.Milliseconds(overdue.Milliseconds())
-	p := &pending{box: box.Box, done: make(chan Answered, 1)}
+	o.OverdueAfter = job.Milliseconds(overdue.Milliseconds())
+	p := &pendingOrder{box: box.Box, done: make(chan Result, 1)}
 	sentAt := c.now()
 	if !c.enqueue(box, &o, p) {
-		return Answered{}, false
+		return Result{}, false
 	}
 	timer := time.NewTimer(overdue)
 	defer timer.Stop()
 	for {
 		select {
 		case a := <-p.done:
-			return c.took(o, a)
+			return c.handleResult(o, a)
 		case <-timer.C:
-			c.overdue(o.Worker.Name, box.Box, sentAt)
+			c.handleOverdue(o.Worker.Name, box.Box, sentAt)
 			continue
 		case <-ctx.Done():
 		case <-c.ctx.Done():
 		}
-		c.forget(o.ID)
-		return unknown(o.ID, "no answer through "+box.Box), true
+		c.removePending(o.ID)
+		return unknownResult(o.ID, "no answer through "+box.Box), true
 	}
 }
 
-// unknown is the answer to an order of which nothing is known.
-func unknown(id uint64, problem string) Answered {
-	return Answered{ID: id, Answer: order.Answer{Outcome: order.Unknown, Problem: problem}}
+// unknownResult is the answer to an order of which nothing is known.
+func unknownResult(id uint64, problem string) Result {
+	return Result{ID: id, Answer: order.Answer{Outcome: order.Unknown, Problem: problem}}
 }
 
-// took takes the answer to an order. One that was surely not sent is given directly.
-func (c *Client) took(o Order, a Answered) (Answered, bool) {
+// handleResult takes the answer to an order. One that was surely not sent is given directly.
+func (c *Client) handleResult(o Order, a Result) (Result, bool) {
 	if a.Answer.Outcome == "" {
 		return a, false
 	}
 	if a.Answer.Outcome == order.Unknown {
-		c.roster.Unanswered(c.now(), o.Worker.Name)
+		c.selector.RecordUnanswered(c.now(), o.Worker.Name)
 	}
 	return a, true
 }
 
 // enqueue has an order sent to a box.
-func (c *Client) enqueue(box claim.Member, o *Order, p *pending) bool {
+func (c *Client) enqueue(box claim.Member, o *Order, p *pendingOrder) bool {
 	c.mu.Lock()
 	c.lastID++
 	o.ID = c.lastID
-	c.waiting[o.ID] = p
+	c.pending[o.ID] = p
 	out := c.outboxes[box.Address]
 	if out == nil {
-		out = &outbox[Order]{box: box, now: c.now, send: c.sendOrders, lost: func(items []Order, f Fate) { c.lost(box.Box, items, f) }}
+		out = &outbox[Order]{box: box, now: c.now, send: c.sendOrders, onFailure: func(items []Order, f DeliveryStatus) { c.handleBatchFailure(box.Box, items, f) }}
 		c.outboxes[box.Address] = out
 	}
 	c.mu.Unlock()
-	if out.add(c.ctx, &c.tasks, *o) {
+	if out.add(c.ctx, &c.goroutines, *o) {
 		return true
 	}
-	c.forget(o.ID)
+	c.removePending(o.ID)
 	return false
 }
 
 // sendOrders sends a batch.
-func (c *Client) sendOrders(ctx context.Context, box claim.Member, orders []Order) Fate {
-	return c.send(ctx, box, Batch{From: c.self.Address, Life: c.self.Incarnation, Orders: orders})
+func (c *Client) sendOrders(ctx context.Context, box claim.Member, orders []Order) DeliveryStatus {
+	return c.send(ctx, box, Batch{From: c.self.Address, Incarnation: c.self.Incarnation, Orders: orders})
 }
 
-// lost ends the wait for orders whose batch has not surely arrived: of one that was not
+// handleBatchFailure ends the wait for orders whose batch has not surely arrived: of one that was not
 // sent the answer is empty.
-func (c *Client) lost(box string, orders []Order, f Fate) {
-	c.roster.Failed(c.now(), box)
+func (c *Client) handleBatchFailure(box string, orders []Order, f DeliveryStatus) {
+	c.selector.RecordBoxFailure(c.now(), box)
 	for _, o := range orders {
-		a := unknown(o.ID, "the link to "+box+" was lost")
-		if f == Unsent {
+		a := unknownResult(o.ID, "the link to "+box+" was lost")
+		if f == NotSent {
 			a.Answer = order.Answer{}
 		}
 		c.deliver(a)
 	}
 }
 
-// Ended takes the ends of orders that a relay tells of.
-func (c *Client) Ended(b Batch) {
-	if b.Life != c.self.Incarnation {
+// HandleResults takes the ends of orders that a relay tells of.
+func (c *Client) HandleResults(b Batch) {
+	if b.Incarnation != c.self.Incarnation {
 		return
 	}
-	for _, a := range b.Ended {
+	for _, a := range b.Results {
 		if box := c.deliver(a); box != "" {
-			c.heard(box)
+			c.recordAnswer(box)
 		}
 	}
 }
 
 // deliver hands an answer to who waits for it, and returns through which box it came.
-func (c *Client) deliver(a Answered) (box string) {
+func (c *Client) deliver(a Result) (box string) {
 	c.mu.Lock()
-	p := c.waiting[a.ID]
-	delete(c.waiting, a.ID)
+	p := c.pending[a.ID]
+	delete(c.pending, a.ID)
 	c.mu.Unlock()
 	if p == nil {
 		return ""
@@ -216,29 +216,29 @@
 	return p.box
 }
 
-// heard notes that a box has told of an order.
-func (c *Client) heard(box string) {
+// recordAnswer notes that a box has told of an order.
+func (c *Client) recordAnswer(box string) {
 	c.mu.Lock()
-	c.heardAt[box] = c.now()
+	c.lastAnswerAt[box] = c.now()
 	c.mu.Unlock()
-	c.roster.Answered(box)
+	c.selector.RecordBoxAnswer(box)
 }
 
-// overdue has a worker that left an order unanswered get the next ones directly, and puts
+// handleOverdue has a worker that left an order unanswered get the next ones directly, and puts
 // its relay aside if that has told of nothing since the order was sent.
-func (c *Client) overdue(worker, box string, sentAt time.Time) {
-	c.roster.Unanswered(c.now(), worker)
+func (c *Client) handleOverdue(worker, box string, sentAt time.Time) {
+	c.selector.RecordUnanswered(c.now(), worker)
 	c.mu.Lock()
-	silent := c.heardAt[box].Before(sentAt)
+	silent := c.lastAnswerAt[box].Before(sentAt)
 	c.mu.Unlock()
 	if silent && c.ctx.Err() == nil {
-		c.roster.Failed(c.now(), box)
+		c.selector.RecordBoxFailure(c.now(), box)
 	}
 }
 
-// forget ends the wait for an order.
-func (c *Client) forget(id uint64) {
+// removePending ends the wait for an order.
+func (c *Client) removePending(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.waiting, id)
+	delete(c.pending, id)
 }
--- a/services/relay/codec.go
+++ b/services/relay/codec.go
@@ -28,28 +28,28 @@
 
 // wireBatch is a batch on the wire.
 type wireBatch struct {
-	From   string `json:"from"`
-	Life   string `json:"life"`
-	Orders []byte `json:"orders,omitempty"`
-	Ended  []byte `json:"ended,omitempty"`
+	From        string `json:"from"`
+	Incarnation string `json:"life"`
+	Orders      []byte `json:"orders,omitempty"`
+	Results     []byte `json:"ended,omitempty"`
 	// Born has, for each that ended, when the life began that told a report, or 0. Boxes of
 	// an earlier release leave it out, and pass over it.
-	Born []byte `json:"born,omitempty"`
+	BirthTimes []byte `json:"born,omitempty"`
 }
 
 // MarshalJSON packs the batch.
 func (b Batch) MarshalJSON() ([]byte, error) {
-	w := wireBatch{From: b.From, Life: b.Life}
+	w := wireBatch{From: b.From, Incarnation: b.Incarnation}
 	var orders, ended, born packer
 	for _, o := range b.Orders {
 		orders.order(o)
 	}
-	for _, a := range b.Ended {
-		ended.answered(a)
+	for _, a := range b.Results {
+		ended.result(a)
 	}
-	w.Orders, w.Ended = orders, ended
-	if born.births(b.Ended) {
-		w.Born = born
+	w.Orders, w.Results = orders, ended
+	if born.birthTimes(b.Results) {
+		w.BirthTimes = born
 	}
 	return json.Marshal(w)
 }
@@ -60,16 +60,16 @@
 	if err := json.Unmarshal(data, &w); err != nil {
 		return fmt.Errorf("batch: %w", err)
 	}
-	*b = Batch{From: w.From, Life: w.Life}
-	orders, ended := &unpacker{rest: w.Orders}, &unpacker{rest: w.Ended}
+	*b = Batch{From: w.From, Incarnation: w.Incarnation}
+	orders, ended := &unpacker{rest: w.Orders}, &unpacker{rest: w.Results}
 	for len(orders.rest) > 0 && orders.err == nil {
 		b.Orders = append(b.Orders, orders.order())
 	}
 	for len(ended.rest) > 0 && ended.err == nil {
-		b.Ended = append(b.Ended, ended.answered())
+		b.Results = append(b.Results, ended.result())
 	}
-	born := &unpacker{rest: w.Born}
-	born.births(b.Ended)
+	born := &unpacker{rest: w.BirthTimes}
+	born.birthTimes(b.Results)
 	if err := errors.Join(orders.err, ended.err, born.err); err != nil {
 		return fmt.Errorf("batch: %w", err)
 	}
@@ -98,8 +98,8 @@
 	p.number(int64(o.ID))
 	p.text(o.Worker.Name)
 	p.text(o.Address)
-	p.number(int64(o.Within))
-	p.number(int64(o.Overdue))
+	p.number(int64(o.AnswerTimeout))
+	p.number(int64(o.OverdueAfter))
 	switch {
 	case o.Renew != nil:
 		p.number(kindRenew)
@@ -127,7 +127,7 @@
 	}
 }
 
-func (p *packer) answered(a Answered) {
+func (p *packer) result(a Result) {
 	p.number(int64(a.ID))
 	p.number(int64(a.Answer.Clock))
 	p.text(string(a.Answer.Outcome))
@@ -154,8 +154,8 @@
 	}
 }
 
-// births packs when the lives began that told reports, and says whether any did tell it.
-func (p *packer) births(all []Answered) bool {
+// birthTimes packs when the lives began that told reports, and says whether any did tell it.
+func (p *packer) birthTimes(all []Result) bool {
 	told := false
 	for _, a := range all {
 		born := int64(0)
@@ -174,8 +174,8 @@
 	err  error
 }
 
-// errPacked means that packed values end too early or make no sense.
-var errPacked = errors.New("packed values are cut short")
+// errTruncated means that packed values end too early or make no sense.
+var errTruncated = errors.New("packed values are cut short")
 
 func (u *unpacker) fail(err error) {
 	if u.err == nil {
@@ -187,7 +187,7 @@
 func (u *unpacker) number() int64 {
 	v, n := binary.Varint(u.rest)
 	if n <= 0 {
-		u.fail(errPacked)
+		u.fail(errTruncated)
 		return 0
 	}
 	u.rest = u.rest[n:]
@@ -197,7 +197,7 @@
 func (u *unpacker) text() string {
 	length, n := binary.Uvarint(u.rest)
 	if n <= 0 || length > uint64(len(u.rest)-n) {
-		u.fail(errPacked)
+		u.fail(errTruncated)
 		return ""
 	}
 	s := string(u.rest[n : n+int(length)])
@@ -209,7 +209,7 @@
 func (u *unpacker) count() int {
 	n := u.number()
 	if n < 0 || n > int64(len(u.rest)) {
-		u.fail(errPacked)
+		u.fail(errTruncated)
 		return 0
 	}
 	return int(n)
@@ -234,7 +234,7 @@
 func (u *unpacker) order() Order {
 	o := Order{
 		ID: uint64(u.number()), Worker: order.Incarnation{Name: u.text()}, Address: u.text(),
-		Within: job.Milliseconds(u.number()), Overdue: job.Milliseconds(u.number()),
+		AnswerTimeout: job.Milliseconds(u.number()), OverdueAfter: job.Milliseconds(u.number()),
 	}
 	switch kind := u.number(); {
 	case u.err != nil:
@@ -254,8 +254,8 @@
 	return o
 }
 
-func (u *unpacker) answered() Answered {
-	a := Answered{ID: uint64(u.number()), Answer: order.Answer{
+func (u *unpacker) result() Result {
+	a := Result{ID: uint64(u.number()), Answer: order.Answer{
 		Clock: order.WorkerClock(u.number()), Outcome: order.Outcome(u.text()), Reason: order.Reason(u.text()), Problem: u.text(),
 	}}
 	if u.number() == 0 {
@@ -273,8 +273,8 @@
 	return a
 }
 
-// births reads when the lives began that told reports, where the sender says it.
-func (u *unpacker) births(all []Answered) {
+// birthTimes reads when the lives began that told reports, where the sender says it.
+func (u *unpacker) birthTimes(all []Result) {
 	for i := range all {
 		if len(u.rest) == 0 {
 			return
--- a/services/relay/codec_test.go
+++ b/services/relay/codec_test.go
@@ -13,17 +13,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// full is a batch with each kind of order and of end.
-func full() relay.Batch {
+// fullBatch is a batch with each kind of order and of end.
+func fullBatch() relay.Batch {
 	return relay.Batch{
-		From: "10.1.0.11:7340", Life: "01M0JPVH8KD3MYTHZT124XCZDT",
+		From: "10.1.0.11:7340", Incarnation: "01M0JPVH8KD3MYTHZT124XCZDT",
 		Orders: []relay.Order{
-			{ID: 1, Worker: order.Incarnation{Name: "w"}, Address: "a", Within: 300, Overdue: 200, Renew: &order.Renew{LeaseEnd: 9, Fence: 2, Acknowledged: 3, MaxWait: 400}},
-			{ID: 2, Worker: order.Incarnation{Name: "w"}, Address: "a", Within: 300, Start: &order.Start{Run: run(1), Spec: "text", LeaseEnd: 9, Fence: 2, Checkpoint: "c", Ticket: "t"}},
-			{ID: 3, Worker: order.Incarnation{Name: "w"}, Address: "a", Within: 300, Stop: &order.Stop{Run: run(2), Fence: 2}},
-			{ID: 4, Worker: order.Incarnation{Name: "w"}, Address: "a", Within: 300, Throttle: &order.Throttle{Run: run(3), Percent: 40, Fence: 2}},
+			{ID: 1, Worker: order.Incarnation{Name: "w"}, Address: "a", AnswerTimeout: 300, OverdueAfter: 200, Renew: &order.Renew{LeaseEnd: 9, Fence: 2, Acknowledged: 3, MaxWait: 400}},
+			{ID: 2, Worker: order.Incarnation{Name: "w"}, Address: "a", AnswerTimeout: 300, Start: &order.Start{Run: run(1), Spec: "text", LeaseEnd: 9, Fence: 2, Checkpoint: "c", Ticket: "t"}},
+			{ID: 3, Worker: order.Incarnation{Name: "w"}, Address: "a", AnswerTimeout: 300, Stop: &order.Stop{Run: run(2), Fence: 2}},
+			{ID: 4, Worker: order.Incarnation{Name: "w"}, Address: "a", AnswerTimeout: 300, Throttle: &order.Throttle{Run: run(3), Percent: 40, Fence: 2}},
 		},
-		Ended: []relay.Answered{
+		Results: []relay.Result{
 			{ID: 1, Answer: order.Answer{Outcome: order.CarriedOut, Clock: 7}},
 			{ID: 2, Answer: order.Answer{Outcome: order.Refused, Reason: order.StaleRun, Clock: 7, Problem: "status 409 old"}},
 			{ID: 3, Answer: order.Answer{Outcome: order.Unknown, Problem: "no answer"}},
@@ -36,23 +36,23 @@
 	}
 }
 
-func TestABatchIsReadAsItWasWritten(t *testing.T) {
-	assert.DeepEqual(t, reread(t, full()), full())
+func TestBatchRoundTrip(t *testing.T) {
+	assert.DeepEqual(t, roundTrip(t, fullBatch()), fullBatch())
 }
 
 // A look that waits at an idle worker and its answer, as they pass 1,000 times a second.
-func TestAnIdleLookIsSmall(t *testing.T) {
-	look := relay.Order{ID: 123456, Worker: order.Incarnation{Name: "i-299c99caea"}, Address: "10.3.64.47:8684", Within: 7330, Overdue: 1200, Renew: &order.Renew{LeaseEnd: 486000, Fence: 12, Acknowledged: 57, MaxWait: 1000}}
-	end := relay.Answered{ID: 123456, Answer: order.Answer{Outcome: order.CarriedOut, Clock: 482113}, Report: &order.Report{Incarnation: order.Incarnation{BornUnixMilli: 1764750912345}, Clock: 482113}}
-	for _, b := range []relay.Batch{{From: "f", Life: "l", Orders: []relay.Order{look}}, {From: "f", Life: "l", Ended: []relay.Answered{end}}} {
+func TestIdleRenewalIsSmall(t *testing.T) {
+	look := relay.Order{ID: 123456, Worker: order.Incarnation{Name: "i-299c99caea"}, Address: "10.3.64.47:8684", AnswerTimeout: 7330, OverdueAfter: 1200, Renew: &order.Renew{LeaseEnd: 486000, Fence: 12, Acknowledged: 57, MaxWait: 1000}}
+	end := relay.Result{ID: 123456, Answer: order.Answer{Outcome: order.CarriedOut, Clock: 482113}, Report: &order.Report{Incarnation: order.Incarnation{BornUnixMilli: 1764750912345}, Clock: 482113}}
+	for _, b := range []relay.Batch{{From: "f", Incarnation: "l", Orders: []relay.Order{look}}, {From: "f", Incarnation: "l", Results: []relay.Result{end}}} {
 		data, err := json.Marshal(b)
 		assert.NilError(t, err)
 		assert.Check(t, len(data) <= 120, "%d bytes: %s", len(data), data)
 	}
 }
 
-func TestWhatIsCutShortIsRefused(t *testing.T) {
-	data, err := json.Marshal(full())
+func TestTruncatedBatchIsRejected(t *testing.T) {
+	data, err := json.Marshal(fullBatch())
 	assert.NilError(t, err)
 	var w struct{ Orders, Ended []byte }
 	assert.NilError(t, json.Unmarshal(data, &w))
@@ -72,7 +72,7 @@
 }
 
 func FuzzBatch(f *testing.F) {
-	data, err := json.Marshal(full())
+	data, err := json.Marshal(fullBatch())
 	assert.NilError(f, err)
 	f.Add(data)
 	for _, text := range []string{`{}`, `{"from":"f","life":"l","orders":"AAAA"}`, `{"from":"f","life":"l","ended":"AAAAAAIC"}`} {
--- a/services/relay/relay.go
+++ b/services/relay/relay.go
@@ -26,8 +26,8 @@
 	"saddlevane/models/order"
 )
 
-// Workers are the calls to workers. Their answers say what became of the order.
-type Workers struct {
+// WorkerCalls are the calls to workers. Their answers say what became of the order.
+type WorkerCalls struct {
 	Renew func(ctx context.Context, address string, worker order.Incarnation, r order.Renew) (order.Report, order.Answer)
 	Start func(ctx context.Context, address string, worker order.Incarnation, s order.Start) order.Answer
 	Stop  func(ctx context.Context, address string, worker order.Incarnation, s order.Stop) order.Answer
@@ -47,8 +47,8 @@
 	Throttle *order.Throttle
 	// Within is how long the answer counts from now on, Overdue after which time it is
 	// overdue, if that is sooner.
-	Within  job.Milliseconds
-	Overdue job.Milliseconds
+	AnswerTimeout job.Milliseconds
+	OverdueAfter  job.Milliseconds
 }
 
 // Check returns an error if the order makes no sense.
@@ -62,14 +62,14 @@
 	if parts != 1 {
 		return fmt.Errorf("order %d has %d parts", o.ID, parts)
 	}
-	if o.Worker.Name == "" || o.Address == "" || o.Within <= 0 {
-		return fmt.Errorf("order %d: worker %q at %q within %v", o.ID, o.Worker.Name, o.Address, o.Within.Duration())
+	if o.Worker.Name == "" || o.Address == "" || o.AnswerTimeout <= 0 {
+		return fmt.Errorf("order %d: worker %q at %q within %v", o.ID, o.Worker.Name, o.Address, o.AnswerTimeout.Duration())
 	}
 	return nil
 }
 
-// Answered is the end of one order.
-type Answered struct {
+// Result is the end of one order.
+type Result struct {
 	ID     uint64
 	Answer order.Answer
 	// Report is set for a renewal that was carried out.
@@ -80,14 +80,14 @@
 type Batch struct {
 	// From is where the sender serves other boxes, Life its incarnation: ends of another
 	// life's orders are dropped.
-	From, Life string
-	Orders     []Order
-	Ended      []Answered
+	From, Incarnation string
+	Orders            []Order
+	Results           []Result
 }
 
 // Check returns an error if the batch makes no sense.
 func (b Batch) Check() error {
-	if b.From == "" || b.Life == "" {
+	if b.From == "" || b.Incarnation == "" {
 		return errors.New("a batch without its sender")
 	}
 	for _, o := range b.Orders {
@@ -98,12 +98,12 @@
 	return nil
 }
 
-// Fate says what is known of a batch that was sent.
-type Fate string
+// DeliveryStatus says what is known of a batch that was sent.
+type DeliveryStatus string
 
 // The fates. Lost batches may have arrived, Unsent ones have surely not.
 const (
-	Arrived Fate = "arrived"
-	Lost    Fate = "lost"
-	Unsent  Fate = "unsent"
+	Delivered       DeliveryStatus = "arrived"
+	DeliveryUnknown DeliveryStatus = "lost"
+	NotSent         DeliveryStatus = "unsent"
 )
--- a/services/relay/roster_test.go
+++ b/services/relay/roster_test.go
@@ -15,7 +15,7 @@
 	"gotest.tools/v3/assert"
 )
 
-var begin = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+var startTime = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
 // member is a box of a domain.
 func member(domain string, i int) claim.Member {
@@ -34,22 +34,22 @@
 	return l
 }
 
-// cell returns the roster of box a-00 in a cell of two domains, ten boxes each.
-func cell(l relay.Limits, workersEach int) *relay.Roster {
-	r := relay.NewRoster(l, "a-00")
+// newSelector returns the roster of box a-00 in a cell of two domains, ten boxes each.
+func newSelector(l relay.Limits, workersEach int) *relay.Selector {
+	r := relay.NewSelector(l, "a-00")
 	var members []claim.Member
 	for _, d := range []string{"a", "b"} {
 		for i := range 10 {
 			members = append(members, member(d, i))
 		}
 	}
-	r.Boxes(members)
-	r.Workers(listing(workersEach, "a", "b"))
+	r.AddBoxes(members)
+	r.UpdateWorkers(listing(workersEach, "a", "b"))
 	return r
 }
 
-// picks returns the box of each worker, or "" for none.
-func picks(r *relay.Roster, now time.Time, l order.Listing) map[string]string {
+// pickAll returns the box of each worker, or "" for none.
+func pickAll(r *relay.Selector, now time.Time, l order.Listing) map[string]string {
 	all := map[string]string{}
 	for _, w := range l.Present {
 		m, _ := r.Pick(now, w.Name)
@@ -58,8 +58,8 @@
 	return all
 }
 
-func TestRelaysAreBoxesOfTheWorkersDomainAsManyAsItNeeds(t *testing.T) {
-	limits := relay.Limits{From: 100, PerRelay: 48}
+func TestRelaysAreChosenInWorkersDomainByWorkerCount(t *testing.T) {
+	limits := relay.Limits{MinWorkers: 100, WorkersPerRelay: 48}
 	for _, c := range []struct {
 		each  int
 		boxes int
@@ -67,9 +67,9 @@
 		{49, 0}, {50, 4}, {96, 4}, {97, 6}, {480, 19},
 	} {
 		t.Run(fmt.Sprint(2*c.each, " workers"), func(t *testing.T) {
-			r := cell(limits, c.each)
+			r := newSelector(limits, c.each)
 			boxes := map[string]bool{}
-			for worker, box := range picks(r, begin, listing(c.each, "a", "b")) {
+			for worker, box := range pickAll(r, startTime, listing(c.each, "a", "b")) {
 				if box == "" {
 					continue
 				}
@@ -82,25 +82,25 @@
 	}
 }
 
-func TestADomainWithoutAnotherBoxHasNoRelay(t *testing.T) {
-	r := relay.NewRoster(relay.Limits{From: 1, PerRelay: 48}, "a-00")
-	r.Boxes([]claim.Member{member("a", 0), member("b", 0)})
-	r.Workers(listing(1, "a", "b"))
-	_, ok := r.Pick(begin, "w-a-000")
+func TestDomainWithoutOtherBoxHasNoRelay(t *testing.T) {
+	r := relay.NewSelector(relay.Limits{MinWorkers: 1, WorkersPerRelay: 48}, "a-00")
+	r.AddBoxes([]claim.Member{member("a", 0), member("b", 0)})
+	r.UpdateWorkers(listing(1, "a", "b"))
+	_, ok := r.Pick(startTime, "w-a-000")
 	assert.Check(t, !ok)
-	m, ok := r.Pick(begin, "w-b-000")
+	m, ok := r.Pick(startTime, "w-b-000")
 	assert.Check(t, ok && m.Box == "b-00")
-	_, ok = r.Pick(begin, "unlisted")
+	_, ok = r.Pick(startTime, "unlisted")
 	assert.Check(t, !ok)
 }
 
-func TestABoxThatIsLostMovesItsOwnWorkersOnly(t *testing.T) {
-	r := cell(relay.Limits{From: 100, PerRelay: 48}, 200)
+func TestFailedBoxMovesOnlyItsOwnWorkers(t *testing.T) {
+	r := newSelector(relay.Limits{MinWorkers: 100, WorkersPerRelay: 48}, 200)
 	l := listing(200, "a", "b")
-	before := picks(r, begin, l)
+	before := pickAll(r, startTime, l)
 	lost := before["w-a-000"]
-	r.Failed(begin, lost)
-	after := picks(r, begin, l)
+	r.RecordBoxFailure(startTime, lost)
+	after := pickAll(r, startTime, l)
 	taken := map[string]bool{}
 	for worker, box := range before {
 		switch {
@@ -114,41 +114,41 @@
 	assert.Check(t, len(taken) <= 1, "%v", taken)
 }
 
-func TestABoxIsPutAsideForLongerEachTime(t *testing.T) {
-	r := cell(relay.Limits{From: 100, PerRelay: 100}, 100)
-	now := begin
-	box := picks(r, now, listing(1, "a"))["w-a-000"]
+func TestRepeatedFailuresDoubleBackoff(t *testing.T) {
+	r := newSelector(relay.Limits{MinWorkers: 100, WorkersPerRelay: 100}, 100)
+	now := startTime
+	box := pickAll(r, now, listing(1, "a"))["w-a-000"]
 	for _, span := range []time.Duration{1, 2, 4, 8, 16, 16} {
-		r.Failed(now, box)
+		r.RecordBoxFailure(now, box)
 		// What had been sent before tells nothing new.
-		r.Failed(now.Add(time.Millisecond), box)
+		r.RecordBoxFailure(now.Add(time.Millisecond), box)
 		now = now.Add(span*time.Second - 200*time.Millisecond)
-		assert.Check(t, picks(r, now, listing(1, "a"))["w-a-000"] != box, "%v", span)
+		assert.Check(t, pickAll(r, now, listing(1, "a"))["w-a-000"] != box, "%v", span)
 		now = now.Add(time.Second)
-		assert.Equal(t, picks(r, now, listing(1, "a"))["w-a-000"], box, "%v", span)
+		assert.Equal(t, pickAll(r, now, listing(1, "a"))["w-a-000"], box, "%v", span)
 	}
-	r.Answered(box)
-	r.Failed(now, box)
-	assert.Equal(t, picks(r, now.Add(1200*time.Millisecond), listing(1, "a"))["w-a-000"], box, "it has answered meanwhile")
+	r.RecordBoxAnswer(box)
+	r.RecordBoxFailure(now, box)
+	assert.Equal(t, pickAll(r, now.Add(1200*time.Millisecond), listing(1, "a"))["w-a-000"], box, "it has answered meanwhile")
 }
 
-func TestAWorkerThatLeftAnOrderUnansweredIsAskedDirectly(t *testing.T) {
-	r := cell(relay.Limits{From: 100, PerRelay: 48}, 100)
-	r.Unanswered(begin, "w-a-000")
-	_, ok := r.Pick(begin.Add(time.Second), "w-a-000")
+func TestWorkerWithUnansweredOrderIsContactedDirectly(t *testing.T) {
+	r := newSelector(relay.Limits{MinWorkers: 100, WorkersPerRelay: 48}, 100)
+	r.RecordUnanswered(startTime, "w-a-000")
+	_, ok := r.Pick(startTime.Add(time.Second), "w-a-000")
 	assert.Check(t, !ok)
-	_, ok = r.Pick(begin.Add(time.Second), "w-a-001")
+	_, ok = r.Pick(startTime.Add(time.Second), "w-a-001")
 	assert.Check(t, ok)
-	_, ok = r.Pick(begin.Add(3*time.Second), "w-a-000")
+	_, ok = r.Pick(startTime.Add(3*time.Second), "w-a-000")
 	assert.Check(t, ok)
 }
 
-func TestWorkersThatAreGoneNeedNoRelay(t *testing.T) {
-	r := cell(relay.Limits{From: 100, PerRelay: 48}, 50)
+func TestRemovedWorkersDoNotCount(t *testing.T) {
+	r := newSelector(relay.Limits{MinWorkers: 100, WorkersPerRelay: 48}, 50)
 	gone := order.Listing{Removed: []string{"w-a-000", "w-a-000", "never listed"}}
-	r.Workers(gone)
-	_, ok := r.Pick(begin, "w-b-000")
+	r.UpdateWorkers(gone)
+	_, ok := r.Pick(startTime, "w-b-000")
 	assert.Check(t, !ok, "99 workers are left")
-	r.Workers(order.Listing{Present: listing(1, "a").Present})
-	assert.Equal(t, len(r.Relays(begin)) > 0, true)
+	r.UpdateWorkers(order.Listing{Present: listing(1, "a").Present})
+	assert.Equal(t, len(r.WorkersByRelay(startTime)) > 0, true)
 }
--- a/services/relay/server.go
+++ b/services/relay/server.go
@@ -17,54 +17,54 @@
 
 // Server carries the orders of holders to workers.
 type Server struct {
-	now    func() time.Time
-	direct Workers
-	send   func(ctx context.Context, box claim.Member, b Batch) Fate
-	ctx    context.Context
-	cancel context.CancelFunc
-	tasks  conc.WaitGroup
+	now        func() time.Time
+	direct     WorkerCalls
+	send       func(ctx context.Context, box claim.Member, b Batch) DeliveryStatus
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines conc.WaitGroup
 
 	mu       sync.Mutex
-	outboxes map[sender]*outbox[Answered]
+	outboxes map[sender]*outbox[Result]
 }
 
 // sender is one life of a box that has sent orders.
-type sender struct{ address, life string }
+type sender struct{ address, incarnation string }
 
 // NewServer returns a server that gives orders by direct and tells of their ends by send.
-func NewServer(now func() time.Time, direct Workers, send func(context.Context, claim.Member, Batch) Fate) *Server {
+func NewServer(now func() time.Time, direct WorkerCalls, send func(context.Context, claim.Member, Batch) DeliveryStatus) *Server {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Server{now: now, direct: direct, send: send, ctx: ctx, cancel: cancel, outboxes: map[sender]*outbox[Answered]{}}
+	return &Server{now: now, direct: direct, send: send, ctx: ctx, cancel: cancel, outboxes: map[sender]*outbox[Result]{}}
 }
 
 // Close ends what is under way and waits for it.
 func (s *Server) Close() {
 	s.cancel()
-	s.tasks.Wait()
+	s.goroutines.Wait()
 }
 
-// Carry takes the orders of a batch.
-func (s *Server) Carry(b Batch) error {
+// HandleOrders takes the orders of a batch.
+func (s *Server) HandleOrders(b Batch) error {
 	if err := b.Check(); err != nil {
 		return err
 	}
-	out := s.outbox(sender{b.From, b.Life})
+	out := s.outboxFor(sender{b.From, b.Incarnation})
 	received := s.now()
 	for _, o := range b.Orders {
-		s.tasks.Go(func() {
+		s.goroutines.Go(func() {
 			// A box that was stopped for a while must not give an order late.
-			within := o.Within.Duration() - s.now().Sub(received)
-			ctx, cancel := context.WithTimeout(httpclient.Overdue(s.ctx, o.Overdue.Duration()), within)
+			within := o.AnswerTimeout.Duration() - s.now().Sub(received)
+			ctx, cancel := context.WithTimeout(httpclient.Overdue(s.ctx, o.OverdueAfter.Duration()), within)
 			defer cancel()
-			out.add(s.ctx, &s.tasks, s.give(ctx, o))
+			out.add(s.ctx, &s.goroutines, s.sendOrder(ctx, o))
 		})
 	}
 	return nil
 }
 
-// give gives one order.
-func (s *Server) give(ctx context.Context, o Order) Answered {
-	a := Answered{ID: o.ID}
+// sendOrder gives one order.
+func (s *Server) sendOrder(ctx context.Context, o Order) Result {
+	a := Result{ID: o.ID}
 	switch {
 	case ctx.Err() != nil:
 		a.Answer = order.Answer{Outcome: order.NotDone, Problem: "it came too late to the relay"}
@@ -84,8 +84,8 @@
 	return a
 }
 
-// outbox returns what goes back to a sender. A later life of its box replaces it.
-func (s *Server) outbox(to sender) *outbox[Answered] {
+// outboxFor returns what goes back to a sender. A later life of its box replaces it.
+func (s *Server) outboxFor(to sender) *outbox[Result] {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if out := s.outboxes[to]; out != nil {
@@ -96,10 +96,10 @@
 			delete(s.outboxes, other)
 		}
 	}
-	out := &outbox[Answered]{
-		box: claim.Member{Address: to.address}, now: s.now, lost: func([]Answered, Fate) {},
-		send: func(ctx context.Context, box claim.Member, ended []Answered) Fate {
-			return s.send(ctx, box, Batch{From: to.address, Life: to.life, Ended: ended})
+	out := &outbox[Result]{
+		box: claim.Member{Address: to.address}, now: s.now, onFailure: func([]Result, DeliveryStatus) {},
+		send: func(ctx context.Context, box claim.Member, ended []Result) DeliveryStatus {
+			return s.send(ctx, box, Batch{From: to.address, Incarnation: to.incarnation, Results: ended})
 		},
 	}
 	s.outboxes[to] = out
--- a/services/routing/admit.go
+++ b/services/routing/admit.go
@@ -17,21 +17,21 @@
 func (r *Router) Arrived(now time.Time, a request.Arrival) []effect.Effect {
 	p, ok := r.pools[a.Pool]
 	if !ok || p.retired {
-		return r.refuse(a, refusal(http.StatusNotFound, fmt.Sprintf("no pool %q in force", a.Pool), 0))
+		return r.refuse(a, notRunRefusal(http.StatusNotFound, fmt.Sprintf("no pool %q in force", a.Pool), 0))
 	}
 	c, ok := p.classes[a.Class]
 	if !ok {
-		return r.refuse(a, refusal(http.StatusNotFound, fmt.Sprintf("pool %q has no class %q", a.Pool, a.Class), 0))
+		return r.refuse(a, notRunRefusal(http.StatusNotFound, fmt.Sprintf("pool %q has no class %q", a.Pool, a.Class), 0))
 	}
-	q := &pending{arrival: a, pool: p, class: c, arrivedAt: now, deadline: now.Add(budgetOf(a, c))}
+	q := &pending{arrival: a, pool: p, class: c, arrivedAt: now, deadline: now.Add(timeBudget(a, c))}
 	if !c.spec.Repeatable && !a.Delegated {
-		return r.arrivedKeyed(now, q)
+		return r.handleKeyed(now, q)
 	}
 	p.budget.earn(r.settings)
 	return r.admit(now, q)
 }
 
-func budgetOf(a request.Arrival, c *class) time.Duration {
+func timeBudget(a request.Arrival, c *class) time.Duration {
 	if a.Budget > 0 {
 		return min(a.Budget, c.spec.Deadline)
 	}
@@ -41,32 +41,32 @@
 // admit queues a request, or refuses it if it would surely wait too long.
 func (r *Router) admit(now time.Time, q *pending) []effect.Effect {
 	wait := q.pool.expectedWait(now, q.class)
-	late := wait + q.class.needs() - q.deadline.Sub(now)
+	late := wait + q.class.minTimeLeft() - q.deadline.Sub(now)
 	switch {
 	case len(q.pool.targets) == 0:
-		return r.spill(now, q, refusal(http.StatusServiceUnavailable, "the pool has no targets here", time.Second))
+		return r.spill(now, q, notRunRefusal(http.StatusServiceUnavailable, "the pool has no targets here", time.Second))
 	case q.class.waiting >= q.class.spec.Queue:
-		return r.spill(now, q, refusal(http.StatusServiceUnavailable, "the queue is full", max(wait, r.policy.LeastRetry)))
-	case r.policy.Early && late > 0:
-		return r.spill(now, q, refusal(http.StatusServiceUnavailable, "it would wait past its deadline", max(late, r.policy.LeastRetry)))
+		return r.spill(now, q, notRunRefusal(http.StatusServiceUnavailable, "the queue is full", max(wait, r.policy.MinRetryAfter)))
+	case r.policy.RefuseLate && late > 0:
+		return r.spill(now, q, notRunRefusal(http.StatusServiceUnavailable, "it would wait past its deadline", max(late, r.policy.MinRetryAfter)))
 	}
 	r.requests[q.arrival.ID] = q
 	q.state = stageWaiting
 	q.class.push(q)
 	effects := r.dispatch(now, q.pool)
-	q.class.backlog.note(now, q.class.waiting)
+	q.class.backlog.update(now, q.class.waiting)
 	return effects
 }
 
 // drop refuses a request that waits and undoes its key, unless an earlier
 // attempt may have run: then the answer says that.
 func (r *Router) drop(now time.Time, q *pending, f request.Refusal) []effect.Effect {
-	if q.maybe {
-		return r.endUnknown(q, f.Reason)
+	if q.mayHaveRun {
+		return r.completeUnknown(q, f.Reason)
 	}
 	waiters := []request.Arrival{q.arrival}
 	if q.keyed != nil {
-		waiters = r.keys.forget(q.keyed)
+		waiters = r.keys.remove(q.keyed)
 	}
 	delete(r.requests, q.arrival.ID)
 	var effects []effect.Effect
@@ -96,15 +96,15 @@
 // be changed.
 func (r *Router) Counts() map[CountKey]int64 { return r.counts }
 
-func refusal(status int, reason string, retryAfter time.Duration) request.Refusal {
+func notRunRefusal(status int, reason string, retryAfter time.Duration) request.Refusal {
 	return request.Refusal{Status: status, Verdict: verdict.NotRun, Reason: reason, RetryAfter: retryAfter}
 }
 
 func (r *Router) refuseWaiting(now time.Time, p *pool, reason string) []effect.Effect {
 	var effects []effect.Effect
-	for _, c := range p.order {
+	for _, c := range p.byPriority {
 		for q := c.pop(); q != nil; q = c.pop() {
-			effects = append(effects, r.drop(now, q, refusal(http.StatusServiceUnavailable, reason, time.Second))...)
+			effects = append(effects, r.drop(now, q, notRunRefusal(http.StatusServiceUnavailable, reason, time.Second))...)
 		}
 	}
 	return effects
--- a/services/routing/finish.go
+++ b/services/routing/finish.go
@@ -24,8 +24,8 @@
 		return nil
 	}
 	q.state = stageEnded
-	q.class.abandon()
-	return r.drop(now, q, refusal(statusCallerLeft, "the caller left", 0))
+	q.class.countAbandoned()
+	return r.drop(now, q, notRunRefusal(statusCallerLeft, "the caller left", 0))
 }
 
 // statusCallerLeft is counted for callers that left; nobody receives it.
@@ -39,18 +39,18 @@
 	}
 	t := q.target
 	t.inflight--
-	t.ended(now, e, r.settings)
-	q.maybe = q.maybe || e.Verdict == verdict.MayHaveRun
+	t.recordAttempt(now, e, r.settings)
+	q.mayHaveRun = q.mayHaveRun || e.Verdict == verdict.MayHaveRun
 	var effects []effect.Effect
 	switch {
 	case e.Verdict == verdict.Ran:
-		q.class.service.add(now.Sub(q.sentAt))
+		q.class.serviceTime.add(now.Sub(q.sentAt))
 		effects = r.deliver(q)
 	case r.mayRetry(now, q, e):
 		q.state = stageWaiting
 		q.class.push(q)
 	default:
-		effects = r.giveUp(now, q, e)
+		effects = r.refuseAfterFailure(now, q, e)
 	}
 	return append(effects, r.dispatch(now, q.pool)...)
 }
@@ -69,35 +69,35 @@
 	return q.pool.budget.spend()
 }
 
-func (r *Router) giveUp(now time.Time, q *pending, e event.TargetAnswered) []effect.Effect {
-	wait := max(q.pool.expectedWait(now, q.class), r.policy.LeastRetry)
-	return r.drop(now, q, refusal(http.StatusServiceUnavailable, e.Reason, wait))
+func (r *Router) refuseAfterFailure(now time.Time, q *pending, e event.TargetAnswered) []effect.Effect {
+	wait := max(q.pool.expectedWait(now, q.class), r.policy.MinRetryAfter)
+	return r.drop(now, q, notRunRefusal(http.StatusServiceUnavailable, e.Reason, wait))
 }
 
-// endUnknown answers a request that may have run.
-func (r *Router) endUnknown(q *pending, reason string) []effect.Effect {
-	f := unknown(http.StatusBadGateway, reason)
-	return r.end(q, func(a request.Arrival) effect.Effect {
+// completeUnknown answers a request that may have run.
+func (r *Router) completeUnknown(q *pending, reason string) []effect.Effect {
+	f := unknownRefusal(http.StatusBadGateway, reason)
+	return r.complete(q, func(a request.Arrival) effect.Effect {
 		r.count(a, f.Verdict, f.Status)
 		return effect.Refuse{To: a.ID, Refusal: f}
-	}, keptEnd{refusal: &f})
+	}, keptResult{refusal: &f})
 }
 
 func (r *Router) deliver(q *pending) []effect.Effect {
 	waited := q.sentAt.Sub(q.arrivedAt)
-	return r.end(q, func(a request.Arrival) effect.Effect {
+	return r.complete(q, func(a request.Arrival) effect.Effect {
 		r.count(a, verdict.Ran, http.StatusOK)
 		return effect.Deliver{To: a.ID, From: q.arrival.ID, Attempt: q.attempt, Waited: waited, Retain: q.keyed != nil}
-	}, keptEnd{from: q.arrival.ID, attempt: q.attempt})
+	}, keptResult{from: q.arrival.ID, attempt: q.attempt})
 }
 
-// end answers a request and everyone who asked for the same one, and keeps what
+// complete answers a request and everyone who asked for the same one, and keeps what
 // became of it if it has a key.
-func (r *Router) end(q *pending, answer func(request.Arrival) effect.Effect, kept keptEnd) []effect.Effect {
+func (r *Router) complete(q *pending, answer func(request.Arrival) effect.Effect, kept keptResult) []effect.Effect {
 	q.state = stageEnded
 	waiters := []request.Arrival{q.arrival}
 	if q.keyed != nil {
-		waiters = r.keys.end(q.keyed, kept)
+		waiters = r.keys.complete(q.keyed, kept)
 	}
 	delete(r.requests, q.arrival.ID)
 	var effects []effect.Effect
--- a/services/routing/keys.go
+++ b/services/routing/keys.go
@@ -19,59 +19,59 @@
 // to the incarnation that issued it, so this table alone decides whether the
 // request has run; a process that does not have the table never guesses.
 type keyTable struct {
-	limit  int
-	ttl    time.Duration
-	newKey func(now time.Time) ulid.ULID
-	known  map[request.Key]*keyed
+	limit   int
+	ttl     time.Duration
+	newKey  func(now time.Time) ulid.ULID
+	entries map[request.Key]*keyedRequest
 	// byAge holds the known keys in the order in which they will expire, near
 	// enough: the order of their first use.
-	byAge []*keyed
+	byAge []*keyedRequest
 }
 
-// keyed is what is known of one keyed request.
-type keyed struct {
+// keyedRequest is what is known of one keyed request.
+type keyedRequest struct {
 	key    request.Key
 	digest uint64
 	// waiters are all arrivals that want the answer; the first is the one sent.
 	waiters []request.Arrival
 	ended   bool
-	kept    keptEnd
+	result  keptResult
 	// gone says that the entry was forgotten before it expired.
-	gone bool
+	removed bool
 }
 
-// keptEnd is what became of a keyed request: an answer kept by the adapters
+// keptResult is what became of a keyed request: an answer kept by the adapters
 // under an arrival and attempt, or a refusal.
-type keptEnd struct {
+type keptResult struct {
 	from    request.ID
 	attempt int
 	refusal *request.Refusal
 }
 
 func newKeyTable(limit int, ttl time.Duration, newKey func(now time.Time) ulid.ULID) *keyTable {
-	return &keyTable{limit: limit, ttl: ttl, newKey: newKey, known: map[request.Key]*keyed{}}
+	return &keyTable{limit: limit, ttl: ttl, newKey: newKey, entries: map[request.Key]*keyedRequest{}}
 }
 
-func (t *keyTable) full() bool { return len(t.known) >= t.limit }
+func (t *keyTable) isFull() bool { return len(t.entries) >= t.limit }
 
-func (t *keyTable) add(a request.Arrival) *keyed {
-	k := &keyed{key: a.Key, digest: a.Digest, waiters: []request.Arrival{a}}
-	t.known[a.Key] = k
+func (t *keyTable) add(a request.Arrival) *keyedRequest {
+	k := &keyedRequest{key: a.Key, digest: a.Digest, waiters: []request.Arrival{a}}
+	t.entries[a.Key] = k
 	t.byAge = append(t.byAge, k)
 	return k
 }
 
-// forget drops a request that was not run, so that its key can be used again.
-func (t *keyTable) forget(k *keyed) []request.Arrival {
-	delete(t.known, k.key)
-	k.gone = true
+// remove drops a request that was not run, so that its key can be used again.
+func (t *keyTable) remove(k *keyedRequest) []request.Arrival {
+	delete(t.entries, k.key)
+	k.removed = true
 	return k.waiters
 }
 
-// end keeps what became of a request and returns who wants to know.
-func (t *keyTable) end(k *keyed, kept keptEnd) []request.Arrival {
+// complete keeps what became of a request and returns who wants to know.
+func (t *keyTable) complete(k *keyedRequest, kept keptResult) []request.Arrival {
 	waiters := k.waiters
-	k.waiters, k.ended, k.kept = nil, true, kept
+	k.waiters, k.ended, k.result = nil, true, kept
 	return waiters
 }
 
@@ -81,16 +81,16 @@
 	var ids []request.ID
 	for len(t.byAge) > 0 {
 		k := t.byAge[0]
-		if !k.gone && (!k.ended || now.Sub(k.key.IssuedAt()) <= t.ttl+keyGrace) {
+		if !k.removed && (!k.ended || now.Sub(k.key.IssuedAt()) <= t.ttl+keyGrace) {
 			break
 		}
 		t.byAge = t.byAge[1:]
-		if k.gone {
+		if k.removed {
 			continue
 		}
-		delete(t.known, k.key)
-		if k.kept.refusal == nil {
-			ids = append(ids, k.kept.from)
+		delete(t.entries, k.key)
+		if k.result.refusal == nil {
+			ids = append(ids, k.result.from)
 		}
 	}
 	return ids
@@ -105,52 +105,52 @@
 	return request.NewKey(r.box, r.incarnation, r.keys.newKey(now))
 }
 
-// arrivedKeyed takes a request that may not be repeated. Without a key it is
+// handleKeyed takes a request that may not be repeated. Without a key it is
 // not run: the balancer may have delivered it to another box as well.
-func (r *Router) arrivedKeyed(now time.Time, q *pending) []effect.Effect {
+func (r *Router) handleKeyed(now time.Time, q *pending) []effect.Effect {
 	key := q.arrival.Key
 	switch {
 	case key.IsZero():
-		f := refusal(http.StatusPreconditionRequired, "requests of this class may not be repeated and need a key; send it again with the one given here", 0)
+		f := notRunRefusal(http.StatusPreconditionRequired, "requests of this class may not be repeated and need a key; send it again with the one given here", 0)
 		f.Key = r.IssueKey(now)
 		return r.refuse(q.arrival, f)
 	case key.Box() != r.box || key.Incarnation() != r.incarnation:
 		return r.forward(now, q)
 	}
-	if known, ok := r.keys.known[key]; ok {
-		return r.again(now, q, known)
+	if known, ok := r.keys.entries[key]; ok {
+		return r.handleRepeated(now, q, known)
 	}
 	age := now.Sub(key.IssuedAt())
 	switch {
 	case age > r.keys.ttl || age < -r.keys.ttl:
-		return r.refuse(q.arrival, unknown(http.StatusConflict, "the key is too old to tell whether the request has run"))
-	case r.keys.full():
-		return r.refuse(q.arrival, refusal(http.StatusServiceUnavailable, "too many requests that may not be repeated are remembered", time.Second))
+		return r.refuse(q.arrival, unknownRefusal(http.StatusConflict, "the key is too old to tell whether the request has run"))
+	case r.keys.isFull():
+		return r.refuse(q.arrival, notRunRefusal(http.StatusServiceUnavailable, "too many requests that may not be repeated are remembered", time.Second))
 	}
 	q.keyed = r.keys.add(q.arrival)
 	q.pool.budget.earn(r.settings)
 	return r.admit(now, q)
 }
 
-func unknown(status int, reason string) request.Refusal {
+func unknownRefusal(status int, reason string) request.Refusal {
 	return request.Refusal{Status: status, Verdict: verdict.MayHaveRun, Reason: reason}
 }
 
-// again takes a further arrival of a request that is known.
-func (r *Router) again(now time.Time, q *pending, known *keyed) []effect.Effect {
+// handleRepeated takes a further arrival of a request that is known.
+func (r *Router) handleRepeated(now time.Time, q *pending, known *keyedRequest) []effect.Effect {
 	switch {
 	case known.digest != q.arrival.Digest:
-		return r.refuse(q.arrival, refusal(http.StatusUnprocessableEntity, "the key belongs to another request", 0))
+		return r.refuse(q.arrival, notRunRefusal(http.StatusUnprocessableEntity, "the key belongs to another request", 0))
 	case !known.ended:
 		known.waiters = append(known.waiters, q.arrival)
 		q.keyed, q.state = known, stageAttached
 		r.requests[q.arrival.ID] = q
 		return nil
-	case known.kept.refusal != nil:
-		return r.refuse(q.arrival, *known.kept.refusal)
+	case known.result.refusal != nil:
+		return r.refuse(q.arrival, *known.result.refusal)
 	default:
 		r.count(q.arrival, verdict.Ran, http.StatusOK)
-		return []effect.Effect{effect.Deliver{To: q.arrival.ID, From: known.kept.from, Attempt: known.kept.attempt, Retain: true}}
+		return []effect.Effect{effect.Deliver{To: q.arrival.ID, From: known.result.from, Attempt: known.result.attempt, Retain: true}}
 	}
 }
 
@@ -160,7 +160,7 @@
 	key := q.arrival.Key
 	peer, ok := r.peers[key.Box()]
 	if !ok || peer.Incarnation != key.Incarnation() || q.arrival.Forwarded {
-		return r.refuse(q.arrival, unknown(http.StatusConflict, "the entry box that issued the key cannot be reached"))
+		return r.refuse(q.arrival, unknownRefusal(http.StatusConflict, "the entry box that issued the key cannot be reached"))
 	}
 	q.state = stageForwarded
 	r.requests[q.arrival.ID] = q
@@ -178,7 +178,7 @@
 	}
 	delete(r.requests, e.ID)
 	if e.Failure != "" {
-		return r.refuse(q.arrival, unknown(http.StatusBadGateway, "the entry box that issued the key did not answer: "+e.Failure))
+		return r.refuse(q.arrival, unknownRefusal(http.StatusBadGateway, "the entry box that issued the key did not answer: "+e.Failure))
 	}
 	r.count(q.arrival, verdict.Ran, http.StatusOK)
 	return []effect.Effect{
--- a/services/routing/policy.go
+++ b/services/routing/policy.go
@@ -18,31 +18,31 @@
 	// Better says whether a request should rather go to a than to b.
 	Better func(a, b *target) bool
 	// Ordered says whether urgent classes go before others.
-	Ordered bool
+	ByPriority bool
 	// Early says whether a request is refused at once if it would surely be late.
-	Early bool
+	RefuseLate bool
 	// Spill says whether requests without room go to other domains.
 	Spill bool
-	// PatienceFactor times the usual service time is how long an attempt at a
+	// AttemptTimeoutFactor times the usual service time is how long an attempt at a
 	// repeatable request is given.
-	PatienceFactor time.Duration
-	// LeastRetry is the least time after which a refused caller should return.
-	LeastRetry time.Duration
+	AttemptTimeoutFactor time.Duration
+	// MinRetryAfter is the least time after which a refused caller should return.
+	MinRetryAfter time.Duration
 }
 
 // DefaultPolicy is what the measurements in docs/DESIGN.md favour.
 func DefaultPolicy() Policy {
 	return Policy{
-		Share: ShareEvenly, Better: leastLoaded, Ordered: true, Early: true, Spill: true,
-		PatienceFactor: 8, LeastRetry: 100 * time.Millisecond,
+		Share: ShareEvenly, Better: leastLoaded, ByPriority: true, RefuseLate: true, Spill: true,
+		AttemptTimeoutFactor: 8, MinRetryAfter: 100 * time.Millisecond,
 	}
 }
 
-// PlainPolicy is the baseline: targets take turns, requests go in the order in
+// BaselinePolicy is the baseline: targets take turns, requests go in the order in
 // which they came, and wait until their deadline.
-func PlainPolicy() Policy {
+func BaselinePolicy() Policy {
 	p := DefaultPolicy()
-	p.Ordered, p.Early, p.Spill = false, false, false
+	p.ByPriority, p.RefuseLate, p.Spill = false, false, false
 	p.Better = func(_, _ *target) bool { return false }
 	return p
 }
@@ -74,5 +74,5 @@
 	if fillA != fillB {
 		return fillA < fillB
 	}
-	return a.service.mean() < b.service.mean()
+	return a.serviceTime.mean() < b.serviceTime.mean()
 }
--- a/services/routing/pool.go
+++ b/services/routing/pool.go
@@ -17,12 +17,12 @@
 	retired bool
 	classes map[string]*class
 	// order holds the classes, urgent first.
-	order   []*class
-	targets map[string]*target
-	list    []*target
+	byPriority    []*class
+	targets       map[string]*target
+	sortedTargets []*target
 	// turn rotates where pick starts, so that equals take turns.
-	turn   int
-	budget retryBudget
+	rotation int
+	budget   retryBudget
 }
 
 func newPool(name string) *pool {
@@ -44,24 +44,24 @@
 	// A class that is gone stays in the order until its queue has drained.
 	for name, c := range previous {
 		if p.classes[name] == nil && c.waiting > 0 {
-			p.order = append(p.order, c)
+			p.byPriority = append(p.byPriority, c)
 		}
 	}
 	p.sortClasses()
 }
 
 func (p *pool) sortClasses() {
-	gone := p.order
-	p.order = nil
+	gone := p.byPriority
+	p.byPriority = nil
 	for _, c := range p.classes {
-		p.order = append(p.order, c)
+		p.byPriority = append(p.byPriority, c)
 	}
 	for _, c := range gone {
-		if c.waiting > 0 && !slices.Contains(p.order, c) {
-			p.order = append(p.order, c)
+		if c.waiting > 0 && !slices.Contains(p.byPriority, c) {
+			p.byPriority = append(p.byPriority, c)
 		}
 	}
-	slices.SortFunc(p.order, func(a, b *class) int {
+	slices.SortFunc(p.byPriority, func(a, b *class) int {
 		if d := a.spec.Priority.Rank() - b.spec.Priority.Rank(); d != 0 {
 			return d
 		}
@@ -92,9 +92,9 @@
 			delete(p.targets, name)
 		}
 	}
-	p.list = p.list[:0]
+	p.sortedTargets = p.sortedTargets[:0]
 	for _, name := range sortedNames(p.targets) {
-		p.list = append(p.list, p.targets[name])
+		p.sortedTargets = append(p.sortedTargets, p.targets[name])
 	}
 }
 
@@ -103,7 +103,7 @@
 // does not count.
 func (p *pool) nextClass(ordered bool) *class {
 	var best *class
-	for _, c := range p.order {
+	for _, c := range p.byPriority {
 		head := c.peek()
 		if head == nil {
 			continue
@@ -122,17 +122,17 @@
 	return best
 }
 
-// pick returns the target for a request of class c, or nil if none has a free
+// pickTarget returns the target for a request of class c, or nil if none has a free
 // slot. Ejected targets are probed only with requests that may be repeated.
-func (p *pool) pick(now time.Time, c *class, policy Policy) *target {
+func (p *pool) pickTarget(now time.Time, c *class, policy Policy) *target {
 	var best *target
-	p.turn++
-	for i := range p.list {
-		t := p.list[(p.turn+i)%len(p.list)]
-		if !t.usable(now, c.spec.Repeatable) {
+	p.rotation++
+	for i := range p.sortedTargets {
+		t := p.sortedTargets[(p.rotation+i)%len(p.sortedTargets)]
+		if !t.isUsable(now, c.spec.Repeatable) {
 			continue
 		}
-		if t.ejected() {
+		if t.isEjected() {
 			return t
 		}
 		if best == nil || policy.Better(t, best) {
@@ -145,8 +145,8 @@
 // slots returns how many requests this box may have at healthy targets.
 func (p *pool) slots(now time.Time) int {
 	n := 0
-	for _, t := range p.list {
-		if !t.leaving(now) && !t.ejected() {
+	for _, t := range p.sortedTargets {
+		if !t.isLeaving(now) && !t.isEjected() {
 			n += t.limit
 		}
 	}
@@ -156,7 +156,7 @@
 // inflight returns how many requests are at targets.
 func (p *pool) inflight() int {
 	n := 0
-	for _, t := range p.list {
+	for _, t := range p.sortedTargets {
 		n += t.inflight
 	}
 	return n
@@ -167,19 +167,19 @@
 // more urgent requests keep coming, by how fast the class has been served while
 // it waited.
 func (p *pool) expectedWait(now time.Time, c *class) time.Duration {
-	seen, _ := c.backlog.wait(now, c.waiting, c.service.mean())
-	return max(seen, p.waitByQueues(now, c))
+	seen, _ := c.backlog.estimateWait(now, c.waiting, c.serviceTime.mean())
+	return max(seen, p.queueWait(now, c))
 }
 
-func (p *pool) waitByQueues(now time.Time, c *class) time.Duration {
+func (p *pool) queueWait(now time.Time, c *class) time.Duration {
 	slots := p.slots(now)
 	if slots == 0 {
-		return p.untilProbe(now)
+		return p.timeUntilProbe(now)
 	}
 	var work time.Duration
-	for _, other := range p.order {
+	for _, other := range p.byPriority {
 		if other.spec.Priority.Rank() <= c.spec.Priority.Rank() {
-			work += time.Duration(other.waiting) * other.service.mean()
+			work += time.Duration(other.waiting) * other.serviceTime.mean()
 		}
 	}
 	if work == 0 {
@@ -188,11 +188,11 @@
 	return work / time.Duration(slots)
 }
 
-// untilProbe returns how long until the first ejected target is tried again.
-func (p *pool) untilProbe(now time.Time) time.Duration {
+// timeUntilProbe returns how long until the first ejected target is tried again.
+func (p *pool) timeUntilProbe(now time.Time) time.Duration {
 	least := time.Duration(-1)
-	for _, t := range p.list {
-		if t.leaving(now) || t.limit == 0 {
+	for _, t := range p.sortedTargets {
+		if t.isLeaving(now) || t.limit == 0 {
 			continue
 		}
 		if wait := max(t.ejectedUntil.Sub(now), 0); least < 0 || wait < least {
@@ -204,21 +204,21 @@
 
 // class is a class of requests and its queue.
 type class struct {
-	spec    spec.Class
-	queue   []*pending
-	head    int
-	waiting int
-	service smoothed
-	backlog backlog
+	spec        spec.Class
+	queue       []*pending
+	head        int
+	waiting     int
+	serviceTime durationEWMA
+	backlog     backlog
 }
 
-// needs returns how much of its time a request must have left to be sent: one
+// minTimeLeft returns how much of its time a request must have left to be sent: one
 // that may be repeated can be cut off, any other must be let finish.
-func (c *class) needs() time.Duration {
+func (c *class) minTimeLeft() time.Duration {
 	if c.spec.Repeatable {
-		return c.service.mean()
+		return c.serviceTime.mean()
 	}
-	return min(c.service.nearlyAll(), c.spec.Deadline/2)
+	return min(c.serviceTime.upperBound(), c.spec.Deadline/2)
 }
 
 // push puts a request in the queue, which is in the order of deadlines: a
@@ -261,8 +261,8 @@
 	return q
 }
 
-// abandon counts one request out that stays in the queue as a gap.
-func (c *class) abandon() {
+// countAbandoned counts one request out that stays in the queue as a gap.
+func (c *class) countAbandoned() {
 	c.waiting--
 	c.compact()
 }
@@ -281,27 +281,27 @@
 	c.queue, c.head = kept, 0
 }
 
-// smoothed is an exponentially weighted mean of durations and of their deviation
+// durationEWMA is an exponentially weighted mean of durations and of their deviation
 // from it.
-type smoothed struct{ value, deviation time.Duration }
+type durationEWMA struct{ value, deviation time.Duration }
 
-const smoothing = 16
+const ewmaDivisor = 16
 
-func (s *smoothed) add(d time.Duration) {
+func (s *durationEWMA) add(d time.Duration) {
 	if s.value == 0 {
 		s.value, s.deviation = d, d/2
 		return
 	}
 	off := d - s.value
-	s.value += off / smoothing
-	s.deviation += (max(off, -off) - s.deviation) / smoothing
+	s.value += off / ewmaDivisor
+	s.deviation += (max(off, -off) - s.deviation) / ewmaDivisor
 }
 
-func (s *smoothed) mean() time.Duration { return s.value }
+func (s *durationEWMA) mean() time.Duration { return s.value }
 
-// nearlyAll returns a time that few exceed: the mean and four deviations, as
+// upperBound returns a time that few exceed: the mean and four deviations, as
 // retransmission timers do it (RFC 6298).
-func (s *smoothed) nearlyAll() time.Duration { return s.value + 4*s.deviation }
+func (s *durationEWMA) upperBound() time.Duration { return s.value + 4*s.deviation }
 
 // backlog watches how fast a class is served while some of it always waits.
 type backlog struct {
@@ -309,46 +309,46 @@
 	sent  int
 }
 
-// leastWatch is how long a backlog must have lasted before its rate counts.
-const leastWatch = time.Second
+// minObservation is how long a backlog must have lasted before its rate counts.
+const minObservation = time.Second
 
-// wait returns how long the last of waiting requests will wait at the rate seen,
+// estimateWait returns how long the last of waiting requests will wait at the rate seen,
 // or false if the backlog is too young to tell.
-func (b *backlog) wait(now time.Time, waiting int, service time.Duration) (time.Duration, bool) {
+func (b *backlog) estimateWait(now time.Time, waiting int, service time.Duration) (time.Duration, bool) {
 	if waiting == 0 || b.since.IsZero() {
 		return 0, false
 	}
 	elapsed := now.Sub(b.since)
-	if elapsed < max(leastWatch, 2*service) {
+	if elapsed < max(minObservation, 2*service) {
 		return 0, false
 	}
 	return elapsed * time.Duration(waiting) / time.Duration(max(b.sent, 1)), true
 }
 
-// note is told how many wait after each change.
-func (b *backlog) note(now time.Time, waiting int) {
+// update is told how many wait after each change.
+func (b *backlog) update(now time.Time, waiting int) {
 	switch {
 	case waiting == 0:
 		*b = backlog{}
 	case b.since.IsZero():
 		b.since = now
-	case now.Sub(b.since) > forgetBacklog:
+	case now.Sub(b.since) > maxObservation:
 		// What was long ago tells little of how fast it goes now.
 		b.since, b.sent = b.since.Add(now.Sub(b.since)/2), b.sent/2
 	}
 }
 
-const forgetBacklog = 8 * time.Second
+const maxObservation = 8 * time.Second
 
 // retryBudget lets retries be only a part of fresh requests.
 type retryBudget struct {
-	tokens float64
-	filled bool
+	tokens      float64
+	initialized bool
 }
 
 func (b *retryBudget) earn(s Settings) {
-	if !b.filled {
-		b.tokens, b.filled = s.RetryBurst, true
+	if !b.initialized {
+		b.tokens, b.initialized = s.RetryBurst, true
 	}
 	b.tokens = min(b.tokens+s.RetryRatio, s.RetryBurst)
 }
--- a/services/routing/router.go
+++ b/services/routing/router.go
@@ -34,12 +34,12 @@
 	// EjectAfter is how many failures in a row eject a target.
 	EjectAfter int
 	// EjectFor is how long a target is first ejected for; it doubles up to
-	// EjectMost.
-	EjectFor  time.Duration
-	EjectMost time.Duration
-	// LeastAttempt is the least time that an attempt at a repeatable request is
+	// MaxEjectFor.
+	EjectFor    time.Duration
+	MaxEjectFor time.Duration
+	// MinAttemptTimeout is the least time that an attempt at a repeatable request is
 	// given before another target is tried.
-	LeastAttempt time.Duration
+	MinAttemptTimeout time.Duration
 }
 
 // Router is the state. It is not safe for concurrent use.
@@ -52,7 +52,7 @@
 	pools       map[string]*pool
 	requests    map[request.ID]*pending
 	keys        *keyTable
-	live        []string
+	liveBoxes   []string
 	peers       map[string]Peer
 	neighbours  neighbours
 	counts      map[CountKey]int64
@@ -105,8 +105,8 @@
 	state     stage
 	abandoned bool
 	// maybe says that an attempt may have run, which no later attempt undoes.
-	maybe bool
-	keyed *keyed
+	mayHaveRun bool
+	keyed      *keyedRequest
 	// neighbour has the request, if it was spilled; refusal is what is answered if
 	// that has no room either.
 	neighbour Neighbour
@@ -167,10 +167,10 @@
 	for _, p := range peers {
 		r.peers[p.Box] = p
 	}
-	if slices.Equal(live, r.live) {
+	if slices.Equal(live, r.liveBoxes) {
 		return nil
 	}
-	r.live = slices.Clone(live)
+	r.liveBoxes = slices.Clone(live)
 	r.shareSlots()
 	return r.dispatchAll(now)
 }
@@ -178,13 +178,13 @@
 func (r *Router) shareSlots() {
 	for _, p := range r.pools {
 		for _, t := range p.targets {
-			t.limit = r.policy.Share(t.name, p.spec.Slots, r.box, r.live)
+			t.limit = r.policy.Share(t.name, p.spec.Slots, r.box, r.liveBoxes)
 		}
 	}
 }
 
-// Idle says whether no request is unanswered.
-func (r *Router) Idle() bool { return len(r.requests) == 0 }
+// IsIdle says whether no request is unanswered.
+func (r *Router) IsIdle() bool { return len(r.requests) == 0 }
 
 func (r *Router) dispatchAll(now time.Time) []effect.Effect {
 	var effects []effect.Effect
@@ -199,17 +199,17 @@
 	var effects []effect.Effect
 	for {
 		effects = append(effects, r.expire(now, p)...)
-		c := p.nextClass(r.policy.Ordered)
+		c := p.nextClass(r.policy.ByPriority)
 		if c == nil {
 			return effects
 		}
-		t := p.pick(now, c, r.policy)
+		t := p.pickTarget(now, c, r.policy)
 		if t == nil {
 			return effects
 		}
 		effects = append(effects, r.send(now, c.pop(), t))
 		c.backlog.sent++
-		c.backlog.note(now, c.waiting)
+		c.backlog.update(now, c.waiting)
 	}
 }
 
@@ -217,10 +217,10 @@
 	q.attempt++
 	q.target, q.sentAt, q.state = t, now, stageSent
 	t.inflight++
-	t.probing = t.probing || t.ejected()
+	t.probing = t.probing || t.isEjected()
 	return effect.SendRequest{
 		ID: q.arrival.ID, Attempt: q.attempt, Target: t.name, Address: t.address,
-		Timeout: r.attemptTimeout(now, q), Connections: r.policy.Share(t.name, q.pool.spec.Connections, r.box, r.live),
+		Timeout: r.attemptTimeout(now, q), Connections: r.policy.Share(t.name, q.pool.spec.Connections, r.box, r.liveBoxes),
 	}
 }
 
@@ -231,7 +231,7 @@
 	if !q.class.spec.Repeatable {
 		return left
 	}
-	usual := max(r.policy.PatienceFactor*q.class.service.mean(), r.settings.LeastAttempt)
+	usual := max(r.policy.AttemptTimeoutFactor*q.class.serviceTime.mean(), r.settings.MinAttemptTimeout)
 	// A request may simply take long, so each further attempt gets more time.
 	return min(left, usual<<min(2*(q.attempt-1), maxDoublings))
 }
@@ -239,14 +239,14 @@
 // expire answers waiting requests that can no longer be served in time.
 func (r *Router) expire(now time.Time, p *pool) []effect.Effect {
 	var effects []effect.Effect
-	for _, c := range p.order {
+	for _, c := range p.byPriority {
 		needs := time.Duration(0)
-		if r.policy.Early {
-			needs = c.needs()
+		if r.policy.RefuseLate {
+			needs = c.minTimeLeft()
 		}
 		for q := c.peek(); q != nil && q.deadline.Sub(now) <= needs; q = c.peek() {
 			c.pop()
-			f := refusal(http.StatusServiceUnavailable, "it would not end before its deadline", max(p.expectedWait(now, c), r.policy.LeastRetry))
+			f := notRunRefusal(http.StatusServiceUnavailable, "it would not end before its deadline", max(p.expectedWait(now, c), r.policy.MinRetryAfter))
 			effects = append(effects, r.drop(now, q, f)...)
 		}
 	}
--- a/services/routing/router_test.go
+++ b/services/routing/router_test.go
@@ -35,7 +35,7 @@
 func settings() routing.Settings {
 	return routing.Settings{
 		KeyTTL: time.Minute, MaxKeys: 100, RetryRatio: 0.1, RetryBurst: 5,
-		EjectAfter: 3, EjectFor: time.Second, EjectMost: 10 * time.Second, LeastAttempt: 100 * time.Millisecond,
+		EjectAfter: 3, EjectFor: time.Second, MaxEjectFor: 10 * time.Second, MinAttemptTimeout: 100 * time.Millisecond,
 	}
 }
 
@@ -52,19 +52,19 @@
 
 // driver plays everything around a router and checks what must always hold.
 type driver struct {
-	t       rapid.TB
-	r       *routing.Router
-	now     time.Time
-	next    request.ID
-	sends   []effect.SendRequest
-	limit   map[string]int
-	open    map[string]int
-	classes map[request.ID]string
-	ended   map[request.ID]bool
+	t        rapid.TB
+	r        *routing.Router
+	now      time.Time
+	next     request.ID
+	sends    []effect.SendRequest
+	limit    map[string]int
+	inflight map[string]int
+	classes  map[request.ID]string
+	ended    map[request.ID]bool
 	// maybe holds requests of which an attempt may have run.
-	maybe   map[request.ID]int
-	refused []effect.Refuse
-	order   []request.ID
+	mayHaveRun map[request.ID]int
+	refused    []effect.Refuse
+	sendOrder  []request.ID
 }
 
 func newDriver(t rapid.TB, live ...string) *driver {
@@ -76,73 +76,73 @@
 		return id
 	}
 	d := &driver{
-		t: t, now: start, limit: map[string]int{}, open: map[string]int{}, classes: map[request.ID]string{},
-		ended: map[request.ID]bool{}, maybe: map[request.ID]int{},
+		t: t, now: start, limit: map[string]int{}, inflight: map[string]int{}, classes: map[request.ID]string{},
+		ended: map[request.ID]bool{}, mayHaveRun: map[request.ID]int{},
 	}
 	d.r = routing.New(settings(), routing.DefaultPolicy(), "e1", "i1", newKey)
-	d.do(d.r.SetPeers(d.now, live, nil))
-	d.do(d.r.SetPools(d.now, pools()))
+	d.apply(d.r.SetPeers(d.now, live, nil))
+	d.apply(d.r.SetPools(d.now, pools()))
 	return d
 }
 
-func (d *driver) targets(names ...string) {
+func (d *driver) setTargets(names ...string) {
 	var all []routing.Target
 	for _, n := range names {
 		all = append(all, routing.Target{Name: n, Address: n, Pool: pool})
 	}
-	d.do(d.r.SetTargets(d.now, all))
+	d.apply(d.r.SetTargets(d.now, all))
 }
 
 func (d *driver) arrive(class string, key request.Key) request.ID {
 	d.next++
 	id := d.next
 	d.classes[id] = class
-	d.do(d.r.Arrived(d.now, request.Arrival{ID: id, Pool: pool, Class: class, Key: key}))
+	d.apply(d.r.Arrived(d.now, request.Arrival{ID: id, Pool: pool, Class: class, Key: key}))
 	return id
 }
 
-func (d *driver) end(i int, v verdict.Verdict) { d.endOn(i, v, false) }
+func (d *driver) answer(i int, v verdict.Verdict) { d.answerOn(i, v, false) }
 
-// endOn ends an attempt, which may have had no answer on a connection used before.
-func (d *driver) endOn(i int, v verdict.Verdict, silent bool) {
+// answerOn ends an attempt, which may have had no answer on a connection used before.
+func (d *driver) answerOn(i int, v verdict.Verdict, silent bool) {
 	s := d.sends[i]
 	d.sends = append(d.sends[:i:i], d.sends[i+1:]...)
-	d.open[s.Target]--
+	d.inflight[s.Target]--
 	if v != verdict.NotRun {
-		d.maybe[s.ID]++
+		d.mayHaveRun[s.ID]++
 	}
-	d.do(d.r.Answered(d.now, event.TargetAnswered{ID: s.ID, Attempt: s.Attempt, Target: s.Target, Verdict: v, Reason: "test", Silent: silent}))
+	d.apply(d.r.Answered(d.now, event.TargetAnswered{ID: s.ID, Attempt: s.Attempt, Target: s.Target, Verdict: v, Reason: "test", Silent: silent}))
 }
 
-func (d *driver) do(effects []effect.Effect) {
+func (d *driver) apply(effects []effect.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case effect.SendRequest:
 			d.sends = append(d.sends, e)
-			d.order = append(d.order, e.ID)
-			d.open[e.Target]++
-			if d.open[e.Target] > 4 {
-				d.t.Fatalf("%d requests at target %s of 4 slots", d.open[e.Target], e.Target)
+			d.sendOrder = append(d.sendOrder, e.ID)
+			d.inflight[e.Target]++
+			if d.inflight[e.Target] > 4 {
+				d.t.Fatalf("%d requests at target %s of 4 slots", d.inflight[e.Target], e.Target)
 			}
-			if d.classes[e.ID] == extract && d.maybe[e.ID] > 0 {
+			if d.classes[e.ID] == extract && d.mayHaveRun[e.ID] > 0 {
 				d.t.Fatalf("request %d may not be repeated, may have run, and was sent again", e.ID)
 			}
 			if e.Timeout <= 0 {
 				d.t.Fatalf("request %d was sent with no time left", e.ID)
 			}
 		case effect.Refuse:
-			d.answered(e.To)
+			d.recordAnswer(e.To)
 			d.refused = append(d.refused, e)
-			if e.Refusal.Verdict == verdict.NotRun && d.maybe[e.To] > 0 {
+			if e.Refusal.Verdict == verdict.NotRun && d.mayHaveRun[e.To] > 0 {
 				d.t.Fatalf("request %d may have run and was called not run: %s", e.To, e.Refusal.Reason)
 			}
 		case effect.Deliver:
-			d.answered(e.To)
+			d.recordAnswer(e.To)
 		}
 	}
 }
 
-func (d *driver) answered(id request.ID) {
+func (d *driver) recordAnswer(id request.ID) {
 	if d.ended[id] {
 		d.t.Fatalf("request %d was answered twice", id)
 	}
@@ -158,11 +158,11 @@
 	}
 }
 
-func TestWhateverHappensEachRequestIsAnsweredOnceAndTruly(t *testing.T) {
+func TestRandomEventsAnswerEachRequestExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDriver(t, "e1")
 		names := []string{"t1", "t2", "t3"}
-		d.targets(names...)
+		d.setTargets(names...)
 		for range rapid.IntRange(1, 150).Draw(t, "events") {
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0, 1, 2:
@@ -172,35 +172,35 @@
 			case 4, 5, 6:
 				if len(d.sends) > 0 {
 					v := rapid.SampledFrom([]verdict.Verdict{verdict.Ran, verdict.Ran, verdict.NotRun, verdict.MayHaveRun}).Draw(t, "verdict")
-					d.end(rapid.IntRange(0, len(d.sends)-1).Draw(t, "which"), v)
+					d.answer(rapid.IntRange(0, len(d.sends)-1).Draw(t, "which"), v)
 				}
 			case 7:
 				d.now = d.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
-				d.do(d.r.Tick(d.now))
+				d.apply(d.r.Tick(d.now))
 			case 8:
-				d.targets(names[:rapid.IntRange(0, len(names)).Draw(t, "targets")]...)
-				d.open = map[string]int{}
+				d.setTargets(names[:rapid.IntRange(0, len(names)).Draw(t, "targets")]...)
+				d.inflight = map[string]int{}
 				for _, s := range d.sends {
-					d.open[s.Target]++
+					d.inflight[s.Target]++
 				}
 			case 9:
-				d.do(d.r.Abandoned(d.now, request.ID(rapid.Uint64Range(1, uint64(d.next)+1).Draw(t, "who"))))
+				d.apply(d.r.Abandoned(d.now, request.ID(rapid.Uint64Range(1, uint64(d.next)+1).Draw(t, "who"))))
 			}
 		}
-		d.settle()
+		d.finishAll()
 	})
 }
 
-// settle lets everything come to its end and checks that nobody was forgotten.
-func (d *driver) settle() {
-	d.targets("t1", "t2", "t3")
+// finishAll lets everything come to its end and checks that nobody was forgotten.
+func (d *driver) finishAll() {
+	d.setTargets("t1", "t2", "t3")
 	for range 1000 {
 		for len(d.sends) > 0 {
-			d.end(0, verdict.Ran)
+			d.answer(0, verdict.Ran)
 		}
 		d.now = d.now.Add(time.Second)
-		d.do(d.r.Tick(d.now))
-		if d.r.Idle() {
+		d.apply(d.r.Tick(d.now))
+		if d.r.IsIdle() {
 			break
 		}
 	}
@@ -211,18 +211,18 @@
 	}
 }
 
-func TestUrgentGoesBeforeWhatCameEarlier(t *testing.T) {
+func TestUrgentRequestPrecedesEarlierOnes(t *testing.T) {
 	d := newDriver(t, "e1")
-	d.targets("t1")
+	d.setTargets("t1")
 	for range 6 {
 		d.arrive(render, request.Key{})
 	}
 	urgent := d.arrive(preview, request.Key{})
-	d.end(0, verdict.Ran)
-	assert.Equal(t, d.order[len(d.order)-1], urgent)
+	d.answer(0, verdict.Ran)
+	assert.Equal(t, d.sendOrder[len(d.sendOrder)-1], urgent)
 }
 
-func TestASharedTargetIsFilledExactly(t *testing.T) {
+func TestSharesAddUpToTargetSlots(t *testing.T) {
 	for _, live := range [][]string{{"a"}, {"a", "b"}, {"a", "b", "c"}, {"a", "b", "c", "d", "e", "f", "g"}} {
 		for _, target := range []string{"t1", "t2", "t3", "t4"} {
 			sum := 0
@@ -235,31 +235,31 @@
 	assert.Equal(t, routing.ShareEvenly("t1", 8, "stranger", []string{"a"}), 0)
 }
 
-func TestRetriesStayWithinTheirBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	d := newDriver(t, "e1")
-	d.targets("t1", "t2", "t3")
+	d.setTargets("t1", "t2", "t3")
 	sent := 0
 	for range 400 {
 		d.arrive(preview, request.Key{})
 		for len(d.sends) > 0 {
 			sent++
-			d.end(0, verdict.MayHaveRun)
+			d.answer(0, verdict.MayHaveRun)
 		}
 		d.now = d.now.Add(40 * time.Millisecond)
-		d.do(d.r.Tick(d.now))
+		d.apply(d.r.Tick(d.now))
 	}
 	assert.Check(t, sent <= 400+5+40+1, "%d sends for 400 requests", sent)
 }
 
-func TestAFailingTargetIsEjectedProbedAndTakenBack(t *testing.T) {
+func TestFailingTargetIsEjectedProbedAndRestored(t *testing.T) {
 	d := newDriver(t, "e1")
-	d.targets("t1", "t2")
+	d.setTargets("t1", "t2")
 	fails := func(name string) {
 		for len(d.sends) > 0 {
 			if d.sends[0].Target == name {
-				d.end(0, verdict.MayHaveRun)
+				d.answer(0, verdict.MayHaveRun)
 			} else {
-				d.end(0, verdict.Ran)
+				d.answer(0, verdict.Ran)
 			}
 		}
 	}
@@ -267,17 +267,17 @@
 		d.arrive(preview, request.Key{})
 		fails("t1")
 	}
-	before := len(d.order)
+	before := len(d.sendOrder)
 	for range 10 {
 		d.arrive(preview, request.Key{})
 		assert.Equal(t, d.sends[0].Target, "t2")
 		fails("t1")
 	}
-	assert.Equal(t, len(d.order), before+10)
+	assert.Equal(t, len(d.sendOrder), before+10)
 	d.now = d.now.Add(11 * time.Second)
 	d.arrive(preview, request.Key{})
 	assert.Equal(t, d.sends[0].Target, "t1", "no probe after the ejection")
-	d.end(0, verdict.Ran)
+	d.answer(0, verdict.Ran)
 	seen := map[string]bool{}
 	for range 4 {
 		d.arrive(preview, request.Key{})
@@ -286,30 +286,30 @@
 	assert.Check(t, seen["t1"], "not taken back after a good probe")
 }
 
-func TestATargetIsNotEjectedForSilentConnectionsButForNewOnes(t *testing.T) {
+func TestTargetIsEjectedForFailuresOnNewConnectionsOnly(t *testing.T) {
 	d := newDriver(t, "e1")
-	d.targets("t1")
+	d.setTargets("t1")
 	for range 4 {
 		d.arrive(render, request.Key{})
 	}
 	for range 4 {
-		d.endOn(0, verdict.MayHaveRun, true)
+		d.answerOn(0, verdict.MayHaveRun, true)
 	}
 	assert.Check(t, len(d.sends) > 0, "t1 is ejected though its connections may be at fault")
-	d.end(0, verdict.MayHaveRun)
-	d.end(0, verdict.MayHaveRun)
+	d.answer(0, verdict.MayHaveRun)
+	d.answer(0, verdict.MayHaveRun)
 	under := len(d.sends)
 	d.arrive(preview, request.Key{})
 	assert.Equal(t, len(d.sends), under, "t1 is not ejected though it does not answer on new connections")
 }
 
-func TestALateRequestIsRefusedAtOnceWithATimeToComeBack(t *testing.T) {
+func TestRequestThatWouldBeLateIsRefusedWithRetryAfter(t *testing.T) {
 	d := newDriver(t, "e1")
-	d.targets("t1")
+	d.setTargets("t1")
 	for range 8 {
 		d.arrive(preview, request.Key{})
 		d.now = d.now.Add(500 * time.Millisecond)
-		d.end(0, verdict.Ran)
+		d.answer(0, verdict.Ran)
 	}
 	for range 20 {
 		d.arrive(preview, request.Key{})
@@ -322,21 +322,21 @@
 	}
 }
 
-func TestAKeyedRequestIsKnownAgain(t *testing.T) {
+func TestRepeatedKeyedRequestIsRecognized(t *testing.T) {
 	d := newDriver(t, "e1")
-	d.targets("t1")
+	d.setTargets("t1")
 	key := d.r.IssueKey(d.now)
 	d.arrive(extract, key)
 	d.arrive(extract, key)
 	assert.Equal(t, len(d.sends), 1)
-	d.end(0, verdict.Ran)
+	d.answer(0, verdict.Ran)
 	assert.Check(t, d.ended[1] && d.ended[2])
 	d.arrive(extract, key)
 	assert.Equal(t, len(d.sends), 0)
 	assert.Check(t, d.ended[3])
 
 	d.now = d.now.Add(3 * time.Minute)
-	d.do(d.r.Tick(d.now))
+	d.apply(d.r.Tick(d.now))
 	d.arrive(extract, key)
 	assert.Equal(t, d.refused[len(d.refused)-1].Refusal.Verdict, verdict.MayHaveRun, "an old key")
 	d.arrive(extract, request.Key{})
@@ -345,9 +345,9 @@
 	assert.Check(t, !last.Key.IsZero())
 }
 
-func TestAKeyOfAnotherLifeIsNeverGuessedAt(t *testing.T) {
+func TestKeyOfOtherIncarnationIsRefusedAsUnknown(t *testing.T) {
 	d := newDriver(t, "e1")
-	d.targets("t1")
+	d.setTargets("t1")
 	for _, key := range []request.Key{
 		request.NewKey("e1", "an earlier life", ulid.ULID{}), request.NewKey("e9", "i1", ulid.ULID{}),
 	} {
@@ -357,14 +357,14 @@
 	assert.Equal(t, len(d.sends), 0)
 }
 
-func TestALeavingTargetGetsNothingNew(t *testing.T) {
+func TestLeavingTargetGetsNoNewRequests(t *testing.T) {
 	d := newDriver(t, "e1")
-	d.targets("t1", "t2")
+	d.setTargets("t1", "t2")
 	d.arrive(preview, request.Key{})
 	s := d.sends[0]
 	d.sends = nil
-	d.do(d.r.Answered(d.now, event.TargetAnswered{ID: s.ID, Attempt: s.Attempt, Target: s.Target, Verdict: verdict.NotRun, Leaving: true}))
-	d.open = map[string]int{}
+	d.apply(d.r.Answered(d.now, event.TargetAnswered{ID: s.ID, Attempt: s.Attempt, Target: s.Target, Verdict: verdict.NotRun, Leaving: true}))
+	d.inflight = map[string]int{}
 	for range 4 {
 		d.arrive(preview, request.Key{})
 	}
--- a/services/routing/status.go
+++ b/services/routing/status.go
@@ -18,15 +18,15 @@
 			continue
 		}
 		s := status.Pool{Name: name, Slots: p.slots(now), Inflight: p.inflight()}
-		for _, c := range p.order {
+		for _, c := range p.byPriority {
 			s.Classes = append(s.Classes, status.Class{
 				Name: c.spec.Name, Waiting: c.waiting,
-				UsualMillis: float64(c.service.mean()) / float64(time.Millisecond),
+				UsualMillis: float64(c.serviceTime.mean()) / float64(time.Millisecond),
 			})
 		}
-		for _, t := range p.list {
+		for _, t := range p.sortedTargets {
 			s.Targets = append(s.Targets, status.Target{
-				Name: t.name, Limit: t.limit, Inflight: t.inflight, Leaving: t.leaving(now), Ejected: t.ejected(),
+				Name: t.name, Limit: t.limit, Inflight: t.inflight, Leaving: t.isLeaving(now), Ejected: t.isEjected(),
 			})
 		}
 		all = append(all, s)
@@ -34,8 +34,8 @@
 	return all
 }
 
-// Requests returns how many requests are unanswered.
-func (r *Router) Requests() int { return len(r.requests) }
+// UnansweredCount returns how many requests are unanswered.
+func (r *Router) UnansweredCount() int { return len(r.requests) }
 
-// Keys returns how many keyed requests are remembered.
-func (r *Router) Keys() int { return len(r.keys.known) }
+// KeyCount returns how many keyed requests are remembered.
+func (r *Router) KeyCount() int { return len(r.keys.entries) }
--- a/services/runtime/silent_test.go
+++ b/services/runtime/silent_test.go
@@ -192,8 +192,8 @@
 		Journal:    journal.Settings{Interval: 10 * time.Millisecond, RetryAfter: 50 * time.Millisecond, Limit: 1000},
 		Membership: membership.Settings{HeartbeatInterval: 200 * time.Millisecond, DeadAfter: time.Second},
 		Routing: routing.Settings{
-			KeyTTL: time.Minute, MaxKeys: 100, RetryRatio: 0.1, RetryBurst: 10, LeastAttempt: 100 * time.Millisecond,
-			EjectAfter: 3, EjectFor: 10 * time.Second, EjectMost: 10 * time.Second,
+			KeyTTL: time.Minute, MaxKeys: 100, RetryRatio: 0.1, RetryBurst: 10, MinAttemptTimeout: 100 * time.Millisecond,
+			EjectAfter: 3, EjectFor: 10 * time.Second, MaxEjectFor: 10 * time.Second,
 		},
 		Shard: shard.Settings{
 			Lease: 1500 * time.Millisecond, RenewInterval: 300 * time.Millisecond, ClockMargin: 100 * time.Millisecond, TaskLease: 3 * time.Second,
--- a/tests/memory/memory.go
+++ b/tests/memory/memory.go
@@ -56,7 +56,7 @@
 func (p *Platform) Calls() jobrun.Platform {
 	return jobrun.Platform{
 		Log:     jobrun.Log{Append: p.append, Read: p.read, Newest: p.newest},
-		Workers: relay.Workers{Renew: p.renew, Start: p.start, Stop: p.stop, Throttle: p.throttle},
+		Workers: relay.WorkerCalls{Renew: p.renew, Start: p.start, Stop: p.stop, Throttle: p.throttle},
 		Advise: func(context.Context, job.StepID, []string) ([]order.Ticket, error) {
 			return nil, nil
 		},
