--- a/services/relay/relay_test.go
+++ b/services/relay/relay_test.go
@@ -31,7 +31,7 @@
 	batches int
 }
 
-func (r *relayLink) set(f func()) {
+func (r *relayLink) update(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
@@ -154,22 +154,22 @@
 		calls.Go(func() { assert.Check(t, p.startRun(5*time.Second).Outcome == order.CarriedOut) })
 	}
 	calls.Wait()
-	p.set(func() { assert.Check(t, p.batches <= 20, "%d messages for 200 orders", p.batches) })
+	p.update(func() { assert.Check(t, p.batches <= 20, "%d messages for 200 orders", p.batches) })
 }
 
 func TestUnsentOrdersAreSentDirectly(t *testing.T) {
 	p := newRelayHarness(t)
-	p.set(func() { p.orderDelivery = relay.NotSent })
+	p.update(func() { p.orderDelivery = relay.NotSent })
 	assert.Equal(t, p.startRun(5*time.Second).Outcome, order.CarriedOut)
 	assert.Equal(t, p.direct.Load(), int64(1))
-	p.set(func() { p.orderDelivery = "" })
+	p.update(func() { p.orderDelivery = "" })
 	assert.Equal(t, p.startRun(5*time.Second).Outcome, order.CarriedOut)
 	assert.Equal(t, p.direct.Load(), int64(2), "the box is put aside")
 }
 
 func TestPossiblyDeliveredOrdersAreNotResent(t *testing.T) {
 	p := newRelayHarness(t)
-	p.set(func() { p.orderDelivery = relay.DeliveryUnknown })
+	p.update(func() { p.orderDelivery = relay.DeliveryUnknown })
 	assert.Equal(t, p.startRun(5*time.Second).Outcome, order.Unknown)
 	assert.Equal(t, p.direct.Load(), int64(0))
 	assert.Equal(t, p.startRun(5*time.Second).Outcome, order.CarriedOut)
@@ -178,7 +178,7 @@
 
 func TestUnresponsiveRelayIsExcluded(t *testing.T) {
 	p := newRelayHarness(t)
-	p.set(func() { p.dropResults = true })
+	p.update(func() { p.dropResults = true })
 	assert.Equal(t, p.startRun(100*time.Millisecond).Outcome, order.Unknown)
 	_, ok := p.selector.Pick(time.Now(), "w-b-000")
 	assert.Check(t, !ok)
