--- a/services/dispatch/random_test.go
+++ b/services/dispatch/random_test.go
@@ -15,7 +15,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// seedCount returns how many random worlds are played.
+// seedCount returns the number of random worlds that each test runs.
 func seedCount() int64 {
 	if os.Getenv("SADDLEVANE_FREE_SEEDS") != "" {
 		return 400
@@ -23,8 +23,9 @@
 	return 60
 }
 
-// TestRandomWorlds plays worlds in which boxes, workers and the log fail, and
-// checks the promises whenever a task starts.
+// TestRandomWorlds runs worlds in which boxes, workers and the log fail. Whenever a task starts,
+// the guarantees of the scheduler are checked. SADDLEVANE_SEED runs a single world;
+// SADDLEVANE_FREE_SEEDS runs more worlds, of seeds that differ each time.
 func TestRandomWorlds(t *testing.T) {
 	if text := os.Getenv("SADDLEVANE_SEED"); text != "" {
 		seed, err := strconv.ParseInt(text, 10, 64)
@@ -44,8 +45,8 @@
 	}
 }
 
-// TestRandomWorldsWithLateAnswers plays worlds in which many answers to looks come
-// seconds late and in bunches, as under a holder that is slow or whose link is full.
+// TestRandomWorldsWithLateAnswers runs worlds in which many answers to renewals arrive seconds late
+// and several at once, as they do if the holder is overloaded or its network link is saturated.
 func TestRandomWorldsWithLateAnswers(t *testing.T) {
 	for seed := range seedCount() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -58,13 +59,14 @@
 	}
 }
 
+// runRandomWorld runs the random world of a seed with all mechanisms.
 func runRandomWorld(t *testing.T, seed int64) { runRandomWorldWithout(t, seed) }
 
-// runRandomWorldWithout plays a random world whose boxes do without some mechanisms.
-func runRandomWorldWithout(t *testing.T, seed int64, without ...mechanism.Mechanism) {
+// runRandomWorldWithout runs a random world in which some mechanisms are disabled.
+func runRandomWorldWithout(t *testing.T, seed int64, disabled ...mechanism.Mechanism) {
 	w := newWorld(t, seed, 3, 8)
 	w.disabled = map[mechanism.Mechanism]bool{}
-	for _, m := range without {
+	for _, m := range disabled {
 		w.disabled[m] = true
 	}
 	for _, b := range w.boxes {
@@ -76,7 +78,8 @@
 	w.runWithFaults()
 }
 
-// runWithFaults hands random jobs in while things fail, and checks the promises.
+// runWithFaults submits random jobs while faults are injected, checks the guarantees and waits
+// until all jobs have ended.
 func (w *world) runWithFaults() {
 	w.t.Helper()
 	for i := range 40 {
@@ -95,7 +98,8 @@
 	w.runUntilEnded()
 }
 
-// runChecked lets time pass, in steps of 200 ms, and checks the promises after each.
+// runChecked runs the world for a number of steps of 200 ms and fails the test if a guarantee was
+// broken.
 func (w *world) runChecked(steps int) {
 	w.t.Helper()
 	for range steps {
@@ -105,7 +109,8 @@
 	}
 }
 
-// runUntilEnded waits until no accepted job is left, and names those that are.
+// runUntilEnded runs the world until all accepted jobs have ended. It fails the test, and logs the
+// jobs that remain, if that takes longer than 150 s.
 func (w *world) runUntilEnded() {
 	w.t.Helper()
 	for range 1500 {
@@ -123,9 +128,9 @@
 	w.fatalf("jobs have not ended")
 }
 
-// injectFault makes one thing fail for a while.
+// injectFault injects one random fault that lasts 0.5 to 6.5 s.
 func (w *world) injectFault() {
-	lasts := time.Duration(500+w.rng.Intn(6000)) * time.Millisecond
+	duration := time.Duration(500+w.rng.Intn(6000)) * time.Millisecond
 	b := w.boxes[w.rng.Intn(len(w.boxes))]
 	if h := w.holder(); h != nil && w.rng.Intn(2) == 0 {
 		b = h
@@ -133,44 +138,46 @@
 	f := w.workers[w.rng.Intn(len(w.workers))]
 	switch w.rng.Intn(11) {
 	case 10:
-		// Such a run never ends by itself, so only a policy that moves it gets on.
+		// A stalled run never ends by itself. Only a scheduler that moves runs can complete such a
+		// task.
 		f.stallsRuns = !w.disabled[mechanism.MovedRuns]
-		w.after(lasts, func() { f.stallsRuns = false })
+		w.after(duration, func() { f.stallsRuns = false })
 	case 0:
-		w.killBox(b, lasts)
+		w.killBox(b, duration)
 	case 1:
-		b.pausedUntil = w.now.Add(lasts)
+		b.pausedUntil = w.now.Add(duration)
 	case 2:
 		b.logUnreachable = true
-		w.after(lasts, func() { b.logUnreachable = false })
+		w.after(duration, func() { b.logUnreachable = false })
 	case 3:
 		b.logUnreachable, b.peersUnreachable = true, true
-		w.after(lasts, func() { b.logUnreachable, b.peersUnreachable = false, false })
+		w.after(duration, func() { b.logUnreachable, b.peersUnreachable = false, false })
 	case 4:
 		w.logDown = true
-		w.after(lasts, func() { w.logDown = false })
+		w.after(duration, func() { w.logDown = false })
 	case 5:
 		w.unansweredAppendShare = 0.4
-		w.after(lasts, func() { w.unansweredAppendShare = 0 })
+		w.after(duration, func() { w.unansweredAppendShare = 0 })
 	case 6:
-		f.crash(lasts)
+		f.crash(duration)
 	case 7:
 		f.unreachable = true
-		w.after(lasts, func() { f.unreachable = false })
+		w.after(duration, func() { f.unreachable = false })
 	case 8:
 		f.unlisted = true
-		w.after(lasts, func() { f.unlisted = false })
+		w.after(duration, func() { f.unlisted = false })
 	case 9:
 		for _, other := range w.boxes {
-			w.killBox(other, lasts)
+			w.killBox(other, duration)
 		}
 	}
 }
 
-func (w *world) killBox(b *fakeBox, lasts time.Duration) {
+// killBox kills a box and restarts it after a downtime.
+func (w *world) killBox(b *fakeBox, downtime time.Duration) {
 	if !b.alive {
 		return
 	}
 	b.kill()
-	w.after(lasts, b.start)
+	w.after(downtime, b.start)
 }
--- a/services/dispatch/rates_test.go
+++ b/services/dispatch/rates_test.go
@@ -21,23 +21,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// worldClass is a kind of world of which many are played: how often workers crash by
-// themselves, and how the boxes are lost, beside tasks that crash their workers.
+// worldClass describes a kind of random world: how often workers crash for reasons of their own,
+// how often boxes are lost, and how many tasks are guilty, that is, crash their workers.
 type worldClass struct {
 	name string
-	// every is the mean time from one crash of any of the 24 workers to the next, or 0.
+	// crashInterval is the mean interval between crashes of any of the 24 workers; 0 means no
+	// crashes.
 	crashInterval time.Duration
-	// guilty is how many tasks crash their workers, troubles how many troubles come as in
-	// crashesAmongOthers, kills how often the holder is killed.
+	// guiltyTasks is the number of guilty tasks, faults the number of calls of injectCrashes, and
+	// holderKills the number of times the holder is killed.
 	guiltyTasks, faults, holderKills int
-	// calm says that the cell was calm for long before.
+	// quietBefore makes the log record a long time without crashes before the world starts.
 	quietBefore bool
-	// longer is by what factor tasks take longer than usual.
+	// durationFactor is the factor by which the estimates of all tasks are multiplied.
 	durationFactor job.Milliseconds
 }
 
-// worldClasses are the worlds in which both errors are counted: a job that crashes nothing is
-// given up, a task that crashes its workers is started a sixth time.
+// worldClasses are the classes for which TestBothErrorsOfBlame counts errors.
 var worldClasses = []worldClass{
 	{name: "each worker crashes every 7 s", crashInterval: 300 * time.Millisecond, durationFactor: 2},
 	{name: "each worker crashes every 14 s", crashInterval: 600 * time.Millisecond, durationFactor: 2},
@@ -56,21 +56,22 @@
 	{name: "three guilty tasks beside crashes every 29 s", guiltyTasks: 3, crashInterval: 1200 * time.Millisecond, durationFactor: 1},
 }
 
-// tally is what became of the worlds of a class.
+// tally counts the results of the worlds of a class.
 type tally struct {
 	mu sync.Mutex
-	// worlds counts those played, sound those in which a job was given up that crashes
-	// nothing, sixth those in which a guilty task was started a sixth time, unended those
-	// in which jobs did not end.
+	// worlds counts the worlds that were run, soundGivenUp those that gave up a job without guilty
+	// tasks, sixthStarts those that started a guilty task a sixth time, and notEnded those in which
+	// some jobs did not end.
 	worlds, soundGivenUp, sixthStarts, notEnded int
-	// guilty counts the tasks that crash their workers, crashes their crashes.
+	// guilty counts the guilty tasks, and crashes the crashes they caused.
 	guilty, crashes int
-	// seeds has the seeds of worlds with an error.
+	// seeds holds the seed and first violation of each world with an error.
 	seeds []string
 }
 
-// worldsPerClass returns how many worlds of each class are played and their first seed. By hand:
-// SADDLEVANE_RATES=1000 and SADDLEVANE_RATES_SEED for seeds of one's own.
+// worldsPerClass returns how many worlds of each class are run, and the first seed.
+// SADDLEVANE_RATES and SADDLEVANE_RATES_SEED override them, for example with 1000 worlds of other
+// seeds.
 func worldsPerClass(t *testing.T) (worlds, first int64) {
 	worlds, first = 4, 1
 	for name, to := range map[string]*int64{"SADDLEVANE_RATES": &worlds, "SADDLEVANE_RATES_SEED": &first} {
@@ -85,15 +86,15 @@
 	return worlds, first
 }
 
-// Two errors are counted over worlds of each class: a job that crashes nothing is given up,
-// and a task that crashes its workers is started a sixth time. Neither may be bought with the
-// other. A seed proves little, since each change of the product plays another world under it;
-// a rate over many fresh ones does: 1,000 worlds a class, by hand.
+// The test counts two errors for each class of worlds: giving up a job without guilty tasks, and
+// starting a guilty task a sixth time. Neither error may be reduced at the cost of the other. A
+// single seed proves little, because each change of the scheduler makes it a different world; a
+// rate over many fresh seeds does. For that, run 1,000 worlds a class with SADDLEVANE_RATES.
 //
-// What is left is a limit of what can be known: a guilty task that crashes its workers at
-// 0.6 s, among others at first, beside workers that each crash every 29 s by themselves. One
-// or two of its five crashes are not its own, or not seen in time, and the likelihoods of the
-// others are worth less than the odds to which sound tasks come there.
+// Some errors cannot be avoided: a guilty task that crashes its workers after 0.6 s, at first among
+// other tasks, while each worker also crashes every 29 s for reasons of its own. One or two of its
+// five crashes are not caused by it, or are not detected in time, and the likelihoods of the others
+// amount to lower odds than tasks that are not guilty reach there.
 func TestBothErrorsOfBlame(t *testing.T) {
 	worlds, first := worldsPerClass(t)
 	for _, c := range worldClasses {
@@ -115,17 +116,17 @@
 	}
 }
 
-// runWorld plays a world of the class. What happens when is drawn before it begins, by a
-// generator of its own, so that a seed stays the same world whatever the product draws.
+// runWorld runs a world of the class. It draws all submissions and faults in advance, with a
+// generator of their own, so that they stay the same for a seed whatever the scheduler does.
 func (c worldClass) runWorld(t *testing.T, seed int64) *world {
 	w := newWorld(t, seed, 3, 24)
 	w.crashesVisible = true
 	if c.quietBefore {
-		// Ten minutes without a crash.
+		// As after ten minutes without a crash.
 		w.streams[stream.Jobs].records = append(w.streams[stream.Jobs].records, kept.CrashRateRecord(map[string]any{"all": map[string]float64{"crashes": 0, "seconds": 9000}}))
 	}
 	w.waitUntilServing()
-	product := w.rng
+	schedulerRand := w.rng
 	w.rng = rand.New(rand.NewSource(seed))
 	for i := range 60 {
 		s := w.randomJob(i)
@@ -134,20 +135,20 @@
 		}
 		w.after(time.Duration(w.rng.Intn(25000))*time.Millisecond, func() { w.submit(s) })
 	}
-	lasts := w.submitService(6)
+	service := w.submitService(6)
 	for i := range c.guiltyTasks {
-		draws := rand.New(rand.NewSource(w.rng.Int63()))
-		w.after(time.Duration(w.rng.Intn(15000))*time.Millisecond, func() { w.withRand(draws, func() { w.submitGuiltyJob(i) }) })
+		rng := rand.New(rand.NewSource(w.rng.Int63()))
+		w.after(time.Duration(w.rng.Intn(15000))*time.Millisecond, func() { w.withRand(rng, func() { w.submitGuiltyJob(i) }) })
 	}
 	for range c.faults {
-		draws := rand.New(rand.NewSource(w.rng.Int63()))
-		w.after(time.Duration(w.rng.Intn(25000))*time.Millisecond, func() { w.withRand(draws, w.injectCrashes) })
+		rng := rand.New(rand.NewSource(w.rng.Int63()))
+		w.after(time.Duration(w.rng.Intn(25000))*time.Millisecond, func() { w.withRand(rng, w.injectCrashes) })
 	}
 	for range c.holderKills {
-		back := time.Duration(500+w.rng.Intn(4000)) * time.Millisecond
+		downtime := time.Duration(500+w.rng.Intn(4000)) * time.Millisecond
 		w.after(time.Duration(w.rng.Intn(25000))*time.Millisecond, func() {
 			if h := w.holder(); h != nil {
-				w.killBox(h, back)
+				w.killBox(h, downtime)
 			}
 		})
 	}
@@ -155,12 +156,12 @@
 		f := w.workers[w.rng.Intn(len(w.workers))]
 		w.after(at, func() { f.crash(crashDowntime) })
 	}
-	w.rng = product
+	w.rng = schedulerRand
 	for range 160 {
 		w.run(200 * time.Millisecond)
 		w.queryStates()
 	}
-	w.cancel(lasts)
+	w.cancel(service)
 	for range 1500 {
 		w.run(100 * time.Millisecond)
 		if w.allEnded() {
@@ -171,16 +172,16 @@
 	return w.saveTrace(c.name)
 }
 
-// withRand lets a generator of its own draw while something is done.
-func (w *world) withRand(draws *rand.Rand, do func()) {
-	product := w.rng
-	w.rng = draws
+// withRand calls a function with another random generator for the world.
+func (w *world) withRand(rng *rand.Rand, do func()) {
+	previous := w.rng
+	w.rng = rng
 	do()
-	w.rng = product
+	w.rng = previous
 }
 
-// saveTrace writes the lines of a world in which something broke to a file, if
-// SADDLEVANE_CRASH_TRACE names a folder.
+// saveTrace writes the trace of a world with violations to a file in the directory
+// SADDLEVANE_CRASH_TRACE, if that is set.
 func (w *world) saveTrace(name string) *world {
 	if dir := os.Getenv("SADDLEVANE_CRASH_TRACE"); dir != "" && len(w.violations) > 0 {
 		text := strings.Join(append(w.trace, w.violations...), "\n")
@@ -189,20 +190,20 @@
 	return w
 }
 
-// add counts a world.
+// add adds the result of a world.
 func (a *tally) add(w *world) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.worlds++
-	has := func(text string) int {
+	countIf := func(text string) int {
 		if slices.ContainsFunc(w.violations, func(b string) bool { return strings.Contains(b, text) }) {
 			return 1
 		}
 		return 0
 	}
-	a.soundGivenUp += has("is shown as failed")
-	a.sixthStarts += has("times more after")
-	a.notEnded += has("have not ended")
+	a.soundGivenUp += countIf("is shown as failed")
+	a.sixthStarts += countIf("times more after")
+	a.notEnded += countIf("have not ended")
 	a.guilty += len(w.guiltyTasks)
 	for _, r := range w.crashRecords {
 		a.crashes += r.crashes
--- a/services/dispatch/world_test.go
+++ b/services/dispatch/world_test.go
@@ -20,13 +20,15 @@
 	"saddlevane/services/dispatch"
 )
 
-// A world is some reducers, a log and workers in virtual time. Calls take time,
-// are lost, answered late or carried out late; boxes are killed and paused. The
-// workers check what must hold whenever they start a task.
+// A world simulates boxes that run the reducer, a log and workers in virtual time. Calls take time,
+// get lost, are answered late or carried out late; boxes are killed and paused. Whenever a worker
+// starts a task, the world checks the guarantees of the scheduler and records violations.
 
-// maxTraceLines is how many lines of the reducers are shown of a world that failed.
+// maxTraceLines is how many of the last trace lines are logged when a world fails.
 const maxTraceLines = 400
 
+// Lease duration and pool of the simulated cell. A run takes defaultStopDuration to stop, and a
+// gang member gives up after gangStartTimeout if the gang is incomplete.
 const (
 	lease               = 6 * time.Second
 	defaultStopDuration = 200 * time.Millisecond
@@ -34,6 +36,7 @@
 	pool                = "pool"
 )
 
+// settings returns the scheduler settings of the boxes, with intervals short enough for tests.
 func settings() dispatch.Settings {
 	return dispatch.Settings{
 		Authority: authority.Settings{RenewInterval: 400 * time.Millisecond, HoldFor: 1400 * time.Millisecond, ClaimAfter: 1550 * time.Millisecond},
@@ -43,6 +46,7 @@
 	}
 }
 
+// config returns a configuration with two queues: "wide", whose tasks need advice, and "quick".
 func config() job.Config {
 	advice := &job.Advice{BaseTime: 50 * time.Millisecond, TimePerWorker: time.Millisecond, TicketLifetime: 1500 * time.Millisecond}
 	return job.Config{Version: 1, Queues: map[string]job.Queue{
@@ -51,13 +55,15 @@
 	}}
 }
 
-// timer is something that happens at a time.
+// timer is a function that is called at a point of the virtual time. Timers of the same time run in
+// the order of seq.
 type timer struct {
 	at  time.Time
 	seq int
 	do  func()
 }
 
+// timerHeap is a heap of timers, the earliest first.
 type timerHeap []timer
 
 func (q timerHeap) Len() int { return len(q) }
@@ -77,6 +83,8 @@
 	return last
 }
 
+// world is the state of a simulation. All randomness comes from rng, so that a seed reproduces a
+// world.
 type world struct {
 	t              *testing.T
 	seed           int64
@@ -92,62 +100,69 @@
 	workers        []*fakeWorker
 	jobs           map[job.ID]*submittedJob
 	jobIDs         []job.ID
-	// config is what boxes read when they start.
+	// config is the configuration that boxes read when they start.
 	config     job.Config
 	violations []string
-	// alone counts ends of gangs that started incomplete.
+	// incompleteGangEnds counts the gang runs that ended because the other members had not arrived
+	// within gangStartTimeout.
 	incompleteGangEnds int
-	// without is what the boxes' policy does without.
+	// disabled is the set of mechanisms that are disabled in the settings of all boxes.
 	disabled map[mechanism.Mechanism]bool
-	// adviserFreeAt is when the advice service has answered all calls of a box.
+	// adviserFreeAt is the time, by box, at which the advice service has answered all calls that
+	// the box has made.
 	adviserFreeAt map[string]time.Time
 	// starts counts the starts of each task.
 	starts map[job.TaskID]int
 	trace  []string
 
-	// logDown makes the log answer nobody; unansweredAppendShare is the share of appends that
-	// are done without an answer.
+	// logDown makes the log reject all reads and appends.
 	logDown bool
-	// dropsJournalAppends makes it take appends to the stream of jobs without an answer.
+	// dropsJournalAppends makes the log drop appends to the stream of jobs without an answer.
 	dropsJournalAppends bool
-	// appendDelay is how much longer appends take.
+	// appendDelay is added to the time after which an append is answered.
 	appendDelay time.Duration
-	// answers counts answers to the calls of a test.
+	// answerCount counts the answers to calls that a test makes itself. unansweredAppendShare is the
+	// share of appends that get no answer, although they are carried out.
 	answerCount           int
 	unansweredAppendShare float64
-	// stopDuration is how long a stop takes, or 0 for defaultStopDuration.
+	// stopDuration is how long a run takes to stop; 0 means defaultStopDuration.
 	stopDuration time.Duration
-	// lateAnswerShare is the share of looks whose answers come only after they are overdue, in
-	// bunches.
+	// lateAnswerShare is the share of renewals whose answers arrive only after their timeout,
+	// several answers at once.
 	lateAnswerShare float64
-	// guilty has the tasks that crash each worker that starts them, and after how long at
-	// work; crashes says what became of them. A worker's crash is seen at once where
-	// crashesVisible is set: its machine refuses calls and breaks those under way.
+	// guiltyTasks maps each task that crashes its worker to the time after which it does so, and
+	// crashRecords counts what it caused. If crashesVisible is set, the machine of a crashed worker
+	// refuses new calls and closes the connections of pending ones, so that a holder detects the
+	// crash at once.
 	guiltyTasks    map[job.TaskID]time.Duration
 	crashRecords   map[job.TaskID]*crashRecord
 	crashesVisible bool
-	// onGuiltyStart is called whenever a worker starts a task that crashes its workers.
+	// onGuiltyStart, if not nil, is called whenever a worker starts a guilty task.
 	onGuiltyStart func()
-	// workspaces are those that random jobs may be of, formerCaps the caps that they had.
+	// workspaces are the workspaces that random jobs are submitted for. formerCaps holds the caps
+	// of earlier configurations.
 	workspaces []string
 	formerCaps []formerCaps
-	// lateOrderShare is the share of orders that get no answer and are carried out
-	// seconds later.
+	// lateOrderShare is the share of orders that are not answered and are carried out 2 to 12 s
+	// later.
 	lateOrderShare float64
-	// executingLateOrder says that an order is carried out late just now, unreachedStarts counts the
-	// tasks that were started so on a life that no holder had reached.
+	// executingLateOrder is set while a late order is carried out. unreachedStarts counts the tasks
+	// that a late order started on an incarnation no holder had reached yet.
 	executingLateOrder bool
 	unreachedStarts    int
-	// noRandomFailures keeps tasks from failing by themselves.
+	// noRandomFailures disables the random failures of tasks.
 	noRandomFailures bool
-	// lateOrdersIncludeRenewals makes looks be among those orders.
+	// lateOrdersIncludeRenewals makes lateOrderShare apply to renewals as well.
 	lateOrdersIncludeRenewals bool
-	// renames gives each life of a worker a name of its own and tells of no life when it
-	// began, as the platform once did.
+	// uniqueIncarnationNames gives each incarnation of a worker a name of its own and no start
+	// time, as the platform formerly did.
 	uniqueIncarnationNames bool
 }
 
-// submittedJob is a job as its caller knows it.
+// submittedJob is a job with what its caller and the workers know of it. mayRun is set once a box
+// may have accepted the job. done holds the tasks whose work is complete; acknowledged and
+// acknowledgedFailures count the ends that a holder has acknowledged. The first task of a gang
+// stands for all its members in the latter two.
 type submittedJob struct {
 	sub                  job.Submission
 	accepted             bool
@@ -157,14 +172,15 @@
 	done                 map[job.TaskID]bool
 	acknowledged         map[job.TaskID]bool
 	acknowledgedFailures map[job.TaskID]int
-	// failedRuns counts runs that ended failed, also those whose end was never noted.
+	// failedRuns counts the runs that failed, including those whose end no holder acknowledged.
 	failedRuns map[job.TaskID]int
 }
 
+// newWorld returns a world whose boxes have just started. Three workers each share a rack.
 func newWorld(t *testing.T, seed int64, boxes, workers int) *world {
-	begin := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	w := &world{
-		t: t, seed: seed, rng: rand.New(rand.NewSource(seed)), now: begin, startedAt: begin,
+		t: t, seed: seed, rng: rand.New(rand.NewSource(seed)), now: start, startedAt: start,
 		streams: map[stream.Name]*fakeStream{}, config: config(), jobs: map[job.ID]*submittedJob{}, starts: map[job.TaskID]int{},
 		adviserFreeAt: map[string]time.Time{}, guiltyTasks: map[job.TaskID]time.Duration{}, crashRecords: map[job.TaskID]*crashRecord{},
 	}
@@ -183,14 +199,16 @@
 	return w
 }
 
+// at schedules a function for a point of the virtual time.
 func (w *world) at(at time.Time, do func()) {
 	w.seq++
 	heap.Push(&w.timers, timer{at: at, seq: w.seq, do: do})
 }
 
+// after schedules a function for when d has passed.
 func (w *world) after(d time.Duration, do func()) { w.at(w.now.Add(d), do) }
 
-// run lets time pass.
+// run advances the virtual time by d and runs all timers that are due.
 func (w *world) run(d time.Duration) {
 	end := w.now.Add(d)
 	for len(w.timers) > 0 && !w.timers[0].at.After(end) {
@@ -201,57 +219,55 @@
 	w.now = end
 }
 
-func (w *world) waitUntil(most time.Duration, what string, holds func() bool) {
+// waitUntil runs the world until a condition holds, and fails the test if it does not within a time
+// limit. what describes the condition.
+func (w *world) waitUntil(limit time.Duration, what string, condition func() bool) {
 	w.t.Helper()
-	for end := w.now.Add(most); w.now.Before(end); {
+	for end := w.now.Add(limit); w.now.Before(end); {
 		w.run(20 * time.Millisecond)
-		if holds() {
+		if condition() {
 			return
 		}
 	}
-	w.fatalf("not within %v: %s", most, what)
+	w.fatalf("not reached within %v: %s", limit, what)
 }
 
+// delay returns a random delay of a message, 0.5 to 3.5 ms.
 func (w *world) delay() time.Duration {
 	return time.Duration(500+w.rng.Intn(3000)) * time.Microsecond
 }
 
-// --- boxes
-
-// --- the log
-
-// --- other boxes
-
-// advise answers a call for advice; those of one box are served in turn.
-func (w *world) advise(e exchange.Advise, back func(time.Duration, exchange.Event)) {
-	q := w.config.Queues[w.jobs[e.Step.Job].sub.Queue].Advice
-	if q == nil {
-		// The queue is gone.
-		q = &job.Advice{BaseTime: 50 * time.Millisecond, TimePerWorker: time.Millisecond}
+// advise answers a request for advice. Requests of one box are answered one after the other.
+func (w *world) advise(e exchange.Advise, respond func(time.Duration, exchange.Event)) {
+	advice := w.config.Queues[w.jobs[e.Step.Job].sub.Queue].Advice
+	if advice == nil {
+		// The queue was removed from the configuration after the request was made.
+		advice = &job.Advice{BaseTime: 50 * time.Millisecond, TimePerWorker: time.Millisecond}
 	}
-	begins := w.adviserFreeAt[e.Box]
-	if begins.Before(w.now) {
-		begins = w.now
+	start := w.adviserFreeAt[e.Box]
+	if start.Before(w.now) {
+		start = w.now
 	}
-	done := begins.Add(q.BaseTime + time.Duration(len(e.Workers))*q.TimePerWorker)
+	done := start.Add(advice.BaseTime + time.Duration(len(e.Workers))*advice.TimePerWorker)
 	w.adviserFreeAt[e.Box] = done
-	a := exchange.Advised{Step: e.Step, Box: e.Box, Epoch: e.Epoch, Number: e.Number}
+	answer := exchange.Advised{Step: e.Step, Box: e.Box, Epoch: e.Epoch, Number: e.Number}
 	for _, id := range e.Workers {
 		if adviserAllows(e.Step, id) {
-			a.Tickets = append(a.Tickets, order.Ticket{Worker: id, Ticket: ticketFor(e.Step, id, done)})
+			answer.Tickets = append(answer.Tickets, order.Ticket{Worker: id, Ticket: ticketFor(e.Step, id, done)})
 		}
 	}
-	back(done.Sub(w.now), a)
+	respond(done.Sub(w.now), answer)
 }
 
-// adviserAllows says whether a worker may run a step: each second worker may, so that
-// there is always room for a gang.
-func adviserAllows(s job.StepID, worker string) bool {
+// adviserAllows reports whether the advice service issues a ticket for a step on a worker. It does
+// for every second worker, so that there is always room for a gang.
+func adviserAllows(step job.StepID, worker string) bool {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(s.String()))
+	_, _ = h.Write([]byte(step.String()))
 	return (h.Sum32()+uint32(worker[2]))%2 == 0
 }
 
-func ticketFor(s job.StepID, worker string, at time.Time) string {
-	return fmt.Sprintf("%s/%s/%d", s, worker, at.UnixMilli())
+// ticketFor returns the ticket for a step on a worker.
+func ticketFor(step job.StepID, worker string, at time.Time) string {
+	return fmt.Sprintf("%s/%s/%d", step, worker, at.UnixMilli())
 }
--- a/services/dispatch/worldbox_test.go
+++ b/services/dispatch/worldbox_test.go
@@ -16,6 +16,8 @@
 	"saddlevane/services/dispatch"
 )
 
+// fakeBox is a simulated box that runs a reducer. Each start is a new incarnation; events and
+// timers of an earlier one are dropped.
 type fakeBox struct {
 	w           *world
 	name        string
@@ -24,7 +26,7 @@
 	core        *dispatch.Core
 	alive       bool
 	pausedUntil time.Time
-	// logUnreachable cuts the box off from the log, peersUnreachable from the other boxes.
+	// logUnreachable disconnects the box from the log, and peersUnreachable from the other boxes.
 	logUnreachable, peersUnreachable bool
 	hasReadClaims                    bool
 	nextClaimOffset                  int64
@@ -32,10 +34,11 @@
 	followsWorkers                   bool
 	pendingCalls                     map[exchange.CallID]func(exchange.Answer)
 	lastCall                         exchange.CallID
-	// stopped says that a planned stop is complete.
+	// stopped is set when a planned stop is complete.
 	stopped bool
 }
 
+// start starts the box as a new incarnation with an empty reducer.
 func (b *fakeBox) start() {
 	b.incarnation++
 	b.alive, b.hasReadClaims, b.followsWorkers = true, false, false
@@ -51,59 +54,64 @@
 	b.pollStreams(b.incarnation)
 }
 
+// kill stops the box at once, without a planned stop.
 func (b *fakeBox) kill() { b.alive = false }
 
+// post delivers an event to the current incarnation of the box.
 func (b *fakeBox) post(e exchange.Event) {
-	life := b.incarnation
-	b.w.after(0, func() { b.deliver(life, e) })
+	incarnation := b.incarnation
+	b.w.after(0, func() { b.deliver(incarnation, e) })
 }
 
-// deliver gives the reducer an event, once the box is no longer paused.
-func (b *fakeBox) deliver(life int, e exchange.Event) {
-	if !b.alive || b.incarnation != life {
+// deliver passes an event to the reducer and carries out its effects, after the pause if the box is
+// paused. It drops the event if the box has been killed or restarted since.
+func (b *fakeBox) deliver(incarnation int, e exchange.Event) {
+	if !b.alive || b.incarnation != incarnation {
 		return
 	}
 	if b.w.now.Before(b.pausedUntil) {
-		b.w.at(b.pausedUntil, func() { b.deliver(life, e) })
+		b.w.at(b.pausedUntil, func() { b.deliver(incarnation, e) })
 		return
 	}
 	b.core.Handle(b.w.now, e)
 	for _, eff := range b.core.Decide(b.w.now) {
-		b.perform(life, eff)
+		b.perform(incarnation, eff)
 	}
 }
 
-func (b *fakeBox) tick(life int) {
-	if !b.alive || b.incarnation != life {
+// tick delivers a tick every 20 ms.
+func (b *fakeBox) tick(incarnation int) {
+	if !b.alive || b.incarnation != incarnation {
 		return
 	}
-	b.deliver(life, exchange.Tick{})
-	b.w.after(20*time.Millisecond, func() { b.tick(life) })
+	b.deliver(incarnation, exchange.Tick{})
+	b.w.after(20*time.Millisecond, func() { b.tick(incarnation) })
 }
 
-// pollStreams reads the streams that every box follows.
-func (b *fakeBox) pollStreams(life int) {
-	if !b.alive || b.incarnation != life {
+// pollStreams reads the streams of claims and boxes every 30 ms.
+func (b *fakeBox) pollStreams(incarnation int) {
+	if !b.alive || b.incarnation != incarnation {
 		return
 	}
-	b.w.after(30*time.Millisecond, func() { b.pollStreams(life) })
+	b.w.after(30*time.Millisecond, func() { b.pollStreams(incarnation) })
 	if b.w.logDown || b.logUnreachable {
-		b.deliver(life, exchange.ClaimsRead{Failure: "down"})
+		b.deliver(incarnation, exchange.ClaimsRead{Failure: "down"})
 		return
 	}
-	b.readMembers(life)
+	b.readMembers(incarnation)
 	claims := b.w.streams[stream.Claims]
 	next := int64(len(claims.records))
 	if b.hasReadClaims && next == b.nextClaimOffset && b.core.IsLogReachable() {
 		return
 	}
 	records := slices.Clone(claims.records[b.nextClaimOffset:])
-	start := !b.hasReadClaims
+	first := !b.hasReadClaims
 	b.nextClaimOffset, b.hasReadClaims = next, true
-	b.w.after(b.w.delay(), func() { b.deliver(life, exchange.ClaimsRead{First: start, Records: records, Next: next}) })
+	b.w.after(b.w.delay(), func() { b.deliver(incarnation, exchange.ClaimsRead{First: first, Records: records, Next: next}) })
 }
 
-func (b *fakeBox) readMembers(life int) {
+// readMembers delivers the records of boxes that were appended since the last read.
+func (b *fakeBox) readMembers(incarnation int) {
 	records := b.w.streams[stream.Boxes].records
 	if int64(len(records)) == b.nextMemberOffset {
 		return
@@ -116,34 +124,35 @@
 		}
 	}
 	b.nextMemberOffset = int64(len(records))
-	b.w.after(b.w.delay(), func() { b.deliver(life, exchange.MembersRead{Members: members}) })
+	b.w.after(b.w.delay(), func() { b.deliver(incarnation, exchange.MembersRead{Members: members}) })
 }
 
-func (b *fakeBox) perform(life int, e exchange.Effect) {
+// perform carries out an effect of the reducer in the simulated environment.
+func (b *fakeBox) perform(incarnation int, e exchange.Effect) {
 	w := b.w
-	back := func(d time.Duration, e exchange.Event) { w.after(d, func() { b.deliver(life, e) }) }
+	respond := func(d time.Duration, e exchange.Event) { w.after(d, func() { b.deliver(incarnation, e) }) }
 	switch e := e.(type) {
 	case exchange.Append:
-		w.append(b, e, back)
+		w.append(b, e, respond)
 	case exchange.LoadJobs:
-		w.loadJobs(b, e, back)
+		w.loadJobs(b, e, respond)
 	case exchange.FollowWorkers:
 		b.followsWorkers = e.On
 		if e.On {
-			b.followWorkers(life)
+			b.followWorkers(incarnation)
 		}
 	case exchange.Renew:
-		w.renew(b, e, back)
+		w.renew(b, e, respond)
 	case exchange.StartRun:
-		w.startRun(b, e, back)
+		w.startRun(b, e, respond)
 	case exchange.StopRun:
-		w.stopRun(b, e, back)
+		w.stopRun(b, e, respond)
 	case exchange.Advise:
-		w.advise(e, back)
+		w.advise(e, respond)
 	case exchange.AskPledges:
-		w.askPledges(b, e, back)
+		w.askPledges(b, e, respond)
 	case exchange.Invite:
-		w.invite(b, e, back)
+		w.invite(b, e, respond)
 	case exchange.Reply:
 		if f := b.pendingCalls[e.Call]; f != nil {
 			delete(b.pendingCalls, e.Call)
@@ -156,20 +165,22 @@
 	}
 }
 
-func (b *fakeBox) followWorkers(life int) {
-	if !b.alive || b.incarnation != life || !b.followsWorkers {
+// followWorkers delivers the list of workers every 300 ms, as long as the reducer follows it.
+func (b *fakeBox) followWorkers(incarnation int) {
+	if !b.alive || b.incarnation != incarnation || !b.followsWorkers {
 		return
 	}
-	b.w.after(300*time.Millisecond, func() { b.followWorkers(life) })
+	b.w.after(300*time.Millisecond, func() { b.followWorkers(incarnation) })
 	if b.w.logDown || b.logUnreachable {
 		return
 	}
 	l := order.Listing{Complete: true}
 	l.Present = b.w.listedWorkers()
-	b.w.after(b.w.delay(), func() { b.deliver(life, exchange.WorkersRead{Listing: l}) })
+	b.w.after(b.w.delay(), func() { b.deliver(incarnation, exchange.WorkersRead{Listing: l}) })
 }
 
-// call makes a call at a box and tells the answer.
+// call makes a caller's request to the box and passes the answer on. event builds the event for the
+// ID of the call.
 func (b *fakeBox) call(event func(exchange.CallID) exchange.Event, answer func(exchange.Answer)) {
 	b.lastCall++
 	id := b.lastCall
@@ -177,61 +188,66 @@
 	b.post(event(id))
 }
 
-func (w *world) askPledges(b *fakeBox, e exchange.AskPledges, back func(time.Duration, exchange.Event)) {
+// askPledges asks other boxes for their pledges and answers when all have replied or 400 ms have
+// passed.
+func (w *world) askPledges(b *fakeBox, e exchange.AskPledges, respond func(time.Duration, exchange.Event)) {
 	sentAt := w.now
-	p := exchange.Pledged{Epoch: e.Epoch, SentAt: sentAt, All: true}
-	left := len(e.Addresses)
-	ended := func() { back(w.delay(), p) }
-	if left == 0 {
-		ended()
+	pledged := exchange.Pledged{Epoch: e.Epoch, SentAt: sentAt, All: true}
+	remaining := len(e.Addresses)
+	finish := func() { respond(w.delay(), pledged) }
+	if remaining == 0 {
+		finish()
 		return
 	}
 	for _, name := range e.Addresses {
-		once := false
-		take := func(a exchange.Answer) {
-			if once {
+		answered := false
+		record := func(a exchange.Answer) {
+			if answered {
 				return
 			}
-			once = true
-			p.All = p.All && a.Outcome == exchange.OK
+			answered = true
+			pledged.All = pledged.All && a.Outcome == exchange.OK
 			if a.LogReachable {
-				p.LogReachable = append(p.LogReachable, name)
+				pledged.LogReachable = append(pledged.LogReachable, name)
 			}
-			if left--; left == 0 {
-				ended()
+			if remaining--; remaining == 0 {
+				finish()
 			}
 		}
-		w.after(400*time.Millisecond, func() { take(exchange.Answer{}) })
+		w.after(400*time.Millisecond, func() { record(exchange.Answer{}) })
 		if other := w.box(name); other.alive && !b.peersUnreachable && !other.peersUnreachable {
 			w.after(w.delay(), func() {
-				other.call(func(id exchange.CallID) exchange.Event { return exchange.PledgeAsked{Call: id, Epoch: e.Epoch} }, take)
+				other.call(func(id exchange.CallID) exchange.Event { return exchange.PledgeAsked{Call: id, Epoch: e.Epoch} }, record)
 			})
 		}
 	}
 }
 
-func (w *world) invite(b *fakeBox, e exchange.Invite, back func(time.Duration, exchange.Event)) {
-	once := false
-	ended := func(refused bool) {
-		if !once {
-			once = true
-			back(w.delay(), exchange.Invited{Epoch: e.Epoch, Refused: refused})
+// invite asks another box to take over the cell. Without a reply within 400 ms it counts as not
+// refused.
+func (w *world) invite(b *fakeBox, e exchange.Invite, respond func(time.Duration, exchange.Event)) {
+	answered := false
+	finish := func(refused bool) {
+		if !answered {
+			answered = true
+			respond(w.delay(), exchange.Invited{Epoch: e.Epoch, Refused: refused})
 		}
 	}
-	w.after(400*time.Millisecond, func() { ended(false) })
+	w.after(400*time.Millisecond, func() { finish(false) })
 	if other := w.box(e.Address); other.alive && !b.peersUnreachable && !other.peersUnreachable {
 		other.call(func(id exchange.CallID) exchange.Event { return exchange.InviteAsked{Call: id, Epoch: e.Epoch} },
-			func(a exchange.Answer) { ended(a.Outcome != exchange.OK) })
+			func(a exchange.Answer) { finish(a.Outcome != exchange.OK) })
 	}
 }
 
+// box returns the box of a name.
 func (w *world) box(name string) *fakeBox {
 	for _, b := range w.boxes {
 		if b.name == name {
 			return b
 		}
 	}
-	w.fatalf("no box %s", name)
+	w.fatalf("there is no box %s", name)
 	return nil
 }
 
--- a/services/dispatch/worldcheck_test.go
+++ b/services/dispatch/worldcheck_test.go
@@ -14,8 +14,8 @@
 	"saddlevane/modules/ordered"
 )
 
-// maxAttempts returns how often a task of a queue may fail. Jobs of a queue that is
-// gone keep what held before.
+// maxAttempts returns how often a task of a queue may fail. For a queue that was removed it returns
+// the attempts of the original configuration.
 func (w *world) maxAttempts(queue string) int {
 	if q, ok := w.config.Queues[queue]; ok {
 		return q.Attempts
@@ -23,14 +23,14 @@
 	return config().Queues[queue].Attempts
 }
 
-// checkStart notes what a start would break.
+// checkStart records a violation for each guarantee that a start on worker f breaks.
 func (w *world) checkStart(f *fakeWorker, s order.Start) {
-	a := w.jobs[s.Task.Job]
-	if a == nil || !a.mayRun {
-		w.violationf("%v was refused or never asked for, and starts", s.Task)
+	j := w.jobs[s.Task.Job]
+	if j == nil || !j.mayRun {
+		w.violationf("%v starts although its job was not submitted or was refused", s.Task)
 		return
 	}
-	step := a.sub.Steps[s.Task.Step]
+	step := j.sub.Steps[s.Task.Step]
 	used := step.Need
 	for _, r := range f.runs {
 		if !r.unreached {
@@ -38,38 +38,39 @@
 		}
 	}
 	if !used.Fits(f.startLimit()) {
-		w.violationf("%v on %s: %v is more than there is, %v (%v before, until %v ago); runs %v", s.Task, f.incarnation, used, f.capacity, f.formerCapacity, w.now.Sub(f.shrunkAt), slices.Collect(maps.Keys(f.runs)))
+		w.violationf("%v starts on %s: the needs of its runs, %v, exceed its capacity %v (formerly %v, until %v ago); runs %v", s.Task, f.incarnation, used, f.capacity, f.formerCapacity, w.now.Sub(f.shrunkAt), slices.Collect(maps.Keys(f.runs)))
 	}
 	for _, other := range w.workers {
 		for run, r := range ordered.By(other.runs, order.Run.Compare) {
 			if other.alive && run.Task == s.Task && !r.unreached {
-				w.violationf("%v runs on %s as %d and starts on %s as %d (fence %d, carried out late: %v)", s.Task, other.incarnation, run.Number, f.incarnation, s.Number, s.Fence, w.executingLateOrder)
+				w.violationf("%v is running on %s as run %d and starts on %s as run %d (fence %d, late order: %v)", s.Task, other.incarnation, run.Number, f.incarnation, s.Number, s.Fence, w.executingLateOrder)
 			}
 		}
 	}
 	w.checkCap(s)
-	id := s.Task
+	unit := s.Task
 	if step.Gang {
-		id.Index = 0
+		unit.Index = 0
 	}
-	if a.acknowledged[id] {
-		w.violationf("%v starts again as %d on %s after its end was noted (fence %d, carried out late: %v)", s.Task, s.Number, f.incarnation, s.Fence, w.executingLateOrder)
+	if j.acknowledged[unit] {
+		w.violationf("%v starts again as run %d on %s after its success was acknowledged (fence %d, late order: %v)", s.Task, s.Number, f.incarnation, s.Fence, w.executingLateOrder)
 	}
-	if most := w.maxAttempts(a.sub.Queue); a.acknowledgedFailures[id] >= most {
-		w.violationf("%v starts again after %d failed runs", s.Task, a.acknowledgedFailures[id])
+	if limit := w.maxAttempts(j.sub.Queue); j.acknowledgedFailures[unit] >= limit {
+		w.violationf("%v starts again after %d failed runs, more often than its queue allows", s.Task, j.acknowledgedFailures[unit])
 	}
 	for _, before := range step.After {
-		for i := range a.sub.Steps[before].Tasks {
-			if !a.done[job.TaskID{StepID: job.StepID{Job: s.Task.Job, Step: before}, Index: i}] {
-				w.violationf("%v starts before step %d is done", s.Task, before)
+		for i := range j.sub.Steps[before].Tasks {
+			if !j.done[job.TaskID{StepID: job.StepID{Job: s.Task.Job, Step: before}, Index: i}] {
+				w.violationf("%v starts before step %d, which it depends on, is done", s.Task, before)
 			}
 		}
 	}
-	if !a.cancelled.IsZero() && w.now.Sub(a.cancelled) > 3*time.Second {
-		w.violationf("%v starts %v after its job was cancelled", s.Task, w.now.Sub(a.cancelled))
+	if !j.cancelled.IsZero() && w.now.Sub(j.cancelled) > 3*time.Second {
+		w.violationf("%v starts %v after its job was cancelled", s.Task, w.now.Sub(j.cancelled))
 	}
 }
 
+// fatalf logs the last lines of the trace and fails the test.
 func (w *world) fatalf(format string, args ...any) {
 	w.t.Helper()
 	for _, line := range w.trace[max(0, len(w.trace)-maxTraceLines):] {
@@ -78,10 +79,13 @@
 	w.t.Fatalf("seed %d at %v: %s", w.seed, w.now.Sub(w.startedAt), fmt.Sprintf(format, args...))
 }
 
+// violationf records that a guarantee was broken. The test fails at its next call of
+// requireNoViolations.
 func (w *world) violationf(format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("at %v: ", w.now.Sub(w.startedAt))+fmt.Sprintf(format, args...))
 }
 
+// requireNoViolations fails the test if a guarantee was broken.
 func (w *world) requireNoViolations() {
 	w.t.Helper()
 	if len(w.violations) > 0 {
--- a/services/dispatch/worldjobs_test.go
+++ b/services/dispatch/worldjobs_test.go
@@ -12,7 +12,7 @@
 	"saddlevane/models/resource"
 )
 
-// submit hands a job in at some box until it is accepted.
+// submit submits a job, again and again until a box accepts it.
 func (w *world) submit(s job.Submission) *submittedJob {
 	a := &submittedJob{
 		sub: s, done: map[job.TaskID]bool{}, acknowledged: map[job.TaskID]bool{}, acknowledgedFailures: map[job.TaskID]int{},
@@ -23,39 +23,42 @@
 	return a
 }
 
+// trySubmit submits a job at the holder, or at a random box if there is none. It tries again 200 ms
+// after a refusal, and if there is no answer within 2 s.
 func (w *world) trySubmit(a *submittedJob) {
-	again := func() { w.after(200*time.Millisecond, func() { w.trySubmit(a) }) }
+	retry := func() { w.after(200*time.Millisecond, func() { w.trySubmit(a) }) }
 	b := w.boxes[w.rng.Intn(len(w.boxes))]
 	if h := w.holder(); h != nil {
 		b = h
 	}
 	if !b.alive {
-		again()
+		retry()
 		return
 	}
-	// Until the answer says otherwise it may run.
+	// Until the box has answered, it may have accepted the job.
 	a.mayRun = true
 	answered := false
 	w.after(2*time.Second, func() {
 		if !answered && !a.accepted {
 			answered = true
-			again()
+			retry()
 		}
 	})
 	b.call(func(id exchange.CallID) exchange.Event { return exchange.Submitted{Call: id, Submission: a.sub} },
-		func(got exchange.Answer) {
+		func(answer exchange.Answer) {
 			if answered {
 				return
 			}
 			answered = true
-			if got.Outcome == exchange.OK {
+			if answer.Outcome == exchange.OK {
 				a.accepted = true
 				return
 			}
-			again()
+			retry()
 		})
 }
 
+// cancel cancels a job at the holder, as soon as there is one.
 func (w *world) cancel(a *submittedJob) {
 	h := w.holder()
 	if h == nil {
@@ -63,14 +66,14 @@
 		return
 	}
 	h.call(func(id exchange.CallID) exchange.Event { return exchange.CancelAsked{Call: id, Job: a.sub.ID} },
-		func(got exchange.Answer) {
-			if got.Outcome == exchange.OK && got.State == job.Cancelled {
+		func(answer exchange.Answer) {
+			if answer.Outcome == exchange.OK && answer.State == job.Cancelled {
 				a.cancelled = w.now
 			}
 		})
 }
 
-// queryStates asks the holder for the state of all jobs.
+// queryStates asks the holder for the states of all jobs and checks the answers.
 func (w *world) queryStates() {
 	h := w.holder()
 	if h == nil {
@@ -79,16 +82,17 @@
 	for _, id := range w.jobIDs {
 		a := w.jobs[id]
 		h.call(func(call exchange.CallID) exchange.Event { return exchange.StateAsked{Call: call, Job: id} },
-			func(got exchange.Answer) {
-				if got.Outcome == exchange.NoJob && a.accepted {
-					w.violationf("%s was accepted and is not known", id)
+			func(answer exchange.Answer) {
+				if answer.Outcome == exchange.NoJob && a.accepted {
+					w.violationf("%s was accepted, but the holder does not know it", id)
 				}
-				a.state = got.State
+				a.state = answer.State
 				w.checkState(a)
 			})
 	}
 }
 
+// checkState records a violation if the state that the holder shows for a job cannot be true.
 func (w *world) checkState(a *submittedJob) {
 	w.checkFailed(a)
 	if a.state != job.Succeeded {
@@ -97,12 +101,13 @@
 	for i, s := range a.sub.Steps {
 		for index := range s.Tasks {
 			if !a.done[job.TaskID{StepID: job.StepID{Job: a.sub.ID, Step: i}, Index: index}] {
-				w.violationf("%s is shown as succeeded and step %d task %d is not done", a.sub.ID, i, index)
+				w.violationf("%s is shown as succeeded, but step %d task %d is not done", a.sub.ID, i, index)
 			}
 		}
 	}
 }
 
+// allEnded queries the states of all jobs and reports whether all accepted jobs have ended.
 func (w *world) allEnded() bool {
 	w.queryStates()
 	for _, a := range w.jobs {
@@ -113,13 +118,14 @@
 	return len(w.jobs) > 0
 }
 
+// oneStep returns a job of one step whose tasks take about a second.
 func oneStep(id string, queue string, tasks int, gang bool) job.Submission {
 	return job.Submission{ID: job.ID(id), Queue: queue, Spec: "x", Steps: []job.Step{
 		{Tasks: tasks, Need: defaultNeed, Estimate: 1000, Gang: gang},
 	}}
 }
 
-// randomJob returns a job like those of the users.
+// randomJob returns a job of one to three random steps, similar to those that users submit.
 func (w *world) randomJob(n int) job.Submission {
 	s := job.Submission{ID: job.ID(fmt.Sprintf("job%d", n)), Queue: "quick", Spec: "x"}
 	if w.rng.Intn(3) == 0 {
--- a/services/dispatch/worldlog_test.go
+++ b/services/dispatch/worldlog_test.go
@@ -11,34 +11,39 @@
 	"saddlevane/models/stream"
 )
 
+// fakeStream is a stream of the simulated log.
 type fakeStream struct {
 	records []stream.Record
 }
 
+// compacted returns the newest record of each key, without deleted keys, as log compaction leaves
+// them.
 func (s *fakeStream) compacted() []stream.Record {
-	last := map[string]stream.Record{}
+	newest := map[string]stream.Record{}
 	for _, r := range s.records {
-		last[r.Key] = r
+		newest[r.Key] = r
 	}
 	var all []stream.Record
 	for _, r := range s.records {
-		if n := last[r.Key]; n.Offset == r.Offset && !r.IsTombstone() {
+		if n := newest[r.Key]; n.Offset == r.Offset && !r.IsTombstone() {
 			all = append(all, r)
 		}
 	}
 	return all
 }
 
-func (w *world) append(b *fakeBox, e exchange.Append, back func(time.Duration, exchange.Event)) {
-	ended := func(d time.Duration, offset int64, err error) {
-		back(d, exchange.AppendEnded{Purpose: e.Purpose, Number: e.Number, Offset: offset, Err: err})
+// append carries out an append for a box. Depending on the injected faults, the append is rejected,
+// dropped, or carried out without an answer, up to 4 s late.
+func (w *world) append(b *fakeBox, e exchange.Append, post func(time.Duration, exchange.Event)) {
+	respond := func(d time.Duration, offset int64, err error) {
+		post(d, exchange.AppendEnded{Purpose: e.Purpose, Number: e.Number, Offset: offset, Err: err})
 	}
 	if w.logDown || b.logUnreachable {
-		ended(w.delay(), 0, stream.ErrNotDone)
+		respond(w.delay(), 0, stream.ErrNotDone)
 		return
 	}
 	if w.dropsJournalAppends && e.Purpose == exchange.ForJournal {
-		ended(900*time.Millisecond, 0, fmt.Errorf("no answer"))
+		respond(900*time.Millisecond, 0, fmt.Errorf("no answer"))
 		return
 	}
 	if w.rng.Float64() < w.unansweredAppendShare {
@@ -47,15 +52,18 @@
 		} else {
 			w.after(w.delay(), func() { w.applyAppend(e.Append) })
 		}
-		ended(900*time.Millisecond, 0, fmt.Errorf("no answer"))
+		respond(900*time.Millisecond, 0, fmt.Errorf("no answer"))
 		return
 	}
 	w.after(w.delay(), func() {
 		offset, err := w.applyAppend(e.Append)
-		ended(w.appendDelay+w.delay(), offset, err)
+		respond(w.appendDelay+w.delay(), offset, err)
 	})
 }
 
+// applyAppend appends records to a stream and returns the offset of the last. It returns an error
+// if the stream does not end where the append expects, or if the writer is fenced or repeats a
+// sequence number.
 func (w *world) applyAppend(a stream.Append) (int64, error) {
 	s := w.streams[a.Stream]
 	end := int64(len(s.records))
@@ -78,10 +86,11 @@
 	return int64(len(s.records)) - 1, nil
 }
 
-func (w *world) loadJobs(b *fakeBox, e exchange.LoadJobs, back func(time.Duration, exchange.Event)) {
+// loadJobs delivers the newest records of all jobs to a box.
+func (w *world) loadJobs(b *fakeBox, e exchange.LoadJobs, respond func(time.Duration, exchange.Event)) {
 	if w.logDown || b.logUnreachable {
-		back(100*time.Millisecond, exchange.JobsLoaded{Epoch: e.Epoch, Err: stream.ErrNotDone})
+		respond(100*time.Millisecond, exchange.JobsLoaded{Epoch: e.Epoch, Err: stream.ErrNotDone})
 		return
 	}
-	back(5*time.Millisecond, exchange.JobsLoaded{Epoch: e.Epoch, Records: w.streams[stream.Jobs].compacted()})
+	respond(5*time.Millisecond, exchange.JobsLoaded{Epoch: e.Epoch, Records: w.streams[stream.Jobs].compacted()})
 }
--- a/services/dispatch/worldworker_test.go
+++ b/services/dispatch/worldworker_test.go
@@ -15,6 +15,7 @@
 	"saddlevane/modules/ordered"
 )
 
+// worker returns the worker at an address, or nil.
 func (w *world) worker(address string) *fakeWorker {
 	for _, f := range w.workers {
 		if f.name == address {
@@ -24,9 +25,10 @@
 	return nil
 }
 
-// sendOrder brings an order to a worker. f returns the answer. Some orders are lost,
-// and some are carried out late.
-func (w *world) sendOrder(address string, id order.Incarnation, answered func(time.Duration, order.Answer), late bool, f func(*fakeWorker) order.Answer) {
+// sendOrder delivers an order to a worker, where execute carries it out, and passes the answer to
+// answered. Orders to crashed and unreachable workers are lost or refused. If late is set,
+// lateOrderShare of the orders get no answer and are carried out later.
+func (w *world) sendOrder(address string, id order.Incarnation, answered func(time.Duration, order.Answer), late bool, execute func(*fakeWorker) order.Answer) {
 	worker := w.worker(address)
 	if worker == nil || worker.unreachable || !worker.alive && !w.crashesVisible && w.rng.Intn(2) == 0 {
 		answered(time.Second, order.Answer{Outcome: order.Unknown, Problem: "no answer"})
@@ -36,31 +38,34 @@
 		answered(w.delay(), order.Answer{Outcome: order.NotDone, Problem: "refused"})
 		return
 	}
-	run := func() order.Answer {
+	carryOut := func() order.Answer {
 		if !worker.alive {
 			return order.Answer{Outcome: order.Unknown, Reason: order.ConnectionClosed, Problem: "EOF"}
 		}
 		if worker.incarnation.Name != id.Name {
 			return order.Answer{Outcome: order.WrongIncarnation}
 		}
-		return f(worker)
+		return execute(worker)
 	}
 	if late && w.rng.Float64() < w.lateOrderShare {
 		answered(time.Second, order.Answer{Outcome: order.Unknown, Problem: "no answer"})
 		w.after(time.Duration(2000+w.rng.Intn(10000))*time.Millisecond, func() {
 			w.executingLateOrder = true
-			run()
+			carryOut()
 			w.executingLateOrder = false
 		})
 		return
 	}
-	w.after(w.delay(), func() { answered(w.delay(), run()) })
+	w.after(w.delay(), func() { answered(w.delay(), carryOut()) })
 }
 
+// clock returns the time of the worker's clock, in milliseconds: 1000 when its incarnation began.
 func (f *fakeWorker) clock() order.WorkerClock {
 	return order.WorkerClock(f.w.now.Sub(f.bornAt).Milliseconds()) + 1000
 }
 
+// rejectsFence reports whether the fence of an order is lower than one the worker has seen before.
+// Otherwise it stores the fence.
 func (f *fakeWorker) rejectsFence(fence int64) bool {
 	if fence < f.fence {
 		return true
@@ -69,108 +74,114 @@
 	return false
 }
 
-// extendLease lengthens the lease, which nothing shortens.
+// extendLease sets a later end of the lease, at most one lease duration from now. It never shortens
+// the lease.
 func (f *fakeWorker) extendLease(until order.WorkerClock) {
 	if until == 0 {
 		return
 	}
 	end := f.w.now.Add(time.Duration(until-f.clock()) * time.Millisecond)
-	if most := f.w.now.Add(lease); end.After(most) {
-		end = most
+	if limit := f.w.now.Add(lease); end.After(limit) {
+		end = limit
 	}
 	if end.After(f.leaseEnd) {
 		f.leaseEnd = end
 	}
 }
 
-// maxRoundTrip is within which time a holder has an answer, and its next order has arrived.
+// maxRoundTrip bounds the time from an answer of a worker until the holder has received it and the
+// next order of the holder has arrived.
 const maxRoundTrip = 20 * time.Millisecond
 
-// lateAnswerInterval is the time from one bunch of late answers to the next.
+// lateAnswerInterval is the interval at which late answers are delivered, several at once.
 const lateAnswerInterval = 700 * time.Millisecond
 
-// maybeDelayAnswer returns how the answer to a look comes back: some are overdue first, and those
-// that are come together, up to four seconds later.
-func (w *world) maybeDelayAnswer(e exchange.Renew, back func(time.Duration, exchange.Event)) func(time.Duration, exchange.Event) {
+// maybeDelayAnswer returns the function that delivers the answer to a renewal. For lateAnswerShare
+// of the renewals it reports a timeout first and delivers the answer up to about 4.7 s later,
+// together with other late answers. Answers after the grace period are dropped.
+func (w *world) maybeDelayAnswer(e exchange.Renew, respond func(time.Duration, exchange.Event)) func(time.Duration, exchange.Event) {
 	if w.lateAnswerShare == 0 || w.rng.Float64() >= w.lateAnswerShare {
-		return back
+		return respond
 	}
-	back(e.Timeout, exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Renewal: e.Renewal, Answer: order.Answer{Outcome: order.Unknown}})
+	respond(e.Timeout, exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Renewal: e.Renewal, Answer: order.Answer{Outcome: order.Unknown}})
 	sent := w.now
 	after := e.Timeout + time.Duration(w.rng.Intn(4000))*time.Millisecond
 	return func(d time.Duration, answer exchange.Event) {
 		at := sent.Add(after).Truncate(lateAnswerInterval).Add(lateAnswerInterval)
 		if at.Sub(sent) <= e.Timeout+e.GracePeriod {
-			back(max(d, at.Sub(w.now)), answer)
+			respond(max(d, at.Sub(w.now)), answer)
 		}
 	}
 }
 
-func (w *world) renew(b *fakeBox, e exchange.Renew, back func(time.Duration, exchange.Event)) {
-	back = w.maybeDelayAnswer(e, back)
+// renew carries out a renewal of a lease.
+func (w *world) renew(b *fakeBox, e exchange.Renew, respond func(time.Duration, exchange.Event)) {
+	respond = w.maybeDelayAnswer(e, respond)
 	var report order.Report
-	var by order.Incarnation
+	var answeredBy order.Incarnation
 	answered := func(d time.Duration, a order.Answer) {
-		back(d, exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Renewal: e.Renewal, Answer: a, Report: report})
+		respond(d, exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Renewal: e.Renewal, Answer: a, Report: report})
 	}
-	look := func(f *fakeWorker) order.Answer {
+	renewLease := func(f *fakeWorker) order.Answer {
 		if f.rejectsFence(e.Order.Fence) {
 			return order.Answer{Outcome: order.Refused, Reason: order.Fenced, Clock: f.clock()}
 		}
 		f.extendLease(e.Order.LeaseEnd)
 		f.dropAcknowledged(e.Order.Acknowledged)
-		report, by = f.report(), f.incarnation
+		report, answeredBy = f.report(), f.incarnation
 		return order.Answer{Outcome: order.CarriedOut, Clock: f.clock()}
 	}
 	w.sendOrder(e.Address, e.Worker, func(d time.Duration, a order.Answer) {
 		if a.Outcome == order.CarriedOut && len(report.Ended) == 0 && e.Order.MaxWait > 0 {
-			w.waitForEnds(e, by, w.now.Add(e.Order.MaxWait.Duration()), back)
+			w.waitForEnds(e, answeredBy, w.now.Add(e.Order.MaxWait.Duration()), respond)
 			return
 		}
-		if f := w.worker(e.Address); f != nil && f.incarnation == by {
+		if f := w.worker(e.Address); f != nil && f.incarnation == answeredBy {
 			f.markReached()
 		}
 		answered(d, a)
-	}, w.lateOrdersIncludeRenewals, look)
+	}, w.lateOrdersIncludeRenewals, renewLease)
 }
 
-// markReached notes that a holder gets an answer.
+// markReached records when a holder first received an answer from the current incarnation.
 func (f *fakeWorker) markReached() {
 	if f.reachedAt.IsZero() {
 		f.reachedAt = f.w.now
 	}
 }
 
-// waitForEnds answers a renewal that a life has got at the next end, or when its wait is over.
-func (w *world) waitForEnds(e exchange.Renew, by order.Incarnation, until time.Time, back func(time.Duration, exchange.Event)) {
+// waitForEnds answers a renewal that an incarnation has received, at its next end of a run or when
+// the maximum wait is over. If the worker crashes or becomes unreachable, the renewal fails.
+func (w *world) waitForEnds(e exchange.Renew, receivedBy order.Incarnation, until time.Time, respond func(time.Duration, exchange.Event)) {
 	f := w.worker(e.Address)
 	switch {
 	case w.crashesVisible && f != nil && !f.alive && !f.unreachable:
-		back(w.delay(), exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Renewal: e.Renewal, Answer: order.Answer{Outcome: order.Unknown, Reason: order.ConnectionClosed, Problem: "EOF"}})
-	case f == nil || f.incarnation != by || !f.alive || f.unreachable:
-		back(time.Second, exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Renewal: e.Renewal, Answer: order.Answer{Outcome: order.Unknown}})
+		respond(w.delay(), exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Renewal: e.Renewal, Answer: order.Answer{Outcome: order.Unknown, Reason: order.ConnectionClosed, Problem: "EOF"}})
+	case f == nil || f.incarnation != receivedBy || !f.alive || f.unreachable:
+		respond(time.Second, exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Renewal: e.Renewal, Answer: order.Answer{Outcome: order.Unknown}})
 	case len(f.ended) > 0 || w.now.After(until):
 		f.markReached()
-		back(w.delay(), exchange.RenewEnded{
+		respond(w.delay(), exchange.RenewEnded{
 			Worker: e.Worker, Epoch: e.Epoch, Renewal: e.Renewal, Answer: order.Answer{Outcome: order.CarriedOut, Clock: f.clock()}, Report: f.report(),
 		})
 	default:
-		w.after(10*time.Millisecond, func() { w.waitForEnds(e, by, until, back) })
+		w.after(10*time.Millisecond, func() { w.waitForEnds(e, receivedBy, until, respond) })
 	}
 }
 
+// report returns the report of the worker's runs and ends.
 func (f *fakeWorker) report() order.Report {
 	r := order.Report{Incarnation: f.incarnation, Clock: f.clock(), Ended: slices.Clone(f.ended)}
-	// A run that is being stopped is named until its end is told, as the users'
-	// workers do (tried on a day of theirs: 280 looks at such runs, 42 at runs
-	// that were stopped before they began, none of which ended later).
+	// A run that is being stopped is reported as running until its end is reported. The workers of
+	// users do the same: on one day, 280 renewals reported such runs, and 42 reported runs that
+	// were stopped before they began, none of which ended later.
 	for run := range ordered.By(f.runs, order.Run.Compare) {
 		r.Running = append(r.Running, order.Running{Run: run, Progress: f.runs[run].progress(f.w.now)})
 	}
 	return r
 }
 
-// progress returns how much of a run is done, in percent.
+// progress returns the progress of a run in percent.
 func (r *fakeRun) progress(now time.Time) int {
 	if r.begunAt.IsZero() || r.stalled {
 		return 0
@@ -178,14 +189,16 @@
 	return min(99, int(100*now.Sub(r.begunAt)/max(1, r.duration)))
 }
 
-// dropAcknowledged drops ends that the holder has noted; what they say stands for good.
-func (f *fakeWorker) dropAcknowledged(seen int64) {
-	for len(f.ended) > 0 && f.ended[0].Number <= seen {
+// dropAcknowledged drops the ends that the holder has acknowledged. An acknowledged end is final:
+// the holder must never revise it.
+func (f *fakeWorker) dropAcknowledged(acknowledged int64) {
+	for len(f.ended) > 0 && f.ended[0].Number <= acknowledged {
 		f.w.acknowledgeEnd(f.ended[0])
 		f.ended = f.ended[1:]
 	}
 }
 
+// acknowledgeEnd records that the holder has acknowledged an end. Ends of services do not count.
 func (w *world) acknowledgeEnd(e order.End) {
 	a := w.jobs[e.Task.Job]
 	if a == nil || a.sub.Steps[e.Task.Step].Service {
@@ -203,20 +216,25 @@
 	}
 }
 
-func (w *world) startRun(_ *fakeBox, e exchange.StartRun, back func(time.Duration, exchange.Event)) {
+// startRun sends a start order to a worker.
+func (w *world) startRun(_ *fakeBox, e exchange.StartRun, respond func(time.Duration, exchange.Event)) {
 	w.sendOrder(e.Address, e.Worker, func(d time.Duration, a order.Answer) {
-		back(d, exchange.StartEnded{Worker: e.Worker, Epoch: e.Epoch, Run: e.Order.Run, Answer: a})
+		respond(d, exchange.StartEnded{Worker: e.Worker, Epoch: e.Epoch, Run: e.Order.Run, Answer: a})
 	}, true, func(f *fakeWorker) order.Answer { return f.start(e.Order) })
 }
 
-func (w *world) stopRun(_ *fakeBox, e exchange.StopRun, back func(time.Duration, exchange.Event)) {
+// stopRun sends a stop order to a worker.
+func (w *world) stopRun(_ *fakeBox, e exchange.StopRun, respond func(time.Duration, exchange.Event)) {
 	w.sendOrder(e.Address, e.Worker, func(d time.Duration, a order.Answer) {
-		back(d, exchange.StopEnded{Worker: e.Worker, Epoch: e.Epoch, Run: e.Order.Run, Answer: a})
+		respond(d, exchange.StopEnded{Worker: e.Worker, Epoch: e.Epoch, Run: e.Order.Run, Answer: a})
 	}, true, func(f *fakeWorker) order.Answer { return f.stop(e.Order) })
 }
 
+// start carries out a start order, after checking that it breaks no guarantee.
 func (f *fakeWorker) start(s order.Start) order.Answer {
-	// No holder can keep a life from what was meant for an earlier one before it knows of it.
+	// A late order for an earlier incarnation of the same name can reach a new incarnation. A
+	// holder can only prevent that once it has reached the new incarnation, so that until then such
+	// starts are not checked.
 	unreached := f.w.executingLateOrder && f.incarnationCount > 1 && (f.reachedAt.IsZero() || f.w.now.Sub(f.reachedAt) < maxRoundTrip)
 	refused := func(r order.Reason) order.Answer {
 		return order.Answer{Outcome: order.Refused, Reason: r, Clock: f.clock()}
@@ -242,9 +260,9 @@
 	f.w.starts[s.Task]++
 	a := f.w.jobs[s.Task.Job]
 	step := a.sub.Steps[s.Task.Step]
-	h := f.w.rng.Intn(100)
+	failureDraw := f.w.rng.Intn(100)
 	f.runs[s.Run] = &fakeRun{
-		run: s.Run, step: step, arrivedAt: f.w.now, willFail: f.failsAllTasks || h < 4 && !f.w.noRandomFailures,
+		run: s.Run, step: step, arrivedAt: f.w.now, willFail: f.failsAllTasks || failureDraw < 4 && !f.w.noRandomFailures,
 		stalled: f.stallsRuns, unreached: unreached,
 		duration: step.Estimate.Duration() * time.Duration(50+f.w.rng.Intn(100)) / 100 * time.Duration(max(1, f.slowdown)),
 	}
@@ -253,6 +271,8 @@
 	return order.Answer{Outcome: order.CarriedOut, Clock: f.clock()}
 }
 
+// stop carries out a stop order. Later starts of the run, or of earlier runs of its task, are
+// refused.
 func (f *fakeWorker) stop(s order.Stop) order.Answer {
 	if f.rejectsFence(s.Fence) {
 		return order.Answer{Outcome: order.Refused, Reason: order.Fenced, Clock: f.clock()}
@@ -264,7 +284,7 @@
 	return order.Answer{Outcome: order.CarriedOut, Clock: f.clock()}
 }
 
-// runStopDuration returns how long a stop takes.
+// runStopDuration returns how long a run takes to stop.
 func (w *world) runStopDuration() time.Duration {
 	if w.stopDuration > 0 {
 		return w.stopDuration
@@ -272,7 +292,7 @@
 	return defaultStopDuration
 }
 
-// advanceWorkers lets tasks end and leases run out.
+// advanceWorkers begins and ends runs and expires leases, every 10 ms.
 func (w *world) advanceWorkers() {
 	w.after(10*time.Millisecond, w.advanceWorkers)
 	w.beginRuns()
@@ -283,6 +303,8 @@
 	}
 }
 
+// beginRuns begins the runs that can begin: those of a gang when all its members have arrived. It
+// ends gangs that have lost a member or are incomplete for too long.
 func (w *world) beginRuns() {
 	present := map[order.Run]int{}
 	for _, f := range w.workers {
@@ -313,18 +335,20 @@
 	}
 }
 
-// gangRun names the run of a whole gang.
+// gangRun returns the run that stands for all members of a gang: that of its first task.
 func gangRun(run order.Run) order.Run {
 	run.Task.Index = 0
 	return run
 }
 
-func (r *fakeRun) end(now time.Time, how order.EndStatus) {
+// end makes the run end with a status, unless it is already ending.
+func (r *fakeRun) end(now time.Time, status order.EndStatus) {
 	if r.endsAt.IsZero() {
-		r.endsAt, r.endStatus = now, how
+		r.endsAt, r.endStatus = now, status
 	}
 }
 
+// advance ends the worker's runs that are complete, stopped, or without a lease.
 func (f *fakeWorker) advance() {
 	now := f.w.now
 	for run, r := range ordered.By(f.runs, order.Run.Compare) {
@@ -343,19 +367,19 @@
 	}
 }
 
-// finishRun ends a run that has done its work; the members of a gang end together.
+// finishRun ends a run whose work is complete. The members of a gang end together.
 func (w *world) finishRun(run order.Run, r *fakeRun) {
-	how := order.Done
+	status := order.Done
 	if r.willFail {
-		how = order.Failed
+		status = order.Failed
 	}
 	a := w.jobs[run.Task.Job]
-	if how == order.Failed {
+	if status == order.Failed {
 		a.countFailedRun(run, r.step.Gang)
 	}
 	if !r.step.Gang {
-		r.end(w.now, how)
-		if how == order.Done {
+		r.end(w.now, status)
+		if status == order.Done {
 			a.done[run.Task] = true
 		}
 		return
@@ -365,21 +389,21 @@
 			if gangRun(other) != gangRun(run) {
 				continue
 			}
-			if how == order.Failed && other != run {
+			if status == order.Failed && other != run {
 				o.end(w.now, order.GangBroken)
 				continue
 			}
-			o.end(w.now, how)
+			o.end(w.now, status)
 		}
 	}
-	if how == order.Done {
+	if status == order.Done {
 		for i := range r.step.Tasks {
 			a.done[job.TaskID{StepID: run.Task.StepID, Index: i}] = true
 		}
 	}
 }
 
-// countFailedRun counts a run that ended failed; one of a gang counts for all its members.
+// countFailedRun counts a failed run. A run of a gang is counted once, for its first task.
 func (a *submittedJob) countFailedRun(run order.Run, gang bool) {
 	if a.failedRuns == nil {
 		a.failedRuns = map[job.TaskID]int{}
@@ -390,9 +414,9 @@
 	a.failedRuns[run.Task]++
 }
 
-// crash ends a worker's life; another one comes later at the same address, and under the same
-// name unless each life has a name of its own.
-func (f *fakeWorker) crash(back time.Duration) {
+// crash ends the current incarnation of a worker. After the downtime a new one begins at the same
+// address, and under the same name unless uniqueIncarnationNames is set.
+func (f *fakeWorker) crash(downtime time.Duration) {
 	if !f.alive {
 		return
 	}
@@ -400,20 +424,22 @@
 	f.formerEntry, f.crashedAt = f.entry(), f.w.now
 	f.runs = map[order.Run]*fakeRun{}
 	f.ended = nil
-	f.w.after(back, func() {
+	f.w.after(downtime, func() {
 		f.beginIncarnation()
 		f.alive, f.fence, f.lastEndNumber, f.leaseEnd = true, 0, 0, time.Time{}
 		f.highestRun = map[job.TaskID]int64{}
 	})
 }
 
+// defaultNeed is the need of a task of oneStep.
 var defaultNeed = resource.Vector{Processors: 4 * resource.Processor, Memory: 8 * resource.GiB}
 
+// fakeWorker is a simulated worker.
 type fakeWorker struct {
 	w    *world
 	name string
-	// life is the present one, lives counts them; it began at bornAt, and its entry is
-	// listed from listedAt on.
+	// incarnation is the current incarnation, which began at bornAt and is listed from listedAt on.
+	// incarnationCount counts the incarnations of the worker.
 	incarnation      order.Incarnation
 	incarnationCount int
 	bornAt           time.Time
@@ -424,7 +450,7 @@
 	unreachable      bool
 	unlisted         bool
 	leaving          bool
-	// reachedAt is when a holder first got an answer of the life.
+	// reachedAt is when a holder first received an answer from the current incarnation.
 	reachedAt     time.Time
 	fence         int64
 	lastEndNumber int64
@@ -433,20 +459,22 @@
 	ended         []order.End
 	highestRun    map[job.TaskID]int64
 	failsAllTasks bool
-	// stalls makes runs stand still that start on it.
+	// stallsRuns makes runs that start on the worker stall.
 	stallsRuns bool
-	// slowdown is how many times as long tasks take on it, if not 0.
+	// slowdown is the factor by which tasks take longer on the worker; 0 means 1.
 	slowdown int
-	// before is the room that it had until shrunkAt.
+	// formerCapacity is the capacity before it shrank at shrunkAt.
 	formerCapacity resource.Vector
 	shrunkAt       time.Time
-	// last is the entry of the life before, which crashed at crashedAt.
+	// formerEntry is the list entry of the previous incarnation, which crashed at crashedAt.
 	formerEntry order.Worker
 	crashedAt   time.Time
-	// begun counts the starts on it.
+	// startCount counts the runs started on the worker.
 	startCount int
 }
 
+// fakeRun is a run on a simulated worker. It arrived there at arrivedAt, began its work at begunAt,
+// takes duration, and ends at endsAt with endStatus; zero times are still unknown.
 type fakeRun struct {
 	run       order.Run
 	step      job.Step
@@ -456,12 +484,14 @@
 	willFail  bool
 	endsAt    time.Time
 	endStatus order.EndStatus
-	// unreached says that it was started late on a life that no holder had reached.
+	// unreached is set if a late order started the run on an incarnation that no holder had
+	// reached.
 	unreached bool
-	// stalled says that it comes no further.
+	// stalled is set if the run makes no progress.
 	stalled bool
 }
 
+// newFakeWorker returns a running worker that is listed from the start.
 func newFakeWorker(w *world, name, rack string) *fakeWorker {
 	f := &fakeWorker{
 		w: w, name: name, rack: rack, alive: true, runs: map[order.Run]*fakeRun{}, highestRun: map[job.TaskID]int64{},
@@ -472,7 +502,9 @@
 	return f
 }
 
-// beginIncarnation begins another life. The clock that tells when may be back, and its entry comes later.
+// beginIncarnation begins a new incarnation. Its start time may be up to 3 s before the current
+// time, and so before that of the previous incarnation, because clocks may be set back; its entry
+// is listed up to 0.8 s later.
 func (f *fakeWorker) beginIncarnation() {
 	f.incarnationCount++
 	f.bornAt, f.reachedAt = f.w.now, time.Time{}
