--- a/services/core/core.go
+++ b/services/core/core.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package core is the reducer of a whole process. It is told each event with
-// the present time and returns what to do; it does no I/O, reads no clock and
-// starts no goroutine. It only dispatches: each part below it owns its state.
+// Package core is the event handler of a whole process. It receives each event with the
+// current time and returns the effects to carry out. It does no I/O, reads no clock and
+// starts no goroutine. It only dispatches events: each component owns its own state.
 package core
 
 import (
@@ -26,7 +26,7 @@
 	"github.com/oklog/ulid/v2"
 )
 
-// Settings are the settings of all parts.
+// Settings holds the settings of all components.
 type Settings struct {
 	Journal    journal.Settings
 	Membership membership.Settings
@@ -34,14 +34,14 @@
 	Shard      shard.Settings
 	// Retention is how long the log keeps records.
 	Retention time.Duration
-	// StopGrace is how long a stopping process still serves new requests, so
-	// that the balancer has time to notice.
+	// StopGrace is how long a stopping process still accepts new requests, so that the load
+	// balancer has time to react.
 	StopGrace time.Duration
-	// MaxStopTime bounds a planned stop.
+	// MaxStopTime limits the duration of a planned stop.
 	MaxStopTime time.Duration
 }
 
-// Policies are what varies between deployments.
+// Policies holds the policies that vary between deployments.
 type Policies struct {
 	Routing routing.Policy
 	Shard   shard.Policy
@@ -54,15 +54,16 @@
 	self     peer.Hello
 	started  time.Time
 
-	members      *membership.Membership
-	ledger       *ledger.Ledger
-	reader       reader
-	journal      *journal.Journal
-	router       *routing.Router
-	holders      map[spec.ShardID]*shard.Holder
+	members *membership.Membership
+	ledger  *ledger.Ledger
+	reader  reader
+	journal *journal.Journal
+	router  *routing.Router
+	holders map[spec.ShardID]*shard.Holder
+	// publications holds the publications that wait for the log, by ID.
 	publications map[string]pendingPublication
 	stop         stopProgress
-	// checkpoint is the last one that this process appended.
+	// checkpointEntry is the last checkpoint entry that this process added to the journal.
 	checkpointEntry journal.EntryNumber
 }
 
@@ -79,7 +80,7 @@
 	}
 }
 
-// Handle takes one event and returns what to do about it, in order.
+// Handle handles one event and returns the effects to carry out, in order.
 func (c *Core) Handle(now time.Time, e event.Event) []effect.Effect {
 	switch e := e.(type) {
 	case event.Tick:
@@ -118,6 +119,7 @@
 	}
 }
 
+// tick does what is due in all components.
 func (c *Core) tick(now time.Time) []effect.Effect {
 	var effects []effect.Effect
 	c.members.SetYields(c.yieldableShards(now))
@@ -134,7 +136,7 @@
 	return append(effects, c.continueStop(now)...)
 }
 
-// yieldableShards names the shards that other boxes may claim from this one.
+// yieldableShards returns the shards that other boxes may claim from this one.
 func (c *Core) yieldableShards(now time.Time) []string {
 	var all []string
 	for _, id := range c.shardIDs() {
@@ -145,6 +147,7 @@
 	return all
 }
 
+// shardIDs returns the IDs of all shards of the domain, sorted.
 func (c *Core) shardIDs() []spec.ShardID {
 	ids := make([]spec.ShardID, 0, len(c.holders))
 	for id := range c.holders {
@@ -161,8 +164,8 @@
 	return c.router.Arrived(now, a)
 }
 
-// updateRouterPeers tells the router who shares the targets. A stopping process goes
-// on as if it were live: it has requests to finish.
+// updateRouterPeers passes the peers that share the targets to the router. A stopping
+// process keeps the peers that it had, because it still has requests to finish.
 func (c *Core) updateRouterPeers(now time.Time) []effect.Effect {
 	if c.members.Leaving() {
 		return nil
@@ -186,8 +189,8 @@
 	return append(c.setTargets(now), c.updateRouterPeers(now)...)
 }
 
-// neighbours returns the entry boxes of other domains, which may have room when
-// this one has none.
+// neighbours returns the live entry boxes of other domains, which may have free capacity
+// when this domain has none.
 func (c *Core) neighbours() []routing.Neighbour {
 	var all []routing.Neighbour
 	for name, b := range ordered.Map(c.members.Boxes()) {
@@ -198,6 +201,7 @@
 	return all
 }
 
+// setTargets passes the targets of this domain to the router.
 func (c *Core) setTargets(now time.Time) []effect.Effect {
 	var targets []routing.Target
 	for _, b := range c.members.Boxes() {
@@ -212,7 +216,7 @@
 	return c.router.SetTargets(now, targets)
 }
 
-// applyFiles brings every part in line with the files in force.
+// applyFiles updates all components to the files in force.
 func (c *Core) applyFiles(now time.Time) []effect.Effect {
 	effects := c.router.SetPools(now, c.ledger.Pools())
 	effects = append(effects, c.setTargets(now)...)
--- a/services/core/core_test.go
+++ b/services/core/core_test.go
@@ -19,7 +19,8 @@
 	"pgregory.net/rapid"
 )
 
-// The random worlds are the same in each run, unless free seeds are asked for.
+// init fixes the seed and the number of random worlds, unless SADDLEVANE_FREE_SEEDS asks
+// for other seeds.
 func init() {
 	_ = flag.Set("rapid.checks", "60")
 	if os.Getenv("SADDLEVANE_FREE_SEEDS") == "" {
@@ -45,7 +46,7 @@
   - {name: gang, team: t, count: 2, resources: {processors: 1, memory: 1GiB}, command: [sleep, 900ms], repeatable: true, retries: 3}
 `
 
-// newSettledWorld starts a world with its files in force.
+// newSettledWorld returns a world in which the cell file is in force.
 func newSettledWorld(t rapid.TB, seed uint64) *world {
 	w := newWorld(seed, 3, 4)
 	w.run(2 * time.Second)
@@ -55,7 +56,7 @@
 	return w
 }
 
-// totalWork adds up what the holders know.
+// totalWork returns the sum of the work that all nodes report, by object.
 func (w *world) totalWork() map[string]status.Work {
 	all := map[string]status.Work{}
 	for _, n := range w.nodes {
@@ -73,13 +74,15 @@
 	return all
 }
 
+// allWorkEnded reports whether every job and gang of workFile has ended and all tasks of
+// its service run.
 func (w *world) allWorkEnded() bool {
 	s := w.totalWork()
 	return s["serve"].Running == 3 && s["many"].Done == 40 && s["gang"].Done == 2 &&
 		s["once"].Done+s["once"].Unknown+s["once"].Failed == 20 && s["once"].Running == 0
 }
 
-// healAndFinish ends every fault and waits until all work has come to its end.
+// healAndFinish ends all faults and runs the world until all work has ended.
 func (w *world) healAndFinish(t rapid.TB) {
 	w.loss, w.logDown = 0, false
 	for _, n := range w.nodes {
@@ -97,10 +100,10 @@
 			return
 		}
 	}
-	t.Fatalf("not all work came to its end\n%s", w.state())
+	t.Fatalf("not all work has ended\n%s", w.state())
 }
 
-// removeDrains ends every drain, since a shard may have no other worker left.
+// removeDrains ends all drains, because a shard may have no other worker left.
 func (w *world) removeDrains(t rapid.TB) {
 	for i := range 20 {
 		f, ok := w.nodes[0].core.File("cell")
@@ -113,6 +116,7 @@
 	t.Fatalf("a drain could not be ended")
 }
 
+// state returns the state of all nodes and workers for failure messages.
 func (w *world) state() string {
 	var b strings.Builder
 	for _, n := range w.nodes {
@@ -134,22 +138,25 @@
 	return b.String()
 }
 
-// checkReservations checks that workers have reserved exactly what runs on them.
+// checkReservations checks that each holder has reserved exactly the resources of the tasks
+// on its workers.
 func (w *world) checkReservations(t rapid.TB) {
 	for _, n := range w.nodes {
 		for _, row := range n.core.Dump(w.now).Workers {
 			want := fmt.Sprintf("%d processors", 4-row.Tasks)
 			if row.Adopted && !strings.HasPrefix(row.Free, want) {
-				t.Fatalf("%s takes %s to have %s free with %d tasks of one processor each", n.name, row.Name, row.Free, row.Tasks)
+				t.Fatalf("%s computes that %s has %s free with %d tasks of one processor each", n.name, row.Name, row.Free, row.Tasks)
 			}
 		}
 	}
 }
 
+// checkNoViolations fails the test if an invariant was violated or a task that may not be
+// repeated was started twice.
 func (w *world) checkNoViolations(t rapid.TB) {
 	w.checkReservations(t)
 	if len(w.violations) > 0 {
-		t.Fatalf("%d faults, the first: %s", len(w.violations), w.violations[0])
+		t.Fatalf("%d violations, the first: %s", len(w.violations), w.violations[0])
 	}
 	for key, n := range w.startCounts("once") {
 		if n > 1 {
@@ -170,6 +177,9 @@
 	}
 }
 
+// Each node is stopped and restarted while tasks that may not be repeated are running. All
+// of them must finish: a planned change of holders must not leave a task whose intent is
+// recorded, but whose start was never sent.
 func TestPlannedStopLeavesNoTaskUnknown(t *testing.T) {
 	for seed := range uint64(40) {
 		w := newSettledWorld(t, seed)
@@ -190,6 +200,8 @@
 	}
 }
 
+// After one worker of each shard has died, the gang cannot fit any more. If it still
+// prevented smaller tasks from overtaking it, the jobs would never finish.
 func TestGangThatCannotFitDoesNotBlockOthers(t *testing.T) {
 	w := newSettledWorld(t, 3)
 	large := strings.Replace(workFile, "count: 2, resources: {processors: 1, memory: 1GiB}, command: [sleep, 900ms]",
@@ -205,6 +217,8 @@
 	assert.Equal(t, s["once"].Done, 20)
 }
 
+// A task of a gang that the next holder finds stopped is both queued for a retry and
+// counted as never started, so it could be placed twice.
 func TestRequeuedGangMemberStartsOnce(t *testing.T) {
 	for seed := range uint64(60) {
 		w := newSettledWorld(t, seed)
@@ -213,14 +227,16 @@
 		w.run(time.Duration(50+20*(seed%20)) * time.Millisecond)
 		w.replace(w.nodes[seed%3], "d", "cell", cellFile+"drain: [w2, w4]\n")
 		w.run(50 * time.Millisecond)
-		// Its holder is frozen, and the next one finds members of the gang that were
-		// stopped before it has started any.
+		// The holder is paused, so that the next one adopts workers on which tasks of
+		// the gang have been stopped, before it has started any.
 		w.nodes[seed%3].paused = true
 		w.run(4 * time.Second)
 		w.checkNoViolations(t)
 	}
 }
 
+// A job with one retry is stopped by drains before an attempt fails. The stopped attempts
+// must not count, so that the job still has its retry.
 func TestStoppedAttemptsDoNotCountAsRetries(t *testing.T) {
 	w := newSettledWorld(t, 5)
 	one := "name: one\njobs:\n  - {name: one, team: t, count: 1, resources: {processors: 1}, command: [sleep, 2s], repeatable: true, retries: 1}\n"
@@ -255,7 +271,8 @@
 	assert.Equal(t, w.totalWork()["late"].Done, done)
 }
 
-// workerRunning returns the worker on which a task of an object runs.
+// workerRunning returns the worker that runs a task of the object, or "w9", which does not
+// exist.
 func (w *world) workerRunning(object string) string {
 	for name, wk := range w.workers {
 		for _, id := range wk.Running() {
@@ -267,14 +284,17 @@
 	return "w9"
 }
 
+// Workers are removed from the files while their tasks run, and the holder is paused before
+// it reads that. The next holder must still adopt these workers, or it would start their
+// tasks again elsewhere.
 func TestNextHolderAdoptsWorkersRemovedFromFiles(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newSettledWorld(t, seed)
 		r := w.publish(w.nodes[0], "work", "work", 0, workFile)
 		assert.Equal(t, r.Outcome, effect.Accepted, "%v", r)
 		w.run(600 * time.Millisecond)
-		// The old holders are frozen before they learn that the workers left the
-		// files; their tasks there run on.
+		// The holders are paused before they read that the workers were removed from
+		// the files. Their tasks keep running there.
 		without := strings.NewReplacer("[w1, w2]", "[w1]", "[w3, w4]", "[w3]").Replace(cellFile)
 		w.replace(w.nodes[seed%3], "without", "cell", without)
 		for _, n := range w.nodes {
@@ -292,6 +312,9 @@
 	}
 }
 
+// A paused holder is resumed without access to the log or its peers, after another box has
+// taken its shard over. It reaches some of the workers and acquires their leases, and must
+// not start tasks that run on the others.
 func TestResumedHolderWithoutLogStartsNoTaskOfLaterHolder(t *testing.T) {
 	for seed := range uint64(150) {
 		w := newSettledWorld(t, seed)
@@ -300,8 +323,8 @@
 		assert.Equal(t, r.Outcome, effect.Accepted, "%v", r)
 		old.paused, old.cutLog, old.cutPeers = true, true, true
 		w.run(5 * time.Second)
-		// The later holders are frozen in their turn, and the old one wakes up and
-		// reaches only some of the workers.
+		// The later holders are paused, and the old one is resumed and reaches only
+		// some of the workers.
 		old.cutWorkers["w2"], old.cutWorkers["w4"] = true, true
 		for _, n := range w.nodes {
 			n.paused = n != old
@@ -312,6 +335,9 @@
 	}
 }
 
+// Injects random faults and checks that no task runs twice at the same time, that no task
+// that may not be repeated starts twice, and that no file in force goes back to an older
+// revision. After the faults have ended, all work must end too.
 func TestNoTaskRunsTwiceAndNoFileRevertsUnderRandomFaults(t *testing.T) {
 	total := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -330,14 +356,14 @@
 	t.Logf("%d events", total)
 }
 
-// replace publishes a file in place of the revision that the node has in force.
+// replace publishes a file in place of the revision that is in force at the node.
 func (w *world) replace(n *node, id, file, data string) {
 	if f, _ := n.core.File(file); f.Revision > 0 && !n.paused {
 		w.publish(n, id, file, f.Revision, data)
 	}
 }
 
-// injectFault breaks one thing, or mends it.
+// injectFault injects one random fault or ends one.
 func (w *world) injectFault(t *rapid.T, i int) {
 	n := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")]
 	switch rapid.SampledFrom([]string{
@@ -367,7 +393,7 @@
 		w.run(time.Duration(rapid.IntRange(50, 2000).Draw(t, "until the end")) * time.Millisecond)
 		w.boot(n)
 	case "worker dies":
-		// One of each shard at the most, so that the work can still be done.
+		// At most one worker of each shard dies, so that the work can still finish.
 		name := rapid.SampledFrom([]string{"w1", "w3"}).Draw(t, "worker")
 		w.dead[name] = true
 	case "new form":
--- a/services/core/publish.go
+++ b/services/core/publish.go
@@ -13,12 +13,16 @@
 	"saddlevane/services/ledger"
 )
 
-// pendingPublication is an operator who waits for the log's decision.
+// pendingPublication holds the operators' calls that wait until the log has decided on a
+// publication.
 type pendingPublication struct {
 	waiters  []uint64
 	deadline time.Time
 }
 
+// publishAsked handles a call to publish a file. It answers at once if the publication has
+// already been accepted or is certain to be refused. Otherwise the call waits for the log;
+// repeated calls with the same ID share one entry.
 func (c *Core) publishAsked(now time.Time, e event.PublishAsked) []effect.Effect {
 	p := e.Publish
 	if entry, ok := c.ledger.Entry(p.File); ok && entry.PublicationID() == p.ID {
@@ -37,7 +41,8 @@
 	return c.journal.Tick(now)
 }
 
-// refusalReasons says why a publication is surely not applied, without asking the log.
+// refusalReasons returns why a publication is certain to be refused without writing it to
+// the log, or nothing.
 func (c *Core) refusalReasons(p *record.Publish) []string {
 	switch {
 	case !c.reader.inForce:
@@ -47,12 +52,14 @@
 	case c.journal.FailureReason() != "":
 		return []string{"the log cannot be written: " + c.journal.FailureReason()}
 	case c.journal.Full():
-		return []string{"too much waits for the log"}
+		return []string{"too many entries wait to be appended to the log"}
 	default:
 		return c.ledger.Check(p)
 	}
 }
 
+// answerPublication answers the calls that wait for a publication that the log has decided
+// on.
 func (c *Core) answerPublication(p *ledger.PublishDecision) []effect.Effect {
 	waiting, ok := c.publications[p.ID]
 	if !ok {
@@ -70,8 +77,8 @@
 	return effects
 }
 
-// expirePublications tells operators whose patience is over that the log has
-// not decided. The file may still come into force.
+// expirePublications answers the calls whose timeout has passed before the log has decided.
+// The file may still come into force.
 func (c *Core) expirePublications(now time.Time) []effect.Effect {
 	var effects []effect.Effect
 	for id, p := range ordered.Map(c.publications) {
@@ -81,13 +88,14 @@
 		delete(c.publications, id)
 		for _, w := range p.waiters {
 			effects = append(effects, publishAnswer(w, effect.PublishResult{
-				Outcome: effect.Unknown, Reasons: []string{"the log has not decided in time; publish again with the same id, or read back"},
+				Outcome: effect.Unknown, Reasons: []string{"the log has not decided in time; publish again with the same id, or read the file in force"},
 			})...)
 		}
 	}
 	return effects
 }
 
+// publishAnswer returns the effect that answers one call.
 func publishAnswer(waiter uint64, r effect.PublishResult) []effect.Effect {
 	return []effect.Effect{effect.AnswerPublish{Waiter: waiter, Result: r}}
 }
--- a/services/core/reader.go
+++ b/services/core/reader.go
@@ -17,35 +17,35 @@
 	"saddlevane/services/ledger"
 )
 
-// reader is where the process stands in the log.
+// reader is the state of reading the log.
 type reader struct {
-	// inForce says that the files known here may be acted on. It never becomes
-	// false again: what is in force only grows newer.
+	// inForce is set once this process may act on the files that it has read. It is never
+	// reset, because files in force are only replaced by newer ones.
 	inForce bool
-	// head says that the end of the log has been read since the process started
-	// or last fell behind.
+	// caughtUp is set when the end of the log has been read since the process started or
+	// last found that records are missing.
 	caughtUp bool
-	// seek is set while the records that follow on the ledger are gone from the
-	// log: it reads from the oldest record on until it finds a checkpoint.
+	// seek is set while the records that follow the ledger's position have been deleted
+	// from the log: it reads from the oldest remaining record until it finds a checkpoint.
 	seek        *ledger.Ledger
 	reading     bool
 	lastFailure string
 	failures    int
 	retryAt     time.Time
 	fetchAt     time.Time
-	// began is when the read under way was asked for.
+	// readStartedAt is when the current read was requested.
 	readStartedAt time.Time
 }
 
-// The waits of the reader.
+// Retry delays of the reader, and the interval between requests for a peer's snapshot.
 const (
 	readRetryDelay    = 200 * time.Millisecond
 	maxReadRetryDelay = 2 * time.Second
 	fetchInterval     = 500 * time.Millisecond
 )
 
-// knownOffset is how far this process can help peers: nowhere while nothing is in
-// force.
+// knownOffset returns the offset up to which this process can provide a snapshot to peers:
+// 0 until files are in force.
 func (c *Core) knownOffset() int64 {
 	if !c.reader.inForce {
 		return 0
@@ -53,8 +53,8 @@
 	return c.ledger.NextOffset()
 }
 
-// dueReads returns the read that is due, and asks a peer that knows more while
-// the log cannot be read.
+// dueReads returns the read of the log that is due. While the log cannot be read, it also
+// requests a snapshot from a peer that has read further.
 func (c *Core) dueReads(now time.Time) []effect.Effect {
 	r := &c.reader
 	var effects []effect.Effect
@@ -69,6 +69,7 @@
 	return effects
 }
 
+// readOffset returns the offset from which to read next.
 func (c *Core) readOffset() int64 {
 	if c.reader.seek != nil {
 		return c.reader.seek.NextOffset()
@@ -76,7 +77,8 @@
 	return c.ledger.NextOffset()
 }
 
-// fetchSnapshot asks the peer that has read furthest for its snapshot.
+// fetchSnapshot requests the snapshot of the peer that has read furthest, if it has read
+// further than this process.
 func (c *Core) fetchSnapshot(now time.Time) []effect.Effect {
 	var best effect.FetchSnapshot
 	next := c.ledger.NextOffset()
@@ -92,6 +94,7 @@
 	return []effect.Effect{best}
 }
 
+// logFailed schedules the next read after a failed one, with an exponential backoff.
 func (c *Core) logFailed(now time.Time, e event.LogFailed) []effect.Effect {
 	r := &c.reader
 	r.reading, r.lastFailure = false, e.Reason
@@ -101,6 +104,8 @@
 	return nil
 }
 
+// logRead handles the records of a read. If records are missing before the first one, it
+// begins to seek a checkpoint.
 func (c *Core) logRead(now time.Time, e event.LogRead) []effect.Effect {
 	r := &c.reader
 	r.reading, r.lastFailure, r.failures = false, "", 0
@@ -122,7 +127,8 @@
 	return append(effects, c.dueReads(now)...)
 }
 
-// continueSeek reads towards a checkpoint and goes on from it.
+// continueSeek looks for a checkpoint in the records and, once it is complete, continues
+// from it.
 func (c *Core) continueSeek(now time.Time, e event.LogRead) []effect.Effect {
 	r := &c.reader
 	for _, rec := range e.Records {
@@ -136,7 +142,7 @@
 	return append(effects, c.dueReads(now)...)
 }
 
-// restore goes on from a snapshot.
+// restore replaces the ledger with a snapshot. An invalid snapshot is ignored.
 func (c *Core) restore(now time.Time, s record.Snapshot) []effect.Effect {
 	restored, err := ledger.Restore(s)
 	if err != nil {
@@ -150,8 +156,8 @@
 	return c.applyFiles(now)
 }
 
-// snapshotRead takes what a peer knows. It is taken over only while the log
-// cannot tell, and only if it is newer.
+// snapshotRead handles a peer's snapshot. It is used only while the log cannot be read or
+// records are missing from it, and only if it is newer than the ledger.
 func (c *Core) snapshotRead(now time.Time, e event.SnapshotRead) []effect.Effect {
 	r := &c.reader
 	if (r.lastFailure == "" && r.seek == nil) || e.Snapshot.Next <= c.ledger.NextOffset() {
@@ -164,6 +170,8 @@
 	return effects
 }
 
+// putInForce puts the files in force when the log or a snapshot has been read for the first
+// time.
 func (c *Core) putInForce(now time.Time) []effect.Effect {
 	if c.reader.inForce {
 		return nil
@@ -172,6 +180,8 @@
 	return c.applyFiles(now)
 }
 
+// applyRecords applies records of the log to the ledger, the journal and the waiting
+// publications.
 func (c *Core) applyRecords(now time.Time, records []event.LogRecord) []effect.Effect {
 	var effects []effect.Effect
 	files := false
@@ -191,9 +201,10 @@
 	return effects
 }
 
-// appendDueCheckpoint appends a checkpoint once the youngest in the log has grown
-// old. Boxes wait unlike times, so that mostly one of them does it; two that do
-// it at once do no harm, since a checkpoint says the same whoever writes it.
+// appendDueCheckpoint appends a checkpoint once the latest one in the log is old enough.
+// Each box waits for a different time, so that usually only one of them appends it. Two
+// boxes that append one at the same time do no harm, since the content of a checkpoint does
+// not depend on the box.
 func (c *Core) appendDueCheckpoint(now time.Time) {
 	if !c.reader.caughtUp || c.reader.lastFailure != "" || !c.journal.Applied(c.checkpointEntry) || c.ledger.NextOffset() == 0 {
 		return
@@ -212,6 +223,7 @@
 	}
 }
 
+// indexOf returns the index of name in names, or their number if it is missing.
 func indexOf(name string, names []string) int {
 	for i, n := range names {
 		if n == name {
@@ -221,6 +233,7 @@
 	return len(names)
 }
 
+// notReadyRefusal refuses requests until files are in force.
 func notReadyRefusal() request.Refusal {
 	return request.Refusal{
 		Status: http.StatusServiceUnavailable, Verdict: verdict.NotRun,
@@ -228,8 +241,8 @@
 	}
 }
 
-// Snapshot returns what this process knows of the log, for a peer; nothing while
-// nothing is in force.
+// Snapshot returns the state read from the log, for a peer. It is empty until files are in
+// force.
 func (c *Core) Snapshot() record.Snapshot {
 	if !c.reader.inForce {
 		return record.Snapshot{}
--- a/services/core/status.go
+++ b/services/core/status.go
@@ -14,16 +14,16 @@
 	"saddlevane/services/routing"
 )
 
-// Ready says whether the process should get callers' requests.
+// Ready reports whether the process should be sent callers' requests.
 func (c *Core) Ready() bool { return c.reader.inForce && !c.members.Leaving() }
 
 // IssueKey returns a key for a request that may not be repeated.
 func (c *Core) IssueKey(now time.Time) request.Key { return c.router.IssueKey(now) }
 
-// Counts returns how many requests ended, by what became of them.
+// Counts returns how many requests have ended, by outcome.
 func (c *Core) Counts() map[routing.CountKey]int64 { return c.router.Counts() }
 
-// Status returns the state of the process in short.
+// Status returns a summary of the process.
 func (c *Core) Status(now time.Time) status.Process {
 	s := status.Process{
 		Box: c.self.Box, Incarnation: c.self.Incarnation, Domain: c.self.Domain, At: now,
@@ -54,7 +54,7 @@
 	return status.File{Name: name, Revision: e.Revision(), Retired: e.File().Retired, Data: e.Data()}, true
 }
 
-// Work returns what each held shard knows of its objects.
+// Work returns the state of the objects of each shard that this process holds.
 func (c *Core) Work() []status.Work {
 	var all []status.Work
 	for _, id := range c.shardIDs() {
@@ -63,17 +63,18 @@
 	return all
 }
 
-// Places returns tasks that have places in the held shards, up to most of them.
-func (c *Core) Places(most int) []status.Place {
+// Places returns tasks that have a place in the shards that this process holds, at most
+// limit of them.
+func (c *Core) Places(limit int) []status.Place {
 	var all []status.Place
 	for _, id := range c.shardIDs() {
-		all = append(all, c.holders[id].Places(most-len(all))...)
+		all = append(all, c.holders[id].Places(limit-len(all))...)
 	}
 	return all
 }
 
-// Explain says why a task, "name/index" or "name@born/index", is where it is;
-// false if this process does not know.
+// Explain says why a task is in its state. The name is "name/index" or "name@born/index".
+// It returns false if this process has no state of the task.
 func (c *Core) Explain(name string) (status.Explanation, bool) {
 	key, ok := c.findTask(name)
 	if !ok {
@@ -87,6 +88,7 @@
 	return status.Explanation{}, false
 }
 
+// findTask returns the key of a task named as in Explain. A missing index means 0.
 func (c *Core) findTask(name string) (task.Key, bool) {
 	object, index, _ := strings.Cut(name, "/")
 	if index == "" {
@@ -104,7 +106,7 @@
 	return task.Key{Object: o.ID(), Index: i}, true
 }
 
-// Dump returns the whole state of the process, cut to bounded lists.
+// Dump returns the whole state of the process, with lists truncated to status.MaxListed.
 func (c *Core) Dump(now time.Time) status.Dump {
 	d := status.Dump{
 		Process: c.Status(now), Work: c.Work(), Places: c.Places(status.MaxListed),
--- a/services/core/stop.go
+++ b/services/core/stop.go
@@ -9,14 +9,14 @@
 	"saddlevane/models/effect"
 )
 
-// stopProgress is how far a planned stop has come.
+// stopProgress is the progress of a planned stop.
 type stopProgress struct {
 	since time.Time
 	done  bool
 }
 
-// beginStop makes the process leave: it tells its peers, takes no new shard and
-// starts nothing more, but serves callers as before.
+// beginStop begins a planned stop. The process notifies its peers, claims no shard and
+// starts no task any more, but serves callers as before.
 func (c *Core) beginStop(now time.Time) []effect.Effect {
 	if !c.stop.since.IsZero() {
 		return nil
@@ -26,8 +26,9 @@
 	return c.members.LeaveHellos()
 }
 
-// continueStop says when the ports may be closed: callers have had time to go
-// elsewhere, and leases are given back.
+// continueStop reports the process as stopped, so that its ports may be closed, once
+// StopGrace has passed for callers to use other boxes and all leases have been given back,
+// or at the latest after MaxStopTime.
 func (c *Core) continueStop(now time.Time) []effect.Effect {
 	if c.stop.since.IsZero() || c.stop.done {
 		return nil
@@ -46,5 +47,5 @@
 	return []effect.Effect{effect.Stopped{}}
 }
 
-// Idle says whether every request has been answered.
+// Idle reports whether every request has been answered.
 func (c *Core) Idle() bool { return c.router.IsIdle() }
--- a/services/core/world_test.go
+++ b/services/core/world_test.go
@@ -27,7 +27,7 @@
 	"github.com/oklog/ulid/v2"
 )
 
-// The times of the world.
+// Intervals and limits of the world.
 const (
 	step        = 50 * time.Millisecond
 	taskLease   = 3 * time.Second
@@ -58,21 +58,24 @@
 	incarnation int
 	core        *core.Core
 	paused      bool
-	// held keeps what arrived during a pause.
+	// delayed holds the events that arrived during a pause.
 	delayed []event.Event
-	// cutLog and cutPeers drop what the box sends there.
+	// cutLog and cutPeers drop the calls of this node to the log and to its peers.
 	cutLog, cutPeers bool
-	cutWorkers       map[string]bool
-	highest          map[string]int64
+	// cutWorkers names the workers that this node cannot reach.
+	cutWorkers map[string]bool
+	// highest is the highest revision of each file seen in force.
+	highest map[string]int64
 }
 
-// message is something on its way.
+// message is a call or answer in transit.
 type message struct {
 	at  time.Time
 	seq int
 	run func()
 }
 
+// messages is a heap of messages, ordered by time of arrival.
 type messages []message
 
 func (m messages) Len() int { return len(m) }
@@ -91,9 +94,8 @@
 	return last
 }
 
-// world is a cell of reducers, a log and workers in one goroutine. It is no
-// simulator of load: it delays, loses, repeats and reorders what passes between
-// them.
+// world simulates a cell with reducers, a log and workers in one goroutine. It delays,
+// loses, repeats and reorders messages between them. It does not simulate load.
 type world struct {
 	now        time.Time
 	random     *rand.Rand
@@ -107,7 +109,7 @@
 	dead       map[string]bool
 	events     int
 	violations []string
-	// results holds what became of publications, by waiter.
+	// results holds the results of publications by waiter.
 	results map[uint64]effect.PublishResult
 	// stopped holds the nodes whose planned stop is complete.
 	stopped map[*node]bool
@@ -130,7 +132,7 @@
 	return w
 }
 
-// boot starts a node anew: all it knew is gone.
+// boot restarts a node without any of its state.
 func (w *world) boot(n *node) {
 	n.incarnation++
 	n.paused, n.delayed, n.highest = false, nil, map[string]int64{}
@@ -154,6 +156,7 @@
 	return l
 }
 
+// schedule runs a function after d.
 func (w *world) schedule(d time.Duration, run func()) {
 	w.seq++
 	heap.Push(&w.queue, message{at: w.now.Add(d), seq: w.seq, run: run})
@@ -161,9 +164,10 @@
 
 func (w *world) delay() time.Duration { return time.Duration(1+w.random.IntN(30)) * time.Millisecond }
 
+// isLost decides at random whether a message is lost.
 func (w *world) isLost() bool { return w.random.Float64() < w.loss }
 
-// run lets the world go on for d.
+// run advances the world by d.
 func (w *world) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		next := w.now.Add(step)
@@ -183,7 +187,8 @@
 	}
 }
 
-// deliver hands an event to a node, unless the life that it is meant for is over.
+// deliver passes an event to a node, unless the node has restarted since the given
+// incarnation.
 func (w *world) deliver(n *node, incarnation int, e event.Event) {
 	if n.incarnation != incarnation {
 		return
@@ -200,7 +205,7 @@
 	}
 }
 
-// resume ends a pause; what arrived meanwhile is handled late.
+// resume ends a pause and handles the events that arrived during it.
 func (w *world) resume(n *node) {
 	n.paused = false
 	held := n.delayed
@@ -210,19 +215,20 @@
 	}
 }
 
+// execute carries out an effect of a node.
 func (w *world) execute(n *node, e effect.Effect) {
-	life := n.incarnation
+	incarnation := n.incarnation
 	switch e := e.(type) {
 	case effect.ReadLog:
-		w.readLog(n, life, e.From)
+		w.readLog(n, incarnation, e.From)
 	case effect.Append:
-		w.append(n, life, e.Envelope)
+		w.append(n, incarnation, e.Envelope)
 	case effect.SyncWorker:
-		w.sync(n, life, e)
+		w.sync(n, incarnation, e)
 	case effect.SendHello:
 		w.sendHello(n, e)
 	case effect.FetchSnapshot:
-		w.fetchSnapshot(n, life, e)
+		w.fetchSnapshot(n, incarnation, e)
 	case effect.AnswerPublish:
 		w.results[e.Waiter] = e.Result
 	case effect.Stopped:
@@ -230,9 +236,9 @@
 	}
 }
 
-func (w *world) readLog(n *node, life int, from int64) {
+func (w *world) readLog(n *node, incarnation int, from int64) {
 	if n.cutLog || w.logDown || w.isLost() {
-		w.schedule(callTimeout, func() { w.deliver(n, life, event.LogFailed{Reason: "cut"}) })
+		w.schedule(callTimeout, func() { w.deliver(n, incarnation, event.LogFailed{Reason: "cut"}) })
 		return
 	}
 	w.schedule(2*w.delay(), func() {
@@ -240,15 +246,15 @@
 		if from < int64(len(w.log)) {
 			read.Records = append(read.Records, w.log[from:]...)
 		}
-		w.deliver(n, life, read)
+		w.deliver(n, incarnation, read)
 	})
 }
 
-func (w *world) append(n *node, life int, e record.Envelope) {
+func (w *world) append(n *node, incarnation int, e record.Envelope) {
 	ended := event.AppendEnded{ID: e.ID}
 	if n.cutLog || w.logDown || w.isLost() {
 		ended.Failure = "cut"
-		w.schedule(callTimeout, func() { w.deliver(n, life, ended) })
+		w.schedule(callTimeout, func() { w.deliver(n, incarnation, ended) })
 		return
 	}
 	w.schedule(w.delay(), func() {
@@ -256,20 +262,20 @@
 		if w.isLost() {
 			ended.Failure = "the answer was lost"
 		}
-		w.schedule(w.delay(), func() { w.deliver(n, life, ended) })
+		w.schedule(w.delay(), func() { w.deliver(n, incarnation, ended) })
 	})
 }
 
-func (w *world) sync(n *node, life int, e effect.SyncWorker) {
+func (w *world) sync(n *node, incarnation int, e effect.SyncWorker) {
 	sentAt := w.now
 	failed := event.WorkerAnswered{Worker: e.Worker, Seq: e.Sync.Seq, SentAt: sentAt, Failure: "cut"}
 	if n.cutWorkers[e.Worker] || w.isLost() || w.dead[e.Worker] {
-		w.schedule(callTimeout, func() { w.deliver(n, life, failed) })
+		w.schedule(callTimeout, func() { w.deliver(n, incarnation, failed) })
 		return
 	}
 	arrives := w.delay()
 	if w.random.IntN(50) == 0 && w.loss > 0 {
-		// It is stuck on its way for longer than anyone waits.
+		// The message may be delayed beyond the timeout of the call.
 		arrives += time.Duration(w.random.IntN(4000)) * time.Millisecond
 	}
 	answered := false
@@ -284,14 +290,14 @@
 		w.schedule(w.delay(), func() {
 			if !answered {
 				answered = true
-				w.deliver(n, life, event.WorkerAnswered{Worker: e.Worker, Seq: e.Sync.Seq, SentAt: sentAt, Report: report})
+				w.deliver(n, incarnation, event.WorkerAnswered{Worker: e.Worker, Seq: e.Sync.Seq, SentAt: sentAt, Report: report})
 			}
 		})
 	})
 	w.schedule(callTimeout, func() {
 		if !answered {
 			answered = true
-			w.deliver(n, life, failed)
+			w.deliver(n, incarnation, failed)
 		}
 	})
 }
@@ -301,17 +307,17 @@
 	if to == nil || n.cutPeers || to.cutPeers || w.isLost() {
 		return
 	}
-	life := to.incarnation
-	w.schedule(w.delay(), func() { w.deliver(to, life, event.HelloReceived{Hello: e.Hello}) })
+	incarnation := to.incarnation
+	w.schedule(w.delay(), func() { w.deliver(to, incarnation, event.HelloReceived{Hello: e.Hello}) })
 }
 
-func (w *world) fetchSnapshot(n *node, life int, e effect.FetchSnapshot) {
+func (w *world) fetchSnapshot(n *node, incarnation int, e effect.FetchSnapshot) {
 	from := w.node(e.Box)
 	if from == nil || n.cutPeers || from.cutPeers || from.paused || w.isLost() {
 		return
 	}
 	s := from.core.Snapshot()
-	w.schedule(2*w.delay(), func() { w.deliver(n, life, event.SnapshotRead{From: e.Box, Snapshot: s}) })
+	w.schedule(2*w.delay(), func() { w.deliver(n, incarnation, event.SnapshotRead{From: e.Box, Snapshot: s}) })
 }
 
 func (w *world) node(name string) *node {
@@ -323,11 +329,13 @@
 	return nil
 }
 
+// recordViolation records that an invariant was violated.
 func (w *world) recordViolation(format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// checkInvariants looks at what must hold at every moment.
+// checkInvariants checks what must hold after every step: no task runs on two workers, no
+// worker is given more than its capacity, and no file goes back to an older revision.
 func (w *world) checkInvariants() {
 	places := map[task.Key]string{}
 	for name, wk := range ordered.Map(w.workers) {
@@ -342,7 +350,7 @@
 			places[id.Key()] = name
 		}
 		if wk.ExcessStarts() > 0 {
-			w.recordViolation("%s was to be given more than it has", name)
+			w.recordViolation("%s was sent starts that exceed its capacity", name)
 		}
 	}
 	for _, n := range w.nodes {
@@ -350,7 +358,7 @@
 	}
 }
 
-// checkRevisions looks that no file in force goes back to an older revision.
+// checkRevisions checks that no file in force goes back to an older revision or is lost.
 func (w *world) checkRevisions(n *node) {
 	for _, name := range []string{"cell", "work"} {
 		f, ok := n.core.File(name)
@@ -367,7 +375,7 @@
 	}
 }
 
-// startCounts counts how often each task of an object was started on any worker.
+// startCounts returns how often each task of an object was started, on all workers.
 func (w *world) startCounts(object string) map[task.Key]int {
 	n := map[task.Key]int{}
 	for _, wk := range w.workers {
@@ -380,7 +388,7 @@
 	return n
 }
 
-// publish has a node publish a file and waits for what becomes of it.
+// publish publishes a file through a node and returns the result.
 func (w *world) publish(n *node, id, file string, replaces int64, data string) effect.PublishResult {
 	waiter := uint64(len(w.results) + 1000)
 	p := record.Publish{ID: id, File: file, Replaces: replaces, Data: data}
--- a/services/shard/failure.go
+++ b/services/shard/failure.go
@@ -13,7 +13,9 @@
 	"saddlevane/services/ledger"
 )
 
-// recordSuccess takes a success into what is known of the object and the worker.
+// recordSuccess updates the object and the worker after a task has finished successfully.
+// It clears their failure records and, if the attempt t is known, adds its run time to the
+// object's moving average.
 func (h *Holder) recordSuccess(now time.Time, w *workerState, o *object, t *attempt) {
 	o.failures, o.failedOn = 0, nil
 	w.failureStreak, w.quarantineCount = nil, 0
@@ -28,9 +30,13 @@
 	o.meanRunTime += (took - o.meanRunTime) / meanSmoothing
 }
 
+// meanSmoothing is the divisor of the moving average of run times: each new run time counts
+// for 1/meanSmoothing.
 const meanSmoothing = 8
 
-// handleFailure decides what follows a failed or stopped attempt of a job or gang.
+// handleFailure handles a failed or stopped attempt of a job or gang. The task is recorded
+// as failed if it may not be repeated, is cancelled or has no retries left; otherwise it is
+// requeued. Stopped attempts do not count as failures.
 func (h *Holder) handleFailure(now time.Time, w *workerState, o *object, item worker.Item) {
 	if item.State == task.Failed {
 		h.blame(now, w, o)
@@ -48,8 +54,8 @@
 	h.stopGang(o)
 }
 
-// countFailure counts one more failure of a task and returns how many there were. A new
-// holder counts from the start: it does not know why there were earlier attempts.
+// countFailure counts one more failure of a task and returns how many there have been. A
+// new holder counts from zero, because it has no record of why earlier attempts ended.
 func (o *object) countFailure(index int) int {
 	if o.failuresByTask == nil {
 		o.failuresByTask = map[int]int{}
@@ -58,8 +64,8 @@
 	return o.failuresByTask[index]
 }
 
-// requeueEnded puts a task whose attempt ended back in the queue. Attempts that
-// were stopped, not failed, do not count against it.
+// requeueEnded puts a task whose attempt has ended back in the queue. Failed attempts wait
+// for the backoff; stopped ones are due at once.
 func (h *Holder) requeueEnded(now time.Time, o *object, item worker.Item) {
 	if o.removed || o.spec.Cancelled() || !o.hasTask(item.Task.Index) {
 		return
@@ -73,10 +79,11 @@
 	h.enqueue(o)
 }
 
+// maxDoublings limits how often a backoff or quarantine doubles.
 const maxDoublings = 12
 
-// stopGang stops what still runs of a gang, so that it can start together
-// again.
+// stopGang stops all remaining tasks of o if it is a gang, because the tasks of a gang may
+// only start together.
 func (h *Holder) stopGang(o *object) {
 	if o.spec.Kind() != ledger.KindGang {
 		return
@@ -88,9 +95,9 @@
 	}
 }
 
-// blame holds a failure against the worker or the object. Different objects that
-// fail on one worker in a row speak against the worker; one object that fails on
-// different workers speaks against the object.
+// blame attributes a failure to the worker or the object. Consecutive failures of different
+// objects on one worker quarantine the worker; failures of one object on different workers
+// delay the object.
 func (h *Holder) blame(now time.Time, w *workerState, o *object) {
 	if !slices.Contains(o.failedOn, w.name) {
 		o.failedOn = append(o.failedOn, w.name)
@@ -99,7 +106,7 @@
 	if len(o.failedOn) >= h.settings.QuarantineAfter {
 		wait := h.settings.Backoff << min(o.failures, maxDoublings)
 		o.notBefore = now.Add(min(wait, h.settings.MaxBackoff))
-		o.reason = "its tasks fail on every worker"
+		o.reason = "its tasks have failed on several workers"
 		return
 	}
 	if id := o.spec.ID(); !slices.Contains(w.failureStreak, id) {
--- a/services/shard/holder.go
+++ b/services/shard/holder.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package shard runs the tasks of one shard: a group of racks and the ranges of
-// tasks that are at home there. One entry box at a time holds a shard, by a
-// claim in the log; what keeps a task from running twice is the lease that each
-// worker grants to one holder, and the worker's own inventory.
+// Package shard places the tasks of one shard: a group of racks and the ranges of tasks
+// assigned to it. At most one entry box at a time holds a shard, by a claim in the log. A
+// task cannot run twice because each worker grants its lease to only one holder, and
+// because a new holder reads the inventories of the workers before it starts tasks.
 package shard
 
 import (
@@ -21,57 +21,60 @@
 	"saddlevane/services/placement"
 )
 
-// Settings are the times and bounds of a Holder.
+// Settings holds the intervals and limits of a Holder.
 type Settings struct {
 	// Lease is how long a worker's lease lasts.
 	Lease time.Duration
-	// Renew is the time between two Syncs with an idle worker.
+	// RenewInterval is the time between two Syncs with an idle worker.
 	RenewInterval time.Duration
-	// Margin is taken off each lease against clocks that run unlike.
+	// ClockMargin is subtracted from each lease to allow for differences between clocks.
 	ClockMargin time.Duration
-	// TaskLease is how long a worker runs its tasks after its lease has lapsed.
+	// TaskLease is how long a worker runs its tasks after its lease has expired.
 	TaskLease time.Duration
-	// GoneAfter is how long the platform's list must not have named a worker before
-	// it counts as dead.
+	// GoneAfter is how long a worker must be missing from the platform's list before it
+	// counts as dead.
 	GoneAfter time.Duration
-	// Settle is how long the set of live entry boxes must not have changed
-	// before a shard moves to another live box.
+	// SettleTime is how long the set of live entry boxes must be unchanged before a shard
+	// moves to another live box.
 	SettleTime time.Duration
-	// Backoff is the wait before a failed task is tried again; it doubles up to
-	// MaxBackoff.
+	// Backoff is the delay before a failed task is tried again. It doubles with each
+	// attempt up to MaxBackoff.
 	Backoff    time.Duration
 	MaxBackoff time.Duration
-	// GangOvertakeTimeout is how long a gang waits before smaller work stops overtaking
-	// it.
+	// GangOvertakeTimeout is how long smaller tasks may be placed before a waiting gang.
 	GangOvertakeTimeout time.Duration
-	// QuarantineAfter is how many different objects in a row must fail on a
-	// worker before it gets no more work for QuarantineFor.
+	// QuarantineAfter is how many different objects in a row must fail on a worker before
+	// it gets no more tasks for QuarantineFor, and on how many different workers an object
+	// must fail before all its tasks wait for the backoff.
 	QuarantineAfter int
 	QuarantineFor   time.Duration
-	// PlacementsPerTick bounds the work of one decision.
+	// PlacementsPerTick limits how many tasks are placed per tick, and so its run time.
 	PlacementsPerTick int
-	// StopsPerTick bounds how fast running tasks are stopped.
+	// StopsPerTick limits how many running tasks are stopped per tick.
 	StopsPerTick int
 }
 
-// Phase is how far a holder has come.
+// Phase is the progress of a holder from not holding the shard to placing all of its tasks.
 type Phase string
 
 // The phases. Tasks that an earlier holder may have started are started only
 // when Active.
 const (
+	// Idle means that this process neither holds the shard nor has a claim pending.
 	Idle Phase = "idle"
-	// Claiming waits for the log to take the claim in.
+	// Claiming waits for the pending claim to be read back from the log.
 	Claiming Phase = "claiming"
-	// Adopting takes the lease of every worker and reads its inventory.
+	// Adopting acquires the lease of every worker and reads its inventory.
 	Adopting Phase = "adopting"
-	// Confirming reads the log up to a record appended after the last adoption,
-	// because the earlier holder may have recorded outcomes until then.
+	// Confirming reads the log up to a record appended after the last adoption, because the
+	// previous holder may have recorded outcomes until then.
 	Confirming Phase = "confirming"
-	Active     Phase = "active"
+	// Active places all tasks.
+	Active Phase = "active"
 )
 
-// Holder is the state for one shard. It is not safe for concurrent use.
+// Holder claims one shard and, while it holds it, places the shard's tasks on workers. It
+// is not safe for concurrent use.
 type Holder struct {
 	settings Settings
 	policy   Policy
@@ -80,20 +83,25 @@
 	members  *membership.Membership
 	journal  *journal.Journal
 
-	phase        Phase
-	startedAt    time.Time
+	phase     Phase
+	startedAt time.Time
+	// pendingEntry is the journal entry that the phase waits for: the claim in Claiming,
+	// the mark in Confirming, otherwise 0.
 	pendingEntry journal.EntryNumber
 	suspicion    suspicion
-	// logEndReadAt is when the last read began that reached the log's end.
+	// logEndReadAt is when the latest read that reached the end of the log began.
 	logEndReadAt time.Time
-	// doubtful says that another box may have become the holder meanwhile.
+	// maybeSuperseded is set if another box has had the lease of a worker, so that it may
+	// be the holder by now.
 	maybeSuperseded bool
-	// claim is the revision of this process's claim.
+	// claimRevision is the revision of this process's claim.
 	claimRevision int64
 
 	workers map[string]*workerState
-	// order holds the workers by name.
-	sortedWorkers    []*workerState
+	// sortedWorkers holds the workers sorted by name.
+	sortedWorkers []*workerState
+	// plainIndex and acceleratorIndex hold the workers that can be given tasks, without and
+	// with accelerators.
 	plainIndex       placement.Index
 	acceleratorIndex placement.Index
 
@@ -103,14 +111,14 @@
 	total   totals
 
 	outbox logOutbox
-	// stops is how many more tasks may be stopped in this tick.
+	// stopBudget is how many more tasks may be stopped in this tick.
 	stopBudget int
-	// look says that some task may be unwanted.
+	// unwantedScanDue is set after a change that may have left running tasks unwanted.
 	unwantedScanDue bool
 	counts          Counts
 }
 
-// Counts are what a holder has done since the process started.
+// Counts holds counters of events since the process started.
 type Counts struct {
 	Starts      int64
 	Adoptions   int64
@@ -120,7 +128,7 @@
 	Lost        int64
 }
 
-// New returns a holder of nothing.
+// New returns an idle Holder for the shard id.
 func New(now time.Time, s Settings, p Policy, id spec.ShardID, l *ledger.Ledger, m *membership.Membership, j *journal.Journal) *Holder {
 	return &Holder{
 		settings: s, policy: p, id: id, ledger: l, members: m, journal: j,
@@ -131,16 +139,16 @@
 	}
 }
 
-// ID returns the shard.
+// ID returns the ID of the shard.
 func (h *Holder) ID() spec.ShardID { return h.id }
 
-// Phase returns how far the holder has come.
+// Phase returns the current phase.
 func (h *Holder) Phase() Phase { return h.phase }
 
-// Counts returns what the holder has done since the process started.
+// Counts returns the counters since the process started.
 func (h *Holder) Counts() Counts { return h.counts }
 
-// Tick decides what is due.
+// Tick does what is due at now and returns the Syncs to send.
 func (h *Holder) Tick(now time.Time) []effect.Effect {
 	h.stopBudget = h.settings.StopsPerTick
 	h.followClaim(now)
@@ -154,27 +162,31 @@
 	return h.dueSyncs(now)
 }
 
-// isHolder says whether the log names this process as the holder.
+// isHolder reports whether this process acts as the holder, after reading its own claim in
+// the log.
 func (h *Holder) isHolder() bool {
 	return h.phase == Adopting || h.phase == Confirming || h.phase == Active
 }
 
-// followClaim brings the phase in line with the log.
+// followClaim updates the phase to the claim in force in the log: it starts the takeover if
+// the claim is this process's, and releases the shard if the claim has been replaced.
+// Without its own claim it claims the shard if that is due.
 func (h *Holder) followClaim(now time.Time) {
 	claim, held := h.ledger.Claim(h.id)
 	self := h.members.Self()
-	mine := held && claim.Box() == self.Box && claim.Incarnation() == self.Incarnation
+	own := held && claim.Box() == self.Box && claim.Incarnation() == self.Incarnation
 	switch {
-	case mine && !h.isHolder():
+	case own && !h.isHolder():
 		h.startAdoption(now, claim)
-	case !mine && h.isHolder():
+	case !own && h.isHolder():
 		h.releaseShard(now)
 	}
-	if !mine {
+	if !own {
 		h.claimIfDue(now, claim, held)
 	}
 }
 
+// startAdoption begins the takeover of the shard under this process's claim.
 func (h *Holder) startAdoption(now time.Time, claim ledger.Claim) {
 	h.phase, h.claimRevision, h.pendingEntry, h.maybeSuperseded = Adopting, claim.Revision(), 0, false
 	h.suspicion = suspicion{}
@@ -186,7 +198,8 @@
 	}
 }
 
-// releaseShard gives everything up to the next holder.
+// releaseShard drops all state of the shard and gives the leases back, after another
+// process has become the holder.
 func (h *Holder) releaseShard(now time.Time) {
 	h.phase, h.pendingEntry = Idle, 0
 	for _, w := range h.sortedWorkers {
@@ -199,10 +212,11 @@
 	h.outbox = newLogOutbox()
 }
 
-// claimIfDue claims the shard if this box should have it and nobody live has.
+// claimIfDue appends a claim if this box is the preferred holder and the current claim may
+// be replaced.
 func (h *Holder) claimIfDue(now time.Time, claim ledger.Claim, held bool) {
 	if h.phase == Claiming && h.journal.Applied(h.pendingEntry) {
-		// The log took the claim in, yet another one came first.
+		// The claim has been read back from the log, but another one came before it.
 		h.phase, h.pendingEntry = Idle, 0
 	}
 	if !h.isPreferredHolder(now) {
@@ -219,14 +233,16 @@
 	}})
 }
 
-// isPreferredHolder says whether this box is the one that should hold the shard.
+// isPreferredHolder reports whether rendezvous hashing over the live entry boxes assigns
+// the shard to this box.
 func (h *Holder) isPreferredHolder(now time.Time) bool {
 	return rendezvous.Pick(h.id.String(), h.members.Live(now)) == h.members.Self().Box
 }
 
-// isClaimable says whether the shard may be claimed: its holder is gone, or ready to
-// give it up. A process that has just started has not heard of its peers yet, so
-// it waits first.
+// isClaimable reports whether the shard may be claimed, because it has no holder, or the
+// holder has ended, is ready to give it up or may be replaced as unreachable. A process
+// that has just started has not received its peers' heartbeats yet, so it waits for half of
+// SettleTime first.
 func (h *Holder) isClaimable(now time.Time, claim ledger.Claim, held bool) bool {
 	switch {
 	case now.Sub(h.startedAt) < h.settings.SettleTime/2:
@@ -243,7 +259,7 @@
 	}
 }
 
-// advancePhase moves from one phase of taking over to the next.
+// advancePhase moves to the next phase of the takeover once the current one is complete.
 func (h *Holder) advancePhase(now time.Time) {
 	switch h.phase {
 	case Adopting:
@@ -260,8 +276,9 @@
 	}
 }
 
-// isYielding says whether this holder is to give the shard up: the process stops,
-// or the set of live boxes has settled and another box should hold it.
+// isYielding reports whether this holder should give the shard up: the process is stopping,
+// or the set of live boxes has been stable for SettleTime and another box is the preferred
+// holder.
 func (h *Holder) isYielding(now time.Time) bool {
 	if h.members.Leaving() {
 		return true
@@ -269,14 +286,15 @@
 	return !h.isPreferredHolder(now) && h.members.StableFor(now) >= h.settings.SettleTime
 }
 
-// Yields says whether the next holder may claim the shard. Whatever was recorded
-// as intended has been sent by then, so that a planned change of holders leaves no
-// task unknown.
+// Yields reports whether the next holder may claim the shard. All starts with a recorded
+// intent have been sent by then, so a planned change of holders leaves no task in an
+// unknown state.
 func (h *Holder) Yields(now time.Time) bool {
 	return h.isHolder() && h.isYielding(now) && h.allSent()
 }
 
-// allSent says whether nothing is left to be sent.
+// allSent reports whether no entry waits for the log and no start waits to be sent or
+// answered.
 func (h *Holder) allSent() bool {
 	if !h.outbox.isEmpty() {
 		return false
@@ -289,7 +307,7 @@
 	return true
 }
 
-// ReleaseLeases gives leases back in a planned stop, once nothing is left to be sent.
+// ReleaseLeases gives the leases back in a planned stop, once everything has been sent.
 func (h *Holder) ReleaseLeases(now time.Time) {
 	if !h.allSent() {
 		return
@@ -299,7 +317,7 @@
 	}
 }
 
-// AllLeasesReleased says whether no worker still has a lease from this holder.
+// AllLeasesReleased reports whether this holder has no worker's lease any more.
 func (h *Holder) AllLeasesReleased(now time.Time) bool {
 	for _, w := range h.workers {
 		if w.holdsLease(now) {
--- a/services/shard/inventory.go
+++ b/services/shard/inventory.go
@@ -13,8 +13,9 @@
 	"saddlevane/services/ledger"
 )
 
-// reconcile takes a worker's inventory, read under this holder's lease. It is
-// the truth for every task that was started by a Sync the worker answered.
+// reconcile updates the holder's state from a worker's inventory that was read under this
+// holder's lease. The inventory is authoritative for every task whose start was sent in an
+// answered Sync.
 func (h *Holder) reconcile(now time.Time, w *workerState, s *worker.Sync, r worker.Report) {
 	refused := map[task.ID]string{}
 	for _, f := range r.Refused {
@@ -37,10 +38,11 @@
 			h.withdrawStarts(w, startsOf(s, id), reason)
 			continue
 		}
-		h.handleLost(now, t, "the worker no longer has it")
+		h.handleLost(now, t, "the worker no longer has the task")
 	}
 }
 
+// startsOf returns the start of the task in s, or a start with only the ID if s has none.
 func startsOf(s *worker.Sync, id task.ID) []worker.Start {
 	for i := range s.Starts {
 		if s.Starts[i].Task == id {
@@ -50,7 +52,7 @@
 	return []worker.Start{{Task: id}}
 }
 
-// reconcileItem takes one task of a worker's inventory.
+// reconcileItem updates the holder's state from one task in a worker's inventory.
 func (h *Holder) reconcileItem(now time.Time, w *workerState, item worker.Item) {
 	t := w.tasks[item.Task]
 	switch {
@@ -63,7 +65,8 @@
 	}
 }
 
-// adopt takes over a task that runs on a worker and is not known to this holder.
+// adopt takes over a task that runs on a worker and was not started by this holder. If the
+// task has a place elsewhere too, the attempt with the lower number is stopped.
 func (h *Holder) adopt(now time.Time, w *workerState, item worker.Item) {
 	id := item.Task
 	t := &attempt{
@@ -84,7 +87,8 @@
 	}
 }
 
-// handleEnded takes an outcome that a worker reports.
+// handleEnded handles the end of an attempt that a worker reports. Each one is handled
+// once, although the worker repeats it until it is acknowledged.
 func (h *Holder) handleEnded(now time.Time, w *workerState, t *attempt, item worker.Item) {
 	if t != nil {
 		h.untrack(t)
@@ -97,8 +101,8 @@
 	o := h.objects[item.Task.Object]
 	switch {
 	case o == nil && item.Task.Object.Born > h.ledger.NextOffset():
-		// It belongs to a file that this process has not read yet, so it has to be
-		// told again.
+		// The task belongs to a file that this process has not read yet. Asking for the
+		// whole inventory again makes the worker repeat the outcome.
 		delete(w.ended, item.Task)
 		w.inventoryVersion = 0
 	case o == nil || h.isStale(t, item.Task, o):
@@ -114,8 +118,8 @@
 	}
 }
 
-// isStale says whether an outcome no longer matters: the task has ended, is none
-// of the object's any more, or a later attempt has its place or waits for one.
+// isStale reports whether an outcome no longer matters: the task has already ended, no
+// longer belongs to the object, or another attempt is placed or queued.
 func (h *Holder) isStale(t *attempt, id task.ID, o *object) bool {
 	if h.ledger.Progress(id.Object).Ended(id.Index) {
 		return true
@@ -126,11 +130,14 @@
 	return !o.hasTask(id.Index) || o.retries.has(id.Index)
 }
 
+// hasTask reports whether the task index is in the ranges of o that are assigned to this
+// shard.
 func (o *object) hasTask(index int) bool {
 	return slices.ContainsFunc(o.ranges, func(s span) bool { return index >= s.from && index < s.to })
 }
 
-// handleLost takes note that an attempt ended without an outcome.
+// handleLost handles an attempt that ended without an outcome. A task that may be repeated
+// is requeued.
 func (h *Holder) handleLost(now time.Time, t *attempt, reason string) {
 	h.untrack(t)
 	h.counts.Lost++
@@ -140,14 +147,15 @@
 	}
 	o.reason = reason
 	if !o.spec.Repeatable() {
-		// The intent without an outcome shows it as unknown from here on.
+		// The intent without an outcome marks the task as unknown from here on.
 		return
 	}
 	h.requeueEnded(now, o, worker.Item{Task: t.id, State: task.Stopped})
 	h.stopGang(o)
 }
 
-// abandonTasks gives up everything on a worker that surely runs nothing any more.
+// abandonTasks drops all state of a worker that certainly runs no task any more. Its
+// attempts count as lost.
 func (h *Holder) abandonTasks(now time.Time, w *workerState, reason string) {
 	w.inventoryVersion = 0
 	w.starts, w.sentStarts, w.acks = nil, 0, nil
--- a/services/shard/lease.go
+++ b/services/shard/lease.go
@@ -15,9 +15,9 @@
 	"saddlevane/modules/ordered"
 )
 
-// dueSyncs returns the Syncs that are due.
+// dueSyncs handles leases that have expired and returns the Syncs that are due.
 func (h *Holder) dueSyncs(now time.Time) []effect.Effect {
-	care := h.isHolder() || h.isSuspecting() || h.phase == Claiming
+	needsSyncs := h.isHolder() || h.isSuspecting() || h.phase == Claiming
 	var effects []effect.Effect
 	for _, w := range h.sortedWorkers {
 		if w.leaseUntil.Before(now) && w.adopted && !w.leaseUntil.IsZero() {
@@ -30,13 +30,15 @@
 		if h.members.Leaving() && !w.holdsLease(now) {
 			continue
 		}
-		if (care || w.releasing) && w.isSyncDue(now) {
+		if (needsSyncs || w.releasing) && w.isSyncDue(now) {
 			effects = append(effects, h.startSync(now, w))
 		}
 	}
 	return effects
 }
 
+// isSyncDue reports whether a Sync should be sent now: at the scheduled time, or earlier if
+// starts, stops or acknowledgements are waiting.
 func (w *workerState) isSyncDue(now time.Time) bool {
 	if !now.Before(w.nextAt) {
 		return true
@@ -44,9 +46,11 @@
 	return w.lastFailure == "" && w.holdsLease(now) && (len(w.starts) > 0 || len(w.acks) > 0 || len(w.stops) > 0 && now.Sub(w.sentAt) > minStopInterval)
 }
 
-// minStopInterval is the least time between two Syncs that ask to stop tasks.
+// minStopInterval is the minimum time from one Sync to the next that is sent ahead of
+// schedule only to request stops.
 const minStopInterval = 100 * time.Millisecond
 
+// startSync builds the next Sync with a worker and records it as in flight.
 func (h *Holder) startSync(now time.Time, w *workerState) effect.Effect {
 	w.seq++
 	s := worker.Sync{Holder: h.holderName(), Seq: w.seq, TTL: worker.MillisecondsOf(h.settings.Lease)}
@@ -62,8 +66,8 @@
 			s.Stops = append(s.Stops, stop)
 		}
 	case w.unanswered > 0 || (!h.isHolder() && !h.isCaretaker(now)):
-		// Nothing is asked for until the worker answers again, so that its lease
-		// surely lapses if it does not.
+		// Without a TTL the worker reports but grants nothing. No lease is requested until
+		// the worker answers again, so that its lease is certain to expire if it does not.
 		s.TTL = 0
 	}
 	if s.TTL > 0 {
@@ -74,13 +78,14 @@
 	return effect.SyncWorker{Worker: w.name, Address: w.address, Sync: s}
 }
 
-// holderName is what workers grant leases to.
+// holderName returns the name under which this process holds leases.
 func (h *Holder) holderName() string {
 	self := h.members.Self()
 	return self.Box + "/" + self.Incarnation
 }
 
-// WorkerAnswered takes the end of a Sync.
+// WorkerAnswered handles the end of a Sync, answered or failed. Answers to any other than
+// the Sync in flight are ignored.
 func (h *Holder) WorkerAnswered(now time.Time, e event.WorkerAnswered) {
 	w, ok := h.workers[e.Worker]
 	if !ok || w.inflight == nil || w.inflight.Seq != e.Seq {
@@ -106,6 +111,8 @@
 	h.updateIndex(now, w)
 }
 
+// handleGranted handles the answer of a worker that granted or renewed the lease and
+// applied the Sync.
 func (h *Holder) handleGranted(now time.Time, w *workerState, s *worker.Sync, e event.WorkerAnswered) {
 	if s.Epoch == 0 {
 		w.leaseSince = now
@@ -137,16 +144,17 @@
 	h.syncAtExpectedEnd(now, w)
 }
 
-// syncAtExpectedEnd brings the next Sync forward to when a task is likely to end, so
-// that its place is filled again soon.
+// syncAtExpectedEnd moves the next Sync forward to the expected end of the first task to
+// end, but no closer than a tenth of RenewInterval, so that the freed resources are used
+// again soon.
 func (h *Holder) syncAtExpectedEnd(now time.Time, w *workerState) {
 	for _, t := range w.tasks {
 		if t.object == nil || t.object.meanRunTime == 0 {
 			continue
 		}
 		end := t.startedAt.Add(t.object.meanRunTime)
-		if soon := now.Add(h.settings.RenewInterval / 10); end.Before(soon) {
-			end = soon
+		if earliest := now.Add(h.settings.RenewInterval / 10); end.Before(earliest) {
+			end = earliest
 		}
 		if end.Before(w.nextAt) {
 			w.nextAt = end
@@ -154,15 +162,15 @@
 	}
 }
 
-// handleNotGranted takes the answer of a worker that applied nothing. Its inventory
-// still tells which of the starts sent before had been applied, since it refuses
-// Syncs that are older than the one it answered.
+// handleNotGranted handles the answer of a worker that did not apply the Sync. Its
+// inventory still shows which of the starts sent before were applied, since a worker
+// refuses Syncs older than the one that it has answered.
 func (h *Holder) handleNotGranted(now time.Time, w *workerState, e event.WorkerAnswered) {
-	has := map[task.ID]bool{}
+	reported := map[task.ID]bool{}
 	for _, item := range e.Report.Tasks {
-		has[item.Task] = true
+		reported[item.Task] = true
 	}
-	h.withdrawStarts(w, slices.DeleteFunc(w.starts, func(s worker.Start) bool { return has[s.Task] }), "the worker did not grant the lease")
+	h.withdrawStarts(w, slices.DeleteFunc(w.starts, func(s worker.Start) bool { return reported[s.Task] }), "the worker did not grant the lease")
 	w.starts, w.sentStarts = nil, 0
 	w.epoch, w.leaseUntil, w.releasing, w.adopted, w.inventoryVersion = 0, time.Time{}, false, false, 0
 	w.nextAt = now
@@ -174,30 +182,32 @@
 	}
 }
 
-// handleLapsedLease takes note that a lease has run out while the worker did not answer.
-// Its tasks may still run; once they surely do not, they are given up.
+// handleLapsedLease handles a lease that has expired because the worker did not answer.
+// Starts not yet sent are withdrawn at once. Tasks on the worker may still run; they are
+// abandoned once it is certain that they do not.
 func (h *Holder) handleLapsedLease(now time.Time, w *workerState) {
 	h.updateIndex(now, w)
-	h.withdrawStarts(w, w.starts[w.sentStarts:], "the worker's lease lapsed")
+	h.withdrawStarts(w, w.starts[w.sentStarts:], "the worker's lease expired before the task was started")
 	w.starts = w.starts[:w.sentStarts]
-	if gone := h.tasksStoppedAt(w); !now.Before(gone) && h.logEndReadAt.After(gone) && h.hasHeldLeaseSince(now, w) {
-		h.abandonTasks(now, w, "the worker's lease has lapsed")
+	if stoppedAt := h.tasksStoppedAt(w); !now.Before(stoppedAt) && h.logEndReadAt.After(stoppedAt) && h.hasHeldLeaseSince(now, w) {
+		h.abandonTasks(now, w, "the worker's lease has expired")
 		w.epoch, w.leaseUntil = 0, time.Time{}
 	}
 }
 
-// tasksStoppedAt is when the worker has surely stopped its tasks, if nobody else has kept
-// them. Each grant that was not answered may have been taken as late as the end
-// of the one before it. That no other box has become the holder is known once the
-// log has been read to its end after that time and still names this one.
+// tasksStoppedAt returns when the worker has certainly stopped its tasks, provided that no
+// other holder has renewed its lease. Each unanswered grant may have reached the worker as
+// late as the end of the lease before it. That no other box is the holder is certain once a
+// read of the log that began after that time has reached the end and still shows this
+// process's claim.
 func (h *Holder) tasksStoppedAt(w *workerState) time.Time {
 	grants := time.Duration(w.unanswered + 1)
 	return w.answeredAt.Add(grants*h.settings.Lease + h.settings.TaskLease + h.settings.ClockMargin)
 }
 
-// hasHeldLeaseSince says whether this holder has had the lease of another worker ever
-// since w answered. A caretaker keeps tasks only while it sees no worker of the
-// shard in other hands, so there was none.
+// hasHeldLeaseSince reports whether this holder has held the lease of another worker
+// continuously since w last answered. A caretaker keeps tasks running only while no worker
+// of the shard has a lease from another holder, so there was no caretaker in that time.
 func (h *Holder) hasHeldLeaseSince(now time.Time, w *workerState) bool {
 	for _, other := range h.sortedWorkers {
 		if other != w && other.holdsLease(now) && !other.leaseSince.After(w.answeredAt) {
@@ -207,22 +217,23 @@
 	return false
 }
 
-// postponeAbandoning takes note that this holder has a lease anew. While it had none,
-// a caretaker may have kept the tasks of workers that this holder cannot reach,
+// postponeAbandoning moves the answer times of unreachable workers forward when this holder
+// acquires a new lease. While it had none, a caretaker may have kept their tasks running,
 // and it may do so until it sees the new lease.
 func (h *Holder) postponeAbandoning(now time.Time, granted *workerState) {
-	seen := now.Add(maxAnswerAgeRounds*h.settings.RenewInterval + h.settings.Lease)
+	answeredAt := now.Add(maxAnswerAgeRounds*h.settings.RenewInterval + h.settings.Lease)
 	for _, w := range h.sortedWorkers {
 		if w != granted && !w.holdsLease(now) && !w.answeredAt.IsZero() {
-			w.answeredAt = seen
+			w.answeredAt = answeredAt
 		}
 	}
 }
 
-// startReadoption takes note that another box has had the lease of a worker since this
-// holder had it. A later holder, of which this one has not read yet, takes every
-// worker's lease before it starts what this one might start. So nothing is started
-// until every worker has been adopted anew and the log still names this holder.
+// startReadoption returns to Adopting after another box has held the lease of a worker
+// since this holder did. If that box is a later holder whose claim this process has not
+// read yet, it acquires the lease of every worker before it starts a task that this holder
+// might start too. So nothing is started until every worker has been adopted again and the
+// log still shows this process's claim.
 func (h *Holder) startReadoption(now time.Time) {
 	h.phase, h.maybeSuperseded = Adopting, true
 	for _, w := range h.sortedWorkers {
@@ -230,6 +241,5 @@
 	}
 }
 
-// LogRead takes note that the log was read to its end by a read that began at
-// the given time.
+// LogRead records that a read which began at the given time has reached the end of the log.
 func (h *Holder) LogRead(began time.Time) { h.logEndReadAt = began }
--- a/services/shard/object.go
+++ b/services/shard/object.go
@@ -13,36 +13,46 @@
 	"saddlevane/services/ledger"
 )
 
-// object is a service, job or gang with tasks at home in the shard.
+// object is a service, job or gang with tasks assigned to the shard.
 type object struct {
 	spec   *ledger.Object
 	team   *team
 	ranges []span
-	// cursor is the range and index to look at next for tasks never started.
+	// rangeIndex and nextIndex are the range in ranges and the task index in it from which
+	// on tasks may never have been started.
 	rangeIndex int
 	nextIndex  int
 	retries    retries
-	active     int
-	// since is when tasks of the object began to wait.
+	// active is the number of tasks with an attempt on a worker.
+	active int
+	// waitingSince is when this holder first saw the object, taken as the time since when
+	// its tasks wait.
 	waitingSince time.Time
-	// notBefore holds the object back after failures.
+	// notBefore delays all tasks of the object after failures.
 	notBefore time.Time
 	failures  int
-	// failuresByTask counts the failures of each task that had any.
+	// failuresByTask counts the failures of each task that has had any.
 	failuresByTask map[int]int
-	failedOn       []string
-	meanRunTime    time.Duration
-	reason         string
-	// preempted is when room was last made for the object, making how much of it
-	// is still to come.
+	// failedOn lists the workers on which tasks of the object have failed since its last
+	// success.
+	failedOn []string
+	// meanRunTime is the moving average of the run times of its tasks, or 0 if none has
+	// finished.
+	meanRunTime time.Duration
+	// reason says why tasks of the object wait, or is "".
+	reason string
+	// preemptedAt is when tasks were last preempted for the object, and expectedPlaces for
+	// how many of its tasks that frees resources which are not used yet.
 	preemptedAt    time.Time
 	expectedPlaces int
-	removed        bool
-	// onWorker and onRack count the places of a service that spreads.
+	// removed is set when the object is no longer in the files in force or has no task
+	// assigned to the shard.
+	removed bool
+	// onWorker and onRack count the tasks with an attempt on each worker and in each rack.
 	onWorker, onRack map[string]int
 }
 
-// addPlacement counts a task's place.
+// addPlacement counts the attempt t on its worker and rack.
 func (o *object) addPlacement(t *attempt) {
 	o.active++
 	if o.onWorker == nil {
@@ -52,23 +62,25 @@
 	o.onRack[t.worker.node.Rack()]++
 }
 
-// removePlacement ends join.
+// removePlacement undoes addPlacement.
 func (o *object) removePlacement(t *attempt) {
 	o.active--
 	decrement(o.onWorker, t.worker.name)
 	decrement(o.onRack, t.worker.node.Rack())
 }
 
+// decrement lowers the count of key by one and deletes it at zero.
 func decrement(counts map[string]int, key string) {
 	if counts[key]--; counts[key] <= 0 {
 		delete(counts, key)
 	}
 }
 
-// span is a range of tasks, To exclusive.
+// span is the range of task indexes from from up to, but not including, to.
 type span struct{ from, to int }
 
-// team is a team's work in the shard.
+// team is a team's quota in the shard, the resources that its tasks have reserved, and its
+// objects with waiting tasks by rank of priority.
 type team struct {
 	spec     spec.Team
 	quota    resource.Vector
@@ -76,10 +88,10 @@
 	queues   [3][]*object
 }
 
-// totals is what the shard has, for shares and quotas.
+// totals holds the capacity of the shard, to which shares of teams refer.
 type totals struct{ capacity resource.Vector }
 
-// SetObjects takes the objects in force.
+// SetObjects updates the shard's objects and teams to the files in force.
 func (h *Holder) SetObjects(now time.Time) {
 	if !h.isHolder() {
 		return
@@ -104,6 +116,7 @@
 	h.rebuildQueues()
 }
 
+// homeRanges returns the ranges of o's tasks that are assigned to this shard.
 func (h *Holder) homeRanges(o *ledger.Object) []span {
 	var ranges []span
 	for _, home := range o.Homes() {
@@ -114,6 +127,8 @@
 	return ranges
 }
 
+// setObject adds or updates an object. Its search for tasks never started begins anew if
+// its ranges have changed, and always before the phase is Active.
 func (h *Holder) setObject(now time.Time, spec *ledger.Object, ranges []span) {
 	o := h.objects[spec.ID()]
 	if o == nil {
@@ -134,21 +149,22 @@
 	o.team = h.teams[spec.Work().Team]
 }
 
-// setTeams takes the teams in force. A team's quota in the shard is its quota in
-// the cell by the shard's part of the cell.
+// setTeams updates the teams to the files in force. A team's quota in the shard is its
+// quota in the cell times the shard's fraction of the cell.
 func (h *Holder) setTeams() {
-	part := h.ledger.CapacityShare(h.id)
+	fraction := h.ledger.CapacityShare(h.id)
 	for name, t := range h.ledger.Teams() {
 		if h.teams[name] == nil {
 			h.teams[name] = &team{}
 		}
 		h.teams[name].spec = t
-		h.teams[name].quota = ledger.ShardQuota(t, part)
+		h.teams[name].quota = ledger.ShardQuota(t, fraction)
 	}
 	h.total.capacity = h.ledger.Capacity(h.id)
 }
 
-// rebuildQueues sorts objects into their teams' queues, oldest first.
+// rebuildQueues builds the queues of all teams from the objects with waiting tasks, oldest
+// first.
 func (h *Holder) rebuildQueues() {
 	for _, t := range h.teams {
 		t.queues = [3][]*object{}
@@ -163,7 +179,7 @@
 	}
 }
 
-// enqueue puts an object that has waiting tasks again back in its queue.
+// enqueue puts an object whose tasks are waiting again back in its queue, in order of age.
 func (h *Holder) enqueue(o *object) {
 	if o.team == nil || o.removed || o.spec.Cancelled() {
 		return
@@ -178,7 +194,7 @@
 	}
 }
 
-// hasWaiting says whether a task of o has neither ended nor a place.
+// hasWaiting reports whether o has a task that waits for a retry or has never been started.
 func (h *Holder) hasWaiting(o *object) bool {
 	if o.retries.len() > 0 {
 		return true
@@ -187,8 +203,8 @@
 	return ok
 }
 
-// peekUnstarted returns the next task of o that was never started by this holder,
-// and moves the cursor up to it.
+// peekUnstarted returns the index of the next task of o that has never been started, and
+// moves rangeIndex and nextIndex to it. It returns false if there is none.
 func (h *Holder) peekUnstarted(o *object) (int, bool) {
 	progress := h.ledger.Progress(o.spec.ID())
 	for o.rangeIndex < len(o.ranges) {
@@ -205,15 +221,16 @@
 	return 0, false
 }
 
-// hasAttempt says whether a task has a place, had one and has ended, or is to be
-// started again.
+// hasAttempt reports whether a task has an attempt on a worker, an end that is not recorded
+// in the log yet, or a queued retry.
 func (h *Holder) hasAttempt(o *object, index int) bool {
 	key := taskKey(o, index)
 	_, ok := h.tasks[key]
 	return ok || h.outbox.unrecorded[key] || o.retries.has(index)
 }
 
-// popWaiting takes the next task of o from its queue.
+// popWaiting removes the next task of o that may start now and returns it: first retries
+// that are due, then tasks never started.
 func (h *Holder) popWaiting(now time.Time, o *object) (retry, bool) {
 	if r, ok := o.retries.popDue(now); ok {
 		return r, true
@@ -226,7 +243,8 @@
 	return retry{index: index}, true
 }
 
-// requeueUnstarted returns a task that was not started.
+// requeueUnstarted puts a task whose attempt was not started back at the front of the
+// retries.
 func (h *Holder) requeueUnstarted(o *object, r retry) {
 	if o.removed || o.spec.Cancelled() || !o.hasTask(r.index) {
 		return
--- a/services/shard/outcome.go
+++ b/services/shard/outcome.go
@@ -16,23 +16,25 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// logOutbox gathers what the log has to take in: intents before tasks that may
-// not be repeated start, and outcomes before workers forget them.
+// logOutbox collects what must be recorded in the log: intents before tasks that may not be
+// repeated are started, and outcomes before workers may forget them.
 type logOutbox struct {
 	intents        map[task.ObjectID]*roaring.Bitmap
 	awaitingIntent []*attempt
 	done           map[task.ObjectID]*roaring.Bitmap
 	failed         map[task.ObjectID]*roaring.Bitmap
-	// fresh holds outcomes not yet queued for the log, sent those that are.
-	unqueued  []ack
-	queued    []ack
+	// unqueued holds outcomes that have not been added to the journal yet, and queued those
+	// of the batch in the journal.
+	unqueued []ack
+	queued   []ack
+	// lastEntry is the last journal entry of that batch.
 	lastEntry journal.EntryNumber
-	// ending holds the tasks of both: they have ended, though the log does not
-	// say so yet.
+	// unrecorded holds the tasks of unqueued and queued: they have ended, but the log does
+	// not show it yet.
 	unrecorded map[task.Key]bool
 }
 
-// ack is an outcome that a worker may forget once the log has it.
+// ack is an outcome that the worker may forget once it is recorded in the log.
 type ack struct {
 	worker *workerState
 	task   task.ID
@@ -47,21 +49,25 @@
 	}
 }
 
+// isEmpty reports whether nothing waits to be recorded.
 func (o *logOutbox) isEmpty() bool {
 	return len(o.intents) == 0 && len(o.unqueued) == 0 && len(o.queued) == 0 && len(o.awaitingIntent) == 0
 }
 
+// addIntent queues the intent to start t.
 func (o *logOutbox) addIntent(t *attempt) {
 	addTask(o.intents, t.id)
 	o.awaitingIntent = append(o.awaitingIntent, t)
 }
 
-// withdrawIntent forgets an attempt that waits for its intent. The intent may reach
-// the log all the same.
+// withdrawIntent drops an attempt that waits for its intent. The intent may still reach the
+// log.
 func (o *logOutbox) withdrawIntent(t *attempt) {
 	o.awaitingIntent = slices.DeleteFunc(o.awaitingIntent, func(other *attempt) bool { return other == t })
 }
 
+// addOutcome queues the outcome of a task that ended on w. Any state but task.Done is
+// recorded as failed.
 func (o *logOutbox) addOutcome(w *workerState, id task.ID, state task.State) {
 	set := o.done
 	if state != task.Done {
@@ -72,6 +78,7 @@
 	o.unrecorded[id.Key()] = true
 }
 
+// addTask adds the index of a task to the set of its object.
 func addTask(sets map[task.ObjectID]*roaring.Bitmap, id task.ID) {
 	if sets[id.Object] == nil {
 		sets[id.Object] = roaring.New()
@@ -79,8 +86,8 @@
 	sets[id.Object].Add(uint32(id.Index))
 }
 
-// flushOutbox hands what has gathered to the journal, one batch at a time,
-// and acts on what the log has taken in.
+// flushOutbox completes the batch in the journal once it has been read back from the log,
+// and then adds the next batch to the journal.
 func (h *Holder) flushOutbox(now time.Time) {
 	o := &h.outbox
 	if h.journal.Applied(o.lastEntry) {
@@ -89,6 +96,9 @@
 	}
 }
 
+// settleBatch acts on a recorded batch: it acknowledges outcomes to the workers and queues
+// the starts whose intents are recorded. A start whose worker can no longer be given tasks
+// is requeued.
 func (h *Holder) settleBatch(now time.Time) {
 	o := &h.outbox
 	for _, a := range o.queued {
@@ -111,6 +121,8 @@
 	o.awaitingIntent = rest
 }
 
+// queueBatch adds the collected intents and outcomes to the journal, unless the journal is
+// full.
 func (h *Holder) queueBatch() {
 	o := &h.outbox
 	if h.journal.Full() {
--- a/services/shard/plan.go
+++ b/services/shard/plan.go
@@ -14,42 +14,43 @@
 	"saddlevane/services/placement"
 )
 
-// Policy is what varies between deployments and is measured against baselines.
+// Policy holds the placement parameters that vary between deployments and are compared with
+// baselines.
 type Policy struct {
-	// Weights rate places for batch work.
+	// BatchWeights score places for jobs and gangs, and for services that do not spread.
 	BatchWeights placement.Weights
-	// Together rates places for services, whose spread counts more.
+	// ServiceWeights score places for services that spread.
 	ServiceWeights placement.Weights
-	// SpreadPenalty is added for each task of the same service in the group that
-	// the service should not share.
+	// SpreadPenalty is added to a place's score for each task of the same service on the
+	// worker or in the rack that the service's tasks should not share.
 	SpreadPenalty float64
 }
 
-// DefaultPolicy is what the measurements favour.
+// DefaultPolicy returns the policy that performed best in measurements.
 func DefaultPolicy() Policy {
 	return Policy{BatchWeights: placement.DefaultWeights(), ServiceWeights: placement.DefaultWeights(), SpreadPenalty: 10}
 }
 
-// maxTasksPerTurn is how many tasks of one object are placed before teams are compared
-// again.
+// maxTasksPerTurn is how many tasks of one object are placed before the shares of the teams
+// are compared again.
 const maxTasksPerTurn = 16
 
-// maxBlockedObjects is how many blocked objects of one team are passed over for smaller
-// work behind them.
+// maxBlockedObjects is how many blocked objects of one team may be skipped to place smaller
+// tasks behind them.
 const maxBlockedObjects = 64
 
-// planPass is one run of plan.
+// planPass is the state of one run of plan.
 type planPass struct {
 	now         time.Time
 	remaining   int
 	unplaceable []resource.Vector
-	// closed is the rank from which on nothing may overtake a gang that has
-	// waited long.
+	// closedRank is the rank of the long-waiting gang of the highest priority. Objects of
+	// this or a lower priority may no longer overtake it.
 	closedRank int
 }
 
-// plan gives waiting tasks their places: by priority, then by the teams' shares
-// against their weights, then by age. Smaller work may pass what does not fit.
+// plan places waiting tasks, ordered by priority, then by the teams' shares relative to
+// their weights, then by age. Smaller tasks may overtake tasks that do not fit.
 func (h *Holder) plan(now time.Time) {
 	if h.isYielding(now) {
 		return
@@ -64,16 +65,17 @@
 	}
 }
 
+// planRank places the waiting tasks of one rank of priority.
 func (h *Holder) planRank(r *planPass, rank int) {
-	passed := map[*team]int{}
+	skipped := map[*team]int{}
 	for r.remaining > 0 {
-		t := h.leastServedTeam(rank, passed)
+		t := h.leastServedTeam(rank, skipped)
 		if t == nil {
 			return
 		}
-		o := t.queues[rank][passed[t]]
+		o := t.queues[rank][skipped[t]]
 		if placed := h.planObject(r, t, o); placed < maxTasksPerTurn {
-			passed[t]++
+			skipped[t]++
 		}
 		if r.closedRank <= rank {
 			return
@@ -81,24 +83,24 @@
 	}
 }
 
-// leastServedTeam returns the team with work of the rank and the smallest share for its
-// weight.
-func (h *Holder) leastServedTeam(rank int, passed map[*team]int) *team {
+// leastServedTeam returns the team with waiting objects of the rank whose share is smallest
+// relative to its weight, or nil.
+func (h *Holder) leastServedTeam(rank int, skipped map[*team]int) *team {
 	var best *team
-	least := 0.0
+	minShare := 0.0
 	for _, t := range h.teams {
-		if at := passed[t]; at >= len(t.queues[rank]) || at >= maxBlockedObjects {
+		if at := skipped[t]; at >= len(t.queues[rank]) || at >= maxBlockedObjects {
 			continue
 		}
 		share := t.reserved.DominantShare(h.total.capacity) / t.spec.Weight
-		if best == nil || share < least || (share == least && t.spec.Name < best.spec.Name) {
-			best, least = t, share
+		if best == nil || share < minShare || (share == minShare && t.spec.Name < best.spec.Name) {
+			best, minShare = t, share
 		}
 	}
 	return best
 }
 
-// pruneQueues drops objects that have nothing waiting.
+// pruneQueues removes objects that have nothing waiting from the queues.
 func (h *Holder) pruneQueues() {
 	for _, t := range h.teams {
 		for rank, queue := range t.queues {
@@ -114,7 +116,8 @@
 	}
 }
 
-// planObject places up to burst tasks of o and returns how many it placed.
+// planObject places up to maxTasksPerTurn tasks of o, or a whole gang, and returns how many
+// it placed.
 func (h *Holder) planObject(r *planPass, t *team, o *object) int {
 	if reason := h.holdReason(r.now, o); reason != "" {
 		o.reason = reason
@@ -143,17 +146,17 @@
 	return placed
 }
 
-// holdReason says why no task of o may start now whatever is free, or "".
+// holdReason returns why no task of o may start now, regardless of free capacity, or "".
 func (h *Holder) holdReason(now time.Time, o *object) string {
 	switch {
 	case h.maybeSuperseded:
-		return "another box has held workers of the shard, and the log has not told yet whether it is the holder now"
+		return "another entry box has held leases of the shard's workers, and the log does not show yet whether it is the holder now"
 	case h.phase != Active && o.spec.ID().Born <= h.claimRevision:
-		return "this entry box is taking the shard over and does not know yet what runs"
+		return "this entry box is taking the shard over and has not read yet which tasks run"
 	case now.Before(o.notBefore):
 		return o.reason
 	case o.isPastDeadline(now):
-		return "its deadline has passed, so no task of it is started any more"
+		return "its deadline has passed, so none of its tasks is started any more"
 	case !o.spec.Repeatable() && (h.journal.Full() || h.journal.FailureReason() != ""):
 		return "the log cannot be written, and the start of a task that may not be repeated must be recorded first"
 	default:
@@ -161,17 +164,18 @@
 	}
 }
 
-// isPastDeadline says whether a job's deadline has passed.
+// isPastDeadline reports whether o is a job whose deadline has passed.
 func (o *object) isPastDeadline(now time.Time) bool {
 	b := o.spec.Batch()
 	return b != nil && !b.Deadline.IsZero() && now.After(b.Deadline.Time)
 }
 
-// findWorker returns a worker for one task of o, or nil and the reason in o.
+// findWorker returns a worker for one task of o. If there is none, it returns nil and sets
+// the reason in o, and for urgent objects it preempts other tasks.
 func (h *Holder) findWorker(r *planPass, t *team, o *object) *workerState {
 	need := o.spec.Work().Resources
 	if !t.reserved.Plus(need).Fits(t.quota) {
-		o.reason = fmt.Sprintf("team %s has its quota of this shard in use", t.spec.Name)
+		o.reason = fmt.Sprintf("team %s has used its quota in this shard", t.spec.Name)
 		return nil
 	}
 	if r.isUnplaceable(need) {
@@ -188,11 +192,14 @@
 	return nil
 }
 
+// noCapacityReason returns the reason of a task for whose need no worker has the capacity.
 func noCapacityReason(need resource.Vector) string {
-	return fmt.Sprintf("no worker of the shard has %s processors, %s of memory and %d accelerators free together",
+	return fmt.Sprintf("no single worker of the shard has %s processors, %s of memory and %d accelerators free",
 		need.Processors, need.Memory, need.Accelerators)
 }
 
+// isUnplaceable reports whether no place was found earlier in this pass for the same or a
+// smaller need.
 func (r *planPass) isUnplaceable(need resource.Vector) bool {
 	for _, f := range r.unplaceable {
 		if f.Fits(need) {
@@ -202,6 +209,8 @@
 	return false
 }
 
+// bestNode returns the best place for one task of o, or nil. Tasks without accelerators use
+// workers with accelerators only if no other worker fits.
 func (h *Holder) bestNode(o *object, need resource.Vector) *placement.Node {
 	score := func(n *placement.Node) float64 { return h.policy.BatchWeights.Score(n, need) }
 	if s := o.spec.Service(); s != nil && s.Spread != spec.SpreadNone {
@@ -217,19 +226,20 @@
 	return h.acceleratorIndex.Best(need, score)
 }
 
-// countNeighbours counts tasks of o in the group of n that they should not share.
+// countNeighbours counts tasks of o on the same worker as n or, if o spreads over racks, in
+// the same rack.
 func (o *object) countNeighbours(n *placement.Node, s spec.Spread) int {
 	if s == spec.SpreadRack {
-		// Within a rack, workers that have none yet are still better.
+		// Counting the worker too prefers workers without a task of o within a rack.
 		return o.onRack[n.Rack()] + o.onWorker[n.Name()]
 	}
 	return o.onWorker[n.Name()]
 }
 
-// planGang places all tasks of a gang or none.
+// planGang places all tasks of a gang or none. It returns how many it placed.
 func (h *Holder) planGang(r *planPass, t *team, o *object) int {
 	if o.active > 0 {
-		o.reason = "the rest of the gang has not stopped yet"
+		o.reason = "other tasks of the gang have not stopped yet"
 		return 0
 	}
 	need := o.spec.Work().Resources
@@ -244,8 +254,8 @@
 	return len(waiting)
 }
 
-// popAllWaiting takes all tasks of a gang from its queue, each once: one that comes
-// back from an earlier attempt may not have been passed by the cursor yet.
+// popAllWaiting removes all tasks of a gang that may start now and returns them, each once:
+// a task queued for a retry may also still be found as never started.
 func (h *Holder) popAllWaiting(now time.Time, o *object) []retry {
 	var waiting []retry
 	taken := map[int]bool{}
@@ -258,71 +268,74 @@
 	return waiting
 }
 
+// requeueAll puts all waiting tasks of a gang back in their order.
 func (h *Holder) requeueAll(o *object, waiting []retry) {
 	for _, r := range slices.Backward(waiting) {
 		o.retries.pushFront(r)
 	}
 }
 
-// placeAll holds a place for each task, and gives them all up if one is missing.
+// placeAll places all waiting tasks of o. It returns false and places none if a place is
+// missing.
 func (h *Holder) placeAll(now time.Time, o *object, waiting []retry) bool {
 	need := o.spec.Work().Resources
-	held := make([]*placement.Node, 0, len(waiting))
+	reserved := make([]*placement.Node, 0, len(waiting))
 	for range waiting {
 		n := h.bestNode(o, need)
 		if n == nil {
 			break
 		}
 		n.Reserve(need)
-		held = append(held, n)
+		reserved = append(reserved, n)
 	}
-	for _, n := range held {
+	for _, n := range reserved {
 		n.Release(need)
 	}
-	if len(held) < len(waiting) {
+	if len(reserved) < len(waiting) {
 		return false
 	}
-	for i, n := range held {
+	for i, n := range reserved {
 		h.placeTask(now, o, waiting[i], h.workers[n.Name()])
 	}
 	return true
 }
 
-// recordGangWait notes why a gang waits. One that has waited long stops smaller work
-// of its own and lower priorities from overtaking it, so that room gathers.
+// recordGangWait records why a gang waits. Once a gang has waited for GangOvertakeTimeout,
+// objects of the same and lower priorities may no longer overtake it, so that free capacity
+// accumulates.
 func (h *Holder) recordGangWait(r *planPass, t *team, o *object, waiting int) {
 	all := o.spec.Work().Resources.Times(waiting)
 	if !t.reserved.Plus(all).Fits(t.quota) {
-		o.reason = fmt.Sprintf("team %s has not enough of its quota of this shard free for all tasks together", t.spec.Name)
+		o.reason = fmt.Sprintf("team %s has not enough unused quota in this shard for all tasks of the gang", t.spec.Name)
 		return
 	}
 	if !h.fitsWithoutJobs(r.now, o, waiting) {
-		o.reason = "the workers that the shard has now could not hold all its tasks together beside its services"
+		o.reason = "the current workers of the shard could not run all tasks of the gang beside the services, even without any jobs"
 		return
 	}
-	o.reason = "the shard has not room for all its tasks together"
+	o.reason = "the shard has not enough free resources for all tasks of the gang"
 	if r.now.Sub(o.waitingSince) >= h.settings.GangOvertakeTimeout {
 		r.closedRank = min(r.closedRank, o.spec.Work().Priority.Rank())
-		o.reason += "; smaller work no longer overtakes it"
+		o.reason += "; smaller tasks may no longer overtake it"
 	}
 }
 
-// fitsWithoutJobs says whether so many tasks of o would fit if all jobs had ended. A gang
-// that could not must not hold others up.
+// fitsWithoutJobs reports whether that many tasks of o would fit if all jobs and gangs had
+// ended. A gang that would not fit even then must not block other objects.
 func (h *Holder) fitsWithoutJobs(now time.Time, o *object, waiting int) bool {
 	need := o.spec.Work().Resources
 	for _, w := range h.sortedWorkers {
 		if !h.canStart(now, w) {
 			continue
 		}
-		room := w.node.Capacity()
+		free := w.node.Capacity()
 		for _, t := range w.tasks {
 			if t.object == nil || t.object.spec.Kind() == ledger.KindService {
-				room = room.Minus(t.resources)
+				free = free.Minus(t.resources)
 			}
 		}
-		for ; need.Fits(room) && waiting > 0; waiting-- {
-			room = room.Minus(need)
+		for ; need.Fits(free) && waiting > 0; waiting-- {
+			free = free.Minus(need)
 		}
 	}
 	return waiting <= 0
--- a/services/shard/preempt.go
+++ b/services/shard/preempt.go
@@ -14,20 +14,22 @@
 	"saddlevane/services/ledger"
 )
 
+// taskKey returns the key of the task index of o.
 func taskKey(o *object, index int) task.Key {
 	return task.Key{Object: o.spec.ID(), Index: index}
 }
 
-// preemptRetryDelay is how long room that was made counts as coming: the stopped tasks
-// need about as long to give their places up.
+// preemptRetryDelay is how long preempted capacity counts as being freed: preempted tasks
+// need about that long to stop. After that, more tasks may be preempted.
 const preemptRetryDelay = 500 * time.Millisecond
 
-// preemption is tasks on one worker whose end makes room for one urgent task.
+// preemption is a set of tasks on one worker that would have to stop to make room for one
+// urgent task.
 type preemption struct{ victims []*attempt }
 
-// preemptFor makes room for the waiting tasks of urgent work by stopping, with a
-// checkpoint, the fewest tasks of jobs of the lowest priority that may be
-// repeated.
+// preemptFor makes room for the waiting tasks of an urgent object. It stops, with a
+// checkpoint, tasks of jobs of the lowest priority that may be repeated, using the workers
+// where the fewest have to stop.
 func (h *Holder) preemptFor(now time.Time, o *object, need resource.Vector) {
 	if o.spec.Work().Priority != spec.Urgent {
 		return
@@ -50,17 +52,17 @@
 		missing--
 		o.expectedPlaces++
 		o.preemptedAt = now
-		o.reason = "waits for the tasks that it preempted to stop"
+		o.reason = "the tasks preempted for it have not stopped yet"
 	}
 }
 
-// estimateWaiting returns about how many tasks of o wait.
+// estimateWaiting returns about how many tasks of o wait, and at least 1.
 func (h *Holder) estimateWaiting(o *object) int {
 	p := h.ledger.Progress(o.spec.ID())
 	return max(o.taskCount()-o.active-int(p.Done().GetCardinality()+p.Failed().GetCardinality()), 1)
 }
 
-// possiblePreemptions returns what could be stopped on each worker, fewest tasks first.
+// possiblePreemptions returns what could be preempted on each worker, fewest tasks first.
 func (h *Holder) possiblePreemptions(now time.Time, need resource.Vector) []preemption {
 	var all []preemption
 	for _, w := range h.sortedWorkers {
@@ -75,7 +77,8 @@
 	return all
 }
 
-// selectVictims returns tasks on w whose end would make room for need, or nil.
+// selectVictims returns tasks on w that would have to stop to make room for need, or nil if
+// stopping tasks is not enough or not necessary.
 func selectVictims(w *workerState, need resource.Vector) []*attempt {
 	free := w.node.Free()
 	var stopped []*attempt
@@ -94,51 +97,54 @@
 	return stopped
 }
 
+// isPreemptible reports whether t runs a repeatable task of a job of the lowest priority.
 func (t *attempt) isPreemptible() bool {
 	return t.object != nil && t.stage == stageRunning && t.object.spec.Kind() == ledger.KindJob &&
 		t.object.spec.Work().Priority == spec.Bulk && t.object.spec.Repeatable()
 }
 
-// stopUnwanted stops, at a bounded rate, tasks that no file asks for any more,
-// that are to move off a drained worker, or that a newer form replaces. Tasks are
-// looked through only after something changed, until none of these is left.
+// stopUnwanted stops, at a limited rate, tasks that are no longer in the files in force,
+// tasks that should move off a drained worker, and tasks of services whose definition has
+// changed. It scans the tasks only after a change, until no such task is left.
 func (h *Holder) stopUnwanted() {
 	if !h.unwantedScanDue {
 		return
 	}
 	h.unwantedScanDue = false
-	looked := map[*object]bool{}
+	checked := map[*object]bool{}
 	for _, t := range ordered.By(h.tasks, task.Key.Compare) {
-		why := h.dispositionOf(t)
-		if why == keepRunning {
+		d := h.dispositionOf(t)
+		if d == keepRunning {
 			continue
 		}
 		h.unwantedScanDue = true
 		if h.stopBudget <= 0 {
 			return
 		}
-		if t.stage != stageStopping && (why == stopAtOnce || h.canSpareOne(t.object, looked)) {
+		if t.stage != stageStopping && (d == stopAtOnce || h.canSpareOne(t.object, checked)) {
 			h.stopAttempt(t, true)
 		}
 	}
 }
 
-// disposition is whether a task should go on.
+// disposition says whether a task should go on running.
 type disposition string
 
 const (
 	keepRunning disposition = "wanted"
-	// stopAtOnce should stop at once.
+	// stopAtOnce means that the task should stop as soon as the rate limit allows.
 	stopAtOnce disposition = "unwanted now"
-	// stopWhenSpare should stop once the service can spare a task.
+	// stopWhenSpare means that the task should stop once all other tasks of its service
+	// run.
 	stopWhenSpare disposition = "unwanted soon"
 )
 
+// dispositionOf returns whether the task of t should go on running.
 func (h *Holder) dispositionOf(t *attempt) disposition {
 	o := t.object
 	switch {
 	case o == nil && t.id.Object.Born > h.ledger.NextOffset():
-		// It belongs to a file that this process has not read yet.
+		// The task belongs to a file that this process has not read yet.
 		return keepRunning
 	case o == nil || o.removed || o.spec.Cancelled() || !o.hasTask(t.id.Index):
 		return stopAtOnce
@@ -151,13 +157,14 @@
 	}
 }
 
-// canSpareOne says whether a service can spare one task: all of its tasks run. It
-// says so once for each object in looked.
-func (h *Holder) canSpareOne(o *object, looked map[*object]bool) bool {
-	if looked[o] {
+// canSpareOne reports whether a service can spare one task, which is when all of its tasks
+// run. It returns true at most once for each object, and adds the objects that it was asked
+// about to checked.
+func (h *Holder) canSpareOne(o *object, checked map[*object]bool) bool {
+	if checked[o] {
 		return false
 	}
-	looked[o] = true
+	checked[o] = true
 	for _, s := range o.ranges {
 		for i := s.from; i < s.to; i++ {
 			if t, ok := h.tasks[taskKey(o, i)]; !ok || t.stage != stageRunning {
@@ -168,6 +175,7 @@
 	return true
 }
 
+// taskCount returns how many tasks of o are assigned to this shard.
 func (o *object) taskCount() int {
 	n := 0
 	for _, s := range o.ranges {
--- a/services/shard/retry.go
+++ b/services/shard/retry.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// retry is a task that goes back to the queue.
+// retry is a task that waits in the queue to be started again.
 type retry struct {
 	index     int
 	attempt   int
 	notBefore time.Time
 }
 
-// retries are the tasks of one object that go back to the queue, each once: a
-// task can be reported lost and, later, ended as well.
+// retries holds the retries of one object, at most one for each task: a task can be
+// reported as lost and, later, as ended too.
 type retries struct {
 	queue  []retry
 	queued map[int]bool
@@ -26,19 +26,22 @@
 
 func (r *retries) has(index int) bool { return r.queued[index] }
 
+// pushBack adds t at the end, unless a retry of the task is queued already.
 func (r *retries) pushBack(t retry) {
 	if r.markQueued(t.index) {
 		r.queue = append(r.queue, t)
 	}
 }
 
-// pushFront puts a task that was not started back where it came from.
+// pushFront puts a task that was not started back at the front, unless a retry of it is
+// queued already.
 func (r *retries) pushFront(t retry) {
 	if r.markQueued(t.index) {
 		r.queue = slices.Insert(r.queue, 0, t)
 	}
 }
 
+// markQueued marks a task as queued. It returns false if it was marked already.
 func (r *retries) markQueued(index int) bool {
 	if r.queued[index] {
 		return false
@@ -50,7 +53,8 @@
 	return true
 }
 
-// popDue takes the first task whose wait is over.
+// popDue removes the first retry whose delay is over and returns it. It returns false if
+// there is none.
 func (r *retries) popDue(now time.Time) (retry, bool) {
 	for _, t := range r.queue {
 		if !now.Before(t.notBefore) {
@@ -61,7 +65,7 @@
 	return retry{}, false
 }
 
-// remove takes a task out: it has a place after all.
+// remove removes the retry of a task that turned out to have an attempt on a worker.
 func (r *retries) remove(index int) {
 	if !r.queued[index] {
 		return
--- a/services/shard/status.go
+++ b/services/shard/status.go
@@ -16,7 +16,7 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// Status returns the shard in short.
+// Status returns a summary of the shard.
 func (h *Holder) Status(now time.Time) status.Shard {
 	s := status.Shard{
 		ID: h.id.String(), Phase: string(h.phase), Workers: len(h.workers), Running: len(h.tasks),
@@ -37,8 +37,8 @@
 	return s
 }
 
-// packedRatio returns the largest part of any resource of the held workers that is
-// reserved.
+// packedRatio returns the reserved fraction of the capacity of the adopted workers, for the
+// resource of which the largest fraction is reserved.
 func (h *Holder) packedRatio() float64 {
 	var capacity, free resource.Vector
 	for _, w := range h.workers {
@@ -49,7 +49,7 @@
 	return capacity.Minus(free).DominantShare(capacity)
 }
 
-// Work returns what the shard knows of each object, oldest first.
+// Work returns the state of each object of the shard, oldest first.
 func (h *Holder) Work() []status.Work {
 	var all []status.Work
 	for _, s := range h.ledger.Objects() {
@@ -60,6 +60,7 @@
 	return all
 }
 
+// objectWork returns the state of one object's tasks in the shard.
 func (h *Holder) objectWork(o *object) status.Work {
 	p := h.ledger.Progress(o.spec.ID())
 	home := roaring.New()
@@ -90,10 +91,11 @@
 	return w
 }
 
+// maxUnknownListed limits how many unknown tasks of an object are listed by name.
 const maxUnknownListed = 20
 
-// countUnrecorded counts the tasks of o that have ended, though the log does not say so
-// yet.
+// countUnrecorded returns how many tasks of o have ended, but are not recorded in the log
+// as ended yet.
 func (h *Holder) countUnrecorded(o *object) int {
 	n := 0
 	for key := range h.outbox.unrecorded {
@@ -109,9 +111,9 @@
 	if o.spec.Repeatable() || h.phase != Active {
 		return nil
 	}
-	open := roaring.AndNot(roaring.AndNot(roaring.And(home, p.Intents()), p.Done()), p.Failed())
+	unsettled := roaring.AndNot(roaring.AndNot(roaring.And(home, p.Intents()), p.Done()), p.Failed())
 	var all []int
-	for it := open.Iterator(); it.HasNext(); {
+	for it := unsettled.Iterator(); it.HasNext(); {
 		index := int(it.Next())
 		if p.MayHaveStarted(index) && !h.hasAttempt(o, index) {
 			all = append(all, index)
@@ -120,11 +122,11 @@
 	return all
 }
 
-// Places returns the tasks that have places, up to most of them.
-func (h *Holder) Places(most int) []status.Place {
+// Places returns the tasks that have a place on a worker, at most limit of them.
+func (h *Holder) Places(limit int) []status.Place {
 	var all []status.Place
 	for _, t := range h.tasks {
-		if len(all) >= most {
+		if len(all) >= limit {
 			break
 		}
 		all = append(all, status.Place{Task: t.id.String(), Worker: t.worker.name, Stage: string(t.stage)})
@@ -138,11 +140,11 @@
 	return all
 }
 
-// Workers returns the shard's workers, up to most of them.
-func (h *Holder) Workers(now time.Time, most int) []status.Worker {
+// Workers returns the shard's workers, at most limit of them.
+func (h *Holder) Workers(now time.Time, limit int) []status.Worker {
 	var all []status.Worker
 	for _, w := range h.workers {
-		if len(all) >= most {
+		if len(all) >= limit {
 			break
 		}
 		free := w.node.Free()
@@ -161,8 +163,8 @@
 	return all
 }
 
-// Explain says in one sentence why a task is where it is; false if the shard is
-// not held here or the task is not at home in it.
+// Explain says in a sentence why a task is in its state. It returns false if this process
+// does not hold the shard or the task is not assigned to the shard.
 func (h *Holder) Explain(key task.Key) (status.Explanation, bool) {
 	o, ok := h.objects[key.Object]
 	if !ok || !o.hasTask(key.Index) {
@@ -173,39 +175,41 @@
 	t, placed := h.tasks[key]
 	switch i := uint32(key.Index); {
 	case p.Done().Contains(i):
-		e.State, e.Why = string(task.Done), "It finished, and the log has taken that in."
+		e.State, e.Why = string(task.Done), "It has finished, and the log has recorded it."
 	case p.Failed().Contains(i):
-		e.State, e.Why = string(task.Failed), "It failed or was cancelled, and has no tries left."
+		e.State, e.Why = string(task.Failed), "It has failed or was cancelled, and is not retried."
 	case placed:
 		e.State, e.Why = string(t.stage), h.placeReason(t)
 	case h.outbox.unrecorded[key]:
-		e.State, e.Why = string(task.Running), "It has ended, and waits for the log to take that in."
+		e.State, e.Why = string(task.Running), "It has ended, but the log has not recorded it yet."
 	case o.spec.Cancelled():
-		e.State, e.Why = string(task.Stopped), "Its file says that it is cancelled."
+		e.State, e.Why = string(task.Stopped), "It is cancelled in its file."
 	case p.MayHaveStarted(key.Index) && !o.retries.has(key.Index) && h.phase == Active:
-		e.State, e.Why = string(task.Unknown), "Its start was recorded, but no outcome is known; it may not be repeated, so it waits for an operator's file to settle it."
+		e.State, e.Why = string(task.Unknown), "Its start was recorded, but its outcome is unknown. It may not be repeated, so it stays in this state until an operator publishes a file that settles it."
 	default:
 		e.State, e.Why = string(task.Waiting), h.waitingReason(o)
 	}
 	return e, true
 }
 
+// placeReason explains the place of an attempt.
 func (h *Holder) placeReason(t *attempt) string {
 	n := t.worker.node
 	switch t.stage {
 	case stageAwaitingIntent:
-		return fmt.Sprintf("It has a place on %s and waits for the log to take in that it may start.", t.worker.name)
+		return fmt.Sprintf("It has a place on %s and starts when the log has recorded the intent.", t.worker.name)
 	case stageStopping:
-		return fmt.Sprintf("It was told to stop on %s and keeps its place until the worker confirms.", t.worker.name)
+		return fmt.Sprintf("It is being stopped on %s and keeps its place until the worker confirms that it has ended.", t.worker.name)
 	default:
-		return fmt.Sprintf("It is on %s in rack %s, the tightest place found for %s processors and %s of memory.",
+		return fmt.Sprintf("It is on %s in rack %s, the best place found for %s processors and %s of memory.",
 			t.worker.name, n.Rack(), t.resources.Processors, t.resources.Memory)
 	}
 }
 
+// waitingReason explains why tasks of o wait.
 func (h *Holder) waitingReason(o *object) string {
 	if o.reason == "" {
-		return "It has its turn after work of higher priority, of teams with a smaller share, or that is older."
+		return "It waits behind tasks that have a higher priority, belong to a team with a smaller share, or are older."
 	}
 	return "It waits because " + o.reason + "."
 }
--- a/services/shard/suspect.go
+++ b/services/shard/suspect.go
@@ -11,25 +11,28 @@
 	"saddlevane/services/ledger"
 )
 
-// suspicion is what is known of a holder that this box no longer hears. Two
-// boxes that cannot hear each other would claim the shard from each other
-// without end, so the workers are asked first: a holder whose leases are live
-// is live. That costs no time, because a takeover has to wait for those leases
-// anyway.
+// suspicion is what this box has found out about a holder whose heartbeats it no longer
+// receives. Two boxes that cannot reach each other would repeatedly claim the shard from
+// each other, so the workers are asked first: a holder with current leases is alive. This
+// costs no time, because a takeover has to wait for those leases to expire anyway.
 type suspicion struct {
 	holder string
 	since  time.Time
-	// until is how long the holder's leases last that workers have told of.
+	// leasesUntil is when the last of the holder's leases that workers have reported
+	// expires.
 	leasesUntil time.Time
 }
 
-// maxUnansweredRounds is how many rounds of questions the workers get before their silence
-// counts.
+// maxUnansweredRounds is how many renewal intervals the workers have to answer, before a
+// missing answer no longer prevents a claim.
 const maxUnansweredRounds = 2
 
+// isSuspecting reports whether this box suspects that the holder has failed.
 func (h *Holder) isSuspecting() bool { return h.suspicion.holder != "" }
 
-// mayReplaceHolder says whether a holder that is not heard may be replaced.
+// mayReplaceHolder reports whether a holder whose heartbeats are missing may be replaced.
+// It begins the suspicion if there is none of this holder yet. The holder may be replaced
+// once the workers have been consulted and the leases that they reported have expired.
 func (h *Holder) mayReplaceHolder(now time.Time, claim ledger.Claim) bool {
 	name := claim.Box() + "/" + claim.Incarnation()
 	if h.suspicion.holder != name {
@@ -41,8 +44,8 @@
 	return h.workersConsulted(now) && now.After(h.suspicion.leasesUntil)
 }
 
-// workersConsulted says whether every worker has answered since the suspicion began, or has
-// had time enough.
+// workersConsulted reports whether every worker has answered since the suspicion began or
+// has had enough time to do so.
 func (h *Holder) workersConsulted(now time.Time) bool {
 	if now.Sub(h.suspicion.since) >= maxUnansweredRounds*h.settings.RenewInterval {
 		return true
@@ -55,10 +58,11 @@
 	return true
 }
 
-// isCaretaker says whether this box keeps the tasks of a shard alive whose holder
-// is gone while the log cannot take the claim in. It starts nothing. It must see
-// every worker, and none may be another's: then a holder that lives on without
-// being heard can start nothing either, and learns of the caretaker when it gets
+// isCaretaker reports whether this box renews workers' leases without being the holder, to
+// keep the tasks of a shard running whose holder is gone while the claim cannot be written
+// to the log. A caretaker starts no task. It must have a recent answer from every worker,
+// and no worker may have a lease from another holder. Then a holder that is still alive,
+// but unreachable, cannot start tasks either, and it detects the caretaker when it acquires
 // a lease again.
 func (h *Holder) isCaretaker(now time.Time) bool {
 	if h.phase != Claiming || h.journal.FailureReason() == "" {
@@ -75,10 +79,11 @@
 	return true
 }
 
-// maxAnswerAgeRounds is how many rounds ago a caretaker must have seen each worker.
+// maxAnswerAgeRounds is how many renewal intervals ago, at most, each worker must have
+// answered a caretaker.
 const maxAnswerAgeRounds = 4
 
-// recordReportedHolder takes a worker's word on who has its lease.
+// recordReportedHolder records which holder a worker reports as having its lease.
 func (h *Holder) recordReportedHolder(now time.Time, w *workerState, r worker.Report) {
 	w.otherLeaseUntil = time.Time{}
 	if r.Holder == "" || r.Holder == h.holderName() || r.ExpiresIn <= 0 {
--- a/services/shard/task.go
+++ b/services/shard/task.go
@@ -12,32 +12,37 @@
 	"saddlevane/services/journal"
 )
 
-// stage is how far an attempt has come.
+// stage is the progress of an attempt.
 type stage string
 
 const (
-	// stageAwaitingIntent waits for the log to take in the intent.
+	// stageAwaitingIntent waits for the intent to be recorded in the log.
 	stageAwaitingIntent stage = "intending"
-	// stageStarting was, or is about to be, sent to the worker.
+	// stageStarting means that the start was sent to the worker or is queued to be sent.
 	stageStarting stage = "starting"
-	stageRunning  stage = "running"
-	// stageStopping was told to stop.
+	// stageRunning means that the worker has reported the task as running.
+	stageRunning stage = "running"
+	// stageStopping means that a request to stop was sent to the worker or is queued to be
+	// sent.
 	stageStopping stage = "stopping"
 )
 
-// attempt is an attempt that has a place on a worker.
+// attempt is an attempt to run a task that has a place on a worker.
 type attempt struct {
-	id          task.ID
-	object      *object
-	worker      *workerState
-	resources   resource.Vector
-	version     int64
-	stage       stage
+	id        task.ID
+	object    *object
+	worker    *workerState
+	resources resource.Vector
+	version   int64
+	stage     stage
+	// intentEntry is the journal entry after which the intent is recorded, or 0 if the
+	// intent is not in the journal yet.
 	intentEntry journal.EntryNumber
 	startedAt   time.Time
 }
 
-// placeTask gives a task its place and queues the start.
+// placeTask reserves resources for a task on w and queues its start, or first its intent if
+// the task may not be repeated.
 func (h *Holder) placeTask(now time.Time, o *object, r retry, w *workerState) *attempt {
 	t := &attempt{
 		id:     task.ID{Object: o.spec.ID(), Index: r.index, Attempt: r.attempt},
@@ -54,6 +59,7 @@
 	return t
 }
 
+// queueStart queues the start of t for the next Sync with its worker.
 func (h *Holder) queueStart(t *attempt) {
 	t.stage = stageStarting
 	t.worker.starts = append(t.worker.starts, worker.Start{
@@ -62,6 +68,7 @@
 	h.counts.Starts++
 }
 
+// track adds an attempt to the tasks, its worker, object and team.
 func (h *Holder) track(t *attempt) {
 	h.tasks[t.id.Key()] = t
 	t.worker.tasks[t.id] = t
@@ -77,6 +84,7 @@
 	}
 }
 
+// untrack undoes track.
 func (h *Holder) untrack(t *attempt) {
 	if h.tasks[t.id.Key()] == t {
 		delete(h.tasks, t.id.Key())
@@ -93,7 +101,7 @@
 	}
 }
 
-// withdrawStarts takes back starts that a worker surely did not apply.
+// withdrawStarts requeues tasks whose starts a worker certainly did not apply.
 func (h *Holder) withdrawStarts(w *workerState, starts []worker.Start, reason string) {
 	for _, s := range starts {
 		t, ok := w.tasks[s.Task]
@@ -109,7 +117,8 @@
 	}
 }
 
-// stopAttempt asks for the end of an attempt.
+// stopAttempt requests the worker to stop an attempt. An attempt that waits for its intent
+// is dropped and requeued instead.
 func (h *Holder) stopAttempt(t *attempt, checkpoint bool) {
 	if t.stage == stageStopping {
 		return
--- a/services/shard/worker.go
+++ b/services/shard/worker.go
@@ -17,7 +17,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// workerState is one worker of the shard as the holder knows it.
+// workerState is the holder's state of one worker of the shard.
 type workerState struct {
 	name        string
 	address     string
@@ -25,57 +25,64 @@
 	listedState box.State
 	drained     bool
 	leaving     bool
-	epoch       int64
-	seq         int64
-	leaseUntil  time.Time
+	// epoch is the lease that this holder has, or 0; seq numbers the Syncs.
+	epoch int64
+	seq   int64
+	// leaseUntil is when the lease expires, with ClockMargin subtracted.
+	leaseUntil time.Time
 	// leaseSince is when the lease was first granted that has been renewed since.
 	leaseSince time.Time
 	adopted    bool
 	inflight   *worker.Sync
 	sentAt     time.Time
 	nextAt     time.Time
-	// answeredAt is when the worker last answered; unanswered counts the grants
-	// asked for since, any of which the worker may still take.
+	// answeredAt is when the worker last answered. unanswered counts the grants requested
+	// since then, each of which may still reach the worker.
 	answeredAt time.Time
 	unanswered int
-	// foreign is how long another holder's lease lasts, by the last answer.
+	// otherLeaseUntil is when another holder's lease expires according to the last answer,
+	// or zero if there is none.
 	otherLeaseUntil time.Time
 	releasing       bool
-	// seen is the version of the inventory that this holder has taken, or 0 if it
-	// needs all of it.
+	// inventoryVersion is the version of the last inventory that this holder has processed,
+	// or 0 if it needs the whole inventory.
 	inventoryVersion int64
 	// lastEpoch is the last lease that this holder had, or 0 if it had none.
 	lastEpoch int64
-	// early is how much sooner than the rest this worker's lease is renewed, so
+	// renewEarlyBy is subtracted from the renewal interval. It differs between workers, so
 	// that renewals spread out after a takeover.
 	renewEarlyBy time.Duration
 	lastFailure  string
 
 	starts []worker.Start
-	// sent is how many of starts have been sent and not been answered for.
+	// sentStarts is how many of starts were in the last Sync and are not confirmed yet.
 	sentStarts int
 	stops      map[task.ID]worker.Stop
 	acks       []task.ID
 	tasks      map[task.ID]*attempt
-	// ended holds outcomes that wait for the log before they are forgotten.
+	// ended holds tasks whose outcomes have been handled, until the worker has received the
+	// acknowledgement.
 	ended map[task.ID]bool
 
-	// former says that no file names the worker any more; forgetting that the log
-	// was asked to forget it.
+	// former is set if the worker is no longer in the files in force, and forgetting once
+	// an entry that removes it from the log's state has been queued.
 	former, forgetting bool
-	// absentSince is since when the platform's list has not named it.
+	// absentSince is when the platform's list was first found not to name the worker, or
+	// zero if it does.
 	absentSince time.Time
 
+	// failureStreak lists different objects of which tasks have failed on the worker since
+	// its last success or quarantine.
 	failureStreak    []task.ObjectID
 	quarantinedUntil time.Time
 	quarantineCount  int
 }
 
-// holdsLease says whether the worker's lease is surely this holder's.
+// holdsLease reports whether this holder certainly has the worker's lease.
 func (w *workerState) holdsLease(now time.Time) bool { return w.epoch != 0 && now.Before(w.leaseUntil) }
 
-// requestRelease gives the lease back with the next Sync. What the worker runs goes on
-// and is the next holder's.
+// requestRelease gives the lease back with the next Sync. The tasks on the worker keep
+// running and are adopted by the next holder.
 func (w *workerState) requestRelease(now time.Time) {
 	if w.holdsLease(now) && !w.releasing {
 		w.releasing = true
@@ -83,7 +90,7 @@
 	}
 }
 
-// reset drops all that is known of what the worker runs.
+// reset drops the state of the worker's tasks.
 func (w *workerState) reset() {
 	w.adopted, w.inventoryVersion, w.forgetting, w.lastEpoch = false, 0, false, 0
 	w.node.Clear()
@@ -91,10 +98,9 @@
 	w.stops, w.tasks, w.ended = map[task.ID]worker.Stop{}, map[task.ID]*attempt{}, map[task.ID]bool{}
 }
 
-// SetWorkers takes the shard's racks from the files in force and the platform's
-// list. The files alone say which workers there are, because they are what the
-// log orders beside the claims: a holder knows every worker that any earlier
-// holder could have used.
+// SetWorkers updates the workers to the files in force and the platform's list. Only the
+// files determine which workers the shard has, because the log orders the files relative to
+// the claims: so a holder includes every worker that any earlier holder could have used.
 func (h *Holder) SetWorkers(now time.Time) {
 	h.unwantedScanDue = true
 	seen := map[string]bool{}
@@ -129,6 +135,7 @@
 	}
 }
 
+// addWorker adds a worker of the rack.
 func (h *Holder) addWorker(name string, rack spec.Rack) *workerState {
 	w := &workerState{
 		name: name, node: placement.NewNode(name, rack.Name, rack.Each),
@@ -139,8 +146,8 @@
 	return w
 }
 
-// removeWorker forgets a worker that no file names any more. One that may still
-// run tasks is kept, drained, until they have ended.
+// removeWorker removes a worker that is neither in the files nor in the list of former
+// workers. A worker that may still run tasks is drained and kept until they have ended.
 func (h *Holder) removeWorker(now time.Time, w *workerState) {
 	w.drained = true
 	h.updateIndex(now, w)
@@ -153,6 +160,8 @@
 	}
 }
 
+// refreshWorker updates a worker's listing and whether it is drained, and abandons its
+// tasks if it is dead.
 func (h *Holder) refreshWorker(now time.Time, w *workerState) {
 	h.updateListing(now, w)
 	w.drained = w.former || h.ledger.Draining(w.name)
@@ -162,8 +171,9 @@
 	}
 }
 
-// updateListing takes what the platform's list says of a worker. One that the list
-// has not named for long counts as dead: the platform no longer has it.
+// updateListing updates a worker's address and state from the platform's list. A worker
+// that has been missing from the list for GoneAfter counts as dead, because the platform no
+// longer has it.
 func (h *Holder) updateListing(now time.Time, w *workerState) {
 	b, ok := h.members.Box(w.name)
 	switch {
@@ -177,7 +187,8 @@
 	}
 }
 
-// forgetDeadFormerWorkers has the log forget workers that no file names and that are dead.
+// forgetDeadFormerWorkers queues entries that remove former workers from the log's state
+// once they are dead.
 func (h *Holder) forgetDeadFormerWorkers() {
 	if h.phase != Active {
 		return
@@ -190,8 +201,8 @@
 	}
 }
 
-// updateIndex puts the worker in the index or takes it out, by whether it may be
-// given tasks.
+// updateIndex adds the worker to the placement index if it can be given tasks, and removes
+// it otherwise.
 func (h *Holder) updateIndex(now time.Time, w *workerState) {
 	h.plainIndex.Remove(w.node)
 	h.acceleratorIndex.Remove(w.node)
@@ -205,14 +216,15 @@
 	h.plainIndex.Add(w.node)
 }
 
+// canStart reports whether tasks may be started on the worker.
 func (h *Holder) canStart(now time.Time, w *workerState) bool {
 	return w.adopted && w.holdsLease(now) && !w.releasing && !w.drained && !w.leaving &&
 		(w.listedState == box.Live || w.listedState == "") && !now.Before(w.quarantinedUntil)
 }
 
-// allAdopted says whether no worker is left that could run a task unknown to
-// this holder. A worker that cannot be reached is left out only if the platform
-// has made sure that it is dead: the earlier holder may still reach it.
+// allAdopted reports whether no worker can run a task that is missing from this holder's
+// state. An unreachable worker is left out only if the platform confirms that it is dead,
+// because the previous holder may still reach it.
 func (h *Holder) allAdopted() bool {
 	for _, w := range h.workers {
 		if !w.adopted && w.listedState != box.Dead {
