--- a/services/authority/authority.go
+++ b/services/authority/authority.go
@@ -1,10 +1,11 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package authority decides which box may give orders to the cell's workers. It
-// folds the stream of claims: the log lets one claim follow another only if
-// nothing came in between, so there is one holder in the order of the log. A
-// holder stops on its own before another box may claim.
+// Package authority decides which box may send orders to the cell's workers. It
+// derives the current holder from the log's stream of claims. A claim is appended
+// only if the stream still ends where its sender has read to, so the order of the
+// log always determines a single holder. A holder that cannot renew its claim stops
+// sending orders before another box is allowed to claim.
 package authority
 
 import (
@@ -17,81 +18,90 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Settings are the times of the authority.
+// Settings holds the timing of claims and renewals.
 type Settings struct {
 	// Renew is the time between two renewals of the claim.
 	RenewInterval time.Duration
-	// HoldFor is how long a holder may act after it sent the last renewal that
-	// the log has.
+	// HoldFor is how long a holder may act, counted from when it sent the last
+	// renewal that is known to be in the log.
 	HoldFor time.Duration
-	// ClaimAfter is how long a box must not have read a renewal before it claims.
-	// It exceeds HoldFor by what two steady clocks may differ in that time.
+	// ClaimAfter is how long a box must have read no renewal before it claims. It
+	// exceeds HoldFor by the most that two monotonic clocks may drift apart in that time.
 	ClaimAfter time.Duration
 }
 
-// claimKey is the only key of the stream of claims.
+// claimKey is the key of all records in the stream of claims.
 const claimKey = "holder"
 
-// ClaimAppend is a claim or renewal to append. Its end comes back by Appended.
+// ClaimAppend is a claim or renewal to append to the log. The caller reports its
+// result with AppendEnded.
 type ClaimAppend struct {
 	Claim  claim.Claim
 	Append stream.Append
 }
 
-// Authority is one box's view of who holds. It is not safe for concurrent use.
+// Authority is one process's view of which box holds the cell. It is not safe for
+// concurrent use.
 type Authority struct {
 	settings Settings
 	self     claim.Member
 
+	// current is the newest claim or renewal in the part of the stream that was read.
 	current claim.Claim
-	// next is the end of the stream as far as it was read.
+	// nextOffset is the offset after the last record that was read.
 	nextOffset int64
-	// read says that the stream was read to its end once.
+	// loaded is set once the stream was read to its end.
 	loaded bool
-	// logReachableSince is since when all reads succeed, or zero after a failed one.
+	// logReachableSince is when reads began to succeed without a failure since, or
+	// zero if the last read failed.
 	logReachableSince time.Time
 	// logReadAt is when the log last answered a read.
 	logReadAt time.Time
-	// heardAt is when the last renewal was read.
+	// claimReadAt is when the last new claim or renewal was read.
 	claimReadAt time.Time
 
-	// held is the epoch under which this process acts, or 0.
+	// heldEpoch is the epoch under which this process acts, or 0.
 	heldEpoch int64
-	// sentAt is when the last renewal that is known to be in the log was sent.
+	// confirmedSentAt is when the last renewal that is known to be in the log was
+	// sent, or the last request that all other boxes answered with a pledge.
 	confirmedSentAt time.Time
-	// invited is the epoch whose holder has asked this box to follow it.
+	// invitedEpoch is the epoch whose holder has invited this box to take over, or 0.
 	invitedEpoch int64
-	// pledgedUntil bounds a pledge to the holder not to claim.
+	// pledgedUntil is when this box's pledge to the holder not to claim expires.
 	pledgedUntil time.Time
-	// pending is the append under way, or nil.
+	// pending is the append in flight, or nil.
 	pending *pendingAppend
-	// nextRenewalAt is when the claim is to be renewed, and renewal counts all appends of
-	// this process, so that each has its own number.
+	// nextRenewalAt is when the claim is due for renewal.
 	nextRenewalAt time.Time
-	lastRenewal   int64
-	// unsure has each claim and renewal that may be in the log, or may come there yet.
+	// lastRenewal is the number of the last append; each append of this process has
+	// its own number.
+	lastRenewal int64
+	// unconfirmed holds the claims and renewals that may be in the log or may still
+	// be appended to it, by number.
 	unconfirmed map[int64]sentClaim
-	// spread is this box's part of maxClaimJitter.
+	// claimJitter is this box's delay before a claim, derived from its name; it is
+	// less than maxClaimJitter.
 	claimJitter time.Duration
-	// stopping says that this process must not claim again.
+	// stopping is set once this process must not claim again.
 	stopping bool
-	// largest is the size of the largest box that is known.
+	// largestSize is the size of the largest known box.
 	largestSize int64
 }
 
-// sentClaim is when a claim or renewal was sent, and the place in the log that it may take.
+// sentClaim records when a claim or renewal was sent and the offset that it takes
+// in the log if it is appended.
 type sentClaim struct {
 	sentAt time.Time
 	offset int64
 }
 
-// pendingAppend is an append under way.
+// pendingAppend is an append that has not been answered yet.
 type pendingAppend struct {
 	claim  claim.Claim
 	sentAt time.Time
 }
 
-// New returns the view of a process that has read nothing.
+// New returns the state of a process that has read nothing from the log.
 func New(s Settings, self claim.Member) *Authority {
 	return &Authority{
 		settings: s, self: self, unconfirmed: map[int64]sentClaim{},
@@ -99,36 +109,36 @@
 	}
 }
 
-// Current returns the claim in force as far as it was read.
+// Current returns the newest claim or renewal that was read.
 func (a *Authority) Current() claim.Claim { return a.current }
 
-// Epoch returns the epoch under which this process acts, or 0.
+// Epoch returns the epoch under which this process acts, or 0 if it is not the holder.
 func (a *Authority) Epoch() int64 { return a.heldEpoch }
 
-// IsHolder says whether this process may give orders at now.
+// IsHolder reports whether this process may send orders at now.
 func (a *Authority) IsHolder(now time.Time) bool {
 	return a.heldEpoch != 0 && a.current.Epoch <= a.heldEpoch && now.Before(a.confirmedSentAt.Add(a.settings.HoldFor))
 }
 
-// HoldsUntil returns when the authority ends unless it is renewed.
+// HoldsUntil returns when the authority of this process expires unless it is renewed.
 func (a *Authority) HoldsUntil() time.Time { return a.confirmedSentAt.Add(a.settings.HoldFor) }
 
-// IsAppending says whether an append is under way.
+// IsAppending reports whether an append is in flight.
 func (a *Authority) IsAppending() bool { return a.pending != nil }
 
-// IsLogReachable says whether the log answers this process.
+// IsLogReachable reports whether the log answered the last read of this process.
 func (a *Authority) IsLogReachable() bool { return !a.logReachableSince.IsZero() }
 
 // LogReadAt returns when the log last answered a read of this process.
 func (a *Authority) LogReadAt() time.Time { return a.logReadAt }
 
-// ApplyFirst takes what the stream held when the process began to read.
+// ApplyFirst applies the result of the first read, which covers the stream to its end.
 func (a *Authority) ApplyFirst(now time.Time, records []stream.Record, next int64) {
 	a.loaded = true
 	a.Apply(now, records, next)
 }
 
-// Apply takes records that follow those read before.
+// Apply applies records that follow those read before. next is the offset after them.
 func (a *Authority) Apply(now time.Time, records []stream.Record, next int64) {
 	if a.logReachableSince.IsZero() {
 		a.logReachableSince = now
@@ -144,33 +154,36 @@
 	a.nextOffset = max(a.nextOffset, next)
 	for n, s := range a.unconfirmed {
 		if s.offset < a.nextOffset {
-			// It was not among the records, so another one has its place.
+			// It was not among the records, so another record has its offset and it
+			// can no longer be appended.
 			delete(a.unconfirmed, n)
 		}
 	}
 }
 
-// applyClaim puts a claim in force that is in the log.
+// applyClaim makes a claim that is in the log the current one.
 func (a *Authority) applyClaim(now time.Time, c claim.Claim) {
 	if c != a.current {
-		// A renewal that is read again, after the log was away, is no sign of life.
+		// A renewal that is read again, after a log outage, does not show that the
+		// holder is still running.
 		a.claimReadAt = now
 	}
 	a.current = c
-	mine := c.Box == a.self.Box && c.Incarnation == a.self.Incarnation
-	if mine && !c.Released {
+	own := c.Box == a.self.Box && c.Incarnation == a.self.Incarnation
+	if own && !c.Released {
 		a.confirm(c)
 	}
 }
 
-// confirm notes that a claim or renewal of this process is in the log.
+// confirm records that a claim or renewal of this process is in the log, and extends
+// the authority of the process from when the claim was sent.
 func (a *Authority) confirm(c claim.Claim) {
 	sent, ok := a.unconfirmed[c.Renewal]
 	if !ok || a.stopping {
 		return
 	}
 	if p := a.pending; p != nil && p.claim.Renewal <= c.Renewal {
-		// The answer to this append is lost or late.
+		// The append has succeeded, but its answer is lost or late.
 		a.pending = nil
 	}
 	a.heldEpoch = c.Epoch
@@ -184,18 +197,18 @@
 	}
 }
 
-// RecordReadFailure notes that the log did not answer.
+// RecordReadFailure records that the log did not answer a read.
 func (a *Authority) RecordReadFailure() { a.logReachableSince = time.Time{} }
 
-// RecordPledges notes that every other box has promised not to claim, at a request
-// sent at sentAt.
+// RecordPledges records that every other box has pledged not to claim, in answer to a
+// request sent at sentAt. It extends the authority like a renewal sent at that time.
 func (a *Authority) RecordPledges(sentAt time.Time, epoch int64) {
 	if a.heldEpoch == epoch && sentAt.After(a.confirmedSentAt) {
 		a.confirmedSentAt = sentAt
 	}
 }
 
-// Tick returns what to append now, or nil.
+// Tick returns the claim or renewal to append now, or nil if none is due.
 func (a *Authority) Tick(now time.Time) *ClaimAppend {
 	if a.pending != nil || !a.loaded {
 		return nil
@@ -217,7 +230,7 @@
 	return a.startAppend(now, a.newClaim(a.heldEpoch))
 }
 
-// newClaim returns a claim of this process or the next renewal of one.
+// newClaim returns a claim or renewal of this process under epoch, with the next number.
 func (a *Authority) newClaim(epoch int64) claim.Claim {
 	a.lastRenewal++
 	return claim.Claim{
@@ -225,8 +238,8 @@
 	}
 }
 
-// Release returns the record that gives the claim up, or nil if there is none.
-// After it this process no longer holds.
+// Release gives up the authority of this process and returns the record to append that
+// releases its claim, or nil if it is not the holder.
 func (a *Authority) Release(now time.Time) *ClaimAppend {
 	if a.heldEpoch == 0 {
 		return nil
@@ -237,21 +250,22 @@
 	return a.startAppend(now, c)
 }
 
-// Stop keeps this process from claiming again.
+// Stop prevents this process from claiming or renewing again.
 func (a *Authority) Stop() { a.stopping = true }
 
-// IsStopping says whether Stop was called.
+// IsStopping reports whether Stop was called.
 func (a *Authority) IsStopping() bool { return a.stopping }
 
-// StepDown ends the authority of this process.
+// StepDown ends the authority of this process at once, without a record in the log.
 func (a *Authority) StepDown() {
 	a.heldEpoch = 0
 	a.confirmedSentAt = time.Time{}
 	clear(a.unconfirmed)
 }
 
-// startAppend returns the append of a claim. It takes effect only if the stream ends
-// where this process has read to, so nothing can come in between.
+// startAppend records an append of a claim as pending and returns it. The log accepts
+// it only if the stream ends where this process has read to, so that no claim of
+// another box can come in between.
 func (a *Authority) startAppend(now time.Time, c claim.Claim) *ClaimAppend {
 	a.pending = &pendingAppend{claim: c, sentAt: now}
 	a.nextRenewalAt = now.Add(a.settings.RenewInterval)
@@ -260,17 +274,17 @@
 	}
 	value, err := json.Marshal(c)
 	if err != nil {
-		// A claim has only plain fields.
+		// Claim has only string, integer and boolean fields, which always marshal.
 		panic(err)
 	}
-	at := a.nextOffset
+	end := a.nextOffset
 	return &ClaimAppend{Claim: c, Append: stream.Append{
-		Stream: stream.Claims, Records: []stream.Record{{Key: claimKey, Value: value}}, ExpectedEnd: &at,
+		Stream: stream.Claims, Records: []stream.Record{{Key: claimKey, Value: value}}, ExpectedEnd: &end,
 	}}
 }
 
-// AppendEnded takes the end of an append. It returns true if the append is in the
-// log for sure; anything else is left to what is read.
+// AppendEnded applies the result of an append. It reports whether the record is known
+// to be in the log; after an error, later reads decide whether it is.
 func (a *Authority) AppendEnded(now time.Time, renewal, offset int64, err error) bool {
 	p := a.pending
 	if p == nil || p.claim.Renewal != renewal {
@@ -278,7 +292,8 @@
 	}
 	a.pending = nil
 	if err != nil {
-		// A renewal that may be in the log is confirmed when it is read.
+		// The renewal may be in the log nevertheless, and is then confirmed when it
+		// is read.
 		a.nextRenewalAt = now.Add(a.settings.RenewInterval / 4)
 		return false
 	}
--- a/services/authority/authority_test.go
+++ b/services/authority/authority_test.go
@@ -15,10 +15,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// formerEpoch is the epoch of another box's claim.
+// formerEpoch is the epoch of the claim that another box held before.
 const formerEpoch = 4
 
-// claimRecords returns a claim as the log has it.
+// claimRecords returns the record of a claim in the log.
 func claimRecords(t *testing.T, c claim.Claim) []stream.Record {
 	t.Helper()
 	value, err := json.Marshal(c)
@@ -26,8 +26,8 @@
 	return []stream.Record{{Key: "holder", Value: value}}
 }
 
-// newClaimingBox returns a box that has just sent a claim in place of another box's, the
-// claim, and when.
+// newClaimingBox returns a box that has just sent a claim to replace the claim of another
+// box, the claim, and when it was sent.
 func newClaimingBox(t *testing.T) (*authority.Authority, *authority.ClaimAppend, time.Time) {
 	t.Helper()
 	s := authority.Settings{RenewInterval: 100 * time.Millisecond, HoldFor: 400 * time.Millisecond, ClaimAfter: 500 * time.Millisecond}
@@ -41,26 +41,22 @@
 			return a, claimed, now
 		}
 	}
-	t.Fatal("the box does not claim")
+	t.Fatal("the box sends no claim within 2 s")
 	return nil, nil, now
 }
 
-// Symptom: two boxes hold the cell at once for up to the time of a pledge.
-//
-// Sequence: a box claims the cell, and the log takes the claim but its answer is lost; the
-// claim is made again and answered that the stream has moved. Before the box reads its own
-// claim, the former holder, which the log does not answer, asks it not to claim.
-//
-// Cause: the box promised it, since no append of its own was under way any more.
-//
-// What settled it: reading the code when claims came to be made again.
+// Guards against two boxes holding the cell at once for up to the duration of a pledge.
+// The log appends the claim of a box, but the answer is lost, and the retry is answered
+// that the stream has moved. Before the box reads its own claim, the former holder, which
+// cannot reach the log, asks for a pledge. The box used to give it, because it had no
+// append in flight any more.
 func TestBoxWithUnconfirmedClaimRefusesPledge(t *testing.T) {
 	a, claimed, now := newClaimingBox(t)
 	a.AppendEnded(now, claimed.Claim.Renewal, 0, &stream.EndMismatchError{End: 2})
-	assert.Check(t, !a.Pledge(now, formerEpoch), "it promised not to claim after it has")
+	assert.Check(t, !a.Pledge(now, formerEpoch), "pledged although its own claim may be in the log")
 
 	a.Apply(now, claimRecords(t, claimed.Claim), 2)
-	assert.Check(t, a.IsHolder(now), "a claim whose repeat was answered 'moved' is in the log")
+	assert.Check(t, a.IsHolder(now), "not the holder although its claim is in the log")
 }
 
 func TestBoxPledgesAfterItsClaimIsRejected(t *testing.T) {
@@ -69,5 +65,5 @@
 	renewed := claim.Claim{Epoch: formerEpoch, Box: "a", Incarnation: "1", Address: "a", Renewal: 2}
 	a.Apply(now, claimRecords(t, renewed), 2)
 	assert.Check(t, !a.IsHolder(now))
-	assert.Check(t, a.Pledge(now, formerEpoch), "another record has the place of its claim")
+	assert.Check(t, a.Pledge(now, formerEpoch), "no pledge although another record has the offset of its claim")
 }
--- a/services/authority/boxes.go
+++ b/services/authority/boxes.go
@@ -10,10 +10,11 @@
 	"saddlevane/modules/ordered"
 )
 
-// Boxes are the boxes that have announced themselves, by name.
+// Boxes holds the entry boxes that have announced themselves, by name.
 type Boxes map[string]claim.Member
 
-// Largest returns the largest box that is known, or one of those not larger than it.
+// Largest returns the largest of self and the known boxes. Among boxes of equal size it
+// returns self, or else the first by name.
 func (b Boxes) Largest(self claim.Member) claim.Member {
 	best := self
 	for _, m := range ordered.Map(b) {
@@ -24,7 +25,8 @@
 	return best
 }
 
-// LargestAt returns the largest box at some addresses, or none.
+// LargestAt returns the largest box at one of the addresses, or the zero Member if no
+// known box has such an address.
 func (b Boxes) LargestAt(addresses []string) (best claim.Member) {
 	for _, m := range ordered.Map(b) {
 		if slices.Contains(addresses, m.Address) && (best.Box == "" || m.Size > best.Size) {
@@ -34,7 +36,7 @@
 	return best
 }
 
-// OtherAddresses returns where the other boxes are, in a fixed order.
+// OtherAddresses returns the addresses of all boxes except self, sorted.
 func (b Boxes) OtherAddresses(self claim.Member) []string {
 	var all []string
 	for _, m := range b {
@@ -46,6 +48,6 @@
 	return all
 }
 
-// IsMuchLarger says whether a box is so much larger than another that it should have the cell,
-// as Small has it.
+// IsMuchLarger reports whether m is at least twice the size of than, and should hold the
+// cell in its place. Authority.IsSmall applies the same factor.
 func IsMuchLarger(m, than claim.Member) bool { return 2*than.Size <= m.Size }
--- a/services/authority/boxes_test.go
+++ b/services/authority/boxes_test.go
@@ -18,7 +18,7 @@
 	}
 	boxes := authority.Boxes{"a": box("a", 1), "b": box("b", 4), "c": box("c", 3), "d": box("d", 4)}
 	assert.Equal(t, boxes.Largest(box("a", 1)).Box, "b")
-	assert.Equal(t, boxes.Largest(box("d", 4)).Box, "d", "none is larger")
+	assert.Equal(t, boxes.Largest(box("d", 4)).Box, "d", "no box is larger")
 	assert.Equal(t, boxes.LargestAt([]string{"at-a", "at-c"}).Box, "c")
 	assert.Equal(t, boxes.LargestAt(nil).Box, "")
 	assert.DeepEqual(t, boxes.OtherAddresses(box("b", 4)), []string{"at-a", "at-c", "at-d"})
--- a/services/authority/claiming.go
+++ b/services/authority/claiming.go
@@ -9,15 +9,17 @@
 	"saddlevane/models/claim"
 )
 
-// maxClaimJitter spreads the claims of boxes that notice a silence at once, so
-// that most find the claim of the first.
+// maxClaimJitter bounds the delay that spreads the claims of boxes that detect a missing
+// holder at the same time, so that most of them read the first claim before they
+// send their own.
 const maxClaimJitter = 300 * time.Millisecond
 
-// smallBoxDelay is how long a small box leaves a free cell to larger ones: they read
-// of it within a few milliseconds, and claim within maxClaimJitter.
+// smallBoxDelay is how long a small box waits for larger boxes to claim a free cell.
+// They read that it is free within a few milliseconds, and claim within maxClaimJitter.
 const smallBoxDelay = 700 * time.Millisecond
 
-// claimDelay is how much longer than need be this box waits before it claims.
+// claimDelay returns how long this box waits once it may claim, so that a single box
+// claims first, and a large one if there is any.
 func (a *Authority) claimDelay() time.Duration {
 	if a.IsSmall() {
 		return a.claimJitter + smallBoxDelay
@@ -25,18 +27,20 @@
 	return a.claimJitter
 }
 
-// SetLargestSize tells the size of the largest box that is known. A much smaller one
-// leaves it a moment to claim first.
+// SetLargestSize sets the size of the largest known box, in thousandths of a processor.
+// A box of at most half that size waits smallBoxDelay before it claims.
 func (a *Authority) SetLargestSize(size int64) { a.largestSize = size }
 
-// IsSmall says whether the cell should rather be held by a larger box.
+// IsSmall reports whether this box is at most half the size of the largest known box,
+// which should then hold the cell instead.
 func (a *Authority) IsSmall() bool {
 	return a.self.Size < a.largestSize && 2*a.self.Size <= a.largestSize
 }
 
-// Pledge promises the holder of the current claim not to claim before now plus
-// ClaimAfter. It returns false if this process cannot promise that: a claim of its own
-// whose answer was lost, or was that the stream has moved, may be in the log.
+// Pledge promises the holder of the current claim, under epoch, not to claim before now
+// plus ClaimAfter. It returns false if this process cannot promise that, for instance
+// because a claim of its own may be in the log: its answer was lost, or was that the
+// stream does not end at the expected offset.
 func (a *Authority) Pledge(now time.Time, epoch int64) bool {
 	if a.pending != nil || len(a.unconfirmed) > 0 || a.heldEpoch != 0 || a.current.Epoch != epoch || a.current.Released {
 		return false
@@ -45,8 +49,8 @@
 	return true
 }
 
-// AcceptInvitation takes the holder's word that it has stopped, so that this process may
-// claim at once. It returns false if this process cannot.
+// AcceptInvitation allows this process to claim at once, because the holder under epoch
+// has reported that it stops. It returns false if this process cannot claim.
 func (a *Authority) AcceptInvitation(epoch int64) bool {
 	if a.pending != nil || a.heldEpoch != 0 || a.stopping || a.current.Epoch != epoch || !a.IsLogReachable() {
 		return false
@@ -55,7 +59,8 @@
 	return true
 }
 
-// mayClaim says whether no other box can act under a claim.
+// mayClaim reports whether this process may claim the cell at now: no other box can act
+// under a claim, and the delays that favor other boxes are over.
 func (a *Authority) mayClaim(now time.Time) bool {
 	if a.stopping || a.logReachableSince.IsZero() {
 		return false
@@ -68,28 +73,32 @@
 		return false
 	}
 	if c.Epoch == 0 {
+		// No box has ever claimed the cell; the wait uses only a quarter of the jitter.
 		return now.Sub(a.logReachableSince) >= a.claimDelay()-a.claimJitter*3/4
 	}
 	if c.Released {
-		first := !a.IsSmall() || now.Sub(a.claimReadAt) >= smallBoxDelay
-		return c.Incarnation != a.self.Incarnation && (first || now.Sub(a.claimReadAt) >= maxClaimJitter+a.claimDelay())
+		ready := !a.IsSmall() || now.Sub(a.claimReadAt) >= smallBoxDelay
+		return c.Incarnation != a.self.Incarnation && (ready || now.Sub(a.claimReadAt) >= maxClaimJitter+a.claimDelay())
 	}
 	if c.Box == a.self.Box && c.Incarnation != a.self.Incarnation {
-		// An earlier life of this very box is gone.
+		// The holder was an earlier incarnation of this box, which has ended.
 		return !a.IsSmall() || now.Sub(a.logReachableSince) >= smallBoxDelay
 	}
-	// Once the log answers again, a holder that it answers too has renewed its claim
-	// within the time between two renewals; one that lives on pledges has this box's.
-	return now.Sub(a.claimReadAt) >= a.settings.ClaimAfter+a.claimDelay() && now.Sub(a.logReachableSince) >= a.settings.RenewInterval+a.claimDelay()
+	// After a log outage, a holder that can reach the log renews its claim within
+	// RenewInterval. A holder that cannot reach it depends on pledges, including one
+	// of this box, which pledgedUntil accounts for.
+	return now.Sub(a.claimReadAt) >= a.settings.ClaimAfter+a.claimDelay() &&
+		now.Sub(a.logReachableSince) >= a.settings.RenewInterval+a.claimDelay()
 }
 
-// MemberRestarted notes that a box has announced a new life. A claim of an
-// earlier life of it is void.
+// MemberRestarted records that a box has announced a new incarnation, which voids a
+// claim of an earlier incarnation of that box.
 func (a *Authority) MemberRestarted(now time.Time, m claim.Member) {
 	c := a.current
 	if c.Epoch == 0 || c.Released || c.Box != m.Box || c.Incarnation == m.Incarnation || m.Box == a.self.Box {
 		return
 	}
-	// Leave the box itself a moment to claim again, then anyone may.
+	// Other boxes may claim once claimDelay is over, which gives the restarted box
+	// time to claim first.
 	a.claimReadAt = now.Add(-a.settings.ClaimAfter)
 }
--- a/services/ledger/cell.go
+++ b/services/ledger/cell.go
@@ -10,26 +10,28 @@
 	"saddlevane/models/spec"
 )
 
-// cell is what all files in force say together.
+// cell is the configuration of the whole cell, merged from all files in force.
 type cell struct {
 	racks    map[string]spec.Rack
 	teams    map[string]spec.Team
 	pools    map[string]spec.Pool
 	draining map[string]bool
-	// shards holds what each shard has, total what all have together.
+	// shards holds the racks of each shard.
 	shards map[spec.ShardID]*shardCell
-	total  resource.Vector
+	// total is the capacity of all shards together.
+	total resource.Vector
 }
 
-// shardCell is what one shard has. Sums are kept, because every publication asks
-// for them and a cell has thousands of racks.
+// shardCell is one shard's part of the cell. It stores sums, because every publication
+// needs them and a cell has thousands of racks.
 type shardCell struct {
 	racks    []spec.Rack
 	capacity resource.Vector
-	// sizes counts the workers of each size.
+	// workersBySize is the number of workers of each size.
 	workersBySize map[resource.Vector]int
 }
 
+// rebuildCell computes the cell from the files in force.
 func (l *Ledger) rebuildCell() {
 	c := cell{
 		racks: map[string]spec.Rack{}, teams: map[string]spec.Team{}, pools: map[string]spec.Pool{},
@@ -79,7 +81,7 @@
 // Teams returns the teams in force by name.
 func (l *Ledger) Teams() map[string]spec.Team { return l.cell.teams }
 
-// Racks returns the racks of shard.
+// Racks returns the racks of shard, or nil if it has none.
 func (l *Ledger) Racks(shard spec.ShardID) []spec.Rack {
 	if sc := l.cell.shards[shard]; sc != nil {
 		return sc.racks
@@ -87,7 +89,7 @@
 	return nil
 }
 
-// Shards returns the shards of domain, in order.
+// Shards returns the shards of domain that have racks, sorted.
 func (l *Ledger) Shards(domain string) []spec.ShardID {
 	var all []spec.ShardID
 	for id := range l.cell.shards {
@@ -99,5 +101,5 @@
 	return all
 }
 
-// Draining says whether an operator wants the box emptied.
+// Draining reports whether a file in force drains the box or worker of that name.
 func (l *Ledger) Draining(name string) bool { return l.cell.draining[name] }
--- a/services/ledger/check.go
+++ b/services/ledger/check.go
@@ -10,8 +10,8 @@
 	"saddlevane/models/spec"
 )
 
-// checkAgainstCell says what in file clashes with the other files in force, or
-// with promises made by the revision that it replaces.
+// checkAgainstCell returns the reasons why file conflicts with the other files in force
+// or with what must not change from the revision that it replaces.
 func (l *Ledger) checkAgainstCell(file *spec.File) []string {
 	var reasons []string
 	refuse := func(format string, args ...any) { reasons = append(reasons, fmt.Sprintf(format, args...)) }
@@ -37,7 +37,7 @@
 	return &trial.cell
 }
 
-// checkNames refuses names that another file in force has taken.
+// checkNames refuses names that another file in force declares.
 func (l *Ledger) checkNames(file *spec.File, refuse func(string, ...any)) {
 	for _, key := range declaredNames(file) {
 		if other, ok := l.fileOfName[key]; ok && other != file.Name {
@@ -46,8 +46,8 @@
 	}
 }
 
-// registerNames notes which names a file takes, in place of those of the file that it
-// replaces.
+// registerNames records the names that file declares, and removes those of the revision
+// that it replaces, if any.
 func (l *Ledger) registerNames(file, previous *spec.File) {
 	if previous != nil {
 		for _, key := range declaredNames(previous) {
@@ -59,6 +59,8 @@
 	}
 }
 
+// declaredNames returns the names that a file declares, each with its kind in front. A
+// retired file declares none.
 func declaredNames(f *spec.File) []string {
 	if f.Retired {
 		return nil
@@ -82,8 +84,8 @@
 	return keys
 }
 
-// checkObjects refuses work that can never run, and changes to what finished
-// tasks meant.
+// checkObjects refuses work that can never run, and changes to fields of a job or gang
+// that define what its finished tasks did.
 func (l *Ledger) checkObjects(file *spec.File, after *cell, refuse func(string, ...any)) {
 	before := map[string]*Object{}
 	if e, ok := l.files[file.Name]; ok {
@@ -95,16 +97,17 @@
 		if reason := after.unrunnableReason(o); reason != "" {
 			refuse("%s can never run: %s", o.work.Name, reason)
 		}
-		if old, lives := before[o.work.Name]; lives && o.kind != KindService && !sameImmutableFields(old, o) {
-			refuse("%s was published with another kind, count, command, domains or repeatable; use a new name", o.work.Name)
-		} else if lives && old.kind != o.kind {
-			refuse("%s was a %s; use a new name", o.work.Name, old.kind)
+		if old, exists := before[o.work.Name]; exists && o.kind != KindService && !sameImmutableFields(old, o) {
+			refuse("%s was published with a different kind, count, command, domains or repeatable; use a new name", o.work.Name)
+		} else if exists && old.kind != o.kind {
+			refuse("%s was published as a %s; use a new name", o.work.Name, old.kind)
 		}
 	}
 }
 
-// checkOtherFiles refuses a file that would take a team, or the last worker that is
-// large enough, from work in another file, or move a rack between shards.
+// checkOtherFiles refuses a file that would remove a team or the last worker that is
+// large enough for work in another file, remove all racks of a shard that has tasks of
+// such work, or move a rack between shards.
 func (l *Ledger) checkOtherFiles(file *spec.File, after *cell, refuse func(string, ...any)) {
 	if !l.changesRacksOrTeams(file) {
 		return
@@ -118,7 +121,7 @@
 		}
 	}
 	for name, r := range l.cell.racks {
-		if now, stays := after.racks[name]; stays && now.ShardID() != r.ShardID() {
+		if now, exists := after.racks[name]; exists && now.ShardID() != r.ShardID() {
 			refuse("rack %s is in shard %s; to move it, publish it under a new name", name, r.ShardID())
 		}
 	}
@@ -131,8 +134,8 @@
 	}
 }
 
-// changesRacksOrTeams says whether file has other racks or teams than the revision that
-// it replaces. Only then can it take something from work in other files.
+// changesRacksOrTeams reports whether the racks or teams of file differ from those of the
+// revision that it replaces. Only such a change can affect work in other files.
 func (l *Ledger) changesRacksOrTeams(file *spec.File) bool {
 	before := &spec.File{}
 	if e, ok := l.files[file.Name]; ok {
@@ -142,17 +145,17 @@
 		!reflect.DeepEqual(file.Racks, before.Racks) || !reflect.DeepEqual(file.Teams, before.Teams)
 }
 
-// affectsCell says whether the cell depends on file or on the revision that it
-// replaces. Most files hold only work, and the cell need not be made anew.
+// affectsCell reports whether the cell depends on file or on the revision that it
+// replaces. Most files declare only work, and the cell need not be rebuilt for them.
 func (l *Ledger) affectsCell(file *spec.File) bool {
-	shapes := func(f *spec.File) bool {
+	declaresCell := func(f *spec.File) bool {
 		return len(f.Racks) > 0 || len(f.Teams) > 0 || len(f.Pools) > 0 || len(f.Drain) > 0
 	}
 	e, ok := l.files[file.Name]
-	return shapes(file) || (ok && shapes(e.file))
+	return declaresCell(file) || (ok && declaresCell(e.file))
 }
 
-// unrunnableReason says why o can never run in the cell, or "".
+// unrunnableReason returns why o can never run in the cell, or "" if it can.
 func (c *cell) unrunnableReason(o *Object) string {
 	team, ok := c.teams[o.work.Team]
 	if !ok {
@@ -163,7 +166,7 @@
 		need = need.Times(o.work.Count)
 	}
 	if !need.Fits(team.Quota) {
-		return fmt.Sprintf("it needs more than the quota of team %q at once", team.Name)
+		return fmt.Sprintf("it needs more at once than the quota of team %q", team.Name)
 	}
 	if len(c.eligibleShards(o)) == 0 {
 		if o.kind == KindGang {
--- a/services/ledger/former.go
+++ b/services/ledger/former.go
@@ -11,12 +11,12 @@
 	"saddlevane/models/spec"
 )
 
-// A worker that leaves the files may go on running tasks under the lease of a
-// holder that has not read so far. The next holder has to ask it, so the ledger
-// remembers it until a holder in force says that it surely runs nothing.
+// A worker that is removed from the files may continue to run tasks under the lease of
+// a holder that has not read that record yet. The next holder has to query the worker,
+// so the ledger keeps it until the current holder records that it runs nothing.
 
-// FormerWorkers returns the workers of shard that no file names any more, with their
-// racks; it must not be changed.
+// FormerWorkers returns the workers of shard that no file declares any more, each with
+// its rack; the map must not be modified.
 func (l *Ledger) FormerWorkers(shard spec.ShardID) map[string]string { return l.formerWorkers[shard] }
 
 func (l *Ledger) addFormerWorker(shard spec.ShardID, worker, rack string) {
@@ -26,14 +26,14 @@
 	l.formerWorkers[shard][worker] = rack
 }
 
-// updateFormerWorkers remembers the workers of before that the cell no longer has, and
-// forgets those that it has again.
+// updateFormerWorkers adds the workers of before that the cell no longer has to the
+// former workers, and removes those that the cell has again.
 func (l *Ledger) updateFormerWorkers(before *cell) {
-	now := map[string]bool{}
+	current := map[string]bool{}
 	for id, sc := range l.cell.shards {
 		for _, r := range sc.racks {
 			for _, w := range r.Workers {
-				now[w] = true
+				current[w] = true
 				delete(l.formerWorkers[id], w)
 			}
 		}
@@ -41,7 +41,7 @@
 	for id, sc := range before.shards {
 		for _, r := range sc.racks {
 			for _, w := range r.Workers {
-				if !now[w] {
+				if !current[w] {
 					l.addFormerWorker(id, w, r.Name)
 				}
 			}
@@ -58,13 +58,15 @@
 			}
 			for _, w := range r.Workers {
 				if _, ok := workers[w]; ok {
-					refuse("worker %s was in shard %s and may still run tasks of it; wait until the list says that it is dead, or use a new name", w, id)
+					refuse("worker %s was in shard %s and may still run tasks of it; wait until the box list reports it dead, or use a new name", w, id)
 				}
 			}
 		}
 	}
 }
 
+// applyForget removes former workers. A record of any holder but the current one of the
+// shard is ignored.
 func (l *Ledger) applyForget(f *record.Forget) Change {
 	if l.claims[f.Shard].revision != f.Claim {
 		return Change{}
--- a/services/ledger/homes.go
+++ b/services/ledger/homes.go
@@ -12,7 +12,7 @@
 	"saddlevane/models/spec"
 )
 
-// eligibleShards returns the shards that could run o when empty, in order.
+// eligibleShards returns the shards that could run o if they were empty, sorted.
 func (c *cell) eligibleShards(o *Object) []spec.ShardID {
 	var all []spec.ShardID
 	for id, sc := range c.shards {
@@ -27,8 +27,8 @@
 	return all
 }
 
-// hasRoom says whether a shard, when empty, has room for one task of o, or for
-// all of them if o is a gang, within the team's quota there.
+// hasRoom reports whether a shard, if it were empty, would have room for one task of o,
+// or for all of them if o is a gang, within the team's quota in that shard.
 func (c *cell) hasRoom(id spec.ShardID, sc *shardCell, o *Object) bool {
 	need, count := o.work.Resources, 1
 	if o.kind == KindGang {
@@ -38,13 +38,15 @@
 	return sc.taskCapacity(o.work.Resources) >= count && need.Fits(quota)
 }
 
-// CapacityShare is a shard's capacity and that of all shards.
+// CapacityShare holds the capacity of a shard and that of the whole cell.
 type CapacityShare struct{ shard, cell resource.Vector }
 
+// capacityShare returns the capacity of shard id beside that of the cell.
 func (c *cell) capacityShare(id spec.ShardID) CapacityShare {
 	return CapacityShare{shard: c.capacity(id), cell: c.total}
 }
 
+// capacity returns the declared capacity of shard id, zero if it has no racks.
 func (c *cell) capacity(id spec.ShardID) resource.Vector {
 	if sc := c.shards[id]; sc != nil {
 		return sc.capacity
@@ -52,15 +54,15 @@
 	return resource.Vector{}
 }
 
-// CapacityShare returns what part of the cell shard is.
+// CapacityShare returns the capacity of shard beside that of the cell.
 func (l *Ledger) CapacityShare(shard spec.ShardID) CapacityShare { return l.cell.capacityShare(shard) }
 
-// Capacity returns what the workers of shard have together, as declared.
+// Capacity returns the total capacity of the workers of shard, as declared in the files.
 func (l *Ledger) Capacity(shard spec.ShardID) resource.Vector { return l.cell.capacity(shard) }
 
-// ShardQuota returns a team's quota in one shard: of each resource the part of
-// the cell's that the shard has. The parts add up to no more than the quota, so
-// shards need not ask each other.
+// ShardQuota returns a team's quota in one shard: for each resource, the team's quota
+// times the shard's fraction of the cell's capacity. These add up to no more than the
+// team's quota, so shards need no coordination to enforce it.
 func ShardQuota(t spec.Team, p CapacityShare) resource.Vector {
 	return resource.Vector{
 		Processors:   resource.Millis(scale(int64(t.Quota.Processors), int64(p.shard.Processors), int64(p.cell.Processors))),
@@ -79,7 +81,7 @@
 	return int64(quotient)
 }
 
-// taskCapacity returns how many tasks of size need fit on the shard when empty.
+// taskCapacity returns how many tasks of size need fit on the shard if it is empty.
 func (sc *shardCell) taskCapacity(need resource.Vector) int {
 	total := 0
 	for each, workers := range sc.workersBySize {
@@ -88,6 +90,8 @@
 	return total
 }
 
+// tasksPerWorker returns how many tasks of size need fit on an empty worker of capacity
+// each, at most spec.MaxCount.
 func tasksPerWorker(each, need resource.Vector) int {
 	n := int64(spec.MaxCount)
 	if need.Processors > 0 {
@@ -102,17 +106,17 @@
 	return int(n)
 }
 
-// assignHomes shares the tasks of a new object out over the shards that can run it:
-// a gang to one shard, everything else by how many tasks each shard has room
-// for when empty.
+// assignHomes distributes the tasks of a new object over the shards that can run it: all
+// tasks of a gang to one shard, any others in proportion to how many tasks fit on each
+// shard if it is empty.
 func (c *cell) assignHomes(o *Object) []record.Home {
 	shards := c.eligibleShards(o)
 	if len(shards) == 0 {
 		return nil
 	}
 	if o.kind == KindGang {
-		pick := shards[int(o.id.Born%int64(len(shards)))]
-		return []record.Home{{Shard: pick, From: 0, To: o.work.Count}}
+		chosen := shards[int(o.id.Born%int64(len(shards)))]
+		return []record.Home{{Shard: chosen, From: 0, To: o.work.Count}}
 	}
 	weights, total := make([]int, len(shards)), 0
 	for i, id := range shards {
@@ -122,16 +126,17 @@
 	return splitTasks(shards, weights, total, o)
 }
 
-// splitTasks cuts the tasks of o into one range a shard. Which shard comes first
-// depends on the birth, so that many small jobs do not all land on one.
+// splitTasks divides the tasks of o into one range per shard, in proportion to weights,
+// which sum to total. The revision at which o was created selects the first shard, so
+// that many small jobs are not all assigned to the same one.
 func splitTasks(shards []spec.ShardID, weights []int, total int, o *Object) []record.Home {
 	first := int(o.id.Born % int64(len(shards)))
 	var homes []record.Home
-	from, seen := 0, 0
+	from, cumulative := 0, 0
 	for i := range shards {
 		at := (first + i) % len(shards)
-		seen += weights[at]
-		to := (o.work.Count*seen + total - 1) / total
+		cumulative += weights[at]
+		to := (o.work.Count*cumulative + total - 1) / total
 		if to > from {
 			homes = append(homes, record.Home{Shard: shards[at], From: from, To: to})
 			from = to
@@ -140,8 +145,8 @@
 	return homes
 }
 
-// resizeHomes fits homes to a new count: the last range grows, or ranges are cut
-// from the end. Tasks that stay keep their shard.
+// resizeHomes adapts homes to a new task count: it extends the last range, or removes
+// tasks from the end. The remaining tasks keep their shard.
 func resizeHomes(homes []record.Home, count int) []record.Home {
 	var kept []record.Home
 	for _, h := range homes {
--- a/services/ledger/ledger.go
+++ b/services/ledger/ledger.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package ledger folds the platform's log into what every process agrees on:
-// the files in force, who holds each shard, and what has become of tasks that
-// must not run again. The fold is a function of the log's prefix alone, so two
-// processes that have read equally far agree.
+// Package ledger derives from the platform's log the state on which all processes
+// agree: the files in force, the holder of each shard, and the progress of tasks that
+// must not run again. The state is a function of the log's prefix alone, so two
+// processes that have read up to the same offset have the same state.
 package ledger
 
 import (
@@ -17,27 +17,29 @@
 	"saddlevane/models/task"
 )
 
-// Ledger is the state of the fold.
+// Ledger is the state derived from a prefix of the log. It is not safe for concurrent
+// use.
 type Ledger struct {
-	// next is the offset of the first record not yet applied.
+	// nextOffset is the offset of the first record not yet applied.
 	nextOffset int64
 	files      map[string]*Entry
 	objects    map[task.ObjectID]*Object
-	// sorted holds the objects in the order of their births, or nil if it has to
-	// be made anew.
+	// sorted caches the objects in order of creation; nil if it has to be rebuilt.
 	sorted   []*Object
 	claims   map[spec.ShardID]Claim
 	progress map[task.ObjectID]*Progress
 	cell     cell
-	// former holds workers that no file names any more, with their racks.
+	// formerWorkers holds, by shard, the workers that no file declares any more, each
+	// with its rack.
 	formerWorkers map[spec.ShardID]map[string]string
-	// owners says which file each name in force stands in.
+	// fileOfName maps each name in force, as returned by declaredNames, to the file that
+	// declares it.
 	fileOfName map[string]string
-	// checkpoints follows the parts of checkpoints as they are read.
+	// checkpoints tracks the parts of checkpoints as they are read.
 	checkpoints checkpointTracker
 }
 
-// Entry is a file in force.
+// Entry is a file in force: its newest accepted revision.
 type Entry struct {
 	revision      int64
 	publicationID string
@@ -46,19 +48,19 @@
 	objects       []task.ObjectID
 }
 
-// PublicationID returns the operator's id of the revision.
+// PublicationID returns the ID of the publication that brought this revision into force.
 func (e *Entry) PublicationID() string { return e.publicationID }
 
-// Revision returns the revision of the record that published the file.
+// Revision returns the revision at which the file was published.
 func (e *Entry) Revision() int64 { return e.revision }
 
-// Data returns the file as it was published.
+// Data returns the text of the file as published.
 func (e *Entry) Data() string { return e.data }
 
-// File returns the parsed file; it must not be changed.
+// File returns the parsed file; it must not be modified.
 func (e *Entry) File() *spec.File { return e.file }
 
-// Claim is the holder of a shard.
+// Claim identifies the holder of a shard.
 type Claim struct {
 	box         string
 	incarnation string
@@ -68,13 +70,13 @@
 // Box returns the name of the box that holds the shard.
 func (c Claim) Box() string { return c.box }
 
-// Incarnation returns which life of the box holds the shard.
+// Incarnation returns the incarnation of the box that holds the shard.
 func (c Claim) Incarnation() string { return c.incarnation }
 
 // Revision returns the revision of the claim; it grows with each new holder.
 func (c Claim) Revision() int64 { return c.revision }
 
-// New returns the fold of an empty log.
+// New returns the ledger of an empty log.
 func New() *Ledger {
 	return &Ledger{
 		files:         map[string]*Entry{},
@@ -99,48 +101,47 @@
 // Files returns the names of the files in force, sorted.
 func (l *Ledger) Files() []string { return slices.Sorted(maps.Keys(l.files)) }
 
-// Claim returns who holds shard.
+// Claim returns the claim in force on shard, and false if nobody has claimed it.
 func (l *Ledger) Claim(shard spec.ShardID) (Claim, bool) {
 	c, ok := l.claims[shard]
 	return c, ok
 }
 
-// Claims returns every shard that is held.
+// Claims returns the claims in force by shard; the map must not be modified.
 func (l *Ledger) Claims() map[spec.ShardID]Claim { return l.claims }
 
-// ApplyResult is what a record did.
+// ApplyResult is the effect of one record.
 type ApplyResult struct {
-	// ID is the envelope's, or "" if the record is not ours or was a repeat.
+	// ID is the ID of the envelope, or "" if the record was applied before.
 	ID      string
 	Changes []Change
 }
 
-// Change is something that Apply altered.
+// Change is the effect of one entry of a record.
 type Change struct {
-	// Publication is set for each publish that was decided.
+	// PublishDecision is set for each publish entry.
 	PublishDecision *PublishDecision
-	// Files says that files in force changed.
+	// FilesChanged reports that files in force or former workers changed.
 	FilesChanged bool
-	// Claims says that a shard changed hands.
+	// ClaimsChanged reports that a shard has a new holder.
 	ClaimsChanged bool
-	// Progress names objects whose tasks moved on.
+	// Progress lists the objects whose tasks have new records.
 	Progress []task.ObjectID
 }
 
-// PublishDecision is the log's decision on a publish.
+// PublishDecision is the decision on a publish entry; it is the same in every process.
 type PublishDecision struct {
-	// ID names the operator's publication.
+	// ID is the ID of the publication.
 	ID       string
 	Accepted bool
-	// Revision is the file's revision if accepted, else the one in force.
+	// Revision is the new revision of the file if accepted, else the one in force.
 	Revision int64
-	// Reasons says why it was refused.
+	// Reasons lists why the publication was refused.
 	Reasons []string
 }
 
-// Apply folds the record at offset, which the log took in at the given time.
-// Records before Next are repeats and change
-// nothing.
+// Apply applies the record at offset, which was appended to the log at the given time.
+// A record before NextOffset has been applied already and is ignored.
 func (l *Ledger) Apply(offset int64, at time.Time, envelope record.Envelope) ApplyResult {
 	if offset < l.nextOffset {
 		return ApplyResult{}
@@ -153,8 +154,8 @@
 	return ApplyResult{ID: envelope.ID, Changes: changes}
 }
 
-// revisionAt returns the revision that the record at offset gives to what it
-// sets. Offsets start at 0, revisions at 1, so that 0 can stand for none.
+// revisionAt returns the revision of what the record at offset sets. Offsets start at 0
+// and revisions at 1, so that revision 0 can mean none.
 func revisionAt(offset int64) int64 { return offset + 1 }
 
 func (l *Ledger) applyEntry(revision int64, at time.Time, e record.Entry) Change {
@@ -177,6 +178,8 @@
 	return Change{}
 }
 
+// applyClaim makes a box the holder of a shard, unless another claim on the shard
+// precedes it in the log.
 func (l *Ledger) applyClaim(revision int64, c *record.Claim) Change {
 	if c.Replaces != l.claims[c.Shard].revision {
 		return Change{}
--- a/services/ledger/progress.go
+++ b/services/ledger/progress.go
@@ -11,14 +11,15 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// Progress is what the log says of one object's tasks. Each set only grows, so
-// records may repeat and come in any order. An operator's word goes before
-// whatever was recorded earlier.
+// Progress is what the log records about the tasks of one object. The sets of intents,
+// done and failed tasks only grow, so their records may be repeated and may arrive in
+// any order. An operator's settlement takes precedence over earlier records.
 type Progress struct {
 	intents *roaring.Bitmap
 	done    *roaring.Bitmap
 	failed  *roaring.Bitmap
-	// rerun holds tasks that an operator allowed to start once more.
+	// rerun holds tasks that an operator has allowed to start once more. A new intent
+	// removes its tasks from the set.
 	rerun *roaring.Bitmap
 }
 
@@ -28,22 +29,24 @@
 	}
 }
 
-// Done returns the tasks that finished; it must not be changed.
+// Done returns the tasks that succeeded; the set must not be modified.
 func (p *Progress) Done() *roaring.Bitmap { return p.done }
 
-// Failed returns the tasks that failed for good; it must not be changed.
+// Failed returns the tasks that failed permanently; the set must not be modified.
 func (p *Progress) Failed() *roaring.Bitmap { return p.failed }
 
-// Intents returns the tasks that were to be started; it must not be changed.
+// Intents returns the tasks that have a recorded intent to start them; the set must not
+// be modified.
 func (p *Progress) Intents() *roaring.Bitmap { return p.intents }
 
-// Ended says whether the task at index needs no more work.
+// Ended reports whether the task at index has succeeded or failed permanently.
 func (p *Progress) Ended(index int) bool {
 	i := uint32(index)
 	return p.done.Contains(i) || p.failed.Contains(i)
 }
 
-// MayHaveStarted says whether the task at index may have been started.
+// MayHaveStarted reports whether the task at index may have been started: it has an
+// intent, and no operator has allowed it to start again since.
 func (p *Progress) MayHaveStarted(index int) bool {
 	return p.intents.Contains(uint32(index)) && !p.rerun.Contains(uint32(index))
 }
@@ -57,7 +60,8 @@
 
 func (p *Progress) addFailed(from, to uint64) { p.failed.AddRange(from, to) }
 
-// Progress returns what the log says of the tasks of id.
+// Progress returns the progress of the tasks of id, which is empty if the log has no
+// records of them.
 func (l *Ledger) Progress(id task.ObjectID) *Progress {
 	if p, ok := l.progress[id]; ok {
 		return p
@@ -65,6 +69,7 @@
 	return newProgress()
 }
 
+// applyTasks applies a record about tasks of one object; add stores each of its ranges.
 func (l *Ledger) applyTasks(t *record.Tasks, add func(p *Progress, from, to uint64)) Change {
 	p, ok := l.progress[t.Object]
 	if !ok {
@@ -77,7 +82,7 @@
 	return Change{Progress: []task.ObjectID{t.Object}}
 }
 
-// Ranges returns the runs of consecutive members of set.
+// Ranges returns the maximal ranges of consecutive members of set, in ascending order.
 func Ranges(set *roaring.Bitmap) []record.Range {
 	var ranges []record.Range
 	for it := set.Iterator(); it.HasNext(); {
@@ -92,8 +97,8 @@
 	return ranges
 }
 
-// applySettlements applies an operator's word on tasks whose fate is unknown. Only a task
-// with an intent and no outcome is unknown; a word on any other does nothing.
+// applySettlements applies an operator's settlements of tasks with unknown outcome. Only
+// tasks with an intent and no outcome are unknown; settlements of others are ignored.
 func (l *Ledger) applySettlements(file *spec.File) {
 	for _, s := range file.Settled {
 		key, err := s.Key()
--- a/services/ledger/publish.go
+++ b/services/ledger/publish.go
@@ -25,7 +25,7 @@
 	batch   *spec.Batch
 }
 
-// Kind is what an object is.
+// Kind is the kind of an object.
 type Kind string
 
 // The kinds of objects.
@@ -35,44 +35,45 @@
 	KindGang    Kind = "gang"
 )
 
-// ID returns the object's name and birth.
+// ID returns the object's name and the revision at which it was created.
 func (o *Object) ID() task.ObjectID { return o.id }
 
-// Kind returns what the object is.
+// Kind returns the kind of the object.
 func (o *Object) Kind() Kind { return o.kind }
 
-// File returns the name of the file that describes the object.
+// File returns the name of the file that declares the object.
 func (o *Object) File() string { return o.file }
 
-// Version returns the revision that last changed the object.
+// Version returns the revision that last changed the command or resources of the
+// object's tasks.
 func (o *Object) Version() int64 { return o.version }
 
-// Homes returns which shard runs which tasks.
+// Homes returns the ranges of tasks and the shard that runs each of them.
 func (o *Object) Homes() []record.Home { return o.homes }
 
-// Work returns the part that all kinds share; it must not be changed.
+// Work returns the fields that all kinds have; they must not be modified.
 func (o *Object) Work() *spec.Work { return o.work }
 
-// Service returns the part that only services have, or nil.
+// Service returns the fields that only services have, or nil for other kinds.
 func (o *Object) Service() *spec.Service { return o.service }
 
-// Batch returns the part that jobs and gangs have, or nil.
+// Batch returns the fields that jobs and gangs have, or nil for services.
 func (o *Object) Batch() *spec.Batch { return o.batch }
 
-// Repeatable says whether a task may be started again after it may have run.
+// Repeatable reports whether a task may be started again after it may have run.
 func (o *Object) Repeatable() bool { return o.batch == nil || o.batch.Repeatable }
 
-// Cancelled says whether the object is to be stopped.
+// Cancelled reports whether the object is to be stopped.
 func (o *Object) Cancelled() bool { return o.batch != nil && o.batch.Cancelled }
 
-// Object returns the object named by id.
+// Object returns the object in force with the given ID.
 func (l *Ledger) Object(id task.ObjectID) (*Object, bool) {
 	o, ok := l.objects[id]
 	return o, ok
 }
 
-// Objects returns every object in force, in the order of their births. It must
-// not be changed.
+// Objects returns all objects in force in order of creation; the slice must not be
+// modified.
 func (l *Ledger) Objects() []*Object {
 	if l.sorted == nil {
 		l.sorted = make([]*Object, 0, len(l.objects))
@@ -84,7 +85,7 @@
 	return l.sorted
 }
 
-// ObjectByName returns the object in force under name.
+// ObjectByName returns the object in force with the given name.
 func (l *Ledger) ObjectByName(name string) (*Object, bool) {
 	for _, o := range l.objects {
 		if o.id.Name == name {
@@ -94,8 +95,8 @@
 	return nil, false
 }
 
-// Check says why a publication would be refused if the log ended here; nothing
-// if it would be accepted.
+// Check returns the reasons why a publication would be refused if it were the next
+// record in the log, or nil if it would be accepted.
 func (l *Ledger) Check(p *record.Publish) []string {
 	if current := l.Revision(p.File); p.Replaces != current {
 		return []string{fmt.Sprintf("replaces revision %d, but %d is in force", p.Replaces, current)}
@@ -105,7 +106,7 @@
 		return reasons
 	}
 	if file.Name != p.File {
-		return []string{fmt.Sprintf("the file says name %q, but was published as %q", file.Name, p.File)}
+		return []string{fmt.Sprintf("the file declares name %q, but was published as %q", file.Name, p.File)}
 	}
 	return l.checkAgainstCell(file)
 }
@@ -118,23 +119,25 @@
 	return 0
 }
 
+// applyPublish brings a file into force at revision, or refuses it.
 func (l *Ledger) applyPublish(revision int64, p *record.Publish) Change {
 	if e, ok := l.files[p.File]; ok && e.publicationID == p.ID {
-		// Another box has appended it too, since the first one asked gave no answer.
+		// Two boxes appended this publication: the first one did not answer, so it was
+		// sent to a second one.
 		return Change{PublishDecision: &PublishDecision{ID: p.ID, Accepted: true, Revision: e.revision}}
 	}
 	if reasons := l.Check(p); len(reasons) > 0 {
 		return Change{PublishDecision: &PublishDecision{ID: p.ID, Revision: l.Revision(p.File), Reasons: reasons}}
 	}
 	file, _ := p.Parse()
-	previous, reshape := l.files[p.File], l.affectsCell(file)
+	previous, rebuild := l.files[p.File], l.affectsCell(file)
 	l.files[p.File] = &Entry{revision: revision, publicationID: p.ID, data: p.Data, file: file}
 	if previous == nil {
 		l.registerNames(file, nil)
 	} else {
 		l.registerNames(file, previous.file)
 	}
-	if reshape {
+	if rebuild {
 		before := l.cell
 		l.rebuildCell()
 		if len(file.Racks) > 0 || (previous != nil && len(previous.file.Racks) > 0) {
@@ -146,6 +149,7 @@
 	return Change{FilesChanged: true, PublishDecision: &PublishDecision{ID: p.ID, Accepted: true, Revision: revision}}
 }
 
+// dropObjects removes the objects of e; nil has none.
 func (l *Ledger) dropObjects(e *Entry) {
 	if e == nil {
 		return
@@ -155,8 +159,10 @@
 	}
 }
 
-// replaceObjects gives each object of a new revision its birth, version and
-// homes: those it had, where it lives on, or else new ones.
+// replaceObjects replaces the objects of the previous revision of a file, if any, by
+// those of the new one. An object that was in the previous revision keeps its ID, its
+// homes, adapted to its task count, and its version unless its template changes. Other
+// objects get new ones. The progress of removed objects is deleted.
 func (l *Ledger) replaceObjects(revision int64, name string, previous *Entry) {
 	before := map[string]*Object{}
 	l.sorted = nil
@@ -169,9 +175,9 @@
 	e := l.files[name]
 	for _, o := range objectsOf(e.file) {
 		o.file = name
-		old, lives := before[o.work.Name]
+		old, exists := before[o.work.Name]
 		switch {
-		case !lives:
+		case !exists:
 			o.id = task.ObjectID{Name: o.work.Name, Born: revision}
 			o.version = revision
 			o.homes = l.cell.assignHomes(o)
@@ -186,11 +192,13 @@
 		e.objects = append(e.objects, o.id)
 		delete(before, o.id.Name)
 	}
-	for _, gone := range before {
-		delete(l.progress, gone.id)
+	for _, removed := range before {
+		delete(l.progress, removed.id)
 	}
 }
 
+// objectsOf returns the objects that a file declares, without ID, version and homes. A
+// retired file declares none.
 func objectsOf(f *spec.File) []*Object {
 	if f.Retired {
 		return nil
@@ -211,13 +219,14 @@
 	return all
 }
 
-// sameTemplate says whether the tasks of a and b are started alike.
+// sameTemplate reports whether the tasks of a and b are started with the same resources
+// and command.
 func sameTemplate(a, b *Object) bool {
 	return a.work.Resources == b.work.Resources && slices.Equal(a.work.Command, b.work.Command)
 }
 
-// immutableFields is the part of a job or gang that must not change once it is
-// published: what its finished tasks meant.
+// immutableFields holds the fields of a job or gang that must not change after its
+// publication, because they define what its finished tasks did.
 type immutableFields struct {
 	Kind       Kind
 	Count      int
--- a/services/ledger/snapshot.go
+++ b/services/ledger/snapshot.go
@@ -14,7 +14,7 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// Snapshot returns what the records read so far come to.
+// Snapshot returns the state after all records applied so far.
 func (l *Ledger) Snapshot() record.Snapshot {
 	s := record.Snapshot{Next: l.nextOffset}
 	for _, name := range l.Files() {
@@ -46,7 +46,8 @@
 	return f
 }
 
-// Restore returns the fold that s describes.
+// Restore returns the ledger with the state of s. It fails if a file in s does not
+// parse, or if s lacks an object that a file declares.
 func Restore(s record.Snapshot) (*Ledger, error) {
 	l := New()
 	l.nextOffset = s.Next
@@ -78,22 +79,23 @@
 	e := &Entry{revision: f.Revision, publicationID: f.Publication, data: f.Data, file: file}
 	l.files[f.Name] = e
 	l.registerNames(file, nil)
-	decided := map[string]record.Object{}
+	byName := map[string]record.Object{}
 	for _, o := range f.Objects {
-		decided[o.ID.Name] = o
+		byName[o.ID.Name] = o
 	}
 	for _, o := range objectsOf(file) {
-		d, ok := decided[o.work.Name]
+		saved, ok := byName[o.work.Name]
 		if !ok {
-			return fmt.Errorf("snapshot: file %s: nothing decided about %s", f.Name, o.work.Name)
+			return fmt.Errorf("snapshot: file %s: no ID, version and homes of object %s", f.Name, o.work.Name)
 		}
-		o.id, o.version, o.homes, o.file = d.ID, d.Version, d.Homes, f.Name
+		o.id, o.version, o.homes, o.file = saved.ID, saved.Version, saved.Homes, f.Name
 		l.objects[o.id] = o
 		e.objects = append(e.objects, o.id)
 	}
 	return nil
 }
 
+// bitmapOf returns the set of all members of ranges.
 func bitmapOf(ranges []record.Range) *roaring.Bitmap {
 	set := roaring.New()
 	for _, r := range ranges {
@@ -102,14 +104,16 @@
 	return set
 }
 
-// maxPartBytes is about how much of a snapshot one part of a checkpoint carries.
+// maxPartBytes bounds the estimated size of one part of a checkpoint, in bytes. A part
+// with a single item may be larger.
 const maxPartBytes = 1 << 20
 
-// SplitCheckpoint cuts a snapshot into parts of bounded size.
+// SplitCheckpoint divides a snapshot into the parts of checkpoint id, each of about
+// maxPartBytes at most.
 func SplitCheckpoint(id string, s record.Snapshot) []record.Checkpoint {
 	parts := []record.Checkpoint{{ID: id, Snapshot: record.Snapshot{Next: s.Next}}}
 	size := 0
-	last := func(bytes int) *record.Snapshot {
+	partWithRoom := func(bytes int) *record.Snapshot {
 		if size > 0 && size+bytes > maxPartBytes {
 			parts = append(parts, record.Checkpoint{ID: id, Snapshot: record.Snapshot{Next: s.Next}})
 			size = 0
@@ -118,19 +122,19 @@
 		return &parts[len(parts)-1].Snapshot
 	}
 	for _, f := range s.Files {
-		p := last(len(f.Data) + objectBytes*len(f.Objects))
+		p := partWithRoom(len(f.Data) + objectBytes*len(f.Objects))
 		p.Files = append(p.Files, f)
 	}
 	for _, f := range s.Former {
-		p := last(objectBytes)
+		p := partWithRoom(objectBytes)
 		p.Former = append(p.Former, f)
 	}
 	for _, c := range s.Claims {
-		p := last(objectBytes)
+		p := partWithRoom(objectBytes)
 		p.Claims = append(p.Claims, c)
 	}
 	for _, g := range s.Progress {
-		p := last(rangeBytes * (1 + len(g.Intents) + len(g.Done) + len(g.Failed) + len(g.Rerun)))
+		p := partWithRoom(rangeBytes * (1 + len(g.Intents) + len(g.Done) + len(g.Failed) + len(g.Rerun)))
 		p.Progress = append(p.Progress, g)
 	}
 	for i := range parts {
@@ -139,35 +143,41 @@
 	return parts
 }
 
-// Rough sizes on the wire.
+// Estimated sizes of encoded values, in bytes.
 const (
 	objectBytes = 160
 	rangeBytes  = 32
 )
 
-// checkpointTracker follows checkpoints through the log.
+// checkpointTracker detects complete checkpoints among the parts read from the log.
 type checkpointTracker struct {
+	// incomplete holds the checkpoints of which some parts have not been read, by ID.
 	incomplete map[string]*partialCheckpoint
-	// youngest is when the log took in the last part of the youngest checkpoint.
+	// newestAt is when the last part of the newest complete checkpoint was appended.
 	newestAt time.Time
-	// wanted keeps the contents of parts, for a reader that must go on from one.
+	// keepContents makes the tracker store the contents of parts, for a reader that
+	// has to start from a checkpoint.
 	keepContents bool
-	newest       *record.Snapshot
+	// newest is the newest complete checkpoint, without contents unless keepContents is
+	// set.
+	newest *record.Snapshot
 }
 
-// partialCheckpoint is a checkpoint of which not all parts have been read.
+// partialCheckpoint holds the parts read so far of an incomplete checkpoint.
 type partialCheckpoint struct {
 	received map[int]bool
 	snapshot record.Snapshot
 }
 
-// maxIncomplete bounds how many checkpoints are followed at a time.
+// maxIncomplete bounds how many incomplete checkpoints are tracked at a time.
 const maxIncomplete = 8
 
 func newCheckpointTracker() checkpointTracker {
 	return checkpointTracker{incomplete: map[string]*partialCheckpoint{}}
 }
 
+// addPart adds a part that was appended to the log at the given time. If too many
+// checkpoints are incomplete, it first discards them all.
 func (c *checkpointTracker) addPart(at time.Time, part *record.Checkpoint) {
 	if part.Check() != nil {
 		return
@@ -197,16 +207,16 @@
 	}
 }
 
-// CheckpointedAt returns when the log took in the youngest whole checkpoint that
-// this process has read; zero if it has read none.
+// CheckpointedAt returns when the newest complete checkpoint that this process has read
+// was appended to the log; zero if it has read none.
 func (l *Ledger) CheckpointedAt() time.Time { return l.checkpoints.newestAt }
 
-// ReplaceWith makes l the fold that o is.
+// ReplaceWith replaces the state of l by that of o.
 func (l *Ledger) ReplaceWith(o *Ledger) { *l = *o }
 
-// NewCheckpointSearch returns a fold for a reader that starts at offset first, with records
-// before it gone. It is not whole: nothing in it is in force until Found returns
-// a checkpoint to go on from.
+// NewCheckpointSearch returns a ledger for a reader that starts at offset first because
+// the log no longer has the records before. The state of this ledger is incomplete and
+// must not be used; it serves to find a checkpoint, which FoundCheckpoint returns.
 func NewCheckpointSearch(first int64) *Ledger {
 	l := New()
 	l.nextOffset = first
@@ -214,11 +224,12 @@
 	return l
 }
 
-// FoundCheckpoint returns the checkpoint that a seeking reader can go on from, if it has
-// read one that describes the log from a record on that can still be read.
+// FoundCheckpoint returns the newest complete checkpoint if all records that follow its
+// state are still in the log, whose first offset is given. The ledger must come from
+// NewCheckpointSearch.
 func (l *Ledger) FoundCheckpoint(first int64) (record.Snapshot, bool) {
-	if w := l.checkpoints.newest; w != nil && w.Next >= first {
-		return *w, true
+	if s := l.checkpoints.newest; s != nil && s.Next >= first {
+		return *s, true
 	}
 	return record.Snapshot{}, false
 }
--- a/services/membership/membership.go
+++ b/services/membership/membership.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package membership keeps what a process has seen of other boxes: the
-// platform's lagging list and the peers' own heartbeats. It is a hint for load;
-// no promise rests on it.
+// Package membership tracks which other boxes are live, from the platform's box list,
+// which lags behind, and the heartbeats (hellos) of peers. It only guides how load is
+// distributed; no safety guarantee depends on it.
 package membership
 
 import (
@@ -15,17 +15,18 @@
 	"saddlevane/models/peer"
 )
 
-// Settings are the times of the peers' heartbeats.
+// Settings holds the timing of heartbeats between peers, and the seeds.
 type Settings struct {
-	// Heartbeat is the time between two heartbeats to one peer.
+	// HeartbeatInterval is the time between two heartbeats to one peer.
 	HeartbeatInterval time.Duration
-	// DeadAfter is how long a peer may be silent.
+	// DeadAfter is how long after its last heartbeat a peer still counts as live.
 	DeadAfter time.Duration
-	// Seeds are peers' addresses to greet when the list cannot be read.
+	// Seeds are addresses of peers that get heartbeats even if the box list cannot be
+	// read.
 	Seeds []string
 }
 
-// Member is a peer in the same or another domain.
+// Member is a peer, in the same domain or another one, that has sent a heartbeat.
 type Member struct {
 	hello      peer.Hello
 	receivedAt time.Time
@@ -34,43 +35,49 @@
 // Hello returns the peer's last heartbeat.
 func (m Member) Hello() peer.Hello { return m.hello }
 
-// Membership is the state. It is not safe for concurrent use.
+// Membership is what one process knows about the other boxes. It is not safe for
+// concurrent use.
 type Membership struct {
-	settings    Settings
-	self        peer.Hello
-	boxes       map[string]box.Box
-	listReadAt  time.Time
-	members     map[string]Member
+	settings Settings
+	self     peer.Hello
+	// boxes holds the box list by name.
+	boxes      map[string]box.Box
+	listReadAt time.Time
+	members    map[string]Member
+	// nextHelloAt is when the next heartbeats are due.
 	nextHelloAt time.Time
 	// liveChangedAt is when the set of live peers last changed.
 	liveChangedAt time.Time
-	live          []string
+	// live is the result of Live at the last Tick.
+	live []string
 }
 
-// New returns the state of a process that has seen nobody but itself.
+// New returns the membership of a process that has received no heartbeat and not read
+// the box list.
 func New(s Settings, self peer.Hello) *Membership {
 	return &Membership{settings: s, self: self, boxes: map[string]box.Box{}, members: map[string]Member{}}
 }
 
-// Self returns the heartbeat of this process.
+// Self returns the heartbeat that this process sends.
 func (m *Membership) Self() peer.Hello { return m.self }
 
-// SetYields names the shards that this process is ready to give up.
+// SetYields sets the shards that this process is ready to give up, for its heartbeats.
 func (m *Membership) SetYields(shards []string) { m.self.Yields = shards }
 
-// Yields says whether an incarnation of a peer is ready to give a shard up.
+// Yields reports whether the last heartbeat of an incarnation of a peer offers to give
+// up a shard.
 func (m *Membership) Yields(name, incarnation, shard string) bool {
 	member, ok := m.members[name]
 	return ok && member.hello.Incarnation == incarnation && slices.Contains(member.hello.Yields, shard)
 }
 
-// Leave marks this process as stopping.
+// Leave marks this process as stopping in its heartbeats.
 func (m *Membership) Leave() { m.self.Leaving = true }
 
-// Leaving says whether this process is stopping.
+// Leaving reports whether Leave was called.
 func (m *Membership) Leaving() bool { return m.self.Leaving }
 
-// SetBoxes takes the platform's list.
+// SetBoxes replaces the box list by one that was read at now.
 func (m *Membership) SetBoxes(now time.Time, l box.List) {
 	m.listReadAt = now
 	m.boxes = make(map[string]box.Box, len(l.Boxes))
@@ -79,19 +86,19 @@
 	}
 }
 
-// ListReadAt returns when the list was last read; zero if never.
+// ListReadAt returns when the box list was last read; zero if never.
 func (m *Membership) ListReadAt() time.Time { return m.listReadAt }
 
-// Box returns the list's entry of name.
+// Box returns the entry of a box in the box list.
 func (m *Membership) Box(name string) (box.Box, bool) {
 	b, ok := m.boxes[name]
 	return b, ok
 }
 
-// Boxes returns the list's entries by name; it must not be changed.
+// Boxes returns the box list by name; the map must not be modified.
 func (m *Membership) Boxes() map[string]box.Box { return m.boxes }
 
-// RecordHello takes a heartbeat.
+// RecordHello records a heartbeat that was received at now. It ignores those of this box.
 func (m *Membership) RecordHello(now time.Time, h peer.Hello) {
 	if h.Box == m.self.Box {
 		return
@@ -99,7 +106,8 @@
 	m.members[h.Box] = Member{hello: h, receivedAt: now}
 }
 
-// Tick returns the heartbeats that are due.
+// Tick updates the set of live peers and returns the heartbeats that are due. next is
+// the offset of the log up to which this process has read, for its heartbeats.
 func (m *Membership) Tick(now time.Time, next int64) []effect.Effect {
 	m.self.Next = next
 	m.updateMembers(now)
@@ -110,10 +118,11 @@
 	return m.hellos()
 }
 
-// LeaveHellos returns heartbeats to all peers at once, so that they hear of a
-// planned stop without waiting for the next round.
+// LeaveHellos returns heartbeats to all peers before they are due, so that peers learn
+// of a planned stop at once.
 func (m *Membership) LeaveHellos() []effect.Effect { return m.hellos() }
 
+// hellos returns a heartbeat to each peer.
 func (m *Membership) hellos() []effect.Effect {
 	var effects []effect.Effect
 	for _, address := range m.peerAddresses() {
@@ -122,14 +131,15 @@
 	return effects
 }
 
-// peerAddresses returns where heartbeats go: all entry boxes of the own domain,
-// as listed, heard of or given as seeds.
+// peerAddresses returns the addresses that get heartbeats, sorted: entry boxes of the
+// same domain in the box list, peers of that domain that have sent heartbeats, and the
+// seeds.
 func (m *Membership) peerAddresses() []string {
-	seen := map[string]bool{m.self.Address: true}
+	added := map[string]bool{m.self.Address: true}
 	var all []string
 	add := func(address string) {
-		if !seen[address] {
-			seen[address] = true
+		if !added[address] {
+			added[address] = true
 			all = append(all, address)
 		}
 	}
@@ -150,8 +160,7 @@
 	return all
 }
 
-// address returns where a peer is reached: as the platform lists it, or else as
-// it says itself.
+// address returns the address of a peer from the box list, or else from its heartbeat.
 func (m *Membership) address(name string, member Member) string {
 	if b, ok := m.boxes[name]; ok && b.Role == box.Entry {
 		return b.Address
@@ -159,8 +168,8 @@
 	return member.hello.Address
 }
 
-// updateMembers keeps when the set of live peers last changed, and forgets peers that
-// have been silent for long.
+// updateMembers updates the set of live peers and when it last changed, and removes
+// peers that have sent no heartbeat for forgetFactor times DeadAfter.
 func (m *Membership) updateMembers(now time.Time) {
 	live := m.Live(now)
 	if !slices.Equal(live, m.live) {
@@ -174,13 +183,14 @@
 	}
 }
 
+// forgetFactor is after how many times DeadAfter without a heartbeat a peer is removed.
 const forgetFactor = 20
 
-// StableFor returns how long the set of live peers has not changed.
+// StableFor returns how long the set of live peers has been unchanged at now.
 func (m *Membership) StableFor(now time.Time) time.Duration { return now.Sub(m.liveChangedAt) }
 
-// Live returns the entry boxes of the own domain that take work, this one
-// included, sorted by name.
+// Live returns the names of the entry boxes of this domain that accept work, sorted. They
+// include this box unless it is leaving.
 func (m *Membership) Live(now time.Time) []string {
 	var names []string
 	if !m.self.Leaving {
@@ -195,8 +205,9 @@
 	return names
 }
 
-// acceptsWork says whether a peer has been heard of lately and is not leaving, by
-// its own word or the list's.
+// acceptsWork reports whether a peer has sent a heartbeat within DeadAfter and neither
+// its heartbeat nor the box list says that it is leaving or dead. A peer that is not in
+// the list counts as live.
 func (m *Membership) acceptsWork(now time.Time, member Member) bool {
 	if member.hello.Leaving || now.Sub(member.receivedAt) > m.settings.DeadAfter {
 		return false
@@ -205,8 +216,8 @@
 	return !listed || b.State == box.Live
 }
 
-// IsLive says whether the given incarnation of a peer, or of this process, has
-// been heard of lately and takes work.
+// IsLive reports whether the given incarnation of a peer accepts work. For this box, it
+// reports whether the incarnation is that of this process and not leaving.
 func (m *Membership) IsLive(now time.Time, name, incarnation string) bool {
 	if name == m.self.Box {
 		return incarnation == m.self.Incarnation && !m.self.Leaving
@@ -215,8 +226,8 @@
 	return ok && member.hello.Incarnation == incarnation && m.acceptsWork(now, member)
 }
 
-// HasEnded says whether an incarnation of a box has surely ended: by a later life of
-// the same box, or the list's word.
+// HasEnded reports whether an incarnation of a box is known to have ended, because the
+// box has sent a heartbeat of another incarnation or the box list says that it is dead.
 func (m *Membership) HasEnded(name, incarnation string) bool {
 	if name == m.self.Box {
 		return incarnation != m.self.Incarnation
@@ -228,8 +239,8 @@
 	return ok && member.hello.Incarnation != incarnation
 }
 
-// AddressOf returns the address of an incarnation of a peer that has been heard of
-// lately, leaving or not.
+// AddressOf returns the address of an incarnation of a peer that has sent a heartbeat
+// within DeadAfter, even if it is leaving, and false for any other.
 func (m *Membership) AddressOf(now time.Time, name, incarnation string) (string, bool) {
 	member, ok := m.members[name]
 	if !ok || member.hello.Incarnation != incarnation || now.Sub(member.receivedAt) > m.settings.DeadAfter {
@@ -238,5 +249,6 @@
 	return m.address(name, member), true
 }
 
-// Members returns the peers heard of, by name; it must not be changed.
+// Members returns the peers that have sent heartbeats, by name; the map must not be
+// modified.
 func (m *Membership) Members() map[string]Member { return m.members }
--- a/tests/fake/worker.go
+++ b/tests/fake/worker.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package fake holds the platform's worker without its HTTP: what the stand-in
-// serves, and what tests of the reducer talk to. Time is an argument.
+// Package fake simulates a worker of the platform without its HTTP interface. The
+// stand-in of the platform serves it over HTTP, and tests of the reducer call it directly.
+// The caller passes the current time to each method that depends on it.
 package fake
 
 import (
@@ -15,7 +16,7 @@
 	"saddlevane/models/worker"
 )
 
-// Commands that a worker plays.
+// Commands that a worker simulates.
 const (
 	commandSleep = "sleep"
 	commandServe = "serve"
@@ -24,33 +25,38 @@
 
 // Worker is one worker of the platform. It is not safe for concurrent use.
 type Worker struct {
-	name      string
-	capacity  resource.Vector
+	name     string
+	capacity resource.Vector
+	// taskLease is how long tasks continue after the lease on the worker has expired.
 	taskLease time.Duration
-	// FailAll makes it fail all that it starts, Leaving say that it leaves.
+	// FailAll makes all tasks that it starts fail. Leaving makes its reports say that it
+	// is leaving.
 	FailAll, Leaving bool
 
-	holder       string
-	epoch        int64
-	leaseEnd     time.Time
-	lastSeq      map[string]int64
-	tasks        map[task.ID]*taskEntry
-	history      []*Span
+	holder   string
+	epoch    int64
+	leaseEnd time.Time
+	// lastSeq is the highest sequence number received from each holder.
+	lastSeq map[string]int64
+	tasks   map[task.ID]*taskEntry
+	history []*Span
+	// excessStarts counts starts that were refused for lack of free capacity.
 	excessStarts int64
-	// version counts changes of the inventory.
+	// version counts changes of the task inventory.
 	version int64
 }
 
-// taskEntry is a task at a worker.
+// taskEntry is a task on a worker, until its end is acknowledged.
 type taskEntry struct {
-	start    worker.Start
-	state    task.State
+	start worker.Start
+	state task.State
+	// endAt is when the task ends by itself, and willFail whether it then fails.
 	endAt    time.Time
 	willFail bool
 	span     *Span
 }
 
-// Span is when a task ran, in milliseconds since 1970; End is 0 while it runs.
+// Span is when a task ran, in Unix milliseconds. End is 0 while it runs.
 type Span struct {
 	Task  task.ID    `json:"task"`
 	Start int64      `json:"start_ms"`
@@ -58,7 +64,8 @@
 	State task.State `json:"state"`
 }
 
-// NewWorker returns a worker that runs nothing.
+// NewWorker returns a worker without tasks. Its tasks continue for taskLease after the
+// lease on the worker has expired.
 func NewWorker(name string, capacity resource.Vector, taskLease time.Duration) *Worker {
 	return &Worker{
 		name: name, capacity: capacity, taskLease: taskLease,
@@ -66,7 +73,7 @@
 	}
 }
 
-// Apply takes a Sync at now and returns the answer.
+// Apply executes a Sync received at now and returns the answer.
 func (w *Worker) Apply(now time.Time, s worker.Sync) worker.Report {
 	w.Advance(now)
 	report := worker.Report{Worker: w.name, Capacity: w.capacity, Leaving: w.Leaving}
@@ -94,25 +101,27 @@
 	return report
 }
 
-// refusalReason says why a Sync is not applied, or "".
+// refusalReason returns why a Sync is not applied, or "" if it is.
 func (w *Worker) refusalReason(now time.Time, s worker.Sync) string {
-	live := w.holder != "" && now.Before(w.leaseEnd)
+	leased := w.holder != "" && now.Before(w.leaseEnd)
 	switch {
 	case s.Seq <= w.lastSeq[s.Holder]:
-		return "an older sync of the same holder"
+		return "the sync is older than another sync of the same holder"
 	case s.TTL <= 0:
-		return "only a report was asked for"
-	case s.Epoch == 0 && live && w.holder != s.Holder:
+		return "the sync asks only for a report"
+	case s.Epoch == 0 && leased && w.holder != s.Holder:
 		return "another holder has the lease"
 	case s.Epoch != 0 && (s.Epoch != w.epoch || s.Holder != w.holder):
 		return "the epoch is not in force"
-	case s.Epoch != 0 && !live:
-		return "the lease has lapsed"
+	case s.Epoch != 0 && !leased:
+		return "the lease has expired"
 	default:
 		return ""
 	}
 }
 
+// applyGranted executes a Sync that is not refused: it renews the lease, removes
+// acknowledged tasks, and starts and stops tasks. It returns the refused starts.
 func (w *Worker) applyGranted(now time.Time, s worker.Sync) []worker.Refusal {
 	if s.Epoch == 0 {
 		w.epoch++
@@ -142,6 +151,8 @@
 	return refused
 }
 
+// start starts a task, unless the worker has it already, and returns why it is refused,
+// or "".
 func (w *Worker) start(now time.Time, s worker.Start) string {
 	if _, ok := w.tasks[s.Task]; ok {
 		return ""
@@ -154,7 +165,7 @@
 	}
 	if !used.Fits(w.capacity) {
 		w.excessStarts++
-		return "the worker has not that much free"
+		return "the worker does not have enough free capacity"
 	}
 	t := &taskEntry{start: s, state: task.Running, span: &Span{Task: s.Task, Start: now.UnixMilli(), State: task.Running}}
 	t.endAt, t.willFail = simulate(now, s.Command)
@@ -165,7 +176,7 @@
 	return ""
 }
 
-// simulate says when a command ends, and whether it fails.
+// simulate returns when a command that is started at now ends, and whether it fails then.
 func simulate(now time.Time, command []string) (time.Time, bool) {
 	switch command[0] {
 	case commandServe:
@@ -180,10 +191,10 @@
 	return now, true
 }
 
-// Advance ends what has ended by now, and stops everything once the lease has
-// been gone too long.
+// Advance ends the tasks whose time is over at now, and stops all tasks once the lease
+// has been expired for longer than taskLease.
 func (w *Worker) Advance(now time.Time) {
-	lapsed := !w.leaseEnd.IsZero() && now.Sub(w.leaseEnd) > w.taskLease
+	expired := !w.leaseEnd.IsZero() && now.Sub(w.leaseEnd) > w.taskLease
 	for _, t := range w.tasks {
 		switch {
 		case t.state != task.Running:
@@ -191,22 +202,24 @@
 			w.end(t.endAt, t, task.Failed)
 		case !now.Before(t.endAt):
 			w.end(t.endAt, t, task.Done)
-		case lapsed:
+		case expired:
 			w.end(w.leaseEnd.Add(w.taskLease), t, task.Stopped)
 		}
 	}
 }
 
+// end records that a task ended in the given state.
 func (w *Worker) end(at time.Time, t *taskEntry, state task.State) {
 	t.state = state
 	w.version++
 	t.span.End, t.span.State = max(at.UnixMilli(), t.span.Start), state
 }
 
-// ExcessStarts returns how many starts would have given the worker more than it has.
+// ExcessStarts returns how many starts were refused because they would have exceeded the
+// capacity of the worker.
 func (w *Worker) ExcessStarts() int64 { return w.excessStarts }
 
-// History returns when each task ran, in order of start.
+// History returns when each task ran, sorted by start time.
 func (w *Worker) History() []Span {
 	all := make([]Span, 0, len(w.history))
 	for _, s := range w.history {
@@ -216,7 +229,7 @@
 	return all
 }
 
-// Running returns the tasks that run.
+// Running returns the tasks that are running, in no particular order.
 func (w *Worker) Running() []task.ID {
 	var ids []task.ID
 	for id, t := range w.tasks {
--- a/tests/forward/forward.go
+++ b/tests/forward/forward.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package forward stands between processes that are tested and forwards their
-// connections, until it resets or silences them. Silenced connections stay open at
-// both ends, and new ones work.
+// Package forward provides a TCP proxy between processes under test. It can reset or
+// stall the open connections. Stalled connections stay open at both ends, and new ones
+// work.
 package forward
 
 import (
@@ -15,18 +15,17 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Direction is which way bytes go.
+// Direction is a direction of a connection.
 type Direction string
 
-// The directions: what the end that opened a connection sends, and what it is
-// answered.
+// The directions: Requests is what the end that opened the connection sends, Answers is
+// what it receives.
 const (
 	Requests Direction = "requests"
 	Answers  Direction = "answers"
 )
 
-// Proxy forwards connections to any number of addresses. It may be used by
-// several goroutines.
+// Proxy forwards connections to any number of addresses. It is safe for concurrent use.
 type Proxy struct {
 	goroutines conc.WaitGroup
 
@@ -35,42 +34,43 @@
 	connections map[*connection]struct{}
 	refusing    bool
 	closed      bool
-	// rate is how many bytes a second pass in each direction of a connection, or 0 for
-	// all that come.
+	// rate limits each direction of a new connection, in bytes per second; 0 is no limit.
 	rate int
 }
 
-// New returns a forwarder; Close ends it.
+// New returns a proxy that forwards nothing yet. The caller must close it.
 func New() *Proxy { return &Proxy{connections: map[*connection]struct{}{}} }
 
-// connection is a forwarded connection: the one taken, and the one opened for it.
+// connection is a forwarded connection: in is the accepted one, out the one opened to the
+// address.
 type connection struct {
 	in, out net.Conn
-	// requests and answers say whether that direction is silent.
+	// requestsStalled and answersStalled are set if that direction is stalled.
 	requestsStalled, answersStalled atomic.Bool
 }
 
 // close closes both ends.
-func (p *connection) close() {
-	_ = p.in.Close()
-	_ = p.out.Close()
+func (c *connection) close() {
+	_ = c.in.Close()
+	_ = c.out.Close()
 }
 
-// Forward forwards to an address and returns where it listens.
-func (f *Proxy) Forward(address string) (string, error) {
+// Forward starts to listen on a free local port, forwards connections to address, and
+// returns the address of the listener.
+func (p *Proxy) Forward(address string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	f.mu.Lock()
-	f.listeners = append(f.listeners, l)
-	f.mu.Unlock()
-	f.goroutines.Go(func() { f.accept(l, address) })
+	p.mu.Lock()
+	p.listeners = append(p.listeners, l)
+	p.mu.Unlock()
+	p.goroutines.Go(func() { p.accept(l, address) })
 	return l.Addr().String(), nil
 }
 
-// accept takes connections until the forwarder is closed.
-func (f *Proxy) accept(l net.Listener, address string) {
+// accept accepts connections until the proxy is closed.
+func (p *Proxy) accept(l net.Listener, address string) {
 	for {
 		in, err := l.Accept()
 		if err != nil {
@@ -81,59 +81,59 @@
 			_ = in.Close()
 			continue
 		}
-		f.startForwarding(&connection{in: in, out: out})
+		p.startForwarding(&connection{in: in, out: out})
 	}
 }
 
-// startForwarding forwards both directions of a connection.
-func (f *Proxy) startForwarding(p *connection) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.closed || f.refusing {
-		p.close()
+// startForwarding starts to forward both directions of a connection.
+func (p *Proxy) startForwarding(c *connection) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed || p.refusing {
+		c.close()
 		return
 	}
-	f.connections[p] = struct{}{}
-	rate := f.rate
+	p.connections[c] = struct{}{}
+	rate := p.rate
 	if rate > 0 {
-		p.limitBuffers()
+		c.limitBuffers()
 	}
-	f.goroutines.Go(func() { f.copy(p, p.out, p.in, &p.requestsStalled, rate) })
-	f.goroutines.Go(func() { f.copy(p, p.in, p.out, &p.answersStalled, rate) })
+	p.goroutines.Go(func() { p.copy(c, c.out, c.in, &c.requestsStalled, rate) })
+	p.goroutines.Go(func() { p.copy(c, c.in, c.out, &c.answersStalled, rate) })
 }
 
-// SetRate sets how many bytes a second pass in each direction of connections that are
-// opened from now on.
-func (f *Proxy) SetRate(rate int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.rate = rate
+// SetRate limits each direction of connections that are opened from now on, in bytes per
+// second; 0 is no limit.
+func (p *Proxy) SetRate(rate int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.rate = rate
 }
 
-// rateLimitBuffer is how many bytes the system is asked to hold for a connection whose rate
-// is bounded: what it holds passes at once.
+// rateLimitBuffer is the size in bytes of the socket buffers of a rate-limited
+// connection. Bytes that fit in these buffers are not delayed for the sender.
 const rateLimitBuffer = 32 << 10
 
-// limitBuffers bounds what the system holds of a connection.
-func (p *connection) limitBuffers() {
-	for _, c := range []net.Conn{p.in, p.out} {
-		if tcp, ok := c.(*net.TCPConn); ok {
+// limitBuffers limits the socket buffers of a connection to rateLimitBuffer.
+func (c *connection) limitBuffers() {
+	for _, conn := range []net.Conn{c.in, c.out} {
+		if tcp, ok := conn.(*net.TCPConn); ok {
 			_ = tcp.SetReadBuffer(rateLimitBuffer)
 			_ = tcp.SetWriteBuffer(rateLimitBuffer)
 		}
 	}
 }
 
-// copySize is how many bytes are forwarded at a time.
+// copySize is the maximum number of bytes forwarded at a time.
 const copySize = 32 << 10
 
-// copy forwards one direction. Once that is silent nothing is read any more, and
-// neither bytes nor the end of the connection are passed on.
-func (f *Proxy) copy(p *connection, to, from net.Conn, silent *atomic.Bool, rate int) {
+// copy forwards one direction until the connection ends. Once the direction is stalled,
+// nothing more is read from it, and neither bytes nor its end are forwarded.
+func (p *Proxy) copy(c *connection, to, from net.Conn, stalled *atomic.Bool, rate int) {
 	buffer := make([]byte, copySize)
 	for {
 		n, err := from.Read(buffer)
-		if silent.Load() {
+		if stalled.Load() {
 			return
 		}
 		if rate > 0 {
@@ -144,71 +144,73 @@
 		}
 		if err != nil {
 			_ = to.Close()
-			f.removeEnded(p)
+			p.removeEnded(c)
 			return
 		}
 	}
 }
 
-// removeEnded forgets a connection that is over in a direction that is not silent.
-func (f *Proxy) removeEnded(p *connection) {
-	if p.requestsStalled.Load() || p.answersStalled.Load() {
+// removeEnded closes and removes a connection that has ended in one direction. It leaves
+// a connection with a stalled direction open.
+func (p *Proxy) removeEnded(c *connection) {
+	if c.requestsStalled.Load() || c.answersStalled.Load() {
 		return
 	}
-	p.close()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.connections, p)
+	c.close()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.connections, c)
 }
 
-// Stall silences all open connections in some directions, in both if none is named.
-// It returns how many there were.
-func (f *Proxy) Stall(directions ...Direction) int {
+// Stall stops forwarding on all open connections in the given directions, or in both if
+// none is given. It returns the number of open connections.
+func (p *Proxy) Stall(directions ...Direction) int {
 	if len(directions) == 0 {
 		directions = []Direction{Requests, Answers}
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for p := range f.connections {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for c := range p.connections {
 		for _, d := range directions {
 			switch d {
 			case Requests:
-				p.requestsStalled.Store(true)
+				c.requestsStalled.Store(true)
 			case Answers:
-				p.answersStalled.Store(true)
+				c.answersStalled.Store(true)
 			}
 		}
 	}
-	return len(f.connections)
+	return len(p.connections)
 }
 
 // Reset closes all open connections at both ends.
-func (f *Proxy) Reset() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for p := range f.connections {
-		p.close()
-		delete(f.connections, p)
+func (p *Proxy) Reset() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for c := range p.connections {
+		c.close()
+		delete(p.connections, c)
 	}
 }
 
-// SetRefusing closes new connections at once, or takes them again.
-func (f *Proxy) SetRefusing(refuses bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.refusing = refuses
+// SetRefusing makes the proxy close new connections at once, or forward them again.
+func (p *Proxy) SetRefusing(refuse bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.refusing = refuse
 }
 
-// Close closes all connections, silent ones too, and waits for what is under way.
-func (f *Proxy) Close() {
-	f.mu.Lock()
-	f.closed = true
-	for _, l := range f.listeners {
+// Close closes all listeners and connections, stalled ones included, and waits for all
+// goroutines of the proxy to end.
+func (p *Proxy) Close() {
+	p.mu.Lock()
+	p.closed = true
+	for _, l := range p.listeners {
 		_ = l.Close()
 	}
-	for p := range f.connections {
-		p.close()
+	for c := range p.connections {
+		c.close()
 	}
-	f.mu.Unlock()
-	f.goroutines.Wait()
+	p.mu.Unlock()
+	p.goroutines.Wait()
 }
--- a/tests/memory/log.go
+++ b/tests/memory/log.go
@@ -10,6 +10,8 @@
 	"saddlevane/models/stream"
 )
 
+// append appends records to a stream and returns the offset of the last one. It checks
+// the expected end of the stream and the writer's epoch and sequence number.
 func (p *Platform) append(_ context.Context, a stream.Append) (int64, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,6 +40,8 @@
 	return end + int64(len(a.Records)) - 1, nil
 }
 
+// read returns the records of a stream from an offset on, and waits up to wait until
+// there is one.
 func (p *Platform) read(ctx context.Context, name stream.Name, from int64, wait time.Duration) (stream.Page, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -61,6 +65,7 @@
 	}
 }
 
+// newest returns the newest record of each key of a stream, without tombstones.
 func (p *Platform) newest(_ context.Context, name stream.Name) (stream.Page, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,7 +85,7 @@
 	return page, nil
 }
 
-// SetDown makes the log refuse all calls, or answer again.
+// SetDown makes all calls to the log fail, or lets them succeed again.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/tests/memory/memory.go
+++ b/tests/memory/memory.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package memory plays the platform in the memory of a test process: a log
-// whose records have keys, workers that take single orders, and no advice.
+// Package memory simulates the platform in the memory of a test process: a log with
+// keyed records, and workers that execute single orders. It gives no advice.
 package memory
 
 import (
@@ -18,25 +18,25 @@
 	"saddlevane/services/relay"
 )
 
-// Platform is a platform with one pool of workers. It may be used by several
-// processes at once.
+// Platform is a simulated platform with one pool of workers. It is safe for concurrent
+// use by several processes under test.
 type Platform struct {
 	mu sync.Mutex
-	// changed is closed, and made anew, by each append.
+	// changed is closed and replaced by each append.
 	changed chan struct{}
 	streams map[stream.Name][]stream.Record
-	// epoch and next are the writer's epoch and the sequence number that it is to
-	// use next; they fence all streams together.
+	// writerEpoch and nextSequence are the epoch of the current writer and the next
+	// sequence number that it may use. They fence the appends to all streams together.
 	writerEpoch  int64
 	nextSequence int64
 	workers      map[string]*worker
-	// runs counts how often each task was started.
+	// startCounts is how often each task was started.
 	startCounts map[string]int
-	// down makes the log refuse all calls.
+	// down makes all calls to the log fail.
 	down bool
 }
 
-// New returns a platform with a configuration and some workers.
+// New returns a platform with a configuration and the given number of workers.
 func New(config job.Config, workers int) (*Platform, error) {
 	p := &Platform{
 		changed: make(chan struct{}), streams: map[stream.Name][]stream.Record{}, workers: map[string]*worker{}, startCounts: map[string]int{},
@@ -52,7 +52,7 @@
 	return p, nil
 }
 
-// Calls returns what a process calls.
+// Calls returns the functions by which a process under test calls the platform.
 func (p *Platform) Calls() jobrun.Platform {
 	return jobrun.Platform{
 		Log:     jobrun.Log{Append: p.append, Read: p.read, Newest: p.newest},
@@ -64,6 +64,7 @@
 	}
 }
 
+// config returns the configuration in the newest of the records, and whether there is one.
 func (p *Platform) config(records []stream.Record) (job.Config, bool, error) {
 	var c job.Config
 	if len(records) == 0 {
--- a/tests/memory/workers.go
+++ b/tests/memory/workers.go
@@ -12,6 +12,8 @@
 	"saddlevane/models/stream"
 )
 
+// worker is a simulated worker with the runs in progress and the ends that are not yet
+// acknowledged.
 type worker struct {
 	fence   int64
 	running map[order.Run]bool
@@ -19,17 +21,17 @@
 	lastEnd int64
 }
 
-// taskDuration is how long a task runs.
+// taskDuration is how long each task runs.
 const taskDuration = 30 * time.Millisecond
 
-// StartCount returns how often a task was started.
+// StartCount returns how often a task was started, over all workers.
 func (p *Platform) StartCount(task string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.startCounts[task]
 }
 
-// listing names all workers; the records are not looked at.
+// listing returns all workers, whatever the records contain.
 func (p *Platform) listing([]stream.Record) order.Listing {
 	var l order.Listing
 	for id := range p.workers {
@@ -41,6 +43,7 @@
 	return l
 }
 
+// renew repeats renewOnce until it has a final result or r.MaxWait is over.
 func (p *Platform) renew(ctx context.Context, _ string, of order.Incarnation, r order.Renew) (order.Report, order.Answer) {
 	deadline := time.Now().Add(r.MaxWait.Duration())
 	for {
@@ -56,6 +59,8 @@
 	}
 }
 
+// renewOnce renews the lease on a worker. It returns true if the caller need not wait:
+// the renewal was refused, or the report has ends of runs.
 func (p *Platform) renewOnce(id string, r order.Renew) (order.Report, order.Answer, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,10 +77,13 @@
 	for run := range w.running {
 		running = append(running, order.Running{Run: run, Progress: 100})
 	}
-	report := order.Report{Incarnation: order.Incarnation{Name: id}, Clock: clock, Running: running, Ended: append([]order.End(nil), w.ended...)}
+	report := order.Report{
+		Incarnation: order.Incarnation{Name: id}, Clock: clock, Running: running, Ended: append([]order.End(nil), w.ended...),
+	}
 	return report, order.Answer{Outcome: order.CarriedOut, Clock: clock}, len(w.ended) > 0
 }
 
+// start starts a run, which succeeds after taskDuration.
 func (p *Platform) start(_ context.Context, _ string, of order.Incarnation, s order.Start) order.Answer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,10 +103,12 @@
 	return order.Answer{Outcome: order.CarriedOut, Clock: order.WorkerClock(time.Now().UnixMilli())}
 }
 
+// stop succeeds without stopping anything; the run ends by itself.
 func (p *Platform) stop(context.Context, string, order.Incarnation, order.Stop) order.Answer {
 	return order.Answer{Outcome: order.CarriedOut, Clock: order.WorkerClock(time.Now().UnixMilli())}
 }
 
+// throttle succeeds without an effect.
 func (p *Platform) throttle(context.Context, string, order.Incarnation, order.Throttle) order.Answer {
 	return order.Answer{Outcome: order.CarriedOut, Clock: order.WorkerClock(time.Now().UnixMilli())}
 }
