--- a/services/jobrun/advice.go
+++ b/services/jobrun/advice.go
@@ -16,25 +16,28 @@
 	"saddlevane/modules/peering"
 )
 
-// adviseParams asks a box to call the advice service.
+// adviseParams are the parameters of a call that asks another entry box to call the advice
+// service.
 type adviseParams struct {
 	Step    job.StepID `json:"step"`
 	Workers []string   `json:"workers"`
-	// Expected is how long the answer should take, Within how long the caller waits.
+	// Expected is how long the service is expected to take. CallerTimeout is how long the
+	// calling box waits for the answer.
 	Expected      job.Milliseconds `json:"expected_ms,omitempty"`
 	CallerTimeout job.Milliseconds `json:"within_ms,omitempty"`
 }
 
 const (
-	// adviceReplyMargin is how much sooner than its caller a box gives a call for advice up, so
-	// that the caller hears of it and does not take the box for silent.
+	// adviceReplyMargin is how much earlier than its caller a box gives up a call to the
+	// advice service, so that its error reaches the caller before the caller's own timeout
+	// and the caller does not take this box for unresponsive.
 	adviceReplyMargin = 100 * time.Millisecond
-	// defaultAdviceTimeout bounds the call of a caller that does not say how long it waits, such as
+	// defaultAdviceTimeout bounds a call whose caller does not say how long it waits, such as
 	// a box of an earlier version. The service lets up to 32 calls of a box wait.
 	defaultAdviceTimeout = 5 * time.Second
 )
 
-// timeout returns how long a call for advice may take here.
+// timeout returns how long the call to the advice service may take on this box.
 func (a adviseParams) timeout() time.Duration {
 	if a.CallerTimeout <= 0 {
 		return defaultAdviceTimeout
@@ -42,45 +45,47 @@
 	return max(a.CallerTimeout.Duration()-adviceReplyMargin, a.CallerTimeout.Duration()/2)
 }
 
-// adviceResult is the answer to a call for advice through another box.
+// adviceResult is the answer to a call for advice that another box has made. Busy stands for
+// ErrAdviceBusy.
 type adviceResult struct {
 	Tickets []order.Ticket `json:"good,omitempty"`
 	Busy    bool           `json:"busy,omitempty"`
 }
 
-// serveAdvice calls the advice service for another box.
+// serveAdvice calls the advice service on behalf of another box.
 func (p *Peers) serveAdvice(ctx context.Context, a adviseParams) (*adviceResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, a.timeout())
 	defer cancel()
-	good, err := p.loop.callAdviceService(ctx, a)
+	tickets, err := p.loop.callAdviceService(ctx, a)
 	if errors.Is(err, ErrAdviceBusy) {
 		return &adviceResult{Busy: true}, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	return &adviceResult{Tickets: good}, nil
+	return &adviceResult{Tickets: tickets}, nil
 }
 
-// requestAdvice has another entry box call the advice service.
+// requestAdvice asks the entry box at address to call the advice service.
 func (p *Peers) requestAdvice(ctx context.Context, address string, params adviseParams) ([]order.Ticket, error) {
-	var a adviceResult
-	_, err := p.links.Call(ctx, address, peering.Call{Method: methodAdvise, Params: params, Result: &a, Idempotent: true})
+	var result adviceResult
+	_, err := p.links.Call(ctx, address, peering.Call{Method: methodAdvise, Params: params, Result: &result, Idempotent: true})
 	if err != nil {
 		return nil, err
 	}
-	if a.Busy {
+	if result.Busy {
 		return nil, fmt.Errorf("entry box %s: %w", address, ErrAdviceBusy)
 	}
-	return a.Tickets, nil
+	return result.Tickets, nil
 }
 
-// ErrAdviceBusy means that the advice service has too many calls of this box
-// waiting.
-var ErrAdviceBusy = errors.New("too many calls for advice wait")
+// ErrAdviceBusy means that the advice service rejects a call because too many calls of the
+// same box are already waiting.
+var ErrAdviceBusy = errors.New("too many calls for advice are waiting")
 
-// advise asks the advice service from this box or has another box ask it: the
-// service takes one call at a time from each.
+// advise calls the advice service from this box or, if the effect names an address, through
+// another box, and posts the result to the reducer. Calls are spread over boxes because the
+// service takes one call at a time from each box.
 func (l *Loop) advise(e exchange.Advise) {
 	ctx, cancel := context.WithTimeout(l.ctx, e.Timeout)
 	defer cancel()
@@ -88,24 +93,24 @@
 		Step: e.Step, Workers: e.Workers,
 		Expected: job.Milliseconds(e.Expected.Milliseconds()), CallerTimeout: job.Milliseconds(e.Timeout.Milliseconds()),
 	}
-	var good []order.Ticket
+	var tickets []order.Ticket
 	var err error
 	if e.Address == "" {
-		good, err = l.callAdviceService(ctx, params)
+		tickets, err = l.callAdviceService(ctx, params)
 	} else {
-		good, err = l.peers.requestAdvice(ctx, e.Address, params)
+		tickets, err = l.peers.requestAdvice(ctx, e.Address, params)
 	}
-	ended := exchange.Advised{Step: e.Step, Box: e.Box, Epoch: e.Epoch, Number: e.Number, Tickets: good}
+	result := exchange.Advised{Step: e.Step, Box: e.Box, Epoch: e.Epoch, Number: e.Number, Tickets: tickets}
 	l.metrics.recordAdvice(err)
 	if err != nil {
-		ended.Failure = err.Error()
-		ended.Busy = errors.Is(err, ErrAdviceBusy)
+		result.Failure = err.Error()
+		result.Busy = errors.Is(err, ErrAdviceBusy)
 	}
-	l.post(ended)
+	l.post(result)
 }
 
-// callAdviceService calls the advice service. The call may be made again. The service takes one
-// call of a box at a time and goes on with those that were given up.
+// callAdviceService calls the advice service. The call may be retried, but with InTurn: the
+// service takes one call of a box at a time and goes on with those that were given up.
 func (l *Loop) callAdviceService(ctx context.Context, a adviseParams) ([]order.Ticket, error) {
 	ctx = httpclient.Repeatable(ctx, httpclient.Repeat{Expected: a.Expected.Duration(), InTurn: true})
 	return l.platform.Advise(ctx, a.Step, a.Workers)
--- a/services/jobrun/callers.go
+++ b/services/jobrun/callers.go
@@ -9,8 +9,9 @@
 	"saddlevane/services/workspaces"
 )
 
-// Admit judges a call before its body is read, by the queue that it names and the keys that
-// it carries. It returns the answer by which the call is refused, or nil.
+// Admit checks, before the body of a call is read, whether the caller may use the queue, by
+// the keys that the call carries. It returns the caller, or the answer with which the call is
+// refused.
 func (l *Loop) Admit(queue string, keys []string) (*workspace.Caller, *exchange.Answer) {
 	l.mu.Lock()
 	v := l.view
@@ -20,11 +21,11 @@
 		l.recordRefusedCall(queue, a, 0, false)
 		return nil, &a
 	}
-	// A box that was suspended must not judge by what it knew before.
+	// After the machine was suspended, the configuration may no longer be the newest.
 	current := l.now().Before(v.configCurrentUntil)
 	caller, verdict := workspaces.AuthorizeAtBox(v.config, current, queue, keys)
 	if verdict == workspaces.Allowed || verdict == workspaces.Undetermined && caller != nil {
-		// The holder may know what this box does not.
+		// The holder may have a newer configuration than this box, so it decides.
 		return caller, nil
 	}
 	a := workspaces.RefusalAnswer(verdict)
@@ -32,8 +33,9 @@
 	return nil, &a
 }
 
-// recordRefusedCall counts and logs a call that is refused before it is passed on, and by which
-// configuration.
+// recordRefusedCall counts and logs a call that this box refuses before forwarding it, with
+// the version of the configuration by which it was refused and whether that one was known to
+// be current.
 func (l *Loop) recordRefusedCall(queue string, a exchange.Answer, version int64, current bool) {
 	l.metrics.refusedCalls.WithLabelValues(string(a.Outcome)).Inc()
 	l.logWriter.write(exchange.LogEvent{Message: "call refused", Fields: []exchange.LogField{
--- a/services/jobrun/calls.go
+++ b/services/jobrun/calls.go
@@ -13,7 +13,8 @@
 	"saddlevane/modules/clock"
 )
 
-// postAndWait gives the reducer an event that it answers, and waits for the answer.
+// postAndWait posts an event that the reducer replies to and waits for the reply. If ctx or
+// the loop ends first, the outcome is MaybeDone.
 func (l *Loop) postAndWait(ctx context.Context, event func(exchange.CallID) exchange.Event) exchange.Answer {
 	answer := make(chan exchange.Answer, 1)
 	l.mu.Lock()
@@ -34,7 +35,7 @@
 	return exchange.Answer{Outcome: exchange.MaybeDone, Reason: "no answer in time"}
 }
 
-// deliverAnswer hands an answer to the caller who waits for it, if one still does.
+// deliverAnswer passes an answer to the goroutine that waits for it, if there still is one.
 func (l *Loop) deliverAnswer(id exchange.CallID, a exchange.Answer) {
 	l.mu.Lock()
 	answer := l.calls[id]
@@ -45,21 +46,22 @@
 	}
 }
 
-// Config returns the configuration in force, or nil.
+// Config returns the configuration in force, or nil if none has been read yet.
 func (l *Loop) Config() *job.Config {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.view.config
 }
 
-// disconnectedAfter is how long neither the log nor the holder may answer before a
-// box sends callers elsewhere. The log answers with each renewal of the claim, and
-// at the latest when a read has waited for half a second. With this, callers of a domain
-// that was cut off were refused in 1 of 1,000 cases in place of 5 (4 plays of one day).
+// disconnectedAfter is how long neither the log nor the holder may answer before a box
+// reports that it is not ready, so that callers use other boxes. The log answers each renewal
+// of the claim, and a waiting read at the latest after half a second. With this limit, callers
+// in a domain that was cut off were refused in 1 of 1,000 cases instead of 5 (4 simulations
+// of one day).
 const disconnectedAfter = 900 * time.Millisecond
 
-// Ready says whether callers are served better here than elsewhere. A box that
-// is cut off from the log and from the holder can only refuse.
+// Ready reports whether this box can serve callers. A box that reaches neither the log nor the
+// holder can only refuse calls, so callers are served better elsewhere.
 func (l *Loop) Ready() bool {
 	l.mu.Lock()
 	v, holder := l.view, l.holder()
@@ -70,18 +72,20 @@
 	return v.holdsCell || l.now().Sub(v.logReadAt) < disconnectedAfter || l.peers.reachesHolder(holder.Address)
 }
 
-// Serve answers a caller: by this box if it holds the cell, else by the holder.
+// Serve answers a request: with this box's reducer if this box holds the cell, otherwise by
+// forwarding it to the holder. It records the call in the metrics and logs it unless the
+// outcome is OK or NoJob.
 func (l *Loop) Serve(ctx context.Context, r Request) exchange.Answer {
-	began := l.now()
+	startedAt := l.now()
 	a := l.serve(ctx, r)
-	l.metrics.recordCall(r.kind(), a.Outcome, l.now().Sub(began))
+	l.metrics.recordCall(r.kind(), a.Outcome, l.now().Sub(startedAt))
 	if a.Outcome != exchange.OK && a.Outcome != exchange.NoJob {
-		l.logWriter.write(refusalLogEvent(r, a, l.now().Sub(began)))
+		l.logWriter.write(refusalLogEvent(r, a, l.now().Sub(startedAt)))
 	}
 	return a
 }
 
-// refusalLogEvent is the line about a call that was not served.
+// refusalLogEvent returns the log line for a request that was not served.
 func refusalLogEvent(r Request, a exchange.Answer, took time.Duration) exchange.LogEvent {
 	return exchange.LogEvent{Message: "call not served", Fields: []exchange.LogField{
 		{Name: "call", Value: r.kind()},
@@ -95,32 +99,33 @@
 }
 
 const (
-	// maxHandoverWait is how long a call waits for the next holder while the cell is
-	// handed over: less than a quarter of the shortest objective (the users' price
-	// for late refusals), and a handover takes about 100 ms.
+	// maxHandoverWait is how long a request waits for the next holder during a handover of
+	// the cell. A handover takes about 100 ms. The limit is less than a quarter of the
+	// shortest objective, because a late refusal costs the users more than an early one.
 	maxHandoverWait = 250 * time.Millisecond
-	// handoverRetryDelay is the pause between two tries meanwhile.
+	// handoverRetryDelay is the pause between attempts during a handover.
 	handoverRetryDelay = 40 * time.Millisecond
 )
 
-// serve answers by the holder. While the cell is being handed over, nobody has done
-// anything, and the next holder is about to serve.
+// serve answers a request through the holder. During a handover it retries: a request that
+// was answered with HeldElsewhere had no effect, and the next holder is about to serve.
 func (l *Loop) serve(ctx context.Context, r Request) exchange.Answer {
-	until := l.now().Add(maxHandoverWait)
+	deadline := l.now().Add(maxHandoverWait)
 	for {
 		a := l.serveOnce(ctx, r)
 		if l.recordReportedClaim(a.Holder) {
 			continue
 		}
-		if a.Outcome != exchange.HeldElsewhere || !l.isHandingOver() || !l.now().Before(until) || ctx.Err() != nil {
+		if a.Outcome != exchange.HeldElsewhere || !l.isHandingOver() || !l.now().Before(deadline) || ctx.Err() != nil {
 			return a
 		}
 		clock.Wait(ctx, handoverRetryDelay)
 	}
 }
 
-// recordReportedClaim takes the claim that another box told of, and returns true if it is newer
-// than what this box knew, so that the call can be made there at once.
+// recordReportedClaim stores a claim that another box has reported in an answer. It returns
+// true if the claim is newer than those known to this box; the request can then be sent to the
+// new holder at once.
 func (l *Loop) recordReportedClaim(c *claim.Claim) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,8 +136,8 @@
 	return true
 }
 
-// holder returns the newest claim that this box has read or was told of. The lock is
-// held.
+// holder returns the newest claim that this box has read from the log or received from another
+// box. l.mu must be held.
 func (l *Loop) holder() claim.Claim {
 	if l.reportedClaim.Epoch > l.view.holder.Epoch {
 		return l.reportedClaim
@@ -140,24 +145,24 @@
 	return l.view.holder
 }
 
-// isHandingOver says whether a box that has the claim, or had it until just now, is
-// known, and the log answers, so that a holder will serve soon.
+// isHandingOver reports whether a holder will probably serve soon: some box is known to have
+// held the claim, and the log answers.
 func (l *Loop) isHandingOver() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.view.holder.Epoch != 0 && l.now().Sub(l.view.logReadAt) < disconnectedAfter
 }
 
-// serveOnce answers by this box if it holds the cell or nobody is known to, else by
-// the holder.
+// serveOnce makes one attempt to answer a request: with this box's reducer if this box holds
+// the cell or no holder is known, otherwise by forwarding it to the holder.
 func (l *Loop) serveOnce(ctx context.Context, r Request) exchange.Answer {
 	l.mu.Lock()
 	holds, holder := l.view.holdsCell, l.holder()
-	steady := l.now().Sub(l.view.logReadAt) < disconnectedAfter
+	logAnswers := l.now().Sub(l.view.logReadAt) < disconnectedAfter
 	l.mu.Unlock()
-	// A box that has given the cell up knows who has it now; this one reads it from
-	// the log, if that answers.
-	if holds || holder.Box == l.self.Box || holder.Address == "" || holder.Released && steady {
+	// A box that has released the cell knows the next holder, but need not be asked while the
+	// log answers: this box then reads the next claim itself.
+	if holds || holder.Box == l.self.Box || holder.Address == "" || holder.Released && logAnswers {
 		return l.postAndWait(ctx, r.event)
 	}
 	return l.peers.forwardToHolder(ctx, holder.Address, r)
--- a/services/jobrun/connections.go
+++ b/services/jobrun/connections.go
@@ -10,11 +10,12 @@
 	"saddlevane/modules/peering"
 )
 
-// reasonNoAnswer is why connections are given up on which calls are made: one had no answer.
+// reasonNoAnswer is the reason for closing connections that is reported in metrics and logs:
+// a call on one of them had no answer.
 const reasonNoAnswer = "no answer"
 
-// ConnectionsGivenUp counts connections that were given up because a call had no answer,
-// and logs it if others were given up than that of the call.
+// ConnectionsGivenUp counts connections that were closed because a call had no answer. It logs
+// them if more than the connection of that call was closed.
 func (l *Loop) ConnectionsGivenUp(g conntrack.GivenUp) {
 	l.metrics.connectionsGivenUp.WithLabelValues(g.To, reasonNoAnswer).Add(float64(g.Count))
 	if g.Count < 2 {
@@ -29,26 +30,26 @@
 	}})
 }
 
-// CallRetried logs and counts a call that was made again.
-func (l *Loop) CallRetried(a httpclient.Again) {
-	l.metrics.callsRetried.WithLabelValues(a.To, string(a.Answered)).Inc()
+// CallRetried logs and counts a call that was retried on another connection.
+func (l *Loop) CallRetried(r httpclient.Again) {
+	l.metrics.callsRetried.WithLabelValues(r.To, string(r.Answered)).Inc()
 	l.logWriter.write(exchange.LogEvent{Message: "a call was made again", Fields: []exchange.LogField{
-		{Name: "to", Value: a.To},
-		{Name: "address", Value: a.Address},
-		{Name: "call", Value: a.Call},
-		{Name: "answered_on", Value: string(a.Answered)},
-		{Name: "took", Value: a.Took.String()},
+		{Name: "to", Value: r.To},
+		{Name: "address", Value: r.Address},
+		{Name: "call", Value: r.Call},
+		{Name: "answered_on", Value: string(r.Answered)},
+		{Name: "took", Value: r.Took.String()},
 	}})
 }
 
-// ConnectionsChanged counts open connections.
+// ConnectionsChanged adds delta to the number of open connections to a kind of service.
 func (l *Loop) ConnectionsChanged(to string, delta int) {
 	l.metrics.connectionsOpen.WithLabelValues(to).Add(float64(delta))
 }
 
-// CallUnanswered logs and counts a call that ran out of its time without an answer. How
-// long nothing had come over its connection tells a silent connection from a slow
-// service.
+// CallUnanswered logs and counts a call that timed out without an answer. The log line includes
+// how long nothing had been received on the connection, which distinguishes a silent connection
+// from a slow service.
 func (l *Loop) CallUnanswered(u conntrack.Unanswered) {
 	l.metrics.recordUnanswered(u)
 	l.logWriter.write(exchange.LogEvent{Message: "a call had no answer", Fields: []exchange.LogField{
@@ -62,7 +63,7 @@
 	}})
 }
 
-// linkGivenUp logs and counts a link to another entry box that was given up as silent.
+// linkGivenUp logs and counts a link to another entry box that was closed because it was silent.
 func (l *Loop) linkGivenUp(g peering.GivenUp) {
 	l.metrics.recordGivenUpLink(g.To, string(g.Reason))
 	l.logWriter.write(exchange.LogEvent{Message: "a link to an entry box was given up", Fields: []exchange.LogField{
@@ -74,7 +75,7 @@
 	}})
 }
 
-// linkNotAccepted logs why a connection of another entry box could not be accepted.
+// linkNotAccepted logs why a connection from another entry box could not be accepted.
 func (l *Loop) linkNotAccepted(err error) {
 	l.logWriter.write(exchange.LogEvent{Message: "a link could not be accepted", Fields: []exchange.LogField{{Name: "problem", Value: err.Error()}}})
 }
--- a/services/jobrun/connections_test.go
+++ b/services/jobrun/connections_test.go
@@ -15,10 +15,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// metricValues returns the values of a process's metrics by name and labels.
-func (p *testBox) metricValues(t *testing.T) map[string]float64 {
+// metricValues returns the values of the box's counters and gauges by name and labels.
+func (b *testBox) metricValues(t *testing.T) map[string]float64 {
 	t.Helper()
-	families, err := p.loop.Metrics().Gatherer().Gather()
+	families, err := b.loop.Metrics().Gatherer().Gather()
 	assert.NilError(t, err)
 	values := map[string]float64{}
 	for _, f := range families {
--- a/services/jobrun/cut_test.go
+++ b/services/jobrun/cut_test.go
@@ -22,37 +22,38 @@
 	"gotest.tools/v3/poll"
 )
 
-var errDisconnected = errors.New("cut off from the log")
+var errDisconnected = errors.New("disconnected from the log")
 
-// disconnectableLog returns a platform whose log one box can be cut off from.
+// disconnectableLog returns the calls of a platform and a switch that makes all calls to its log
+// fail.
 func disconnectableLog(on *memory.Platform) (jobrun.Platform, *atomic.Bool) {
-	cut := &atomic.Bool{}
+	disconnected := &atomic.Bool{}
 	calls := on.Calls()
 	log := calls.Log
 	calls.Log = jobrun.Log{
 		Append: func(ctx context.Context, a stream.Append) (int64, error) {
-			if cut.Load() {
+			if disconnected.Load() {
 				return 0, errDisconnected
 			}
 			return log.Append(ctx, a)
 		},
 		Read: func(ctx context.Context, name stream.Name, from int64, wait time.Duration) (stream.Page, error) {
-			if cut.Load() {
+			if disconnected.Load() {
 				return stream.Page{}, errDisconnected
 			}
 			return log.Read(ctx, name, from, wait)
 		},
 		Newest: func(ctx context.Context, name stream.Name) (stream.Page, error) {
-			if cut.Load() {
+			if disconnected.Load() {
 				return stream.Page{}, errDisconnected
 			}
 			return log.Newest(ctx, name)
 		},
 	}
-	return calls, cut
+	return calls, disconnected
 }
 
-// waitUntil waits until a condition holds.
+// waitUntil waits up to 10 s until a condition holds; what describes it.
 func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -65,7 +66,7 @@
 
 func TestDisconnectedHolderIsNotReady(t *testing.T) {
 	on := newPlatform(t)
-	calls, cut := disconnectableLog(on)
+	calls, disconnected := disconnectableLog(on)
 	direct := func(address string) string { return address }
 	first := startBoxVia(t, calls, "a", io.Discard, direct)
 	waitServed(t, first, jobrun.Request{Submit: submission("first")}, "")
@@ -74,33 +75,33 @@
 	waitServed(t, others[0], jobrun.Request{Submit: submission("second")}, "")
 	assert.Check(t, first.holdsCell() && first.loop.Ready())
 
-	cut.Store(true)
+	disconnected.Store(true)
 	links.SetRefusing(true)
 	links.Reset()
 	waitUntil(t, "another box holds the cell", func() bool { return others[0].holdsCell() || others[1].holdsCell() })
-	waitUntil(t, "the box that is cut off is not ready", func() bool { return !first.loop.Ready() })
+	waitUntil(t, "the disconnected box is not ready", func() bool { return !first.loop.Ready() })
 }
 
 func TestBoxWithoutLogFollowsHandover(t *testing.T) {
 	on := newPlatform(t)
-	calls, cut := disconnectableLog(on)
+	calls, disconnected := disconnectableLog(on)
 	first := startBox(t, on, "a", io.Discard)
 	waitServed(t, first, jobrun.Request{Submit: submission("first")}, "")
 	second := startBox(t, on, "b", io.Discard)
-	away := startBoxVia(t, calls, "c", io.Discard, func(address string) string { return address })
-	for i, b := range []*testBox{first, second, away} {
+	withoutLog := startBoxVia(t, calls, "c", io.Discard, func(address string) string { return address })
+	for i, b := range []*testBox{first, second, withoutLog} {
 		waitServed(t, b, jobrun.Request{Submit: submission(fmt.Sprint("warm", i))}, "")
 	}
 	assert.Check(t, first.holdsCell())
-	cut.Store(true)
+	disconnected.Store(true)
 	first.loop.Stop()
 	waitUntil(t, "the second box holds the cell", second.holdsCell)
-	// For half a second the box cannot know that the log turns it away.
-	waitServed(t, away, jobrun.Request{Submit: submission("after")}, "")
+	// For half a second the box cannot detect that the log rejects it.
+	waitServed(t, withoutLog, jobrun.Request{Submit: submission("after")}, "")
 	for i := range 20 {
-		a := away.loop.Serve(context.Background(), jobrun.Request{Submit: submission(fmt.Sprint("j", i))})
+		a := withoutLog.loop.Serve(context.Background(), jobrun.Request{Submit: submission(fmt.Sprint("j", i))})
 		assert.Check(t, a.Outcome == exchange.OK, "call %d: %+v", i, a)
 	}
-	assert.Check(t, away.loop.Ready())
-	waitServed(t, away, jobrun.Request{State: job.ID("j19")}, job.Succeeded)
+	assert.Check(t, withoutLog.loop.Ready())
+	waitServed(t, withoutLog, jobrun.Request{State: job.ID("j19")}, job.Succeeded)
 }
--- a/services/jobrun/follow.go
+++ b/services/jobrun/follow.go
@@ -14,40 +14,43 @@
 	"saddlevane/modules/clock"
 )
 
-// readRetryDelay is the pause after a read of the log that failed.
+// readRetryDelay is the pause after a failed read of the log.
 const readRetryDelay = 100 * time.Millisecond
 
-// rareReadWait is how long a read waits for records of a stream that seldom changes.
+// rareReadWait is how long a read waits for records of a stream that rarely changes.
 const rareReadWait = 2 * time.Second
 
-// configReadWait is how long a read waits for a configuration: where a change has to be in force
-// within 2 s, one that ends without any has to say so before that.
+// configReadWait is how long a read waits for a configuration. Changes have to be in force
+// within 2 s, so a read that finds none must end before that and confirm that the known
+// configuration is still current.
 const configReadWait = time.Second
 
-// follower reads a stream from its newest records on. Each round takes one page;
-// whole says that the page stands for the whole stream.
+// follower reads a stream, starting with its newest records. Each round passes one page to
+// handlePage; whole is true if the page contains the state of the whole stream and false if it
+// contains only what is new.
 type follower struct {
 	loop *Loop
 	name stream.Name
-	// pause is the least time between two reads.
+	// pause is the wait between two reads.
 	pause time.Duration
-	// wait is how long a read waits for records.
+	// wait is how long a read waits for new records.
 	wait       time.Duration
 	handlePage func(p stream.Page, whole bool)
-	// seen is told when a read was asked for that has ended, after what it gave was taken.
-	readEnded   func(askedAt time.Time)
+	// readEnded, if set, is called with the time at which a successful read was started, after
+	// its page was handled.
+	readEnded   func(startedAt time.Time)
 	handleError func(err error)
 }
 
-// follow reads a stream until ctx ends: whole at first and after a failure,
-// then what is new.
+// follow reads a stream until ctx ends: the whole stream at first and after a failure, only
+// new records otherwise.
 func (l *Loop) follow(ctx context.Context, f follower) {
 	next, started := int64(0), false
 	for ctx.Err() == nil {
-		asked := l.now()
+		startedAt := l.now()
 		page, err := f.read(ctx, next, started)
 		if err != nil {
-			// A stream whose records are gone is read anew.
+			// The records after next may be gone, so the next read starts over.
 			started = false
 			f.handleError(err)
 			clock.Wait(ctx, readRetryDelay)
@@ -55,14 +58,14 @@
 		}
 		f.handlePage(page, !started)
 		if f.readEnded != nil {
-			f.readEnded(asked)
+			f.readEnded(startedAt)
 		}
 		next, started = page.Next, true
 		clock.Wait(ctx, f.pause)
 	}
 }
 
-// read reads the whole stream, or waits for what comes after next.
+// read reads the whole stream, or waits for records from offset next on.
 func (f follower) read(ctx context.Context, next int64, started bool) (stream.Page, error) {
 	timeout := f.loop.settings.CallTimeout
 	if started {
@@ -79,11 +82,11 @@
 func (l *Loop) followConfig() {
 	l.follow(l.ctx, follower{
 		loop: l, name: stream.Config, wait: configReadWait, handlePage: l.handleConfigPage, handleError: l.readErrorLogger(stream.Config),
-		readEnded: func(askedAt time.Time) { l.post(exchange.ConfigReadEnded{AskedAt: askedAt}) },
+		readEnded: func(startedAt time.Time) { l.post(exchange.ConfigReadEnded{AskedAt: startedAt}) },
 	})
 }
 
-// handleConfigPage passes on the newest configuration of a page.
+// handleConfigPage posts the newest configuration of a page to the reducer.
 func (l *Loop) handleConfigPage(p stream.Page, _ bool) {
 	config, found, err := l.platform.Config(p.Records)
 	if err != nil {
@@ -108,7 +111,7 @@
 	l.follow(l.ctx, follower{loop: l, name: stream.Boxes, wait: rareReadWait, handlePage: l.handleMembersPage, handleError: l.readErrorLogger(stream.Boxes)})
 }
 
-// handleMembersPage passes on the boxes' announcements of a page.
+// handleMembersPage posts the announcements of entry boxes of a page to the reducer.
 func (l *Loop) handleMembersPage(p stream.Page, _ bool) {
 	var members []claim.Member
 	for _, r := range p.Records {
@@ -129,7 +132,8 @@
 	}
 }
 
-// setFollowWorkers starts or ends the following of the list of workers.
+// setFollowWorkers starts or stops following the list of workers. A follower that runs already
+// is replaced, so that the list is read whole again.
 func (l *Loop) setFollowWorkers(on bool) {
 	if l.stopFollowWorkers != nil {
 		l.stopFollowWorkers()
@@ -156,7 +160,7 @@
 	})
 }
 
-// readErrorLogger returns what a failed read of a stream is logged with.
+// readErrorLogger returns a function that logs failed reads of a stream at debug level.
 func (l *Loop) readErrorLogger(name stream.Name) func(error) {
 	return func(err error) {
 		l.log.WithError(err).WithField("stream", name).Debug("a read of the log failed")
--- a/services/jobrun/jobrun_test.go
+++ b/services/jobrun/jobrun_test.go
@@ -54,34 +54,35 @@
 	}
 }
 
-// testBox is one entry box within the test.
+// testBox is an entry box that runs in the test's process.
 type testBox struct {
 	loop   *jobrun.Loop
 	peers  *jobrun.Peers
 	closed atomic.Bool
-	// address is where the box itself listens for others.
+	// address is the address where the box itself accepts connections of other boxes.
 	address string
 }
 
-func (p *testBox) close() {
-	if p.closed.CompareAndSwap(false, true) {
-		p.peers.Close()
-		p.loop.Close()
+func (b *testBox) close() {
+	if b.closed.CompareAndSwap(false, true) {
+		b.peers.Close()
+		b.loop.Close()
 	}
 }
 
+// startBox starts a box that other boxes reach directly.
 func startBox(t *testing.T, on *memory.Platform, name string, out io.Writer) *testBox {
 	t.Helper()
 	return startBoxVia(t, on.Calls(), name, out, func(address string) string { return address })
 }
 
-// startBoxVia starts a box that others reach under the address that via returns.
+// startBoxVia starts a box that announces to other boxes the address that via returns for its own.
 func startBoxVia(t *testing.T, on jobrun.Platform, name string, out io.Writer, via func(address string) string) *testBox {
 	t.Helper()
 	return startBoxWithSettings(t, settings(), on, name, out, via)
 }
 
-// startBoxWithSettings starts a box with settings of its own.
+// startBoxWithSettings starts a box like startBoxVia with the given settings.
 func startBoxWithSettings(t *testing.T, s jobrun.Settings, on jobrun.Platform, name string, out io.Writer, via func(address string) string) *testBox {
 	t.Helper()
 	c, err := clock.New()
@@ -89,7 +90,7 @@
 	return startBoxWithClock(t, c, s, on, name, out, via)
 }
 
-// startBoxWithClock starts a box that reads some clock.
+// startBoxWithClock starts a box like startBoxWithSettings with the given clock.
 func startBoxWithClock(t *testing.T, c *clock.Clock, s jobrun.Settings, on jobrun.Platform, name string, out io.Writer, via func(address string) string) *testBox {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -97,20 +98,22 @@
 	log := logrus.New()
 	log.SetOutput(out)
 	self := claim.Member{Box: name, Incarnation: name + time.Now().String(), Domain: "a", Address: via(listener.Addr().String())}
-	p := &testBox{address: listener.Addr().String(), loop: jobrun.NewLoop(s, self, on, log.WithField("box", name), c)}
-	p.peers = jobrun.NewPeers(listener, p.loop)
-	p.loop.Run(p.peers)
-	p.peers.Serve()
-	t.Cleanup(p.close)
-	return p
+	b := &testBox{address: listener.Addr().String(), loop: jobrun.NewLoop(s, self, on, log.WithField("box", name), c)}
+	b.peers = jobrun.NewPeers(listener, b.loop)
+	b.loop.Run(b.peers)
+	b.peers.Serve()
+	t.Cleanup(b.close)
+	return b
 }
 
-func (p *testBox) holdsCell() bool {
-	held := false
-	p.loop.Query(func(now time.Time, c *dispatch.Core) { held = c.IsServing(now) })
-	return held
+// holdsCell reports whether the box holds the cell at present.
+func (b *testBox) holdsCell() bool {
+	holds := false
+	b.loop.Query(func(now time.Time, c *dispatch.Core) { holds = c.IsServing(now) })
+	return holds
 }
 
+// submission returns a job with a step of three tasks, followed by a step of one task.
 func submission(id string) *job.Submission {
 	return &job.Submission{ID: job.ID(id), Queue: "q", Steps: []job.Step{
 		{Tasks: 3, Need: resource.Vector{Processors: resource.Processor}, Estimate: 30},
@@ -118,11 +121,12 @@
 	}}
 }
 
-// waitServed waits until a wish is served with the wanted state.
-func waitServed(t *testing.T, p *testBox, r jobrun.Request, want job.State) {
+// waitServed repeats a request until it succeeds and returns the wanted state; any state will do if
+// want is empty.
+func waitServed(t *testing.T, b *testBox, r jobrun.Request, want job.State) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		a := p.loop.Serve(context.Background(), r)
+		a := b.loop.Serve(context.Background(), r)
 		if a.Outcome == exchange.OK && (want == "" || a.State == want) {
 			return poll.Success()
 		}
@@ -130,6 +134,7 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
+// newPlatform returns a platform in memory with two workers.
 func newPlatform(t *testing.T) *memory.Platform {
 	t.Helper()
 	on, err := memory.New(config(), 2)
@@ -146,18 +151,18 @@
 	for i, b := range boxes {
 		waitServed(t, b, jobrun.Request{State: job.ID(fmt.Sprint("j", 2-i))}, job.Succeeded)
 	}
-	left := boxes[:0]
+	remaining := boxes[:0]
 	for _, b := range boxes {
 		if b.holdsCell() {
 			b.close()
 			continue
 		}
-		left = append(left, b)
+		remaining = append(remaining, b)
 	}
-	assert.Equal(t, len(left), 2)
-	waitServed(t, left[0], jobrun.Request{State: "j0"}, job.Succeeded)
-	waitServed(t, left[1], jobrun.Request{Submit: submission("j9")}, "")
-	waitServed(t, left[0], jobrun.Request{State: "j9"}, job.Succeeded)
+	assert.Equal(t, len(remaining), 2)
+	waitServed(t, remaining[0], jobrun.Request{State: "j0"}, job.Succeeded)
+	waitServed(t, remaining[1], jobrun.Request{Submit: submission("j9")}, "")
+	waitServed(t, remaining[0], jobrun.Request{State: "j9"}, job.Succeeded)
 	assert.Equal(t, on.StartCount("j0.0.0.0"), 1)
 	assert.Equal(t, on.StartCount("j9.0.1.0"), 1)
 }
@@ -215,7 +220,7 @@
 	assert.NilError(t, err)
 	on := newPlatform(t)
 	b := startBox(t, on, "a", w)
-	// Nobody reads the pipe; it takes 64 KiB.
+	// Nobody reads the pipe, which holds 64 KiB.
 	for i := range 150 {
 		waitServed(t, b, jobrun.Request{Submit: submission(fmt.Sprint("j", i))}, "")
 	}
@@ -240,14 +245,14 @@
 		if out.dropped.Load() > 0 {
 			return poll.Success()
 		}
-		return poll.Continue("no line says that lines were left out")
+		return poll.Continue("no log line reports dropped lines")
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(20*time.Millisecond))
 	seconds := int64(time.Since(began).Seconds()) + 2
 	b.close()
 	assert.Check(t, out.refused.Load() <= 300*seconds, "%d lines in %d s", out.refused.Load(), seconds)
 }
 
-// lineCounter counts lines.
+// lineCounter is a log output that counts lines about refused calls and about dropped lines.
 type lineCounter struct{ refused, dropped atomic.Int64 }
 
 func (c *lineCounter) Write(p []byte) (int, error) {
@@ -259,7 +264,7 @@
 	return len(p), nil
 }
 
-// callHTTP makes a call at a server; host may be empty.
+// callHTTP makes an HTTP call to a server. If host is empty, the Host header is the server's address.
 func callHTTP(t *testing.T, s *httptest.Server, method, host, path, body string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(context.Background(), method, s.URL+path, strings.NewReader(body))
@@ -312,7 +317,7 @@
 	on := newPlatform(t)
 	b := startBox(t, on, "a", io.Discard)
 	waitServed(t, b, jobrun.Request{Submit: submission("first")}, "")
-	// Only what has begun no longer waits.
+	// Jobs count as waiting until they have started.
 	waitServed(t, b, jobrun.Request{State: "first"}, job.Succeeded)
 	s := httptest.NewServer(routers.NewJobs(b.loop))
 	defer s.Close()
--- a/services/jobrun/keys_test.go
+++ b/services/jobrun/keys_test.go
@@ -27,15 +27,16 @@
 	"gotest.tools/v3/poll"
 )
 
-// keyedPlatform is a platform whose configuration has workspaces that change.
+// keyedPlatform is a platform whose configuration has workspaces with keys and can be replaced.
 type keyedPlatform struct {
 	jobrun.Platform
 	config atomic.Pointer[job.Config]
-	// away makes the log answer no read of this box.
+	// logDown makes all reads of the log fail.
 	logDown atomic.Bool
 }
 
-// newKeyedPlatform returns a platform with a keyed and an open queue.
+// newKeyedPlatform returns a platform with queue "q", which requires a key, and queue "open". The keys
+// map keys to workspaces.
 func newKeyedPlatform(t *testing.T, version int64, keys map[string]string) *keyedPlatform {
 	t.Helper()
 	k := &keyedPlatform{Platform: newPlatform(t).Calls()}
@@ -57,7 +58,7 @@
 	return k
 }
 
-// publish puts workspaces in force that are known by some keys.
+// publish replaces the configuration by one with the given version. The keys map keys to workspaces.
 func (k *keyedPlatform) publish(t *testing.T, version int64, keys map[string]string) {
 	t.Helper()
 	c := config()
@@ -80,7 +81,7 @@
 	k.config.Store(&c)
 }
 
-// callWithKeys makes a call that carries some keys.
+// callWithKeys makes an HTTP call with the given keys as credentials.
 func callWithKeys(t *testing.T, s *httptest.Server, method, path, body string, keys ...string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(context.Background(), method, s.URL+path, strings.NewReader(body))
@@ -95,7 +96,7 @@
 	return resp.StatusCode, string(data)
 }
 
-// safeBuffer is a buffer that lines are written to from several goroutines.
+// safeBuffer is a buffer that several goroutines may write to.
 type safeBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -115,8 +116,8 @@
 
 const oneTask = `{"spec":"x","steps":[{"count":1,"cpu":500,"memMb":64}]}`
 
-// The platform's callers carry keys, and all were served, whatever their keys. No key may be
-// read in any line, metric, dump or answer.
+// Calls with a missing or wrong key were served, whatever the key. Keys must not appear in any log
+// line, metric, dump or answer either.
 func TestCallersAreAuthorizedByWorkspaceKey(t *testing.T) {
 	on := newKeyedPlatform(t, 1, map[string]string{"key-of-a": "a", "key-of-b": "b", "key-taken": "a"})
 	var lines safeBuffer
@@ -184,9 +185,9 @@
 	assert.Check(t, strings.Contains(lines.String(), "call refused"))
 }
 
-// A box that the log had turned away went on to judge by what it had read before: it let in
-// keys that had been taken away, and refused, as unknown, those that had just been given.
-// Neither can be known there.
+// A box that could not read the log went on to judge keys by its last configuration: it accepted
+// keys that had been revoked and rejected keys that had just been issued as unknown. It cannot
+// decide either case, so it must answer 503.
 func TestBoxWithStaleConfigJudgesNoKeys(t *testing.T) {
 	on := newKeyedPlatform(t, 1, map[string]string{"k1": "a"})
 	b := startBoxVia(t, on.Platform, "a", io.Discard, func(address string) string { return address })
--- a/services/jobrun/late_test.go
+++ b/services/jobrun/late_test.go
@@ -18,8 +18,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom, sequence and cause: see TestAnEndThatIsHeardLateCounts of package dispatch.
-// Here each answer to a look takes longer than a look is waited for, as on a full link.
+// Ends of runs that were reported in late answers were dropped, so that finished tasks were started
+// again elsewhere; see TestEndInLateAnswerCounts in package dispatch. Here every answer to a renewal
+// takes longer than the holder waits for it, as on a congested link.
 func TestRunEndsAreReceivedWhenEveryRenewalIsLate(t *testing.T) {
 	on, err := memory.New(config(), 8)
 	assert.NilError(t, err)
@@ -42,18 +43,18 @@
 	}
 }
 
-// The answer may come while the loop tells that it is overdue. Nothing here makes one wait
-// for the other, so that the race detector sees what they share.
-// The notice copied the value into which the answer was written; each has its own.
+// The notice that a renewal is overdue copied the variable that the answer was written to, a data
+// race if the answer arrived at that moment. Each now has a variable of its own. The test does not
+// synchronize the two goroutines, so that the race detector sees what they share.
 func TestRenewalAnswerDoesNotRaceWithOverdueNotice(t *testing.T) {
 	on, err := memory.New(config(), 2)
 	assert.NilError(t, err)
 	calls := on.Calls()
 	renew := calls.Workers.Renew
 	calls.Workers.Renew = func(ctx context.Context, address string, worker order.Incarnation, r order.Renew) (order.Report, order.Answer) {
-		began := time.Now()
+		startedAt := time.Now()
 		report, answer := renew(ctx, address, worker, r)
-		for time.Since(began) < 210*time.Millisecond {
+		for time.Since(startedAt) < 210*time.Millisecond {
 			runtime.Gosched()
 		}
 		return report, answer
--- a/services/jobrun/load.go
+++ b/services/jobrun/load.go
@@ -13,28 +13,29 @@
 	"saddlevane/models/exchange"
 )
 
-// loadLogInterval is the time between two lines about the load of a process that holds the
-// cell.
+// loadLogInterval is the time between two log lines about the load of the holder.
 const loadLogInterval = 2 * time.Second
 
-// loadStats sums up what the process has to do, and how late it is.
+// loadStats collects what the process has done since its last log line about load.
 type loadStats struct {
 	mu sync.Mutex
-	// bytes are those that passed since the last line, by what was called.
+	// byteCounts holds the bytes sent and received since the last line, by destination.
 	byteCounts map[string]*byteCount
-	// The rest is the loop's own: how many events were taken since the last line, how
-	// long they waited at most, and when the next line is due.
+	// The fields below are used only by the goroutine of Loop.run. eventCount is the number
+	// of events handled since the last line, maxWait the longest time that one of them waited
+	// in the queue.
 	eventCount int
 	maxWait    time.Duration
-	// plans is the time of all plans, longest that of the longest.
+	// passTime is the total time of the placement passes since the last line, longestPass the
+	// time of the longest one.
 	passTime, longestPass time.Duration
 	nextLogAt             time.Time
 }
 
-// byteCount counts bytes.
+// byteCount counts received (in) and sent (out) bytes.
 type byteCount struct{ in, out atomic.Int64 }
 
-// bytesTo returns the count of what is called.
+// bytesTo returns the counter for a destination and creates it if needed.
 func (l *loadStats) bytesTo(name string) *byteCount {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -47,52 +48,54 @@
 	return l.byteCounts[name]
 }
 
-// recordEvent notes an event that has waited for the loop.
+// recordEvent counts an event that has waited in the queue.
 func (l *loadStats) recordEvent(waited time.Duration) {
 	l.eventCount++
 	l.maxWait = max(l.maxWait, waited)
 }
 
-// recordPass notes a plan.
+// recordPass adds the time of a placement pass.
 func (l *loadStats) recordPass(took time.Duration) {
 	l.passTime += took
 	l.longestPass = max(l.longestPass, took)
 }
 
-// takeLogEvent returns the line about the load, and begins to count anew.
-func (l *loadStats) takeLogEvent(queued int, taken float64) exchange.LogEvent {
+// takeLogEvent returns the log line about the load and resets the statistics. queued is the
+// number of waiting events, admittedShare the share of new jobs that is admitted.
+func (l *loadStats) takeLogEvent(queued int, admittedShare float64) exchange.LogEvent {
 	l.mu.Lock()
-	all := maps.Clone(l.byteCounts)
+	counts := maps.Clone(l.byteCounts)
 	l.mu.Unlock()
 	in, out := map[string]int64{}, map[string]int64{}
-	for name, p := range all {
-		in[name], out[name] = p.in.Swap(0), p.out.Swap(0)
+	for name, count := range counts {
+		in[name], out[name] = count.in.Swap(0), count.out.Swap(0)
 	}
-	n := exchange.LogEvent{Message: "load of the process", Fields: []exchange.LogField{
+	line := exchange.LogEvent{Message: "load of the process", Fields: []exchange.LogField{
 		{Name: "events", Value: l.eventCount},
 		{Name: "waited_most", Value: l.maxWait.String()},
 		{Name: "queued", Value: queued},
-		{Name: "jobs_taken", Value: taken},
+		{Name: "jobs_taken", Value: admittedShare},
 		{Name: "plans_took", Value: l.passTime.String()},
 		{Name: "longest_plan", Value: l.longestPass.String()},
 		{Name: "bytes_in", Value: fmt.Sprint(in)},
 		{Name: "bytes_out", Value: fmt.Sprint(out)},
 	}}
 	l.eventCount, l.maxWait, l.passTime, l.longestPass = 0, 0, 0, 0
-	return n
+	return line
 }
 
-// ByteCounter returns what counts the bytes that pass on connections to what is called.
+// ByteCounter returns a function that counts the bytes received and sent on connections to the
+// named destination.
 func (l *Loop) ByteCounter(name string) func(in, out int) {
-	p := l.load.bytesTo(name)
+	count := l.load.bytesTo(name)
 	return func(in, out int) {
-		p.in.Add(int64(in))
-		p.out.Add(int64(out))
+		count.in.Add(int64(in))
+		count.out.Add(int64(out))
 		l.metrics.recordBytes(name, in, out)
 	}
 }
 
-// logLoad writes the line about the load of a process that holds the cell, if it is due.
+// logLoad writes the log line about load if this box holds the cell and the line is due.
 func (l *Loop) logLoad(now time.Time) {
 	if now.Before(l.load.nextLogAt) || !l.core.IsServing(now) {
 		return
@@ -101,15 +104,17 @@
 	l.logWriter.write(l.load.takeLogEvent(len(l.events), l.gate.AdmittedShare()))
 }
 
-// applyOverload returns a caller's new job as one that is not to be taken, if this box is behind
-// with its work or the caller has been told by now that there was no answer in time. The
-// reducer knows whether the job is new.
+// applyOverload sets RetryAfter on a submission that must not be accepted as a new job: either
+// the gate rejects it because this box is overloaded, or it has waited so long that the
+// forwarding box has already answered that there was no answer in time. It doesn't drop the
+// submission, since only the reducer can tell whether the job is new. Other events are
+// returned unchanged.
 func (l *Loop) applyOverload(now time.Time, waited time.Duration, e exchange.Event) exchange.Event {
 	s, ok := e.(exchange.Submitted)
 	if !ok {
 		return e
 	}
-	if taken, after := l.gate.Admit(now, string(s.Submission.ID)); !taken {
+	if admitted, after := l.gate.Admit(now, string(s.Submission.ID)); !admitted {
 		s.RetryAfter = after
 	}
 	if waited > l.settings.PeerTimeout {
@@ -121,7 +126,8 @@
 	return s
 }
 
-// updateGate adapts the share of new jobs that is taken.
+// updateGate adapts the share of new jobs that is admitted and logs when refusing begins or
+// ends.
 func (l *Loop) updateGate(now time.Time) {
 	l.gate.RecordResponseTime(l.core.WorkerAnswerTime(now))
 	if !l.gate.Update(now) {
--- a/services/jobrun/loop.go
+++ b/services/jobrun/loop.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package jobrun runs the reducer for submitted jobs as a process: one loop
-// feeds it events with the present time, and adapters carry out its effects.
+// Package jobrun runs the reducer for submitted jobs (package dispatch) as a process. A single
+// event loop feeds it events with the current time, and adapters carry out the effects that it
+// returns: appends to the log, orders to workers, calls to other entry boxes.
 package jobrun
 
 import (
@@ -24,55 +25,58 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Log is the platform's log.
+// Log holds the calls to the platform's log.
 type Log struct {
 	Append func(ctx context.Context, a stream.Append) (offset int64, err error)
-	// Read waits for records from an offset on.
+	// Read returns the records from an offset on and waits up to wait if there are none.
 	Read func(ctx context.Context, name stream.Name, from int64, wait time.Duration) (stream.Page, error)
 	// Newest returns the newest record of each key.
 	Newest func(ctx context.Context, name stream.Name) (stream.Page, error)
 }
 
-// Platform is what the process reaches outside the cell's entry boxes.
+// Platform holds the calls to everything outside the cell's entry boxes, and the decoders of
+// the platform's records.
 type Platform struct {
 	Log     Log
 	Workers relay.WorkerCalls
 	Advise  func(ctx context.Context, step job.StepID, workers []string) ([]order.Ticket, error)
-	// Config returns the configuration that the records hold, if any does.
+	// Config returns the configuration that the records contain, and whether they contain one.
 	Config func(records []stream.Record) (job.Config, bool, error)
-	// Listing returns what records say of workers.
+	// Listing returns what the records report about workers.
 	Listing func(records []stream.Record) order.Listing
 }
 
-// Settings of the process.
+// Settings are the settings of a Loop.
 type Settings struct {
 	Dispatch dispatch.Settings
-	// Tick is the time between two ticks of the reducer.
+	// Tick is the interval between two Tick events for the reducer.
 	Tick time.Duration
-	// ReadWait is how long a read of the log waits for records.
+	// ReadWait is how long a read of the claims waits for new records.
 	ReadWait time.Duration
-	// WorkersInterval is the time between two reads of the list of workers.
+	// WorkersInterval is the wait between two reads of the list of workers.
 	WorkersInterval time.Duration
-	// CallTimeout bounds a call to the log.
+	// CallTimeout bounds a call to the log. A read may take this long in addition to its wait.
 	CallTimeout time.Duration
 	// PeerTimeout bounds a call to another entry box.
 	PeerTimeout time.Duration
-	// Relays say from when on other boxes carry orders to workers.
+	// Relays limits from how many workers on other boxes relay orders, and to how many each.
 	Relays relay.Limits
-	// Probe and Answer bound the silence of links to other entry boxes.
+	// Probe is how long a link to another entry box may be silent before it is probed, Answer
+	// how long it may stay silent after that before it is closed.
 	Probe, Answer time.Duration
 }
 
-// eventQueueSize is how many events may wait for the loop.
+// eventQueueSize is how many events may wait for the loop. It also bounds the events that are
+// handled before one decision.
 const eventQueueSize = 4096
 
-// queuedEvent is an event and when it began to wait for the loop.
+// queuedEvent is an event and the time at which it was posted.
 type queuedEvent struct {
 	event    exchange.Event
 	queuedAt time.Time
 }
 
-// Loop runs the reducer. Close ends it.
+// Loop runs the reducer and carries out its effects. Close ends it.
 type Loop struct {
 	settings  Settings
 	core      *dispatch.Core
@@ -86,13 +90,13 @@
 	queries   chan func(now time.Time, c *dispatch.Core)
 	metrics   *Metrics
 	load      loadStats
-	// gate says which new jobs are taken while this box holds the cell and is behind.
+	// gate decides which new jobs are admitted while this box holds the cell and is overloaded.
 	gate  overload.Gate
 	peers *Peers
-	// relays says which boxes carry orders to workers, carrier gives them.
+	// relays determines which box relays the orders for a worker, relayClient sends them.
 	relays      *relay.Selector
 	relayClient *relay.Client
-	// workers gives orders through relays.
+	// workers gives orders to workers, through relays where there are any.
 	workers  relay.WorkerCalls
 	ctx      context.Context
 	cancel   context.CancelFunc
@@ -101,32 +105,33 @@
 	stopOnce sync.Once
 
 	mu sync.Mutex
-	// calls are the callers that wait for an answer.
+	// calls holds the channels of the goroutines that wait for a reply of the reducer.
 	calls    map[exchange.CallID]chan exchange.Answer
 	lastCall exchange.CallID
 	view     view
-	// told is the newest claim that another box has told of. A box that the log does
-	// not answer learns from it who holds the cell.
+	// reportedClaim is the newest claim that another box has reported. A box that cannot read
+	// the log learns from it which box holds the cell.
 	reportedClaim claim.Claim
-	// stopFollowWorkers ends the following of the list of workers.
+	// stopFollowWorkers stops following the list of workers, nil if it isn't followed. Only
+	// the goroutine of Loop.run uses it.
 	stopFollowWorkers context.CancelFunc
 }
 
-// view is what the callers' side knows of the reducer.
+// view is the part of the reducer's state that other goroutines read.
 type view struct {
 	config *job.Config
-	// configCurrentUntil is until when the configuration is known to be the newest.
+	// configCurrentUntil is until when config is known to be the newest configuration.
 	configCurrentUntil time.Time
 	holder             claim.Claim
 	holdsCell          bool
 	// logReadAt is when the log last answered.
 	logReadAt time.Time
-	// epoch is the claim under which orders may be given until orderUntil.
+	// epoch is the epoch of the claim under which orders may be given until orderUntil.
 	epoch      int64
 	orderUntil time.Time
 }
 
-// NewLoop returns a loop that does not run yet.
+// NewLoop returns a loop that is not running yet. self describes this entry box.
 func NewLoop(s Settings, self claim.Member, p Platform, log *logrus.Entry, c *clock.Clock) *Loop {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Loop{
@@ -141,7 +146,7 @@
 	return l
 }
 
-// Run starts the loop and all that feeds it.
+// Run starts the event loop and the goroutines that follow the log. It does not block.
 func (l *Loop) Run(peers *Peers) {
 	l.peers = peers
 	l.tasks.Go(l.run)
@@ -150,13 +155,13 @@
 	l.tasks.Go(l.followMembers)
 }
 
-// Stop begins a planned stop.
+// Stop starts a planned shutdown, in which the cell is handed over. Stopped reports its end.
 func (l *Loop) Stop() { l.post(exchange.Stop{}) }
 
-// Stopped is closed when a planned stop is complete.
+// Stopped returns a channel that is closed when a planned shutdown is complete.
 func (l *Loop) Stopped() <-chan struct{} { return l.stopped }
 
-// Close ends the loop and waits for it.
+// Close ends the loop, waits for its goroutines and writes the remaining log lines.
 func (l *Loop) Close() {
 	l.cancel()
 	l.relayClient.Close()
@@ -164,7 +169,7 @@
 	l.logWriter.close()
 }
 
-// post gives the reducer an event.
+// post queues an event for the reducer. It blocks while the queue is full, until the loop ends.
 func (l *Loop) post(e exchange.Event) {
 	select {
 	case l.events <- queuedEvent{event: e, queuedAt: l.now()}:
@@ -172,7 +177,8 @@
 	}
 }
 
-// Query runs f beside the reducer. It returns false if the loop has ended.
+// Query runs f in the goroutine of the event loop, between two events, and waits for it. It
+// returns false without a call if the loop has ended.
 func (l *Loop) Query(f func(now time.Time, c *dispatch.Core)) bool {
 	done := make(chan struct{})
 	wrapped := func(now time.Time, c *dispatch.Core) {
@@ -188,10 +194,10 @@
 	return true
 }
 
-// Metrics returns the counters of the process.
+// Metrics returns the metrics of the process.
 func (l *Loop) Metrics() *Metrics { return l.metrics }
 
-// run is the only goroutine that calls the reducer.
+// run is the event loop. No other goroutine may call the reducer.
 func (l *Loop) run() {
 	ticker := time.NewTicker(l.settings.Tick)
 	defer ticker.Stop()
@@ -217,20 +223,20 @@
 	}
 }
 
-// handle gives the reducer an event.
-func (l *Loop) handle(p queuedEvent) {
+// handle passes an event to the reducer.
+func (l *Loop) handle(q queuedEvent) {
 	now := l.now()
-	waited := now.Sub(p.queuedAt)
+	waited := now.Sub(q.queuedAt)
 	l.load.recordEvent(waited)
 	l.metrics.queueWait.Observe(waited.Seconds())
 	l.gate.RecordQueueAge(waited)
 	l.core.SetSuspendOffset(l.clock.Suspended())
-	l.core.Handle(now, l.applyOverload(now, waited, p.event))
+	l.core.Handle(now, l.applyOverload(now, waited, q.event))
 }
 
-// handleQueued takes the events that came together, so that one decision serves all. Each
-// is told with the time at which it is taken: a time from before an answer came
-// would make leases seem shorter than they are.
+// handleQueued handles the events that are already queued, so that one decision covers all of
+// them. Each is passed on with the time at which it is handled: with a time from before an
+// answer arrived, leases would appear shorter than they are.
 func (l *Loop) handleQueued() {
 	for range eventQueueSize {
 		select {
@@ -242,8 +248,8 @@
 	}
 }
 
-// decide has the reducer decide, and carries out its effects; callers see the
-// state that came of it.
+// decide has the reducer decide, publishes the resulting state to other goroutines and then
+// carries out the effects, so that callers who receive a reply already see that state.
 func (l *Loop) decide(now time.Time) {
 	plans := l.core.PlanCount()
 	effects := l.core.Decide(now)
@@ -259,7 +265,7 @@
 	}
 }
 
-// updateView has callers and the orders under way see the state that the reducer has come to.
+// updateView copies the reducer's state to the view that callers and pending orders read.
 func (l *Loop) updateView(now time.Time) {
 	v := view{config: l.core.Config(), holder: l.core.Holder(), holdsCell: l.core.IsServing(now), logReadAt: l.core.LogReadAt()}
 	v.configCurrentUntil = l.core.ConfigCurrentUntil()
@@ -269,9 +275,9 @@
 	l.mu.Unlock()
 }
 
-// canOrder says whether an order under a claim may still be written. It was decided by a
-// process that had authority; the machine may have been suspended since, and another box
-// may hold the cell by now.
+// canOrder reports whether an order decided under the claim with the given epoch may still be
+// sent. The authority existed when the order was decided, but the machine may have been
+// suspended since, and another box may hold the cell by now.
 func (l *Loop) canOrder(epoch int64) bool {
 	l.mu.Lock()
 	v := l.view
@@ -279,11 +285,11 @@
 	return v.epoch == epoch && l.now().Before(v.orderUntil)
 }
 
-// answerAuthorityEnded is the answer to an order that was not written.
+// answerAuthorityEnded is the answer to an order that was not sent because canOrder was false.
 var answerAuthorityEnded = order.Answer{Outcome: order.NotDone, Problem: "the authority under which it was decided has ended"}
 
-// execute carries out one effect. What takes time runs beside the loop and comes
-// back as an event.
+// execute carries out one effect. An effect that takes time runs in its own goroutine, and its
+// result is posted as an event.
 func (l *Loop) execute(e exchange.Effect) {
 	switch e := e.(type) {
 	case exchange.Append:
--- a/services/jobrun/metrics.go
+++ b/services/jobrun/metrics.go
@@ -19,8 +19,8 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
-// Metrics are the counters and histograms of a process. All label sets are
-// bounded: their values are constants of the code.
+// Metrics holds the metrics of a process. All label sets are bounded: their values are constants of
+// the code, or the names of at most maxWorkspaceMetrics workspaces.
 type Metrics struct {
 	registry *prometheus.Registry
 	calls    *prometheus.CounterVec
@@ -30,40 +30,39 @@
 	appends  *prometheus.CounterVec
 	logTime  *prometheus.HistogramVec
 	advice   *prometheus.CounterVec
-	// unanswered counts calls that ran out of their time, by what was called.
+	// unanswered counts calls that timed out, by destination.
 	unanswered *prometheus.CounterVec
-	// callsRetried counts calls that were made again, by what was called and which try was
-	// answered.
+	// callsRetried counts retried calls, by destination and by which attempt was answered.
 	callsRetried *prometheus.CounterVec
-	// connectionsGivenUp counts connections that are not trusted any more, by what they
-	// lead to.
+	// connectionsGivenUp counts connections that were closed as silent, by destination.
 	connectionsGivenUp *prometheus.CounterVec
 	connectionsOpen    *prometheus.GaugeVec
-	// bytes counts the bytes that passed, by what was called.
+	// bytes counts transferred bytes, by destination and direction.
 	bytes *prometheus.CounterVec
-	// waited is how long events waited for the loop.
+	// queueWait is how long events wait in the loop's queue.
 	queueWait prometheus.Histogram
-	// planned is the time of plans.
+	// passTime is the time of a placement pass.
 	passTime prometheus.Histogram
-	// refused counts new jobs that were refused because the holder was behind.
+	// overloadRefusals counts submissions to which applyOverload has set RetryAfter.
 	overloadRefusals prometheus.Counter
-	// tasksLost counts tasks that were lost with their workers, by how those ended,
-	// lostWorkTime how long they had been at work.
+	// tasksLost counts tasks that were lost with their workers, by how the workers ended.
+	// lostWorkTime adds up how long those tasks had been running, in seconds.
 	tasksLost, lostWorkTime *prometheus.CounterVec
-	// jobsGivenUp counts jobs that were given up because workers crashed under a task of them,
-	// crashesBlamed those workers.
+	// jobsGivenUp counts jobs that were given up because workers crashed while running one of
+	// their tasks. crashesBlamed counts these crashes.
 	jobsGivenUp, crashesBlamed prometheus.Counter
-	// entriesRefused counts entries of the list of workers that name none.
+	// entriesRefused counts entries of the list of workers that do not describe a worker.
 	entriesRefused prometheus.Counter
-	// refusedCalls counts calls that the box which took them has refused.
+	// refusedCalls counts calls that this box has refused without forwarding them.
 	refusedCalls *prometheus.CounterVec
-	// workspaces has what the tasks of the largest workspaces take, and may take.
+	// workspaces holds the usage and the caps of the workspaces with the largest weights.
 	workspaces *prometheus.GaugeVec
-	// jobsOverShare counts new jobs that were more than their workspace's share.
+	// jobsOverShare counts new jobs that exceeded their workspace's share.
 	jobsOverShare *prometheus.CounterVec
 }
 
-// callBuckets reach from an answer out of memory to the longest deadline.
+// callBuckets range, in seconds, from an answer that needs only memory to the longest deadline of a
+// call.
 var callBuckets = []float64{0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 3}
 
 func newMetrics() *Metrics {
@@ -114,15 +113,17 @@
 	return m
 }
 
+// counter returns a counter with the prefix of all metrics of this program.
 func counter(name, help string, labels ...string) *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: "saddlevane_" + name, Help: help}, labels)
 }
 
+// histogram returns a histogram with callBuckets and the prefix of all metrics of this program.
 func histogram(name, help string, labels ...string) *prometheus.HistogramVec {
 	return prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "saddlevane_" + name, Help: help, Buckets: callBuckets}, labels)
 }
 
-// Gatherer returns what the metrics address serves.
+// Gatherer returns the gatherer that the metrics endpoint serves.
 func (m *Metrics) Gatherer() prometheus.Gatherer { return m.registry }
 
 func (m *Metrics) recordCall(call string, outcome exchange.Outcome, took time.Duration) {
@@ -146,13 +147,13 @@
 	m.logTime.WithLabelValues(string(p)).Observe(took.Seconds())
 }
 
-// appendResult names the end of an append for the counters.
+// appendResult returns the label value for the result of an append.
 func appendResult(err error) string {
-	_, moved := errors.AsType[*stream.EndMismatchError](err)
+	_, endMismatch := errors.AsType[*stream.EndMismatchError](err)
 	switch {
 	case err == nil:
 		return "done"
-	case moved:
+	case endMismatch:
 		return "moved"
 	case errors.Is(err, stream.ErrFenced):
 		return "fenced"
@@ -163,15 +164,15 @@
 	}
 }
 
-// maxWorkspaceMetrics is how many workspaces have metrics of their own; the others are summed up.
-// At two years' size there are 67.
+// maxWorkspaceMetrics is how many workspaces have metrics of their own; the others are added up.
+// After two years of the expected growth there are 67 workspaces.
 const maxWorkspaceMetrics = 100
 
-// otherWorkspaces is the name under which the rest is summed up: no workspace can have it.
+// otherWorkspaces is the label of the sum of the other workspaces. No workspace has an empty name.
 const otherWorkspaces = ""
 
-// setWorkspaces sets the metrics of the workspaces, of which those with the largest weight
-// are shown.
+// setWorkspaces replaces the metrics of the workspaces. The maxWorkspaceMetrics workspaces with
+// the largest weights have metrics of their own.
 func (m *Metrics) setWorkspaces(all []job.WorkspaceStatus) {
 	all = slices.Clone(all)
 	slices.SortStableFunc(all, func(a, b job.WorkspaceStatus) int { return cmp.Compare(b.Weight, a.Weight) })
@@ -191,7 +192,7 @@
 	}
 }
 
-// recordOverShare counts a new job that was more than its workspace's share.
+// recordOverShare counts a new job that exceeded its workspace's share.
 func (m *Metrics) recordOverShare(refused bool) {
 	outcome := "taken"
 	if refused {
@@ -223,7 +224,7 @@
 	m.connectionsGivenUp.WithLabelValues(to, reason).Inc()
 }
 
-// recordBytes counts bytes that were read and written.
+// recordBytes counts received (in) and sent (out) bytes.
 func (m *Metrics) recordBytes(to string, in, out int) {
 	if in > 0 {
 		m.bytes.WithLabelValues(to, "in").Add(float64(in))
--- a/services/jobrun/notes.go
+++ b/services/jobrun/notes.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// logQueueSize is how many lines may wait to be written.
+	// logQueueSize is how many log lines may wait to be written.
 	logQueueSize = 1024
-	// maxLinesPerSecond bounds the lines of one message in a second.
+	// maxLinesPerSecond bounds the lines with the same message within one second.
 	maxLinesPerSecond = 300
 )
 
-// logWriter writes the reducer's lines beside the loop. A full output costs lines,
-// not time; what was left out is counted.
+// logWriter writes log lines in a goroutine of its own, so that a blocked output does not block
+// the event loop. Lines that exceed the queue or the rate limit are dropped and counted.
 type logWriter struct {
 	log   *logrus.Entry
 	now   func() time.Time
@@ -35,76 +35,76 @@
 	dropped map[string]int
 }
 
-// logLine is a note and when it was made.
+// logLine is a log line and the time at which it was queued.
 type logLine struct {
 	event exchange.LogEvent
 	at    time.Time
 }
 
 func newLogWriter(log *logrus.Entry, now func() time.Time) *logWriter {
-	n := &logWriter{log: log, now: now, queue: make(chan logLine, logQueueSize), written: map[string]int{}, dropped: map[string]int{}}
-	n.tasks.Go(n.run)
-	return n
+	w := &logWriter{log: log, now: now, queue: make(chan logLine, logQueueSize), written: map[string]int{}, dropped: map[string]int{}}
+	w.tasks.Go(w.run)
+	return w
 }
 
-// close waits until all lines are written.
-func (n *logWriter) close() {
-	n.mu.Lock()
-	if !n.closed {
-		n.closed = true
-		close(n.queue)
+// close stops accepting lines and waits until all queued lines are written.
+func (w *logWriter) close() {
+	w.mu.Lock()
+	if !w.closed {
+		w.closed = true
+		close(w.queue)
 	}
-	n.mu.Unlock()
-	n.tasks.Wait()
+	w.mu.Unlock()
+	w.tasks.Wait()
 }
 
-// write queues a line, or counts it among those left out.
-func (n *logWriter) write(e exchange.LogEvent) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	at := n.now()
-	if at.Unix() != n.second {
-		n.second = at.Unix()
-		clear(n.written)
-		n.reportDropped(at)
+// write queues a line, or counts it as dropped if its message exceeds the rate limit.
+func (w *logWriter) write(e exchange.LogEvent) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	at := w.now()
+	if at.Unix() != w.second {
+		w.second = at.Unix()
+		clear(w.written)
+		w.reportDropped(at)
 	}
-	n.written[e.Message]++
-	if n.written[e.Message] > maxLinesPerSecond {
-		n.dropped[e.Message]++
+	w.written[e.Message]++
+	if w.written[e.Message] > maxLinesPerSecond {
+		w.dropped[e.Message]++
 		return
 	}
-	n.enqueue(logLine{event: e, at: at})
+	w.enqueue(logLine{event: e, at: at})
 }
 
-// reportDropped says how many lines were left out.
-func (n *logWriter) reportDropped(at time.Time) {
-	for message, count := range n.dropped {
-		delete(n.dropped, message)
-		n.enqueue(logLine{at: at, event: exchange.LogEvent{Message: "lines were left out", Fields: []exchange.LogField{
+// reportDropped queues a line for each message of which lines were dropped, with their number.
+func (w *logWriter) reportDropped(at time.Time) {
+	for message, count := range w.dropped {
+		delete(w.dropped, message)
+		w.enqueue(logLine{at: at, event: exchange.LogEvent{Message: "lines were left out", Fields: []exchange.LogField{
 			{Name: "of", Value: message}, {Name: "count", Value: count},
 		}}})
 	}
 }
 
-// enqueue queues a line if there is room.
-func (n *logWriter) enqueue(l logLine) {
-	if n.closed {
+// enqueue queues a line, or counts it as dropped if the queue is full. w.mu must be held.
+func (w *logWriter) enqueue(l logLine) {
+	if w.closed {
 		return
 	}
 	select {
-	case n.queue <- l:
+	case w.queue <- l:
 	default:
-		n.dropped[l.event.Message]++
+		w.dropped[l.event.Message]++
 	}
 }
 
-// run writes lines until close.
-func (n *logWriter) run() {
-	for l := range n.queue {
+// run writes queued lines until close is called.
+func (w *logWriter) run() {
+	for l := range w.queue {
 		fields := make(logrus.Fields, len(l.event.Fields))
 		for _, f := range l.event.Fields {
 			fields[f.Name] = f.Value
 		}
-		n.log.WithTime(l.at).WithFields(fields).Info(l.event.Message)
+		w.log.WithTime(l.at).WithFields(fields).Info(l.event.Message)
 	}
 }
--- a/services/jobrun/orders.go
+++ b/services/jobrun/orders.go
@@ -14,26 +14,26 @@
 	"saddlevane/modules/httpclient"
 )
 
-// appendToLog appends to the log. It may be made again: an append of the journal has a
-// sequence number and takes effect once; so does a claim, which names the place where it
-// goes; an announcement says the same twice. The reducer takes no error for a sign that
-// nothing was appended, since a claim whose first try was done is answered that the
-// stream has moved.
+// appendToLog appends to the log. The append may be retried, because a second one has no further
+// effect: an append to the journal has a sequence number and takes effect once, a claim states
+// the offset at which it must be appended, and an announcement only repeats itself. The reducer
+// does not conclude from an error that nothing was appended: if the first attempt of a claim took
+// effect, the retry fails because the end of the stream has moved.
 func (l *Loop) appendToLog(e exchange.Append) {
 	ctx, cancel := context.WithTimeout(l.ctx, l.settings.CallTimeout)
 	defer cancel()
 	ctx = httpclient.Repeatable(ctx, httpclient.Repeat{})
-	began := l.now()
+	startedAt := l.now()
 	offset, err := l.platform.Log.Append(ctx, e.Append)
-	l.metrics.recordAppend(e.Purpose, l.now().Sub(began), err)
+	l.metrics.recordAppend(e.Purpose, l.now().Sub(startedAt), err)
 	l.post(exchange.AppendEnded{Purpose: e.Purpose, Number: e.Number, Offset: offset, Err: err})
 }
 
-// loadJobsTimeout bounds the reading of all jobs.
+// loadJobsTimeout bounds the read of all jobs.
 const loadJobsTimeout = 5 * time.Second
 
-// loadJobs reads the stream of jobs whole. After a failure it waits a moment,
-// since the reducer asks again at once.
+// loadJobs reads the whole stream of jobs. After a failure it pauses before it posts the result,
+// since the reducer retries at once.
 func (l *Loop) loadJobs(e exchange.LoadJobs) {
 	ctx, cancel := context.WithTimeout(l.ctx, loadJobsTimeout)
 	defer cancel()
@@ -44,8 +44,9 @@
 	l.post(exchange.JobsLoaded{Epoch: e.Epoch, Records: page.Records, Err: err})
 }
 
-// renewLease renews a worker's lease. When the answer is overdue the reducer is told so, and
-// of the answer too if it comes later.
+// renewLease renews a worker's lease. If there is no answer within e.Timeout, it posts a result
+// with an unknown outcome. A successful answer that arrives within the grace period after that
+// is posted as a second result.
 func (l *Loop) renewLease(e exchange.Renew) {
 	if !l.canOrder(e.Epoch) {
 		l.post(exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Renewal: e.Renewal, Answer: answerAuthorityEnded})
@@ -54,9 +55,9 @@
 	ctx, cancel := context.WithTimeout(httpclient.Overdue(l.ctx, e.Timeout), e.Timeout+e.GracePeriod)
 	defer cancel()
 	ended := exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Renewal: e.Renewal}
-	none := ended
-	none.Answer = order.Answer{Outcome: order.Unknown, Problem: "no answer in time"}
-	overdue := time.AfterFunc(e.Timeout, func() { l.post(none) })
+	noAnswer := ended
+	noAnswer.Answer = order.Answer{Outcome: order.Unknown, Problem: "no answer in time"}
+	overdue := time.AfterFunc(e.Timeout, func() { l.post(noAnswer) })
 	ended.Report, ended.Answer = l.workers.Renew(ctx, e.Address, e.Worker, e.Order)
 	l.metrics.recordOrder("renew", ended.Answer)
 	for _, end := range ended.Report.Ended {
@@ -67,7 +68,7 @@
 	}
 }
 
-// startRun orders a start.
+// startRun orders a worker to start a run.
 func (l *Loop) startRun(e exchange.StartRun) {
 	if !l.canOrder(e.Epoch) {
 		l.post(exchange.StartEnded{Worker: e.Worker, Epoch: e.Epoch, Run: e.Order.Run, Answer: answerAuthorityEnded})
@@ -80,7 +81,7 @@
 	l.post(exchange.StartEnded{Worker: e.Worker, Epoch: e.Epoch, Run: e.Order.Run, Answer: answer})
 }
 
-// throttleRun orders a pace.
+// throttleRun orders a worker to change the pace of a run.
 func (l *Loop) throttleRun(e exchange.ThrottleRun) {
 	ctx, cancel := context.WithTimeout(l.ctx, e.Timeout)
 	defer cancel()
@@ -89,7 +90,7 @@
 	l.post(exchange.ThrottleEnded{Worker: e.Worker, Epoch: e.Epoch, Run: e.Order.Run, Percent: e.Order.Percent, Answer: answer})
 }
 
-// stopRun orders a stop.
+// stopRun orders a worker to stop a run.
 func (l *Loop) stopRun(e exchange.StopRun) {
 	ctx, cancel := context.WithTimeout(l.ctx, e.Timeout)
 	defer cancel()
--- a/services/jobrun/outage.go
+++ b/services/jobrun/outage.go
@@ -12,7 +12,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// askPledges asks all other boxes at once.
+// askPledges asks all other boxes concurrently to pledge not to claim the cell, and posts their
+// combined answers.
 func (p *Peers) askPledges(e exchange.AskPledges) {
 	sentAt := p.loop.now()
 	answers := make([]exchange.Answer, len(e.Addresses))
@@ -31,23 +32,23 @@
 	p.loop.post(pledged)
 }
 
-// invite asks one box to take the cell over.
+// invite asks another box to take over the cell.
 func (p *Peers) invite(e exchange.Invite) {
 	a := p.urgentRequest(e.Address, Request{Invite: e.Epoch})
 	refused := a.Outcome == exchange.Unavailable
 	p.loop.post(exchange.Invited{Epoch: e.Epoch, Refused: refused, Reason: a.Reason})
 }
 
-// urgentTimeout bounds the calls with which a holder asks about the log: it must
-// hear in time to go on. It leaves room for a silent link to be given up, 260 ms with
-// the usual bound on answers, and for the call to be made again.
+// urgentTimeout bounds the calls with which a holder that cannot reach the log asks other boxes.
+// It must be answered in time to keep the cell. The timeout is long enough for a silent link to be
+// closed, which takes 260 ms with the usual limit for answers, and for the call to be retried.
 const urgentTimeout = 400 * time.Millisecond
 
-// urgentRequest passes a wish on that must be answered at once.
+// urgentRequest sends a request to another box that must be answered within urgentTimeout.
 func (p *Peers) urgentRequest(address string, r Request) exchange.Answer {
 	ctx, cancel := context.WithTimeout(p.ctx, urgentTimeout)
 	defer cancel()
-	// What became of it stands in the answer.
-	a, repeated, _ := p.forward(ctx, address, r, true)
-	return answerAfterRetry(a, repeated)
+	// The error is ignored because the outcome of the answer reflects it.
+	a, retried, _ := p.forward(ctx, address, r, true)
+	return answerAfterRetry(a, retried)
 }
--- a/services/jobrun/passed_test.go
+++ b/services/jobrun/passed_test.go
@@ -24,12 +24,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// peerHandler is how a box answers the call of another.
+// peerHandler answers a call of another box.
 type peerHandler func() (any, error)
 
-// followFakeHolder has a box follow another that is reached by links and answers calls as the
-// test says.
-func followFakeHolder(t *testing.T, on jobrun.Platform, follower *testBox, by *forward.Proxy, answer peerHandler) {
+// followFakeHolder appends a claim of another box to the log and waits until follower has given up
+// the cell to it. That box is reached through links and answers all calls with answer.
+func followFakeHolder(t *testing.T, on jobrun.Platform, follower *testBox, through *forward.Proxy, answer peerHandler) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -38,12 +38,12 @@
 	}
 	links := peering.New(context.Background(), listener, s, func(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) { return answer() })
 	links.Serve()
-	t.Cleanup(func() { by.Reset(); links.Close() })
-	value, err := json.Marshal(claim.Claim{Epoch: 7, Box: "other", Incarnation: "o1", Address: via(t, by)(listener.Addr().String()), Renewal: 1})
+	t.Cleanup(func() { through.Reset(); links.Close() })
+	value, err := json.Marshal(claim.Claim{Epoch: 7, Box: "other", Incarnation: "o1", Address: via(t, through)(listener.Addr().String()), Renewal: 1})
 	assert.NilError(t, err)
 	_, err = on.Log.Append(context.Background(), stream.Append{Stream: stream.Claims, Records: []stream.Record{{Key: "holder", Value: value}}})
 	assert.NilError(t, err)
-	waitUntil(t, "the box follows the other", func() bool { return !follower.holdsCell() })
+	waitUntil(t, "the box no longer holds the cell", func() bool { return !follower.holdsCell() })
 }
 
 func TestForwardedJobThatMayHaveArrivedIsNotRefused(t *testing.T) {
@@ -51,30 +51,30 @@
 	b := startBox(t, on, "b", io.Discard)
 	waitServed(t, b, jobrun.Request{Submit: submission("first")}, "")
 	var calls atomic.Int32
-	cut := newForwarder(t)
-	followFakeHolder(t, on.Calls(), b, cut, func() (any, error) {
+	links := newForwarder(t)
+	followFakeHolder(t, on.Calls(), b, links, func() (any, error) {
 		if calls.Add(1) == 1 {
-			// It has the job; its answer is lost with the connection.
-			cut.Reset()
+			// The holder has received the job, but the answer is lost with the connection.
+			links.Reset()
 			return nil, nil
 		}
 		return exchange.Answer{Outcome: exchange.HeldElsewhere, Reason: "its authority has run out meanwhile"}, nil
 	})
 	a := b.loop.Serve(context.Background(), jobrun.Request{Submit: submission("second")})
 	assert.Equal(t, a.Outcome, exchange.MaybeDone, "%+v", a)
-	assert.Check(t, calls.Load() > 1, "it is passed on again")
+	assert.Check(t, calls.Load() > 1, "the request is sent again")
 }
 
 func TestAbandonedCallDoesNotMarkHolderUnresponsive(t *testing.T) {
 	on := newPlatform(t)
 	b := startBox(t, on, "b", io.Discard)
 	waitServed(t, b, jobrun.Request{Submit: submission("first")}, "")
-	left := make(chan struct{})
+	abandoned := make(chan struct{})
 	var slow atomic.Bool
 	slow.Store(true)
 	followFakeHolder(t, on.Calls(), b, newForwarder(t), func() (any, error) {
 		if slow.Swap(false) {
-			<-left
+			<-abandoned
 		}
 		return exchange.Answer{Outcome: exchange.OK}, nil
 	})
@@ -82,7 +82,7 @@
 	defer cancel()
 	a := b.loop.Serve(ctx, jobrun.Request{Submit: submission("second")})
 	assert.Equal(t, a.Outcome, exchange.MaybeDone, "%+v", a)
-	close(left)
+	close(abandoned)
 	a = b.loop.Serve(context.Background(), jobrun.Request{Submit: submission("third")})
 	assert.Equal(t, a.Outcome, exchange.OK, "%+v", a)
 }
--- a/services/jobrun/peers.go
+++ b/services/jobrun/peers.go
@@ -27,23 +27,24 @@
 	methodCarried = "jobs.carried"
 )
 
-// Peers serves other entry boxes and calls them.
+// Peers is the adapter for other entry boxes: it serves their calls and calls them.
 type Peers struct {
 	loop  *Loop
 	links *peering.Links
-	// relay carries the orders of holders to workers.
+	// relayServer relays the orders of other holders to workers.
 	relayServer *relay.Server
 	ctx         context.Context
 	cancel      context.CancelFunc
 
 	mu sync.Mutex
-	// unresponsiveUntil is until when a box that did not answer is not asked.
+	// unresponsiveUntil holds, by address, until when a box that did not answer is not called.
 	unresponsiveUntil map[string]time.Time
-	// elsewhere says of boxes that they last answered that they do not hold the cell.
+	// notHolder holds, by address, whether the box answered its last request with
+	// HeldElsewhere.
 	notHolder map[string]bool
 }
 
-// NewPeers returns the adapter; Serve starts it.
+// NewPeers returns the adapter. It accepts connections on listener once Serve is called.
 func NewPeers(listener net.Listener, loop *Loop) *Peers {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &Peers{loop: loop, ctx: ctx, cancel: cancel, unresponsiveUntil: map[string]time.Time{}, notHolder: map[string]bool{}}
@@ -57,17 +58,17 @@
 	return p
 }
 
-// Serve accepts peers until Close.
+// Serve accepts connections of other boxes until Close.
 func (p *Peers) Serve() { p.links.Serve() }
 
-// Close ends all connections and waits for what is under way.
+// Close closes all connections and waits for the calls and orders in progress.
 func (p *Peers) Close() {
 	p.cancel()
 	p.links.Close()
 	p.relayServer.Close()
 }
 
-// handle serves one call of a peer.
+// handle serves one call of another box.
 func (p *Peers) handle(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
 	if req.Params == nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: "no parameters"}
@@ -98,7 +99,7 @@
 	}
 }
 
-// decodeParams reads a call's parameters.
+// decodeParams decodes the parameters of a call into v.
 func decodeParams(req *jsonrpc2.Request, v any) error {
 	if err := json.Unmarshal(*req.Params, v); err != nil {
 		return &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: err.Error()}
@@ -106,53 +107,55 @@
 	return nil
 }
 
-// forwardToHolder passes a caller's wish on to the holder.
+// forwardToHolder forwards a caller's request to the holder. If the holder does not answer, it is
+// marked as unresponsive.
 func (p *Peers) forwardToHolder(ctx context.Context, address string, r Request) exchange.Answer {
 	if p.isUnresponsive(address) {
 		return p.unreachableAnswer("the holder does not answer")
 	}
-	within, cancel := context.WithTimeout(ctx, p.loop.settings.PeerTimeout)
+	timeoutCtx, cancel := context.WithTimeout(ctx, p.loop.settings.PeerTimeout)
 	defer cancel()
-	a, repeated, err := p.forward(within, address, r, false)
-	failed, _ := errors.AsType[*peering.NoAnswerError](err)
+	a, retried, err := p.forward(timeoutCtx, address, r, false)
+	noAnswer, _ := errors.AsType[*peering.NoAnswerError](err)
 	switch {
 	case err == nil:
 		p.recordAnswer(address, a.Outcome == exchange.HeldElsewhere)
-	case failed != nil && failed.OfBox && ctx.Err() == nil:
-		// A caller who has left tells nothing of the box.
+	case noAnswer != nil && noAnswer.OfBox && ctx.Err() == nil:
+		// If the caller's own context has ended, the missing answer says nothing about the box.
 		p.markUnresponsive(address)
 	}
-	return answerAfterRetry(a, repeated)
+	return answerAfterRetry(a, retried)
 }
 
-// forward passes a wish on to another box; an urgent one has the link probed at once. The
-// same wish again changes nothing more, so it may be made again; repeated says that an earlier try may have been served besides.
-// An error means that the box has not answered it; the outcome then says whether it may
-// have been asked.
-func (p *Peers) forward(ctx context.Context, address string, r Request, urgent bool) (a exchange.Answer, repeated bool, err error) {
-	repeated, err = p.links.Call(ctx, address, peering.Call{
+// forward sends a request to another box. If urgent, the link is probed at once. Requests are
+// idempotent, so the call may be retried; retried is true if it was, so that an earlier attempt
+// may have taken effect too. A non-nil err means that the box has not answered; the outcome of
+// the answer then states whether the request may have reached it.
+func (p *Peers) forward(ctx context.Context, address string, r Request, urgent bool) (a exchange.Answer, retried bool, err error) {
+	retried, err = p.links.Call(ctx, address, peering.Call{
 		Method: methodRequest, Params: r, Result: &a, Idempotent: true, Urgent: urgent,
 	})
-	failed, _ := errors.AsType[*peering.NoAnswerError](err)
+	noAnswer, _ := errors.AsType[*peering.NoAnswerError](err)
 	switch {
-	case failed != nil && !failed.Sent:
+	case noAnswer != nil && !noAnswer.Sent:
 		a = p.unreachableAnswer(err.Error())
 	case err != nil:
 		a = exchange.Answer{Outcome: exchange.MaybeDone, Reason: err.Error()}
 	}
-	return a, repeated, err
+	return a, retried, err
 }
 
-// answerAfterRetry returns an answer as far as it is sure: if it says that nothing was done, an
-// earlier try may still have been served.
-func answerAfterRetry(a exchange.Answer, repeated bool) exchange.Answer {
-	if !repeated || !a.Outcome.HasNoEffect() {
+// answerAfterRetry corrects the answer to a call that was retried: if the answer says that nothing
+// was done, an earlier attempt may still have taken effect, and the outcome becomes MaybeDone.
+func answerAfterRetry(a exchange.Answer, retried bool) exchange.Answer {
+	if !retried || !a.Outcome.HasNoEffect() {
 		return a
 	}
-	return exchange.Answer{Outcome: exchange.MaybeDone, Reason: "an earlier try had no answer, a later one was refused: " + a.Reason}
+	return exchange.Answer{Outcome: exchange.MaybeDone, Reason: "an earlier attempt had no answer, a later one was refused: " + a.Reason}
 }
 
-// unreachableAnswer is the answer where the holder was not asked, so nothing was done.
+// unreachableAnswer returns the answer to a request that did not reach the holder and thus had no
+// effect.
 func (p *Peers) unreachableAnswer(reason string) exchange.Answer {
 	return exchange.Answer{
 		Outcome: exchange.Unavailable, Reason: reason,
--- a/services/jobrun/reach.go
+++ b/services/jobrun/reach.go
@@ -5,37 +5,36 @@
 
 import "time"
 
-// unresponsiveRetryDelay is how long a box that did not answer is not asked again, so that
-// callers are refused at once.
+// unresponsiveRetryDelay is how long a box that did not answer is not called again. Meanwhile
+// requests to it are refused at once.
 const unresponsiveRetryDelay = 300 * time.Millisecond
 
-// isUnresponsive says whether a box is not to be asked for now.
+// isUnresponsive reports whether a box recently did not answer and is not to be called yet.
 func (p *Peers) isUnresponsive(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.loop.now().Before(p.unresponsiveUntil[address])
 }
 
-// markUnresponsive notes that a box did not answer.
+// markUnresponsive records that a box did not answer.
 func (p *Peers) markUnresponsive(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.unresponsiveUntil[address] = p.loop.now().Add(unresponsiveRetryDelay)
 }
 
-// reachesHolder says whether the box at an address, as far as is known, holds the cell and
-// answers this one. A box that has just stepped down does not reach itself.
+// reachesHolder reports whether, as far as known, the box at address holds the cell and answers
+// this box. It is false for this box itself, which may be recorded as holder after it stepped down.
 func (p *Peers) reachesHolder(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return address != p.loop.self.Address && p.unresponsiveUntil[address].IsZero() && !p.notHolder[address]
 }
 
-// recordAnswer notes that a box has answered, and whether it said that it does not hold
-// the cell.
-func (p *Peers) recordAnswer(address string, elsewhere bool) {
+// recordAnswer records that a box has answered, and whether it does not hold the cell.
+func (p *Peers) recordAnswer(address string, notHolder bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.unresponsiveUntil, address)
-	p.notHolder[address] = elsewhere
+	p.notHolder[address] = notHolder
 }
--- a/services/jobrun/reborn_test.go
+++ b/services/jobrun/reborn_test.go
@@ -24,18 +24,19 @@
 	taskDuration = 20 * time.Millisecond
 )
 
-// A worker that starts again under its name numbers its ends anew.
+// A worker that restarts under the same name numbers the ends of its runs from the beginning again.
+// Ends with repeated numbers must not be taken for those of the worker's earlier incarnation.
 func TestFinishedTaskIsNotStartedAgainAfterWorkerRestart(t *testing.T) {
 	on, err := standin.New(1)
 	assert.NilError(t, err)
 	t.Cleanup(on.Close)
 	queue := standin.Queue{Name: "q", Host: "h.example", Prefix: "/q/", Attempts: 2}
 	assert.NilError(t, on.Configure(queue))
-	var all []*standin.Worker
+	var restartable []*standin.Worker
 	for i := range 2 {
 		w, err := on.AddWorker(fmt.Sprint("worker-", i), func(address string) (string, error) { return address, nil })
 		assert.NilError(t, err)
-		all = append(all, w)
+		restartable = append(restartable, w)
 	}
 	workers := platform.NewWorkers(newClient(t, "worker"))
 	log := platform.NewLog(on.Log(), newClient(t, "log"))
@@ -54,7 +55,7 @@
 			waitServed(t, p, jobrun.Request{Submit: s}, "")
 			waitServed(t, p, jobrun.Request{State: s.ID}, job.Succeeded)
 		}
-		for _, w := range all {
+		for _, w := range restartable {
 			w.Restart()
 		}
 	}
--- a/services/jobrun/relays.go
+++ b/services/jobrun/relays.go
@@ -14,27 +14,27 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// batchSender returns what sends batches to other boxes by a method. The ends of orders may
-// be told of twice; orders may not be given twice, as the second could be taken for a new
-// one of the same holder.
+// batchSender returns a function that sends batches to another box with the given method. Results
+// of orders may be sent twice. Orders may not, since the second could be taken for a new order of
+// the same holder, so their batches are not retried.
 func (l *Loop) batchSender(method string) func(context.Context, claim.Member, relay.Batch) relay.DeliveryStatus {
 	return func(ctx context.Context, box claim.Member, b relay.Batch) relay.DeliveryStatus {
 		_, err := l.peers.links.Call(ctx, box.Address, peering.Call{Method: method, Params: b, Idempotent: method == methodCarried})
-		failed, _ := errors.AsType[*peering.NoAnswerError](err)
+		noAnswer, _ := errors.AsType[*peering.NoAnswerError](err)
 		switch {
 		case err == nil:
 			return relay.Delivered
-		case failed != nil && failed.Sent:
+		case noAnswer != nil && noAnswer.Sent:
 			return relay.DeliveryUnknown
 		default:
-			// A box that refuses a batch, such as one of an earlier version, gives none of it.
+			// A box that rejects a batch, such as one of an earlier version, carries out none of it.
 			return relay.NotSent
 		}
 	}
 }
 
-// Relays returns how many workers' orders each entry box carries for this one, if it holds
-// the cell.
+// Relays returns the number of workers that each entry box relays orders to, by box, if this box
+// holds the cell, otherwise nil.
 func (l *Loop) Relays() map[string]int {
 	l.mu.Lock()
 	holds := l.view.holdsCell
@@ -45,8 +45,8 @@
 	return l.relays.WorkersByRelay(l.now())
 }
 
-// handleBatch takes a batch of another box: orders to carry, or the ends of those that this
-// box has sent.
+// handleBatch handles a batch from another box: orders to relay to workers, or the results of
+// orders that this box has sent.
 func (p *Peers) handleBatch(method string, b relay.Batch) error {
 	if method == methodCarried {
 		p.loop.relayClient.HandleResults(b)
--- a/services/jobrun/request.go
+++ b/services/jobrun/request.go
@@ -9,24 +9,27 @@
 	"saddlevane/models/workspace"
 )
 
-// Request is one caller's wish about submitted jobs. Exactly one part besides Caller is set.
+// Request is a request about submitted jobs, or of one entry box to another. Exactly one field
+// besides Caller is set.
 type Request struct {
-	// Caller is on whose behalf it is made; without one it is an operator's.
+	// Caller is who makes the request. It is nil for requests of operators and of entry boxes.
 	Caller *workspace.Caller `json:"caller,omitempty"`
 
+	// Submit is a job to submit; Cancel and State name a job to cancel or to return the state of.
+	// Count names a queue whose waiting jobs are counted.
 	Submit *job.Submission `json:"submit,omitempty"`
 	Cancel job.ID          `json:"cancel,omitempty"`
 	State  job.ID          `json:"state,omitempty"`
 	Count  string          `json:"count,omitempty"`
-	// Explain asks why a job is as it is.
+	// Explain names a job whose state is to be explained.
 	Explain job.ID `json:"explain,omitempty"`
-	// Pledge asks not to claim while the holder has this claim.
+	// Pledge asks the box not to claim the cell while the claim with this epoch is held.
 	Pledge int64 `json:"pledge,omitempty"`
-	// Invite asks to claim in place of the holder with this claim.
+	// Invite asks the box to claim the cell from the holder of the claim with this epoch.
 	Invite int64 `json:"invite,omitempty"`
 }
 
-// event returns the event that gives the wish to the reducer.
+// event returns the event that passes the request to the reducer.
 func (r Request) event(id exchange.CallID) exchange.Event {
 	switch {
 	case r.Submit != nil:
@@ -46,7 +49,7 @@
 	}
 }
 
-// kind names the wish, for counters and lines.
+// kind returns the name of the request in metrics and logs.
 func (r Request) kind() string {
 	switch {
 	case r.Submit != nil:
@@ -62,7 +65,7 @@
 	}
 }
 
-// job returns the ID of the job that the wish is about, if any.
+// job returns the ID of the job that the request is about, empty if there is none.
 func (r Request) job() job.ID {
 	if r.Submit != nil {
 		return r.Submit.ID
@@ -70,7 +73,7 @@
 	return r.Cancel + r.State + r.Explain
 }
 
-// workspace returns the workspace of the caller, if it is known.
+// workspace returns the caller's workspace, empty if it is not known.
 func (r Request) workspace() string {
 	if r.Caller == nil {
 		return ""
--- a/services/jobrun/reset_test.go
+++ b/services/jobrun/reset_test.go
@@ -18,7 +18,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// newForwarder returns what stands between boxes of a test.
+// newForwarder returns a forwarder for connections between boxes, or to services, which is closed when
+// the test ends.
 func newForwarder(t *testing.T) *forward.Proxy {
 	t.Helper()
 	f := forward.New()
@@ -26,7 +27,7 @@
 	return f
 }
 
-// via returns how the boxes of a test reach each other through a forwarder.
+// via returns a function that returns, for an address, an address that leads to it through f.
 func via(t *testing.T, f *forward.Proxy) func(address string) string {
 	t.Helper()
 	return func(address string) string {
--- a/services/jobrun/silent_test.go
+++ b/services/jobrun/silent_test.go
@@ -26,20 +26,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: jobs that were accepted never ran, with most of the workers' room free;
-// of the time of calls for advice 40 s in 2 s were left 2 s.
-//
-// Sequence: the open connections between boxes went silent, without a reset; new ones
-// worked. The boxes passed callers' wishes on to the holder again 0.7 s later. The
-// holder's calls for advice through every other box ran out of their time, in rounds of
-// 5.5 s, for as long as it lived.
-//
-// Cause: the first wish that ran out of its time closed its connection; a call for
-// advice that ran out left it in use, and nothing else looked at it.
-//
-// What settled it: the line "a call had no answer" told of 2,364 calls for advice, all
-// on connections used before, over which nothing had come since the silence: for 1 s at
-// first, for 36 s at last. No call on a new connection was without an answer.
+// Open connections between boxes may go silent without a reset while new ones work. A forwarded request
+// that timed out closed its connection, and requests were forwarded again 0.7 s later. A call for advice
+// that timed out left the connection in use, in the end after 36 s of silence, so the holder's calls
+// through every other box timed out in rounds of 5.5 s until the holder ended. The time spent in calls
+// for advice, summed over concurrent calls, fell from 40 s to 2 s in 2 s, and accepted jobs never ran
+// although most workers had free capacity.
 func TestAdviceResumesAfterPeerConnectionsGoSilent(t *testing.T) {
 	on, err := memory.New(adviceConfig(), 2)
 	assert.NilError(t, err)
@@ -51,26 +43,18 @@
 	waitServed(t, holder, jobrun.Request{State: "first"}, job.Succeeded)
 
 	for round := range 3 {
-		assert.Check(t, links.Stall() > 0, "nothing was open in round %d", round)
+		assert.Check(t, links.Stall() > 0, "no connection was open in round %d", round)
 		id := fmt.Sprint("silent", round)
 		waitServed(t, holder, jobrun.Request{Submit: submission(id)}, "")
 		waitServed(t, holder, jobrun.Request{State: job.ID(id)}, job.Succeeded)
 	}
 }
 
-// Symptom: after the connections between boxes went silent callers are refused with
-// "the holder does not answer", though it answers on new ones; and a holder that the log
-// does not answer loses the cell though the other boxes would promise not to claim.
-//
-// Sequence: connections go silent while the holder and the boxes behind them work. Wishes
-// on them run out of their whole time, and the box is marked silent for that. The
-// holder's questions to the other boxes run out in every round until its authority ends.
-//
-// Cause: a call that had no answer on an old connection was taken for a box that does not
-// answer; questions to other boxes left the connection in use.
-//
-// What settled it: the lines of refusals at boxes whose next call, on a new connection,
-// was answered at once; no call on a new connection was without an answer.
+// After connections between boxes went silent, a timed-out call on an old connection was taken for a
+// holder that does not answer, and callers were refused although the holder answered on new
+// connections. A holder whose log did not answer lost the cell: its requests for pledges timed out in
+// every round, since they left the silent connections in use, although the other boxes would have
+// pledged not to claim.
 func TestCellWithSilentPeerConnections(t *testing.T) {
 	t.Run("refuses no caller while its holder answers", func(t *testing.T) {
 		links := newForwarder(t)
@@ -87,13 +71,13 @@
 		}
 		callers.Wait()
 	})
-	t.Run("keeps its holder while the log is away", func(t *testing.T) {
+	t.Run("keeps its holder while the log is down", func(t *testing.T) {
 		on, links := newPlatform(t), newForwarder(t)
-		boxes, cut := startTypicalCell(t, on, links)
-		// The holder is the last to miss the log, so that it invites nobody.
-		cut.Store(true)
+		boxes, disconnected := startTypicalCell(t, on, links)
+		// The holder is the last box to lose the log, so that it has no other box to invite.
+		disconnected.Store(true)
 		for _, b := range boxes[1:] {
-			waitUntil(t, "the log is away", b.missesLog)
+			waitUntil(t, "the log does not answer the box", b.missesLog)
 		}
 		on.SetDown(true)
 		span := 2 * typicalSettings().Dispatch.Authority.HoldFor
@@ -111,10 +95,10 @@
 	assert.NilError(t, err)
 	defer raw.Close()
 	waitUntil(t, "the link is counted", func() bool { return metricSum(t, holder, "saddlevane_connections_open") == 1 })
-	// The other end never says anything.
-	waitUntil(t, "the link is given up", func() bool { return metricSum(t, holder, "saddlevane_connections_given_up_total") == 1 })
+	// The other end never sends anything.
+	waitUntil(t, "the link is closed", func() bool { return metricSum(t, holder, "saddlevane_connections_given_up_total") == 1 })
 	waitUntil(t, "no link is counted", func() bool { return metricSum(t, holder, "saddlevane_connections_open") == 0 })
-	waitUntil(t, "a line tells of it", func() bool {
+	waitUntil(t, "the log reports the closed link", func() bool {
 		got := out.text()
 		for _, want := range []string{"a link to an entry box was given up", raw.LocalAddr().String(), "reason=probe", "open_for=", "heard_ago=", "calls=0"} {
 			if !strings.Contains(got, want) {
@@ -125,20 +109,20 @@
 	})
 }
 
-// logBuffer keeps what a box logs.
+// logBuffer holds what a box logs.
 type logBuffer struct {
 	mu  sync.Mutex
 	all strings.Builder
 }
 
-// Write keeps a line.
+// Write appends a log line.
 func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.all.Write(p)
 }
 
-// text returns all lines.
+// text returns all lines logged so far.
 func (l *logBuffer) text() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,9 +130,9 @@
 }
 
 // metricSum returns the value of a metric, summed over its labels.
-func metricSum(t *testing.T, p *testBox, name string) (sum float64) {
+func metricSum(t *testing.T, b *testBox, name string) (sum float64) {
 	t.Helper()
-	families, err := p.loop.Metrics().Gatherer().Gather()
+	families, err := b.loop.Metrics().Gatherer().Gather()
 	assert.NilError(t, err)
 	for _, f := range families {
 		if f.GetName() != name {
@@ -161,7 +145,8 @@
 	return sum
 }
 
-// typicalSettings has the usual times of a cell, which leave room for a link to be given up.
+// typicalSettings returns settings with the usual timing of a cell, which leaves enough time for silent
+// links to be detected and closed.
 func typicalSettings() jobrun.Settings {
 	s := settings()
 	s.Dispatch.Authority = authority.Settings{
@@ -171,43 +156,43 @@
 	return s
 }
 
-// startTypicalCell starts three boxes of which the first holds the cell and the others know
-// it. Those others can be cut off from the log.
+// startTypicalCell starts three boxes. The first holds the cell and the others know it as the holder. The
+// returned switch disconnects those others from the log.
 func startTypicalCell(t *testing.T, on *memory.Platform, links *forward.Proxy) ([]*testBox, *atomic.Bool) {
 	t.Helper()
 	boxes := make([]*testBox, 3)
-	calls, cut := disconnectableLog(on)
+	calls, disconnected := disconnectableLog(on)
 	for i := range boxes {
-		through := calls
+		platform := calls
 		if i == 0 {
-			through = on.Calls()
+			platform = on.Calls()
 		}
-		boxes[i] = startBoxWithSettings(t, typicalSettings(), through, fmt.Sprint("box", i), io.Discard, via(t, links))
+		boxes[i] = startBoxWithSettings(t, typicalSettings(), platform, fmt.Sprint("box", i), io.Discard, via(t, links))
 		waitServed(t, boxes[i], jobrun.Request{Submit: submission(fmt.Sprint("warm", i))}, "")
 	}
 	waitUntil(t, "the first box holds the cell", boxes[0].holdsCell)
-	return boxes, cut
+	return boxes, disconnected
 }
 
-// missesLog says whether the log has not answered a box for some time.
-func (p *testBox) missesLog() bool {
-	var ago time.Duration
-	p.loop.Query(func(now time.Time, c *dispatch.Core) { ago = now.Sub(c.LogReadAt()) })
-	return ago > 3*typicalSettings().ReadWait
+// missesLog reports whether the log has not answered the box for more than three waits of a read.
+func (b *testBox) missesLog() bool {
+	var age time.Duration
+	b.loop.Query(func(now time.Time, c *dispatch.Core) { age = now.Sub(c.LogReadAt()) })
+	return age > 3*typicalSettings().ReadWait
 }
 
-// checkHoldsCell checks that a box holds the cell for some time.
-func checkHoldsCell(t *testing.T, p *testBox, span time.Duration) {
+// checkHoldsCell fails the test unless the box holds the cell throughout the given time.
+func checkHoldsCell(t *testing.T, b *testBox, span time.Duration) {
 	t.Helper()
-	began, held := time.Now(), true
+	startedAt, held := time.Now(), true
 	waitUntil(t, "the time is over", func() bool {
-		held = held && p.holdsCell()
-		return !held || time.Since(began) > span
+		held = held && b.holdsCell()
+		return !held || time.Since(startedAt) > span
 	})
-	assert.Assert(t, held, "it has lost the cell after %v", time.Since(began))
+	assert.Assert(t, held, "the box lost the cell after %v", time.Since(startedAt))
 }
 
-// adviceConfig has one queue whose tasks need advice.
+// adviceConfig returns a configuration with one queue, whose tasks need advice.
 func adviceConfig() job.Config {
 	c := config()
 	q := c.Queues["q"]
@@ -216,7 +201,7 @@
 	return c
 }
 
-// platformWithAdvice returns the calls of a box which advise answers.
+// platformWithAdvice returns the calls of a platform whose advice service is replaced by advise.
 func platformWithAdvice(on *memory.Platform, advise func(workers []string) ([]order.Ticket, error)) jobrun.Platform {
 	calls := on.Calls()
 	calls.Advise = func(_ context.Context, _ job.StepID, workers []string) ([]order.Ticket, error) {
@@ -225,10 +210,10 @@
 	return calls
 }
 
-// refuseAdvice is how the service answers a box of which too many calls wait.
+// refuseAdvice is an advice service that already has too many calls of the box waiting.
 func refuseAdvice([]string) ([]order.Ticket, error) { return nil, jobrun.ErrAdviceBusy }
 
-// giveAdvice has all workers suit.
+// giveAdvice is an advice service that accepts all workers.
 func giveAdvice(workers []string) ([]order.Ticket, error) {
 	tickets := make([]order.Ticket, len(workers))
 	for i, w := range workers {
--- a/services/jobrun/suspended_test.go
+++ b/services/jobrun/suspended_test.go
@@ -16,9 +16,9 @@
 	"gotest.tools/v3/poll"
 )
 
-// A holder whose machine had been suspended for some seconds took itself for the holder
-// still: Go's steady clock stands still meanwhile, so its authority had hardly aged, while
-// another box had taken the cell over. It renewed leases and started tasks beside it.
+// Go's monotonic clock stops while the machine is suspended. A holder whose machine had been suspended
+// for some seconds found its authority hardly aged, although another box had taken over the cell, and
+// went on to renew leases and start tasks beside it.
 func TestHolderLosesAuthorityWhenItsMachineIsSuspended(t *testing.T) {
 	on := newPlatform(t)
 	var suspended atomic.Int64
@@ -28,7 +28,7 @@
 		if p.holdsCell() {
 			return poll.Success()
 		}
-		return poll.Continue("it does not hold the cell yet")
+		return poll.Continue("the box does not hold the cell yet")
 	}, poll.WithTimeout(10*time.Second))
 	var before, after bool
 	p.loop.Query(func(now time.Time, core *dispatch.Core) {
@@ -37,5 +37,5 @@
 		after = core.IsServing(c.Now())
 	})
 	assert.Check(t, before)
-	assert.Check(t, !after, "it holds the cell by an authority that ended while it was suspended")
+	assert.Check(t, !after, "the box holds the cell although its authority ended during the suspension")
 }
