--- a/routers/callers.go
+++ b/routers/callers.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package routers parses and checks what comes in over HTTP, calls one service
-// function and renders the answer. It decides nothing.
+// Package routers contains the HTTP handlers. Each parses and checks its request,
+// calls one service function and writes the result; all decisions are made by the
+// services.
 package routers
 
 import (
@@ -19,14 +20,15 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// Callers serves callers' requests and the balancer's health checks.
+// Callers serves callers' requests and the load balancer's health checks.
 type Callers struct {
 	loop     *runtime.Loop
 	requests *runtime.Requests
 	maxBody  int64
 }
 
-// NewCallers returns the handler of the callers' port.
+// NewCallers returns the handler of the callers' port. maxBody is the maximum size
+// of a request body, in bytes.
 func NewCallers(loop *runtime.Loop, requests *runtime.Requests, maxBody int64) http.Handler {
 	c := &Callers{loop: loop, requests: requests, maxBody: maxBody}
 	r := httprouter.New()
@@ -55,6 +57,7 @@
 	c.writeResult(w, result)
 }
 
+// parseRequest reads a caller's request, or returns a refusal if it is invalid.
 func (c *Callers) parseRequest(r *http.Request, p httprouter.Params) (runtime.Incoming, *request.Refusal) {
 	key, err := request.ParseKey(r.Header.Get(request.HeaderKey))
 	if err != nil {
@@ -77,6 +80,7 @@
 	}, nil
 }
 
+// notRunRefusal returns the answer to a request that was not run.
 func notRunRefusal(status int, reason string) *request.Refusal {
 	return &request.Refusal{Status: status, Verdict: verdict.NotRun, Reason: reason}
 }
@@ -92,10 +96,11 @@
 	_, _ = w.Write(runtime.ResultBody(result))
 }
 
-// stopping says whether callers should go elsewhere with their next request.
+// stopping reports whether the box is stopping, so that callers should send their
+// next requests to another box.
 func (c *Callers) stopping() bool { return c.loop.Stopping() }
 
-// issuedKey is the answer to a request for a key.
+// issuedKey is the response body of a request for a key.
 type issuedKey struct {
 	Key string `json:"key"`
 }
--- a/routers/health.go
+++ b/routers/health.go
@@ -14,16 +14,18 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// health is the answer to a health check.
+// health is the response body of a health check.
 type health struct {
 	OK bool `json:"ok"`
 }
 
+// handleHealth answers liveness checks: the process serves HTTP.
 func handleHealth(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	httpjson.Write(w, http.StatusOK, health{OK: true})
 }
 
-// readinessHandler answers whether the balancer should send callers here.
+// readinessHandler returns a handler that answers whether the load balancer should
+// send callers to this box.
 func readinessHandler(loop *runtime.Loop) httprouter.Handle {
 	return func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		ok := false
--- a/routers/jobs.go
+++ b/routers/jobs.go
@@ -20,14 +20,14 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// maxJobBody bounds a submitted job, in bytes.
+// maxJobBody is the maximum size of a submitted job, in bytes.
 const maxJobBody = 256 << 10
 
-// Jobs serves saddlevane's own interface for submitted jobs, and the operators
-// of a box that serves them.
+// Jobs serves the API for submitted jobs, and the operators' endpoints of a box that
+// serves jobs.
 type Jobs struct{ loop *jobrun.Loop }
 
-// NewJobs returns the handler.
+// NewJobs returns the handler of the jobs API.
 func NewJobs(loop *jobrun.Loop) http.Handler {
 	j := &Jobs{loop: loop}
 	r := httprouter.New()
@@ -44,7 +44,7 @@
 	return r
 }
 
-// submit takes a job, in the form of job.Submission.
+// submit accepts a job whose body is a job.Submission.
 func (j *Jobs) submit(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxJobBody))
 	dec.DisallowUnknownFields()
@@ -82,7 +82,7 @@
 	j.writeAnswer(w, j.loop.Serve(r.Context(), jobrun.Request{Count: p.ByName("name")}))
 }
 
-// cellStatus tells what this box knows of the cell.
+// cellStatus answers with the state of the cell as known to this box.
 func (j *Jobs) cellStatus(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	var s job.CellStatus
 	if !j.loop.Query(func(now time.Time, c *dispatch.Core) { s = c.Status(now) }) {
@@ -97,16 +97,17 @@
 	httpjson.Write(w, http.StatusOK, version.Current())
 }
 
-// ready says whether callers are served better here than elsewhere.
+// ready answers whether this box can serve callers: it has a configuration and
+// reaches the log or the holder.
 func (j *Jobs) ready(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	if !j.loop.Ready() {
-		httpjson.Error(w, http.StatusServiceUnavailable, "no configuration, or cut off from log and holder")
+		httpjson.Error(w, http.StatusServiceUnavailable, "no configuration, or neither the log nor the holder can be reached")
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// writeAnswer renders what became of a call.
+// writeAnswer writes the answer to a call, with the HTTP status of its outcome.
 func (j *Jobs) writeAnswer(w http.ResponseWriter, a exchange.Answer) {
 	switch a.Outcome {
 	case exchange.OK:
@@ -123,5 +124,5 @@
 	}
 }
 
-// headerRetryAfter says in whole seconds when to come back.
+// headerRetryAfter holds the time after which to retry, in whole seconds.
 const headerRetryAfter = "Retry-After"
--- a/routers/metrics.go
+++ b/routers/metrics.go
@@ -16,7 +16,7 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
-// collector reads the reducer's state when metrics are asked for.
+// collector reads the reducer's state whenever metrics are collected.
 type collector struct {
 	loop         *runtime.Loop
 	requests     *prometheus.Desc
@@ -37,7 +37,8 @@
 	duplicates   *prometheus.Desc
 }
 
-// NewMetrics returns the registry of a process.
+// NewMetrics returns a registry with the metrics of the process and of the reducer
+// behind loop.
 func NewMetrics(loop *runtime.Loop) *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -51,21 +52,21 @@
 	}
 	return &collector{
 		loop:         loop,
-		requests:     desc("requests_total", "Requests ended, by verdict and status.", "pool", "class", "verdict", "status"),
-		waiting:      desc("requests_waiting", "Requests that wait for a target.", "pool", "class"),
-		inflight:     desc("requests_inflight", "Requests at targets.", "pool"),
-		slots:        desc("target_slots", "Requests this box may have at healthy targets.", "pool"),
-		ejected:      desc("targets_ejected", "Targets that only get probes.", "pool"),
-		fileRevision: desc("file_revision", "Revision in force.", "file"),
+		requests:     desc("requests_total", "Ended requests by verdict and status.", "pool", "class", "verdict", "status"),
+		waiting:      desc("requests_waiting", "Requests waiting for a target.", "pool", "class"),
+		inflight:     desc("requests_inflight", "Requests in flight at targets.", "pool"),
+		slots:        desc("target_slots", "Requests this box may have in flight at healthy targets.", "pool"),
+		ejected:      desc("targets_ejected", "Ejected targets, which get only probes.", "pool"),
+		fileRevision: desc("file_revision", "Revision of the file in force.", "file"),
 		logNext:      desc("log_next_offset", "Offset of the first record not read."),
 		logFailing:   desc("log_failing", "1 if the last read (or append) of the log failed.", "call"),
 		logWaiting:   desc("log_entries_waiting", "Entries not yet known to be in the log."),
-		workersHeld:  desc("workers_held", "Workers whose lease this box has.", "shard"),
-		running:      desc("tasks_running", "Tasks with a place.", "shard"),
-		queued:       desc("tasks_waiting", "Tasks that wait.", "shard"),
-		packedRatio:  desc("packed_ratio", "Largest part of any resource that is reserved.", "shard"),
+		workersHeld:  desc("workers_held", "Workers whose lease this box holds.", "shard"),
+		running:      desc("tasks_running", "Tasks placed on workers.", "shard"),
+		queued:       desc("tasks_waiting", "Waiting tasks.", "shard"),
+		packedRatio:  desc("packed_ratio", "Largest reserved fraction of any resource.", "shard"),
 		starts:       desc("task_starts_total", "Starts sent to workers.", "shard"),
-		lost:         desc("tasks_lost_total", "Attempts that ended without an outcome.", "shard"),
+		lost:         desc("tasks_lost_total", "Attempts that ended without a known outcome.", "shard"),
 		duplicates:   desc("tasks_duplicate_total", "Tasks found in two places. Must stay 0.", "shard"),
 	}
 }
--- a/routers/operators.go
+++ b/routers/operators.go
@@ -23,13 +23,15 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// publishTimeout is how long an operator waits for the log's decision.
+// publishTimeout is the maximum time that a publication waits for the log's
+// decision.
 const publishTimeout = 10 * time.Second
 
-// Operators serves the operators' tool, metrics and dumps.
+// Operators serves the endpoints of the operators' tool, metrics and dumps.
 type Operators struct{ loop *runtime.Loop }
 
-// NewOperators returns the handler of the operators' port.
+// NewOperators returns the handler of the operators' port. metrics is served at
+// /metrics.
 func NewOperators(loop *runtime.Loop, metrics prometheus.Gatherer) http.Handler {
 	o := &Operators{loop: loop}
 	r := httprouter.New()
@@ -47,7 +49,8 @@
 	return r
 }
 
-// queryHandler answers with what f reads from the reducer.
+// queryHandler returns a handler that answers with the value that f reads from the
+// reducer.
 func queryHandler[T any](loop *runtime.Loop, f func(time.Time, *core.Core) T) httprouter.Handle {
 	return func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		var v T
@@ -64,7 +67,7 @@
 	found := false
 	o.loop.Query(func(_ time.Time, c *core.Core) { f, found = c.File(p.ByName("name")) })
 	if !found {
-		httpjson.Error(w, http.StatusNotFound, "no such file is in force here")
+		httpjson.Error(w, http.StatusNotFound, "no file of this name is in force at this entry box")
 		return
 	}
 	httpjson.Write(w, http.StatusOK, f)
@@ -78,7 +81,7 @@
 	}
 	id := r.URL.Query().Get("id")
 	if id == "" || len(id) > maxPublicationID {
-		httpjson.Error(w, http.StatusBadRequest, "id: want a name for this publication that no other has")
+		httpjson.Error(w, http.StatusBadRequest, "id: want a unique name for this publication")
 		return
 	}
 	data, err := httpjson.ReadAll(r.Body, spec.MaxFileBytes)
@@ -96,8 +99,10 @@
 	httpjson.Write(w, publishStatus(result.Outcome), result)
 }
 
+// maxPublicationID is the maximum length of a publication's ID, in bytes.
 const maxPublicationID = 128
 
+// publishStatus returns the HTTP status for the outcome of a publication.
 func publishStatus(o effect.Outcome) int {
 	switch o {
 	case effect.Accepted:
--- a/services/relay/bench_test.go
+++ b/services/relay/bench_test.go
@@ -16,9 +16,9 @@
 	"saddlevane/services/relay"
 )
 
-// BenchmarkRenewal measures what a look through a relay costs the holder, encoding and
-// decoding included and the link left out: 48 looks share a batch, and each worker runs
-// five tasks.
+// BenchmarkRenewal measures the holder's cost of a renewal through a relay, including
+// encoding and decoding but without the link. 48 renewals share a batch, and each worker
+// runs five tasks.
 func BenchmarkRenewal(b *testing.B) {
 	var report order.Report
 	for i := range 5 {
@@ -45,10 +45,10 @@
 		client.HandleResults(got)
 		return relay.Delivered
 	}
-	roster := relay.NewSelector(relay.Limits{MinWorkers: 1, WorkersPerRelay: 48}, "a-00")
-	roster.AddBoxes([]claim.Member{member("b", 0)})
-	roster.UpdateWorkers(listing(48, "b"))
-	client = relay.NewClient(member("a", 0), time.Now, roster, relay.WorkerCalls{}, send)
+	selector := relay.NewSelector(relay.Limits{MinWorkers: 1, WorkersPerRelay: 48}, "a-00")
+	selector.AddBoxes([]claim.Member{member("b", 0)})
+	selector.UpdateWorkers(listing(48, "b"))
+	client = relay.NewClient(member("a", 0), time.Now, selector, relay.WorkerCalls{}, send)
 	defer client.Close()
 	workers := client.WorkerCalls()
 	for b.Loop() {
--- a/services/relay/client.go
+++ b/services/relay/client.go
@@ -16,11 +16,11 @@
 	"github.com/sourcegraph/conc"
 )
 
-// relayMargin is how much sooner than the sender a relay gives an order up, so that the sender
-// hears of it and does not take the relay for silent.
+// relayMargin is how much earlier than the sender a relay gives up waiting for a worker, so
+// that its result reaches the sender in time and the relay is not considered unresponsive.
 const relayMargin = 50 * time.Millisecond
 
-// Client gives orders to workers through relays, and directly where none carries them.
+// Client sends orders to workers through relays, or directly if a worker has no relay.
 type Client struct {
 	self       claim.Member
 	now        func() time.Time
@@ -33,36 +33,39 @@
 
 	mu     sync.Mutex
 	lastID uint64
-	// waiting has the orders whose answers are waited for, lastAnswerAt when each box last
-	// told of any.
+	// pending holds the orders that have no result yet, lastAnswerAt the time of the last
+	// result from each box.
 	pending      map[uint64]*pendingOrder
 	lastAnswerAt map[string]time.Time
 	outboxes     map[string]*outbox[Order]
 }
 
-// pendingOrder is an order whose answer is waited for.
+// pendingOrder is an order that has no result yet.
 type pendingOrder struct {
 	box string
-	// done gets the answer.
+	// done receives the result.
 	done chan Result
 }
 
-// NewClient returns a client that sends batches by send.
-func NewClient(self claim.Member, now func() time.Time, r *Selector, direct WorkerCalls, send func(context.Context, claim.Member, Batch) DeliveryStatus) *Client {
+// NewClient returns a client that sends batches with send, and orders to workers without a
+// relay with direct.
+func NewClient(self claim.Member, now func() time.Time, selector *Selector, direct WorkerCalls,
+	send func(context.Context, claim.Member, Batch) DeliveryStatus,
+) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Client{
-		self: self, now: now, selector: r, direct: direct, send: send, ctx: ctx, cancel: cancel,
+		self: self, now: now, selector: selector, direct: direct, send: send, ctx: ctx, cancel: cancel,
 		pending: map[uint64]*pendingOrder{}, lastAnswerAt: map[string]time.Time{}, outboxes: map[string]*outbox[Order]{},
 	}
 }
 
-// Close ends what is under way and waits for it.
+// Close cancels all calls and waits until they have returned.
 func (c *Client) Close() {
 	c.cancel()
 	c.goroutines.Wait()
 }
 
-// WorkerCalls returns the calls to workers by way of relays.
+// WorkerCalls returns functions that send orders to workers through relays.
 func (c *Client) WorkerCalls() WorkerCalls {
 	return WorkerCalls{
 		Renew: func(ctx context.Context, address string, worker order.Incarnation, r order.Renew) (order.Report, order.Answer) {
@@ -97,23 +100,23 @@
 	}
 }
 
-// sendViaRelay gives an order through a relay and waits for its answer. It returns false if it
-// has surely not been given and none of its time was lost, so that it can be given
-// directly.
+// sendViaRelay sends an order through a relay and waits for its result. It returns false if
+// the order was certainly not sent and no time was spent waiting for the worker, so that the
+// caller can send it directly.
 func (c *Client) sendViaRelay(ctx context.Context, o Order) (Result, bool) {
 	box, ok := c.selector.Pick(c.now(), o.Worker.Name)
 	deadline, bounded := ctx.Deadline()
 	if !ok || !bounded {
 		return Result{}, false
 	}
-	within := deadline.Sub(c.now())
-	o.AnswerTimeout = job.Milliseconds((within - min(relayMargin, within/4)).Milliseconds())
+	timeout := deadline.Sub(c.now())
+	o.AnswerTimeout = job.Milliseconds((timeout - min(relayMargin, timeout/4)).Milliseconds())
 	if o.AnswerTimeout <= 0 {
 		return Result{}, false
 	}
 	overdue, ok := httpclient.OverdueOf(ctx)
 	if !ok {
-		overdue = within
+		overdue = timeout
 	}
 	o.OverdueAfter = job.Milliseconds(overdue.Milliseconds())
 	p := &pendingOrder{box: box.Box, done: make(chan Result, 1)}
@@ -125,8 +128,8 @@
 	defer timer.Stop()
 	for {
 		select {
-		case a := <-p.done:
-			return c.handleResult(o, a)
+		case result := <-p.done:
+			return c.handleResult(o, result)
 		case <-timer.C:
 			c.handleOverdue(o.Worker.Name, box.Box, sentAt)
 			continue
@@ -134,27 +137,29 @@
 		case <-c.ctx.Done():
 		}
 		c.removePending(o.ID)
-		return unknownResult(o.ID, "no answer through "+box.Box), true
+		return unknownResult(o.ID, "no answer via relay "+box.Box), true
 	}
 }
 
-// unknownResult is the answer to an order of which nothing is known.
+// unknownResult returns the result of an order that may or may not have been carried out.
 func unknownResult(id uint64, problem string) Result {
 	return Result{ID: id, Answer: order.Answer{Outcome: order.Unknown, Problem: problem}}
 }
 
-// handleResult takes the answer to an order. One that was surely not sent is given directly.
-func (c *Client) handleResult(o Order, a Result) (Result, bool) {
-	if a.Answer.Outcome == "" {
-		return a, false
+// handleResult returns a result, or false if it is empty because the order was not sent. If
+// the outcome is unknown, the worker's next orders are sent directly.
+func (c *Client) handleResult(o Order, result Result) (Result, bool) {
+	if result.Answer.Outcome == "" {
+		return result, false
 	}
-	if a.Answer.Outcome == order.Unknown {
+	if result.Answer.Outcome == order.Unknown {
 		c.selector.RecordUnanswered(c.now(), o.Worker.Name)
 	}
-	return a, true
+	return result, true
 }
 
-// enqueue has an order sent to a box.
+// enqueue adds an order to the next batch to a box and assigns its ID. It returns false if
+// too many orders are queued for the box.
 func (c *Client) enqueue(box claim.Member, o *Order, p *pendingOrder) bool {
 	c.mu.Lock()
 	c.lastID++
@@ -162,7 +167,10 @@
 	c.pending[o.ID] = p
 	out := c.outboxes[box.Address]
 	if out == nil {
-		out = &outbox[Order]{box: box, now: c.now, send: c.sendOrders, onFailure: func(items []Order, f DeliveryStatus) { c.handleBatchFailure(box.Box, items, f) }}
+		out = &outbox[Order]{
+			box: box, now: c.now, send: c.sendOrders,
+			onFailure: func(items []Order, status DeliveryStatus) { c.handleBatchFailure(box.Box, items, status) },
+		}
 		c.outboxes[box.Address] = out
 	}
 	c.mu.Unlock()
@@ -173,50 +181,52 @@
 	return false
 }
 
-// sendOrders sends a batch.
+// sendOrders sends a batch of orders to a box.
 func (c *Client) sendOrders(ctx context.Context, box claim.Member, orders []Order) DeliveryStatus {
 	return c.send(ctx, box, Batch{From: c.self.Address, Incarnation: c.self.Incarnation, Orders: orders})
 }
 
-// handleBatchFailure ends the wait for orders whose batch has not surely arrived: of one that was not
-// sent the answer is empty.
-func (c *Client) handleBatchFailure(box string, orders []Order, f DeliveryStatus) {
+// handleBatchFailure delivers results for the orders of a batch that was not confirmed. The
+// outcome is unknown, or empty if the batch was not sent.
+func (c *Client) handleBatchFailure(box string, orders []Order, status DeliveryStatus) {
 	c.selector.RecordBoxFailure(c.now(), box)
 	for _, o := range orders {
-		a := unknownResult(o.ID, "the link to "+box+" was lost")
-		if f == NotSent {
-			a.Answer = order.Answer{}
+		result := unknownResult(o.ID, "the link to relay "+box+" failed")
+		if status == NotSent {
+			result.Answer = order.Answer{}
 		}
-		c.deliver(a)
+		c.deliver(result)
 	}
 }
 
-// HandleResults takes the ends of orders that a relay tells of.
+// HandleResults processes the results of orders that a relay sent back. Those for another
+// incarnation of this box are dropped.
 func (c *Client) HandleResults(b Batch) {
 	if b.Incarnation != c.self.Incarnation {
 		return
 	}
-	for _, a := range b.Results {
-		if box := c.deliver(a); box != "" {
+	for _, result := range b.Results {
+		if box := c.deliver(result); box != "" {
 			c.recordAnswer(box)
 		}
 	}
 }
 
-// deliver hands an answer to who waits for it, and returns through which box it came.
-func (c *Client) deliver(a Result) (box string) {
+// deliver passes a result to the goroutine that waits for it. It returns the box through
+// which the order was sent, or "" if nothing waits for the result.
+func (c *Client) deliver(result Result) (box string) {
 	c.mu.Lock()
-	p := c.pending[a.ID]
-	delete(c.pending, a.ID)
+	p := c.pending[result.ID]
+	delete(c.pending, result.ID)
 	c.mu.Unlock()
 	if p == nil {
 		return ""
 	}
-	p.done <- a
+	p.done <- result
 	return p.box
 }
 
-// recordAnswer notes that a box has told of an order.
+// recordAnswer records that a box has sent a result.
 func (c *Client) recordAnswer(box string) {
 	c.mu.Lock()
 	c.lastAnswerAt[box] = c.now()
@@ -224,8 +234,9 @@
 	c.selector.RecordBoxAnswer(box)
 }
 
-// handleOverdue has a worker that left an order unanswered get the next ones directly, and puts
-// its relay aside if that has told of nothing since the order was sent.
+// handleOverdue handles an order whose answer is overdue: the worker's next orders are sent
+// directly. If its relay has sent no result since the order was sent, the relay is excluded
+// for a while.
 func (c *Client) handleOverdue(worker, box string, sentAt time.Time) {
 	c.selector.RecordUnanswered(c.now(), worker)
 	c.mu.Lock()
@@ -236,7 +247,7 @@
 	}
 }
 
-// removePending ends the wait for an order.
+// removePending removes an order from those that wait for a result.
 func (c *Client) removePending(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/services/relay/codec.go
+++ b/services/relay/codec.go
@@ -13,10 +13,10 @@
 	"saddlevane/models/order"
 )
 
-// Orders and their ends are packed: numbers as varints, texts with their lengths. As JSON
-// objects a look and its answer took 610 bytes of a holder's link, of which half were
-// names (120 idle workers, 2 s, messages included); as JSON rows the answer of a worker
-// with five tasks took 48 µs to decode (BenchmarkLook).
+// Orders and results are packed: numbers as varints, texts with their lengths as prefix.
+// As JSON objects, a renewal and its answer took 610 bytes of a holder's link, half of them
+// field names (120 idle workers, 2 s, message overhead included). As JSON arrays, the
+// answer of a worker with five tasks took 48 µs to decode (BenchmarkRenewal).
 
 // The kinds of orders.
 const (
@@ -26,57 +26,58 @@
 	kindThrottle
 )
 
-// wireBatch is a batch on the wire.
+// wireBatch is the JSON form of a batch. Orders and Results are packed.
 type wireBatch struct {
 	From        string `json:"from"`
 	Incarnation string `json:"life"`
 	Orders      []byte `json:"orders,omitempty"`
 	Results     []byte `json:"ended,omitempty"`
-	// Born has, for each that ended, when the life began that told a report, or 0. Boxes of
-	// an earlier release leave it out, and pass over it.
+	// BirthTimes holds, for each result, when the worker incarnation that sent the report
+	// started, in milliseconds since 1970, or 0. Boxes of earlier releases neither send nor
+	// read it.
 	BirthTimes []byte `json:"born,omitempty"`
 }
 
-// MarshalJSON packs the batch.
+// MarshalJSON encodes the batch as a wireBatch.
 func (b Batch) MarshalJSON() ([]byte, error) {
 	w := wireBatch{From: b.From, Incarnation: b.Incarnation}
-	var orders, ended, born packer
+	var orders, results, born packer
 	for _, o := range b.Orders {
 		orders.order(o)
 	}
-	for _, a := range b.Results {
-		ended.result(a)
+	for _, result := range b.Results {
+		results.result(result)
 	}
-	w.Orders, w.Results = orders, ended
+	w.Orders, w.Results = orders, results
 	if born.birthTimes(b.Results) {
 		w.BirthTimes = born
 	}
 	return json.Marshal(w)
 }
 
-// UnmarshalJSON unpacks a batch and checks it.
+// UnmarshalJSON decodes a wireBatch and checks the batch.
 func (b *Batch) UnmarshalJSON(data []byte) error {
 	var w wireBatch
 	if err := json.Unmarshal(data, &w); err != nil {
 		return fmt.Errorf("batch: %w", err)
 	}
 	*b = Batch{From: w.From, Incarnation: w.Incarnation}
-	orders, ended := &unpacker{rest: w.Orders}, &unpacker{rest: w.Results}
+	orders, results := &unpacker{rest: w.Orders}, &unpacker{rest: w.Results}
 	for len(orders.rest) > 0 && orders.err == nil {
 		b.Orders = append(b.Orders, orders.order())
 	}
-	for len(ended.rest) > 0 && ended.err == nil {
-		b.Results = append(b.Results, ended.result())
+	for len(results.rest) > 0 && results.err == nil {
+		b.Results = append(b.Results, results.result())
 	}
 	born := &unpacker{rest: w.BirthTimes}
 	born.birthTimes(b.Results)
-	if err := errors.Join(orders.err, ended.err, born.err); err != nil {
+	if err := errors.Join(orders.err, results.err, born.err); err != nil {
 		return fmt.Errorf("batch: %w", err)
 	}
 	return b.Check()
 }
 
-// packer appends packed values.
+// packer is a buffer to which values are appended in packed form.
 type packer []byte
 
 func (p *packer) number(v int64) { *p = binary.AppendVarint(*p, v) }
@@ -127,26 +128,26 @@
 	}
 }
 
-func (p *packer) result(a Result) {
-	p.number(int64(a.ID))
-	p.number(int64(a.Answer.Clock))
-	p.text(string(a.Answer.Outcome))
-	p.text(string(a.Answer.Reason))
-	p.text(a.Answer.Problem)
-	if a.Report == nil {
+func (p *packer) result(result Result) {
+	p.number(int64(result.ID))
+	p.number(int64(result.Answer.Clock))
+	p.text(string(result.Answer.Outcome))
+	p.text(string(result.Answer.Reason))
+	p.text(result.Answer.Problem)
+	if result.Report == nil {
 		p.number(0)
 		return
 	}
 	p.number(1)
-	p.number(int64(len(a.Report.Running)))
-	for _, r := range a.Report.Running {
+	p.number(int64(len(result.Report.Running)))
+	for _, r := range result.Report.Running {
 		p.run(r.Run)
 		p.text(r.Checkpoint)
 		p.number(int64(r.Progress))
 		p.number(r.Measurement)
 	}
-	p.number(int64(len(a.Report.Ended)))
-	for _, e := range a.Report.Ended {
+	p.number(int64(len(result.Report.Ended)))
+	for _, e := range result.Report.Ended {
 		p.number(e.Number)
 		p.run(e.Run)
 		p.text(string(e.Status))
@@ -154,28 +155,30 @@
 	}
 }
 
-// birthTimes packs when the lives began that told reports, and says whether any did tell it.
-func (p *packer) birthTimes(all []Result) bool {
-	told := false
-	for _, a := range all {
+// birthTimes packs the start times of the worker incarnations that sent the reports. It
+// returns whether any of them is known.
+func (p *packer) birthTimes(results []Result) bool {
+	known := false
+	for _, result := range results {
 		born := int64(0)
-		if a.Report != nil {
-			born = a.Report.Incarnation.BornUnixMilli
+		if result.Report != nil {
+			born = result.Report.Incarnation.BornUnixMilli
 		}
-		told = told || born != 0
+		known = known || born != 0
 		p.number(born)
 	}
-	return told
+	return known
 }
 
-// unpacker reads packed values. After an error all that it reads is empty.
+// unpacker reads packed values. After an error it returns only zero values.
 type unpacker struct {
 	rest []byte
 	err  error
 }
 
-// errTruncated means that packed values end too early or make no sense.
-var errTruncated = errors.New("packed values are cut short")
+// errTruncated is the error for packed data that ends early or contains an invalid number
+// or length.
+var errTruncated = errors.New("packed data is truncated or invalid")
 
 func (u *unpacker) fail(err error) {
 	if u.err == nil {
@@ -205,7 +208,8 @@
 	return s
 }
 
-// count reads how many values follow, each of which takes a byte at least.
+// count reads the number of values that follow. Each takes at least one byte, so a larger
+// number than the remaining bytes is an error.
 func (u *unpacker) count() int {
 	n := u.number()
 	if n < 0 || n > int64(len(u.rest)) {
@@ -226,7 +230,7 @@
 		u.fail(err)
 	}
 	if r.Task.Instance < 0 || r.Task.Step < 0 || r.Task.Index < 0 {
-		u.fail(fmt.Errorf("task %s: want whole numbers", r.Task))
+		u.fail(fmt.Errorf("task %s contains a negative number", r.Task))
 	}
 	return r
 }
@@ -249,41 +253,42 @@
 	case kind == kindThrottle:
 		o.Throttle = &order.Throttle{Run: u.run(), Percent: int(u.number()), Fence: u.number()}
 	default:
-		u.fail(fmt.Errorf("there is no order of kind %d", kind))
+		u.fail(fmt.Errorf("unknown order kind %d", kind))
 	}
 	return o
 }
 
 func (u *unpacker) result() Result {
-	a := Result{ID: uint64(u.number()), Answer: order.Answer{
+	result := Result{ID: uint64(u.number()), Answer: order.Answer{
 		Clock: order.WorkerClock(u.number()), Outcome: order.Outcome(u.text()), Reason: order.Reason(u.text()), Problem: u.text(),
 	}}
 	if u.number() == 0 {
-		return a
+		return result
 	}
-	a.Report = &order.Report{Clock: a.Answer.Clock}
+	result.Report = &order.Report{Clock: result.Answer.Clock}
 	for range u.count() {
-		a.Report.Running = append(a.Report.Running, order.Running{
+		result.Report.Running = append(result.Report.Running, order.Running{
 			Run: u.run(), Checkpoint: u.text(), Progress: int(u.number()), Measurement: u.number(),
 		})
 	}
 	for range u.count() {
-		a.Report.Ended = append(a.Report.Ended, order.End{Number: u.number(), Run: u.run(), Status: order.EndStatus(u.text()), Checkpoint: u.text()})
+		result.Report.Ended = append(result.Report.Ended, order.End{Number: u.number(), Run: u.run(), Status: order.EndStatus(u.text()), Checkpoint: u.text()})
 	}
-	return a
+	return result
 }
 
-// birthTimes reads when the lives began that told reports, where the sender says it.
-func (u *unpacker) birthTimes(all []Result) {
-	for i := range all {
+// birthTimes reads the start times of the worker incarnations that sent the reports. The
+// data may be empty.
+func (u *unpacker) birthTimes(results []Result) {
+	for i := range results {
 		if len(u.rest) == 0 {
 			return
 		}
 		born := u.number()
 		if born < 0 {
-			u.fail(fmt.Errorf("a worker that started at %d", born))
+			u.fail(fmt.Errorf("the start time %d of a worker is negative", born))
 		}
-		if r := all[i].Report; r != nil && u.err == nil {
+		if r := results[i].Report; r != nil && u.err == nil {
 			r.Incarnation.BornUnixMilli = born
 		}
 	}
--- a/services/relay/codec_test.go
+++ b/services/relay/codec_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// fullBatch is a batch with each kind of order and of end.
+// fullBatch returns a batch with each kind of order and of result.
 func fullBatch() relay.Batch {
 	return relay.Batch{
 		From: "10.1.0.11:7340", Incarnation: "01M0JPVH8KD3MYTHZT124XCZDT",
@@ -40,11 +40,12 @@
 	assert.DeepEqual(t, roundTrip(t, fullBatch()), fullBatch())
 }
 
-// A look that waits at an idle worker and its answer, as they pass 1,000 times a second.
+// An idle worker's renewal and its answer are exchanged 1,000 times a second in a cell, so
+// each must take 120 bytes at most.
 func TestIdleRenewalIsSmall(t *testing.T) {
-	look := relay.Order{ID: 123456, Worker: order.Incarnation{Name: "i-299c99caea"}, Address: "10.3.64.47:8684", AnswerTimeout: 7330, OverdueAfter: 1200, Renew: &order.Renew{LeaseEnd: 486000, Fence: 12, Acknowledged: 57, MaxWait: 1000}}
-	end := relay.Result{ID: 123456, Answer: order.Answer{Outcome: order.CarriedOut, Clock: 482113}, Report: &order.Report{Incarnation: order.Incarnation{BornUnixMilli: 1764750912345}, Clock: 482113}}
-	for _, b := range []relay.Batch{{From: "f", Incarnation: "l", Orders: []relay.Order{look}}, {From: "f", Incarnation: "l", Results: []relay.Result{end}}} {
+	renewal := relay.Order{ID: 123456, Worker: order.Incarnation{Name: "i-299c99caea"}, Address: "10.3.64.47:8684", AnswerTimeout: 7330, OverdueAfter: 1200, Renew: &order.Renew{LeaseEnd: 486000, Fence: 12, Acknowledged: 57, MaxWait: 1000}}
+	result := relay.Result{ID: 123456, Answer: order.Answer{Outcome: order.CarriedOut, Clock: 482113}, Report: &order.Report{Incarnation: order.Incarnation{BornUnixMilli: 1764750912345}, Clock: 482113}}
+	for _, b := range []relay.Batch{{From: "f", Incarnation: "l", Orders: []relay.Order{renewal}}, {From: "f", Incarnation: "l", Results: []relay.Result{result}}} {
 		data, err := json.Marshal(b)
 		assert.NilError(t, err)
 		assert.Check(t, len(data) <= 120, "%d bytes: %s", len(data), data)
@@ -59,15 +60,15 @@
 	var got relay.Batch
 	for _, part := range []string{"orders", "ended"} {
 		packed := map[string][]byte{"orders": w.Orders, "ended": w.Ended}[part]
-		whole := 0
+		accepted := 0
 		for n := 1; n < len(packed); n++ {
 			cut, err := json.Marshal(map[string]any{"from": "f", "life": "l", part: packed[:n]})
 			assert.NilError(t, err)
 			if json.Unmarshal(cut, &got) == nil {
-				whole++
+				accepted++
 			}
 		}
-		assert.Check(t, whole < 5, "%d of the beginnings of %s were taken", whole, part)
+		assert.Check(t, accepted < 5, "%d proper prefixes of %s were accepted", accepted, part)
 	}
 }
 
--- a/services/relay/outbox.go
+++ b/services/relay/outbox.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	// minBatchInterval is the least time between two batches to one box. The first goes at once.
-	// It bounds the messages to 50 a second each way for each relay.
+	// minBatchInterval is the minimum time between two batches to one box; the first is sent
+	// at once. It limits the messages to 50 per second and direction for each relay.
 	minBatchInterval = 20 * time.Millisecond
-	// sendTimeout bounds the sending of a batch. A link that is silent is given up sooner.
+	// sendTimeout is the timeout for sending a batch. An unresponsive link is closed earlier.
 	sendTimeout = time.Second
-	// maxQueued bounds what waits for one box: what more than 48 workers need in the
-	// second that a batch may take. What comes after that is refused at once.
+	// maxQueued is the maximum number of items that wait for one box. It exceeds what 48
+	// workers need during the second that sending a batch may take. Further items are
+	// refused at once.
 	maxQueued = 4096
 )
 
-// outbox gathers what goes to one box and sends one batch at a time, so that a link that
-// is slow gets larger batches and not more of them.
+// outbox collects the items for one box and sends one batch at a time, so that batches over
+// a slow link become larger instead of more frequent.
 type outbox[T any] struct {
 	box  claim.Member
 	now  func() time.Time
 	send func(ctx context.Context, box claim.Member, items []T) DeliveryStatus
-	// lost is told of the items of a batch that did not surely arrive.
-	onFailure func(items []T, f DeliveryStatus)
+	// onFailure is called with the items of a batch that was not confirmed.
+	onFailure func(items []T, status DeliveryStatus)
 
 	mu       sync.Mutex
 	items    []T
@@ -40,8 +41,9 @@
 	sentAt   time.Time
 }
 
-// add has an item sent with the next batch. It returns false if too much waits.
-func (o *outbox[T]) add(ctx context.Context, tasks *conc.WaitGroup, item T) bool {
+// add queues an item for the next batch. If no goroutine sends batches, it starts one in
+// goroutines. It returns false if the queue is full.
+func (o *outbox[T]) add(ctx context.Context, goroutines *conc.WaitGroup, item T) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.items) >= maxQueued {
@@ -50,12 +52,12 @@
 	o.items = append(o.items, item)
 	if !o.flushing {
 		o.flushing = true
-		tasks.Go(func() { o.flush(ctx) })
+		goroutines.Go(func() { o.flush(ctx) })
 	}
 	return true
 }
 
-// flush sends batches until nothing waits.
+// flush sends batches until the queue is empty.
 func (o *outbox[T]) flush(ctx context.Context) {
 	for {
 		o.waitInterval(ctx)
@@ -63,18 +65,18 @@
 		if len(items) == 0 {
 			return
 		}
-		within, cancel := context.WithTimeout(ctx, sendTimeout)
-		fate := o.send(within, o.box, items)
+		sendCtx, cancel := context.WithTimeout(ctx, sendTimeout)
+		status := o.send(sendCtx, o.box, items)
 		cancel()
-		if fate != Delivered {
-			o.onFailure(items, fate)
-			// What waits would only wait for the same link.
+		if status != Delivered {
+			o.onFailure(items, status)
+			// The queued items would only wait for the same link.
 			o.onFailure(o.drain(), NotSent)
 		}
 	}
 }
 
-// drain returns what waits.
+// drain empties the queue and returns its items.
 func (o *outbox[T]) drain() []T {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -88,7 +90,8 @@
 	clock.Wait(ctx, minBatchInterval-o.now().Sub(o.sentAt))
 }
 
-// takeBatch returns what waits, or ends the flushing.
+// takeBatch empties the queue and returns its items as the next batch. If there are none, it
+// marks flush as ended.
 func (o *outbox[T]) takeBatch() []T {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/services/relay/relay.go
+++ b/services/relay/relay.go
@@ -1,20 +1,21 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package relay has entry boxes near the workers carry a holder's orders to them, in
-// batches over the links between boxes. The holder alone decides and all orders bear its
-// fence number; a relay keeps nothing and renews nothing by itself, so that leases still
-// end with the holder's authority, and a relay that is lost costs its workers one order
-// each, which is given again directly.
+// Package relay sends a holder's orders to workers through entry boxes near them, called
+// relays, in batches over the links between boxes. Only the holder makes decisions, and
+// each order carries its fence number. A relay stores nothing and renews no lease by
+// itself, so leases still end with the holder's authority. If a relay fails, each of its
+// workers loses one order, which the holder sends again directly.
 //
-// Without relays one box opens connections to each worker and pays for an HTTP exchange
-// for each order, so that its processor and its link end the cell's size: worth was 0.133
-// without and 0.303 with them on a day of 120 workers and links of 2 Mbit/s (one play each).
+// Without relays, the holder opens connections to every worker and pays for an HTTP
+// exchange per order, so its processor and its link limit the size of the cell. On a
+// simulated day with 120 workers and links of 2 Mbit/s, jobs earned 0.133 of their value
+// without relays and 0.303 with them (one run each).
 //
-//   - roster says which box carries a worker's orders, if any;
-//   - outbox gathers what goes to one box;
-//   - client is the holder's side, server the relay's;
-//   - codec packs orders and their ends for the wire.
+//   - Selector selects the relay of a worker, if any;
+//   - outbox batches what is sent to one box;
+//   - Client is the holder's side, Server the relay's;
+//   - the codec packs orders and results for the wire.
 package relay
 
 import (
@@ -26,18 +27,19 @@
 	"saddlevane/models/order"
 )
 
-// WorkerCalls are the calls to workers. Their answers say what became of the order.
+// WorkerCalls holds the functions that send orders to workers. The returned answer holds
+// the outcome of the order.
 type WorkerCalls struct {
 	Renew func(ctx context.Context, address string, worker order.Incarnation, r order.Renew) (order.Report, order.Answer)
 	Start func(ctx context.Context, address string, worker order.Incarnation, s order.Start) order.Answer
 	Stop  func(ctx context.Context, address string, worker order.Incarnation, s order.Stop) order.Answer
-	// Throttle sets the pace of a run.
+	// Throttle limits the speed of a run.
 	Throttle func(ctx context.Context, address string, worker order.Incarnation, t order.Throttle) order.Answer
 }
 
-// Order is one order on its way to a worker. Exactly one of its parts is set.
+// Order is an order to a worker. Exactly one of Renew, Start, Stop and Throttle is set.
 type Order struct {
-	// ID tells the orders of one sender apart.
+	// ID is unique among the orders of one incarnation of a sender.
 	ID       uint64
 	Worker   order.Incarnation
 	Address  string
@@ -45,30 +47,31 @@
 	Start    *order.Start
 	Stop     *order.Stop
 	Throttle *order.Throttle
-	// Within is how long the answer counts from now on, Overdue after which time it is
-	// overdue, if that is sooner.
+	// AnswerTimeout is how long the sender accepts an answer, OverdueAfter the time after
+	// which the answer is overdue. Both count from when the order is sent; a relay counts
+	// from when it received the order.
 	AnswerTimeout job.Milliseconds
 	OverdueAfter  job.Milliseconds
 }
 
-// Check returns an error if the order makes no sense.
+// Check returns an error if the order is invalid.
 func (o Order) Check() error {
-	parts := 0
+	kinds := 0
 	for _, set := range []bool{o.Renew != nil, o.Start != nil, o.Stop != nil, o.Throttle != nil} {
 		if set {
-			parts++
+			kinds++
 		}
 	}
-	if parts != 1 {
-		return fmt.Errorf("order %d has %d parts", o.ID, parts)
+	if kinds != 1 {
+		return fmt.Errorf("order %d is of %d kinds, want exactly one", o.ID, kinds)
 	}
 	if o.Worker.Name == "" || o.Address == "" || o.AnswerTimeout <= 0 {
-		return fmt.Errorf("order %d: worker %q at %q within %v", o.ID, o.Worker.Name, o.Address, o.AnswerTimeout.Duration())
+		return fmt.Errorf("order %d is incomplete: worker %q, address %q, timeout %v", o.ID, o.Worker.Name, o.Address, o.AnswerTimeout.Duration())
 	}
 	return nil
 }
 
-// Result is the end of one order.
+// Result is the result of an order.
 type Result struct {
 	ID     uint64
 	Answer order.Answer
@@ -76,19 +79,19 @@
 	Report *order.Report
 }
 
-// Batch carries orders to a relay, or their ends back.
+// Batch carries orders to a relay, or their results back to the sender of the orders.
 type Batch struct {
-	// From is where the sender serves other boxes, Life its incarnation: ends of another
-	// life's orders are dropped.
+	// From is the address at which the sender of the orders serves other boxes, Incarnation
+	// the incarnation of that box. Results for another incarnation are dropped.
 	From, Incarnation string
 	Orders            []Order
 	Results           []Result
 }
 
-// Check returns an error if the batch makes no sense.
+// Check returns an error if the batch or any of its orders is invalid.
 func (b Batch) Check() error {
 	if b.From == "" || b.Incarnation == "" {
-		return errors.New("a batch without its sender")
+		return errors.New("the batch names no sender address or no incarnation")
 	}
 	for _, o := range b.Orders {
 		if err := o.Check(); err != nil {
@@ -98,10 +101,11 @@
 	return nil
 }
 
-// DeliveryStatus says what is known of a batch that was sent.
+// DeliveryStatus is the outcome of sending a batch.
 type DeliveryStatus string
 
-// The fates. Lost batches may have arrived, Unsent ones have surely not.
+// The delivery statuses. A batch with DeliveryUnknown may have arrived; one with NotSent
+// has not.
 const (
 	Delivered       DeliveryStatus = "arrived"
 	DeliveryUnknown DeliveryStatus = "lost"
--- a/services/relay/relay_test.go
+++ b/services/relay/relay_test.go
@@ -20,14 +20,14 @@
 	"gotest.tools/v3/poll"
 )
 
-// relayLink is how batches fare between the holder and its relay.
+// relayLink controls the delivery of batches between the holder and its relay.
 type relayLink struct {
 	mu sync.Mutex
-	// orders is the fate of batches of orders, or empty for Arrived; silent drops the ends
-	// that come back.
+	// orderDelivery is the status of batches of orders, which are not delivered then, or
+	// empty to deliver them. dropResults drops the results that the relay returns.
 	orderDelivery relay.DeliveryStatus
 	dropResults   bool
-	// batches counts those of orders.
+	// batches is the number of batches of orders.
 	batches int
 }
 
@@ -37,54 +37,55 @@
 	f()
 }
 
-// relayHarness is a holder and one relay with a worker behind it.
+// relayHarness connects a holder to a worker through one relay.
 type relayHarness struct {
 	relayLink
 	t        *testing.T
 	client   *relay.Client
 	server   *relay.Server
 	selector *relay.Selector
-	// takes is how long the worker takes to answer.
+	// answerDelay is how long the worker takes to answer, in nanoseconds.
 	answerDelay atomic.Int64
-	// direct counts the orders that the holder gave itself, carried those of the relay.
+	// direct counts the orders that the holder sent directly, carried those that the relay
+	// sent.
 	direct, carried atomic.Int64
 }
 
-// newRelayHarness returns a holder whose worker w-b-000 has a relay.
+// newRelayHarness returns a holder with one worker, w-b-000, which has a relay.
 func newRelayHarness(t *testing.T) *relayHarness {
 	t.Helper()
-	p := &relayHarness{t: t}
-	p.selector = relay.NewSelector(relay.Limits{MinWorkers: 1, WorkersPerRelay: 48}, "a-00")
-	p.selector.AddBoxes([]claim.Member{member("b", 0)})
-	p.selector.UpdateWorkers(listing(1, "b"))
-	p.server = relay.NewServer(time.Now, p.workers(&p.carried), func(_ context.Context, _ claim.Member, b relay.Batch) relay.DeliveryStatus {
-		p.mu.Lock()
-		silent := p.dropResults
-		p.mu.Unlock()
-		if !silent {
-			p.client.HandleResults(roundTrip(t, b))
+	h := &relayHarness{t: t}
+	h.selector = relay.NewSelector(relay.Limits{MinWorkers: 1, WorkersPerRelay: 48}, "a-00")
+	h.selector.AddBoxes([]claim.Member{member("b", 0)})
+	h.selector.UpdateWorkers(listing(1, "b"))
+	h.server = relay.NewServer(time.Now, h.workers(&h.carried), func(_ context.Context, _ claim.Member, b relay.Batch) relay.DeliveryStatus {
+		h.mu.Lock()
+		drop := h.dropResults
+		h.mu.Unlock()
+		if !drop {
+			h.client.HandleResults(roundTrip(t, b))
 		}
 		return relay.Delivered
 	})
-	p.client = relay.NewClient(member("a", 0), time.Now, p.selector, p.workers(&p.direct), func(_ context.Context, _ claim.Member, b relay.Batch) relay.DeliveryStatus {
-		p.mu.Lock()
-		p.batches++
-		fate := p.orderDelivery
-		p.mu.Unlock()
-		if fate != "" {
-			return fate
+	h.client = relay.NewClient(member("a", 0), time.Now, h.selector, h.workers(&h.direct), func(_ context.Context, _ claim.Member, b relay.Batch) relay.DeliveryStatus {
+		h.mu.Lock()
+		h.batches++
+		status := h.orderDelivery
+		h.mu.Unlock()
+		if status != "" {
+			return status
 		}
-		assert.Check(t, p.server.HandleOrders(roundTrip(t, b)))
+		assert.Check(t, h.server.HandleOrders(roundTrip(t, b)))
 		return relay.Delivered
 	})
 	t.Cleanup(func() {
-		p.client.Close()
-		p.server.Close()
+		h.client.Close()
+		h.server.Close()
 	})
-	return p
+	return h
 }
 
-// roundTrip returns a batch as the other box reads it.
+// roundTrip returns a batch after encoding and decoding.
 func roundTrip(t *testing.T, b relay.Batch) relay.Batch {
 	data, err := json.Marshal(b)
 	assert.Check(t, err)
@@ -93,12 +94,12 @@
 	return got
 }
 
-// workers are the calls to the worker, counted.
-func (p *relayHarness) workers(count *atomic.Int64) relay.WorkerCalls {
-	work := func(ctx context.Context) order.Answer {
+// workers returns the calls to the worker. They add to count.
+func (h *relayHarness) workers(count *atomic.Int64) relay.WorkerCalls {
+	answer := func(ctx context.Context) order.Answer {
 		count.Add(1)
 		select {
-		case <-time.After(time.Duration(p.answerDelay.Load())):
+		case <-time.After(time.Duration(h.answerDelay.Load())):
 			return order.Answer{Outcome: order.CarriedOut, Clock: 7}
 		case <-ctx.Done():
 			return order.Answer{Outcome: order.Unknown, Problem: ctx.Err().Error()}
@@ -108,12 +109,16 @@
 		Renew: func(ctx context.Context, _ string, worker order.Incarnation, r order.Renew) (order.Report, order.Answer) {
 			end := order.End{Number: r.Acknowledged + 1, Run: run(1), Status: order.Done, Checkpoint: "c"}
 			running := order.Running{Run: run(2), Checkpoint: "d", Progress: 40, Measurement: 9}
-			return order.Report{Incarnation: order.Incarnation{Name: worker.Name, BornUnixMilli: 5}, Clock: 7, Running: []order.Running{running}, Ended: []order.End{end}}, work(ctx)
+			return order.Report{Incarnation: order.Incarnation{Name: worker.Name, BornUnixMilli: 5}, Clock: 7, Running: []order.Running{running}, Ended: []order.End{end}}, answer(ctx)
+		},
+		Start: func(ctx context.Context, _ string, _ order.Incarnation, _ order.Start) order.Answer {
+			return answer(ctx)
+		},
+		Stop: func(ctx context.Context, _ string, _ order.Incarnation, _ order.Stop) order.Answer {
+			return answer(ctx)
 		},
-		Start: func(ctx context.Context, _ string, _ order.Incarnation, _ order.Start) order.Answer { return work(ctx) },
-		Stop:  func(ctx context.Context, _ string, _ order.Incarnation, _ order.Stop) order.Answer { return work(ctx) },
 		Throttle: func(ctx context.Context, _ string, _ order.Incarnation, _ order.Throttle) order.Answer {
-			return work(ctx)
+			return answer(ctx)
 		},
 	}
 }
@@ -122,118 +127,119 @@
 	return order.Run{Task: job.TaskID{StepID: job.StepID{Job: "5c0e7a21d94b36f8", Instance: 1, Step: 2}, Index: 3}, Number: number}
 }
 
-// startRun gives the order to start a run.
-func (p *relayHarness) startRun(within time.Duration) order.Answer {
+// startRun sends the order to start a run.
+func (h *relayHarness) startRun(within time.Duration) order.Answer {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	return p.client.WorkerCalls().Start(ctx, "address", order.Incarnation{Name: "w-b-000"}, order.Start{Run: run(1), LeaseEnd: 9, Fence: 4})
+	return h.client.WorkerCalls().Start(ctx, "address", order.Incarnation{Name: "w-b-000"}, order.Start{Run: run(1), LeaseEnd: 9, Fence: 4})
 }
 
 func TestOrdersAndAnswersPassThroughRelay(t *testing.T) {
-	p := newRelayHarness(t)
+	h := newRelayHarness(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	w := p.client.WorkerCalls()
+	w := h.client.WorkerCalls()
 	report, answer := w.Renew(ctx, "address", order.Incarnation{Name: "w-b-000"}, order.Renew{LeaseEnd: 9, Fence: 4, Acknowledged: 11})
 	assert.Equal(t, answer, order.Answer{Outcome: order.CarriedOut, Clock: 7})
 	assert.Equal(t, report.Incarnation, order.Incarnation{Name: "w-b-000", BornUnixMilli: 5})
 	assert.DeepEqual(t, report.Ended, []order.End{{Number: 12, Run: run(1), Status: order.Done, Checkpoint: "c"}})
 	assert.DeepEqual(t, report.Running, []order.Running{{Run: run(2), Checkpoint: "d", Progress: 40, Measurement: 9}})
-	assert.Equal(t, p.startRun(time.Second).Outcome, order.CarriedOut)
+	assert.Equal(t, h.startRun(time.Second).Outcome, order.CarriedOut)
 	assert.Equal(t, w.Stop(ctx, "address", order.Incarnation{Name: "w-b-000"}, order.Stop{Run: run(1)}).Outcome, order.CarriedOut)
 	assert.Equal(t, w.Throttle(ctx, "address", order.Incarnation{Name: "w-b-000"}, order.Throttle{Run: run(1)}).Outcome, order.CarriedOut)
-	assert.Equal(t, p.carried.Load(), int64(4))
-	assert.Equal(t, p.direct.Load(), int64(0))
+	assert.Equal(t, h.carried.Load(), int64(4))
+	assert.Equal(t, h.direct.Load(), int64(0))
 }
 
-// Each message costs the holder about 18 µs of processor time, whatever it carries.
+// Each message costs the holder about 18 µs of processor time, however many orders it
+// carries.
 func TestConcurrentOrdersShareMessages(t *testing.T) {
-	p := newRelayHarness(t)
+	h := newRelayHarness(t)
 	var calls sync.WaitGroup
 	for range 200 {
-		calls.Go(func() { assert.Check(t, p.startRun(5*time.Second).Outcome == order.CarriedOut) })
+		calls.Go(func() { assert.Check(t, h.startRun(5*time.Second).Outcome == order.CarriedOut) })
 	}
 	calls.Wait()
-	p.update(func() { assert.Check(t, p.batches <= 20, "%d messages for 200 orders", p.batches) })
+	h.update(func() { assert.Check(t, h.batches <= 20, "%d messages for 200 orders", h.batches) })
 }
 
 func TestUnsentOrdersAreSentDirectly(t *testing.T) {
-	p := newRelayHarness(t)
-	p.update(func() { p.orderDelivery = relay.NotSent })
-	assert.Equal(t, p.startRun(5*time.Second).Outcome, order.CarriedOut)
-	assert.Equal(t, p.direct.Load(), int64(1))
-	p.update(func() { p.orderDelivery = "" })
-	assert.Equal(t, p.startRun(5*time.Second).Outcome, order.CarriedOut)
-	assert.Equal(t, p.direct.Load(), int64(2), "the box is put aside")
+	h := newRelayHarness(t)
+	h.update(func() { h.orderDelivery = relay.NotSent })
+	assert.Equal(t, h.startRun(5*time.Second).Outcome, order.CarriedOut)
+	assert.Equal(t, h.direct.Load(), int64(1))
+	h.update(func() { h.orderDelivery = "" })
+	assert.Equal(t, h.startRun(5*time.Second).Outcome, order.CarriedOut)
+	assert.Equal(t, h.direct.Load(), int64(2), "the relay is excluded after the failure")
 }
 
 func TestPossiblyDeliveredOrdersAreNotResent(t *testing.T) {
-	p := newRelayHarness(t)
-	p.update(func() { p.orderDelivery = relay.DeliveryUnknown })
-	assert.Equal(t, p.startRun(5*time.Second).Outcome, order.Unknown)
-	assert.Equal(t, p.direct.Load(), int64(0))
-	assert.Equal(t, p.startRun(5*time.Second).Outcome, order.CarriedOut)
-	assert.Equal(t, p.direct.Load(), int64(1), "the next one is given directly")
+	h := newRelayHarness(t)
+	h.update(func() { h.orderDelivery = relay.DeliveryUnknown })
+	assert.Equal(t, h.startRun(5*time.Second).Outcome, order.Unknown)
+	assert.Equal(t, h.direct.Load(), int64(0))
+	assert.Equal(t, h.startRun(5*time.Second).Outcome, order.CarriedOut)
+	assert.Equal(t, h.direct.Load(), int64(1), "the next order is sent directly")
 }
 
 func TestUnresponsiveRelayIsExcluded(t *testing.T) {
-	p := newRelayHarness(t)
-	p.update(func() { p.dropResults = true })
-	assert.Equal(t, p.startRun(100*time.Millisecond).Outcome, order.Unknown)
-	_, ok := p.selector.Pick(time.Now(), "w-b-000")
+	h := newRelayHarness(t)
+	h.update(func() { h.dropResults = true })
+	assert.Equal(t, h.startRun(100*time.Millisecond).Outcome, order.Unknown)
+	_, ok := h.selector.Pick(time.Now(), "w-b-000")
 	assert.Check(t, !ok)
 }
 
-// A relay that was stopped for a while must not give orders that count as lost.
+// A relay that was paused must not send orders that the holder has already given up.
 func TestExpiredOrderIsNotSentToWorker(t *testing.T) {
-	var later atomic.Int64
-	given := make(chan relay.Batch, 1)
+	var pause atomic.Int64
+	sent := make(chan relay.Batch, 1)
 	server := relay.NewServer(
-		func() time.Time { return time.Now().Add(time.Duration(later.Add(int64(time.Second)))) },
+		func() time.Time { return time.Now().Add(time.Duration(pause.Add(int64(time.Second)))) },
 		relay.WorkerCalls{}, func(_ context.Context, _ claim.Member, b relay.Batch) relay.DeliveryStatus {
-			given <- b
+			sent <- b
 			return relay.Delivered
 		})
 	defer server.Close()
 	o := relay.Order{ID: 1, Worker: order.Incarnation{Name: "w"}, Address: "a", Start: &order.Start{Run: run(1)}, AnswerTimeout: 300}
 	assert.NilError(t, server.HandleOrders(relay.Batch{From: "holder", Incarnation: "1", Orders: []relay.Order{o}}))
-	b := <-given
+	b := <-sent
 	assert.Equal(t, b.Results[0].Answer.Outcome, order.NotDone)
 }
 
 func TestInvalidBatchIsRejectedWhole(t *testing.T) {
-	good := relay.Order{ID: 1, Worker: order.Incarnation{Name: "w"}, Address: "a", Stop: &order.Stop{Run: run(1)}, AnswerTimeout: 300}
-	two := good
+	valid := relay.Order{ID: 1, Worker: order.Incarnation{Name: "w"}, Address: "a", Stop: &order.Stop{Run: run(1)}, AnswerTimeout: 300}
+	two := valid
 	two.Start = &order.Start{Run: run(1)}
-	nobody, none, never := good, good, good
-	nobody.Worker, none.Stop, never.AnswerTimeout = order.Incarnation{}, nil, 0
+	noWorker, noKind, noTime := valid, valid, valid
+	noWorker.Worker, noKind.Stop, noTime.AnswerTimeout = order.Incarnation{}, nil, 0
 	for name, b := range map[string]relay.Batch{
-		"no sender": {Incarnation: "1", Orders: []relay.Order{good}}, "no life": {From: "holder", Orders: []relay.Order{good}},
-		"two parts": {From: "holder", Incarnation: "1", Orders: []relay.Order{good, two}},
-		"no worker": {From: "holder", Incarnation: "1", Orders: []relay.Order{nobody}},
-		"no part":   {From: "holder", Incarnation: "1", Orders: []relay.Order{none}},
-		"no time":   {From: "holder", Incarnation: "1", Orders: []relay.Order{never}},
+		"no sender": {Incarnation: "1", Orders: []relay.Order{valid}}, "no incarnation": {From: "holder", Orders: []relay.Order{valid}},
+		"two kinds": {From: "holder", Incarnation: "1", Orders: []relay.Order{valid, two}},
+		"no worker": {From: "holder", Incarnation: "1", Orders: []relay.Order{noWorker}},
+		"no kind":   {From: "holder", Incarnation: "1", Orders: []relay.Order{noKind}},
+		"no time":   {From: "holder", Incarnation: "1", Orders: []relay.Order{noTime}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newRelayHarness(t)
-			assert.Check(t, p.server.HandleOrders(b) != nil)
-			assert.Equal(t, p.carried.Load(), int64(0))
+			h := newRelayHarness(t)
+			assert.Check(t, h.server.HandleOrders(b) != nil)
+			assert.Equal(t, h.carried.Load(), int64(0))
 		})
 	}
 }
 
 func TestResultsForOtherIncarnationAreDropped(t *testing.T) {
-	p := newRelayHarness(t)
-	p.answerDelay.Store(int64(200 * time.Millisecond))
+	h := newRelayHarness(t)
+	h.answerDelay.Store(int64(200 * time.Millisecond))
 	done := make(chan order.Answer, 1)
-	go func() { done <- p.startRun(5 * time.Second) }()
+	go func() { done <- h.startRun(5 * time.Second) }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if p.carried.Load() == 0 {
-			return poll.Continue("the order is on its way")
+		if h.carried.Load() == 0 {
+			return poll.Continue("the order has not reached the worker")
 		}
 		return poll.Success()
 	})
 	forged := relay.Result{ID: 1, Answer: order.Answer{Outcome: order.Refused}}
-	p.client.HandleResults(relay.Batch{From: "a-00:1", Incarnation: "an earlier life", Results: []relay.Result{forged}})
+	h.client.HandleResults(relay.Batch{From: "a-00:1", Incarnation: "earlier incarnation", Results: []relay.Result{forged}})
 	assert.Equal(t, (<-done).Outcome, order.CarriedOut)
 }
--- a/services/relay/roster.go
+++ b/services/relay/roster.go
@@ -16,30 +16,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Limits say from when on a cell has relays, and how many.
+// Limits determine whether a cell uses relays, and how many.
 type Limits struct {
-	// From is how many workers a cell has at least that has relays: with fewer the
-	// holder's own connections cost less than the messages.
+	// MinWorkers is the number of workers from which on a cell uses relays. With fewer, the
+	// holder's own connections cost less than the messages to relays.
 	MinWorkers int
-	// WorkersPerRelay is how many workers' orders one box should carry, or 0 for no relays. One
-	// carries about 5 orders a second for each.
+	// WorkersPerRelay is the number of workers for which one box should relay orders, or 0
+	// to use no relays. A relay passes on about 5 orders per second for each worker.
 	WorkersPerRelay int
 }
 
 const (
-	// initialBackoff is how long a box that did not answer carries nothing, maxBackoff the
-	// longest that time grows to while it goes on not answering.
+	// initialBackoff is how long a box is excluded after it did not answer. The time doubles
+	// with each further failure, up to maxBackoff.
 	initialBackoff = time.Second
 	maxBackoff     = 16 * time.Second
-	// directDuration is how long a worker that left an order through a relay unanswered gets
-	// its orders from the holder itself: the relay may not reach it.
+	// directDuration is how long the holder sends orders directly to a worker after an order
+	// through its relay was not answered, because the relay may be unable to reach it.
 	directDuration = 2 * time.Second
 )
 
-// Selector says which box carries a worker's orders. The boxes of a worker's own domain do,
-// as many as its workers need, so that a domain that is cut off takes no other's relays
-// with it; each worker has one of them by rendezvous hashing, so that a box that is lost
-// moves its own workers only.
+// Selector selects the relay of each worker. Relays are boxes of the worker's own failure
+// domain, so that a partitioned domain does not affect the relays of others; a domain has
+// as many as its workers need. Each worker is assigned to one of them by rendezvous
+// hashing, so that the failure of a box moves only the box's own workers.
 type Selector struct {
 	limits Limits
 	self   string
@@ -47,23 +47,24 @@
 	mu            sync.Mutex
 	boxes         map[string]claim.Member
 	workerDomains map[string]string
-	// counts has the number of workers by domain.
+	// workerCounts holds the number of workers by domain.
 	workerCounts map[string]int
 	backoffs     map[string]backoff
-	// direct is until when a worker's orders go to it directly.
+	// directUntil holds the time until which a worker's orders are sent directly.
 	directUntil map[string]time.Time
-	// teams has the relays of each domain as they were at relaysChosenAt.
+	// relaysByDomain caches the relays of each domain since relaysChosenAt.
 	relaysByDomain map[string][]string
 	relaysChosenAt time.Time
 }
 
-// backoff is a box that did not answer.
+// backoff is the exclusion of a box that did not answer.
 type backoff struct {
 	until    time.Time
 	duration time.Duration
 }
 
-// NewSelector returns the roster of a box that knows no other box and no worker yet.
+// NewSelector returns a Selector without boxes or workers. self is the name of this box,
+// which is not used as a relay.
 func NewSelector(l Limits, self string) *Selector {
 	return &Selector{
 		limits: l, self: self, boxes: map[string]claim.Member{}, workerDomains: map[string]string{}, workerCounts: map[string]int{},
@@ -71,132 +72,135 @@
 	}
 }
 
-// AddBoxes takes entry boxes that have announced themselves.
-func (r *Selector) AddBoxes(members []claim.Member) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// AddBoxes adds or updates entry boxes that have announced themselves. They are no longer
+// excluded.
+func (s *Selector) AddBoxes(members []claim.Member) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, m := range members {
-		r.boxes[m.Box] = m
-		delete(r.backoffs, m.Box)
+		s.boxes[m.Box] = m
+		delete(s.backoffs, m.Box)
 	}
-	r.relaysByDomain = nil
+	s.relaysByDomain = nil
 }
 
-// UpdateWorkers takes a change of the platform's list of workers.
-func (r *Selector) UpdateWorkers(l order.Listing) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// UpdateWorkers applies a change of the platform's list of workers.
+func (s *Selector) UpdateWorkers(l order.Listing) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if l.Complete {
-		clear(r.workerDomains)
-		clear(r.workerCounts)
+		clear(s.workerDomains)
+		clear(s.workerCounts)
 	}
 	for _, w := range l.Present {
-		r.removeWorker(w.Name)
-		r.workerDomains[w.Name] = w.Domain
-		r.workerCounts[w.Domain]++
+		s.removeWorker(w.Name)
+		s.workerDomains[w.Name] = w.Domain
+		s.workerCounts[w.Domain]++
 	}
 	for _, id := range l.Removed {
-		r.removeWorker(id)
-		delete(r.directUntil, id)
+		s.removeWorker(id)
+		delete(s.directUntil, id)
 	}
-	r.relaysByDomain = nil
+	s.relaysByDomain = nil
 }
 
-// removeWorker takes a worker out.
-func (r *Selector) removeWorker(id string) {
-	if domain, ok := r.workerDomains[id]; ok {
-		delete(r.workerDomains, id)
-		r.workerCounts[domain]--
+// removeWorker removes a worker from its domain.
+func (s *Selector) removeWorker(id string) {
+	if domain, ok := s.workerDomains[id]; ok {
+		delete(s.workerDomains, id)
+		s.workerCounts[domain]--
 	}
 }
 
-// Pick returns the box that carries a worker's orders, if one does.
-func (r *Selector) Pick(now time.Time, worker string) (box claim.Member, ok bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	domain, known := r.workerDomains[worker]
-	if !known || r.limits.WorkersPerRelay == 0 || len(r.workerDomains) < r.limits.MinWorkers || now.Before(r.directUntil[worker]) {
+// Pick returns the relay of a worker, or false if its orders are sent directly.
+func (s *Selector) Pick(now time.Time, worker string) (box claim.Member, ok bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	domain, known := s.workerDomains[worker]
+	if !known || s.limits.WorkersPerRelay == 0 || len(s.workerDomains) < s.limits.MinWorkers || now.Before(s.directUntil[worker]) {
 		return claim.Member{}, false
 	}
-	delete(r.directUntil, worker)
-	name := rendezvous.Pick(worker, r.relaysOf(now, domain))
-	return r.boxes[name], name != ""
+	delete(s.directUntil, worker)
+	name := rendezvous.Pick(worker, s.relaysOf(now, domain))
+	return s.boxes[name], name != ""
 }
 
-// relayChoiceTTL is how long the relays of a domain are kept before boxes that were put aside
-// are looked at again.
+// relayChoiceTTL is how long the chosen relays of a domain are cached. Boxes whose backoff
+// has ended are used again after that.
 const relayChoiceTTL = 100 * time.Millisecond
 
-// relaysOf returns the relays of a domain.
-func (r *Selector) relaysOf(now time.Time, domain string) []string {
-	if r.relaysByDomain == nil || now.Sub(r.relaysChosenAt) > relayChoiceTTL {
-		r.relaysByDomain, r.relaysChosenAt = map[string][]string{}, now
+// relaysOf returns the names of the relays of a domain. The caller holds mu.
+func (s *Selector) relaysOf(now time.Time, domain string) []string {
+	if s.relaysByDomain == nil || now.Sub(s.relaysChosenAt) > relayChoiceTTL {
+		s.relaysByDomain, s.relaysChosenAt = map[string][]string{}, now
 	}
-	team, ok := r.relaysByDomain[domain]
+	relays, ok := s.relaysByDomain[domain]
 	if !ok {
-		team = r.chooseRelays(now, domain)
-		r.relaysByDomain[domain] = team
+		relays = s.chooseRelays(now, domain)
+		s.relaysByDomain[domain] = relays
 	}
-	return team
+	return relays
 }
 
-// chooseRelays returns the first boxes of a domain in an order that is the same for all
-// holders, as many as its workers need, without those that were put aside.
-func (r *Selector) chooseRelays(now time.Time, domain string) []string {
+// chooseRelays returns as many boxes of a domain as its workers need, without excluded ones.
+// Boxes are taken in the order of their hashes, so that all holders choose the same.
+func (s *Selector) chooseRelays(now time.Time, domain string) []string {
 	var names []string
-	for name, m := range r.boxes {
-		if m.Domain == domain && name != r.self && !now.Before(r.backoffs[name].until) {
+	for name, m := range s.boxes {
+		if m.Domain == domain && name != s.self && !now.Before(s.backoffs[name].until) {
 			names = append(names, name)
 		}
 	}
 	slices.SortFunc(names, func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
 	})
-	need := (r.workerCounts[domain] + r.limits.WorkersPerRelay - 1) / r.limits.WorkersPerRelay
+	need := (s.workerCounts[domain] + s.limits.WorkersPerRelay - 1) / s.limits.WorkersPerRelay
 	return names[:min(need, len(names))]
 }
 
-// RecordBoxFailure notes that a box did not answer: it carries nothing for a while.
-func (r *Selector) RecordBoxFailure(now time.Time, box string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	a := r.backoffs[box]
-	if now.Before(a.until) {
+// RecordBoxFailure records that a box did not answer and excludes it for its backoff time.
+// Failures during that time are ignored: they concern batches that were sent before it.
+func (s *Selector) RecordBoxFailure(now time.Time, box string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	b := s.backoffs[box]
+	if now.Before(b.until) {
 		return
 	}
-	a.duration = min(maxBackoff, max(initialBackoff, 2*a.duration))
-	a.until = now.Add(a.duration)
-	r.backoffs[box] = a
-	r.relaysByDomain = nil
+	b.duration = min(maxBackoff, max(initialBackoff, 2*b.duration))
+	b.until = now.Add(b.duration)
+	s.backoffs[box] = b
+	s.relaysByDomain = nil
 }
 
-// RecordBoxAnswer notes that a box has answered.
-func (r *Selector) RecordBoxAnswer(box string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.backoffs, box)
+// RecordBoxAnswer records that a box has answered and resets its backoff.
+func (s *Selector) RecordBoxAnswer(box string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.backoffs, box)
 }
 
-// RecordUnanswered notes that an order through a relay had no answer of its worker.
-func (r *Selector) RecordUnanswered(now time.Time, worker string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.directUntil[worker] = now.Add(directDuration)
+// RecordUnanswered records that a worker did not answer an order through its relay. Its
+// orders are sent directly for directDuration.
+func (s *Selector) RecordUnanswered(now time.Time, worker string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.directUntil[worker] = now.Add(directDuration)
 }
 
-// WorkersByRelay returns how many workers' orders each box carries.
-func (r *Selector) WorkersByRelay(now time.Time) map[string]int {
-	r.mu.Lock()
-	workers := make([]string, 0, len(r.workerDomains))
-	for id := range r.workerDomains {
+// WorkersByRelay returns the number of workers of each relay, by the name of its box.
+func (s *Selector) WorkersByRelay(now time.Time) map[string]int {
+	s.mu.Lock()
+	workers := make([]string, 0, len(s.workerDomains))
+	for id := range s.workerDomains {
 		workers = append(workers, id)
 	}
-	r.mu.Unlock()
-	carried := map[string]int{}
+	s.mu.Unlock()
+	counts := map[string]int{}
 	for _, id := range workers {
-		if m, ok := r.Pick(now, id); ok {
-			carried[m.Box]++
+		if m, ok := s.Pick(now, id); ok {
+			counts[m.Box]++
 		}
 	}
-	return carried
+	return counts
 }
--- a/services/relay/server.go
+++ b/services/relay/server.go
@@ -15,7 +15,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Server carries the orders of holders to workers.
+// Server is the relay's side: it passes on the orders of holders to workers and returns the
+// results.
 type Server struct {
 	now        func() time.Time
 	direct     WorkerCalls
@@ -28,22 +29,24 @@
 	outboxes map[sender]*outbox[Result]
 }
 
-// sender is one life of a box that has sent orders.
+// sender identifies an incarnation of a box that has sent orders.
 type sender struct{ address, incarnation string }
 
-// NewServer returns a server that gives orders by direct and tells of their ends by send.
+// NewServer returns a server that sends orders to workers with direct and returns batches of
+// results with send.
 func NewServer(now func() time.Time, direct WorkerCalls, send func(context.Context, claim.Member, Batch) DeliveryStatus) *Server {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Server{now: now, direct: direct, send: send, ctx: ctx, cancel: cancel, outboxes: map[sender]*outbox[Result]{}}
 }
 
-// Close ends what is under way and waits for it.
+// Close cancels all calls and waits until they have returned.
 func (s *Server) Close() {
 	s.cancel()
 	s.goroutines.Wait()
 }
 
-// HandleOrders takes the orders of a batch.
+// HandleOrders sends the orders of a batch to their workers, concurrently and without
+// waiting for the answers. An invalid batch is rejected as a whole.
 func (s *Server) HandleOrders(b Batch) error {
 	if err := b.Check(); err != nil {
 		return err
@@ -52,9 +55,9 @@
 	received := s.now()
 	for _, o := range b.Orders {
 		s.goroutines.Go(func() {
-			// A box that was stopped for a while must not give an order late.
-			within := o.AnswerTimeout.Duration() - s.now().Sub(received)
-			ctx, cancel := context.WithTimeout(httpclient.Overdue(s.ctx, o.OverdueAfter.Duration()), within)
+			// The process may have been paused; the order must not be sent after its timeout.
+			timeout := o.AnswerTimeout.Duration() - s.now().Sub(received)
+			ctx, cancel := context.WithTimeout(httpclient.Overdue(s.ctx, o.OverdueAfter.Duration()), timeout)
 			defer cancel()
 			out.add(s.ctx, &s.goroutines, s.sendOrder(ctx, o))
 		})
@@ -62,29 +65,30 @@
 	return nil
 }
 
-// sendOrder gives one order.
+// sendOrder sends an order to its worker and returns the result.
 func (s *Server) sendOrder(ctx context.Context, o Order) Result {
-	a := Result{ID: o.ID}
+	result := Result{ID: o.ID}
 	switch {
 	case ctx.Err() != nil:
-		a.Answer = order.Answer{Outcome: order.NotDone, Problem: "it came too late to the relay"}
+		result.Answer = order.Answer{Outcome: order.NotDone, Problem: "the order reached the relay too late"}
 	case o.Renew != nil:
 		var r order.Report
-		r, a.Answer = s.direct.Renew(ctx, o.Address, o.Worker, *o.Renew)
-		if a.Answer.Outcome == order.CarriedOut {
-			a.Report = &r
+		r, result.Answer = s.direct.Renew(ctx, o.Address, o.Worker, *o.Renew)
+		if result.Answer.Outcome == order.CarriedOut {
+			result.Report = &r
 		}
 	case o.Start != nil:
-		a.Answer = s.direct.Start(ctx, o.Address, o.Worker, *o.Start)
+		result.Answer = s.direct.Start(ctx, o.Address, o.Worker, *o.Start)
 	case o.Stop != nil:
-		a.Answer = s.direct.Stop(ctx, o.Address, o.Worker, *o.Stop)
+		result.Answer = s.direct.Stop(ctx, o.Address, o.Worker, *o.Stop)
 	default:
-		a.Answer = s.direct.Throttle(ctx, o.Address, o.Worker, *o.Throttle)
+		result.Answer = s.direct.Throttle(ctx, o.Address, o.Worker, *o.Throttle)
 	}
-	return a
+	return result
 }
 
-// outboxFor returns what goes back to a sender. A later life of its box replaces it.
+// outboxFor returns the outbox for the results of a sender's orders. A later incarnation of
+// the same box replaces the earlier one's.
 func (s *Server) outboxFor(to sender) *outbox[Result] {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,8 +102,8 @@
 	}
 	out := &outbox[Result]{
 		box: claim.Member{Address: to.address}, now: s.now, onFailure: func([]Result, DeliveryStatus) {},
-		send: func(ctx context.Context, box claim.Member, ended []Result) DeliveryStatus {
-			return s.send(ctx, box, Batch{From: to.address, Incarnation: to.incarnation, Results: ended})
+		send: func(ctx context.Context, box claim.Member, results []Result) DeliveryStatus {
+			return s.send(ctx, box, Batch{From: to.address, Incarnation: to.incarnation, Results: results})
 		},
 	}
 	s.outboxes[to] = out
--- a/services/routing/admit.go
+++ b/services/routing/admit.go
@@ -13,7 +13,8 @@
 	"saddlevane/models/verdict"
 )
 
-// Arrived takes a caller's request.
+// Arrived handles the arrival of a caller's request: it is sent, queued, spilled
+// to another domain or refused.
 func (r *Router) Arrived(now time.Time, a request.Arrival) []effect.Effect {
 	p, ok := r.pools[a.Pool]
 	if !ok || p.retired {
@@ -31,6 +32,7 @@
 	return r.admit(now, q)
 }
 
+// timeBudget returns the time within which a request must be answered.
 func timeBudget(a request.Arrival, c *class) time.Duration {
 	if a.Budget > 0 {
 		return min(a.Budget, c.spec.Deadline)
@@ -38,17 +40,20 @@
 	return c.spec.Deadline
 }
 
-// admit queues a request, or refuses it if it would surely wait too long.
+// admit queues a request. If the pool has no targets, the queue is full or the
+// request would miss its deadline, it is spilled or refused instead.
 func (r *Router) admit(now time.Time, q *pending) []effect.Effect {
 	wait := q.pool.expectedWait(now, q.class)
 	late := wait + q.class.minTimeLeft() - q.deadline.Sub(now)
 	switch {
 	case len(q.pool.targets) == 0:
-		return r.spill(now, q, notRunRefusal(http.StatusServiceUnavailable, "the pool has no targets here", time.Second))
+		return r.spill(now, q, notRunRefusal(http.StatusServiceUnavailable, "the pool has no targets in this failure domain", time.Second))
 	case q.class.waiting >= q.class.spec.Queue:
 		return r.spill(now, q, notRunRefusal(http.StatusServiceUnavailable, "the queue is full", max(wait, r.policy.MinRetryAfter)))
 	case r.policy.RefuseLate && late > 0:
-		return r.spill(now, q, notRunRefusal(http.StatusServiceUnavailable, "it would wait past its deadline", max(late, r.policy.MinRetryAfter)))
+		return r.spill(now, q, notRunRefusal(
+			http.StatusServiceUnavailable, "the request would wait past its deadline", max(late, r.policy.MinRetryAfter),
+		))
 	}
 	r.requests[q.arrival.ID] = q
 	q.state = stageWaiting
@@ -58,8 +63,8 @@
 	return effects
 }
 
-// drop refuses a request that waits and undoes its key, unless an earlier
-// attempt may have run: then the answer says that.
+// drop refuses a request and removes its key. If an earlier attempt may have run,
+// the answer says so and the key stays.
 func (r *Router) drop(now time.Time, q *pending, f request.Refusal) []effect.Effect {
 	if q.mayHaveRun {
 		return r.completeUnknown(q, f.Reason)
@@ -84,7 +89,8 @@
 
 func (r *Router) count(a request.Arrival, v verdict.Verdict, status int) {
 	if _, known := r.pools[a.Pool]; !known {
-		// Callers choose these names; counting them would let callers grow memory.
+		// Callers choose these names, so a counter per unknown name would let them
+		// consume any amount of memory.
 		a.Pool, a.Class = "", ""
 	} else if _, known := r.pools[a.Pool].classes[a.Class]; !known {
 		a.Class = ""
@@ -92,10 +98,11 @@
 	r.counts[CountKey{Pool: a.Pool, Class: a.Class, Verdict: v, Status: status}]++
 }
 
-// Counts returns how many requests ended, by what became of them. It must not
-// be changed.
+// Counts returns the number of ended requests by pool, class, verdict and status.
+// The caller must not modify it.
 func (r *Router) Counts() map[CountKey]int64 { return r.counts }
 
+// notRunRefusal returns the answer to a request that was not run.
 func notRunRefusal(status int, reason string, retryAfter time.Duration) request.Refusal {
 	return request.Refusal{Status: status, Verdict: verdict.NotRun, Reason: reason, RetryAfter: retryAfter}
 }
--- a/services/routing/finish.go
+++ b/services/routing/finish.go
@@ -13,7 +13,8 @@
 	"saddlevane/models/verdict"
 )
 
-// Abandoned takes the word that a caller has left.
+// Abandoned handles the disconnection of a request's caller. The request is
+// dropped only if it has not been sent and no other arrival waits for its answer.
 func (r *Router) Abandoned(now time.Time, id request.ID) []effect.Effect {
 	q, ok := r.requests[id]
 	if !ok {
@@ -25,13 +26,15 @@
 	}
 	q.state = stageEnded
 	q.class.countAbandoned()
-	return r.drop(now, q, notRunRefusal(statusCallerLeft, "the caller left", 0))
+	return r.drop(now, q, notRunRefusal(statusCallerLeft, "the caller disconnected", 0))
 }
 
-// statusCallerLeft is counted for callers that left; nobody receives it.
+// statusCallerLeft is the status under which requests of disconnected callers are
+// counted. It is never received by anyone.
 const statusCallerLeft = 499
 
-// Answered takes the end of an attempt.
+// Answered handles the end of an attempt: the request is answered, retried or
+// refused, and the freed slot is used for the next waiting request.
 func (r *Router) Answered(now time.Time, e event.TargetAnswered) []effect.Effect {
 	q, ok := r.requests[e.ID]
 	if !ok || q.state != stageSent || q.attempt != e.Attempt {
@@ -55,10 +58,10 @@
 	return append(effects, r.dispatch(now, q.pool)...)
 }
 
-// mayRetry says whether a failed attempt is followed by another. A request that
-// was not run can be sent again whatever its class; one that may have run only
-// if it may be repeated. Both draw on the pool's budget, so that an outage is
-// not made worse by retries.
+// mayRetry reports whether a failed attempt is followed by another, and if so
+// takes a token from the pool's retry budget. A request that was not run can be
+// sent again whatever its class; one that may have run only if its class is
+// repeatable. The budget keeps retries from making an outage worse.
 func (r *Router) mayRetry(now time.Time, q *pending, e event.TargetAnswered) bool {
 	if q.abandoned || !now.Before(q.deadline) || q.pool.retired {
 		return false
@@ -74,7 +77,7 @@
 	return r.drop(now, q, notRunRefusal(http.StatusServiceUnavailable, e.Reason, wait))
 }
 
-// completeUnknown answers a request that may have run.
+// completeUnknown answers that the request may have run.
 func (r *Router) completeUnknown(q *pending, reason string) []effect.Effect {
 	f := unknownRefusal(http.StatusBadGateway, reason)
 	return r.complete(q, func(a request.Arrival) effect.Effect {
@@ -91,13 +94,13 @@
 	}, keptResult{from: q.arrival.ID, attempt: q.attempt})
 }
 
-// complete answers a request and everyone who asked for the same one, and keeps what
-// became of it if it has a key.
-func (r *Router) complete(q *pending, answer func(request.Arrival) effect.Effect, kept keptResult) []effect.Effect {
+// complete answers a request and all attached arrivals with the same key. The
+// result of a keyed request is stored in the key table.
+func (r *Router) complete(q *pending, answer func(request.Arrival) effect.Effect, result keptResult) []effect.Effect {
 	q.state = stageEnded
 	waiters := []request.Arrival{q.arrival}
 	if q.keyed != nil {
-		waiters = r.keys.complete(q.keyed, kept)
+		waiters = r.keys.complete(q.keyed, result)
 	}
 	delete(r.requests, q.arrival.ID)
 	var effects []effect.Effect
--- a/services/routing/keys.go
+++ b/services/routing/keys.go
@@ -15,33 +15,34 @@
 	"github.com/oklog/ulid/v2"
 )
 
-// keyTable remembers requests that may not be repeated, by key. A key is bound
-// to the incarnation that issued it, so this table alone decides whether the
-// request has run; a process that does not have the table never guesses.
+// keyTable holds the requests that may not be repeated, by key. A key is bound
+// to the box incarnation that issued it, so only that process's table can show
+// whether the request has run. Any other process answers that it may have run.
 type keyTable struct {
 	limit   int
 	ttl     time.Duration
 	newKey  func(now time.Time) ulid.ULID
 	entries map[request.Key]*keyedRequest
-	// byAge holds the known keys in the order in which they will expire, near
-	// enough: the order of their first use.
+	// byAge holds the entries in the order of their first use, which approximates
+	// the order in which they expire.
 	byAge []*keyedRequest
 }
 
-// keyedRequest is what is known of one keyed request.
+// keyedRequest is an entry of the key table.
 type keyedRequest struct {
 	key    request.Key
 	digest uint64
-	// waiters are all arrivals that want the answer; the first is the one sent.
+	// waiters holds all unanswered arrivals with this key. The first is the one
+	// that is sent to a target.
 	waiters []request.Arrival
 	ended   bool
 	result  keptResult
-	// gone says that the entry was forgotten before it expired.
+	// removed reports whether the entry was removed before it expired.
 	removed bool
 }
 
-// keptResult is what became of a keyed request: an answer kept by the adapters
-// under an arrival and attempt, or a refusal.
+// keptResult is the result of a keyed request: a refusal, or a target's answer.
+// An answer is stored by the adapters; from and attempt identify it.
 type keptResult struct {
 	from    request.ID
 	attempt int
@@ -61,22 +62,24 @@
 	return k
 }
 
-// remove drops a request that was not run, so that its key can be used again.
+// remove deletes the entry of a request that was not run, so that its key can be
+// used again. It returns the arrivals that wait for the answer.
 func (t *keyTable) remove(k *keyedRequest) []request.Arrival {
 	delete(t.entries, k.key)
 	k.removed = true
 	return k.waiters
 }
 
-// complete keeps what became of a request and returns who wants to know.
-func (t *keyTable) complete(k *keyedRequest, kept keptResult) []request.Arrival {
+// complete stores the result of a request and returns the arrivals that wait for
+// it.
+func (t *keyTable) complete(k *keyedRequest, result keptResult) []request.Arrival {
 	waiters := k.waiters
-	k.waiters, k.ended, k.result = nil, true, kept
+	k.waiters, k.ended, k.result = nil, true, result
 	return waiters
 }
 
-// expire drops keys whose time is over and returns the arrivals whose answers
-// were kept for them.
+// expire deletes expired entries. It returns the arrivals whose answers the
+// adapters need not store any longer.
 func (t *keyTable) expire(now time.Time) []request.ID {
 	var ids []request.ID
 	for len(t.byAge) > 0 {
@@ -96,66 +99,74 @@
 	return ids
 }
 
-// keyGrace is how much longer than its time a key is remembered, so that a
-// request that is let in at the last moment still finds it.
+// keyGrace is how long a key is remembered beyond its TTL, so that a repeated
+// request that is admitted just before the TTL ends still finds it.
 const keyGrace = time.Minute
 
-// IssueKey returns a fresh key for a request that may not be repeated.
+// IssueKey returns a new key for a request that may not be repeated.
 func (r *Router) IssueKey(now time.Time) request.Key {
 	return request.NewKey(r.box, r.incarnation, r.keys.newKey(now))
 }
 
-// handleKeyed takes a request that may not be repeated. Without a key it is
-// not run: the balancer may have delivered it to another box as well.
+// handleKeyed admits a request that may not be repeated. A request without a key
+// is refused, because the load balancer may have delivered it to another box as
+// well.
 func (r *Router) handleKeyed(now time.Time, q *pending) []effect.Effect {
 	key := q.arrival.Key
 	switch {
 	case key.IsZero():
-		f := notRunRefusal(http.StatusPreconditionRequired, "requests of this class may not be repeated and need a key; send it again with the one given here", 0)
+		f := notRunRefusal(
+			http.StatusPreconditionRequired,
+			"requests of this class may not be repeated and need a key; resend it with the key in this answer", 0,
+		)
 		f.Key = r.IssueKey(now)
 		return r.refuse(q.arrival, f)
 	case key.Box() != r.box || key.Incarnation() != r.incarnation:
 		return r.forward(now, q)
 	}
-	if known, ok := r.keys.entries[key]; ok {
-		return r.handleRepeated(now, q, known)
+	if entry, ok := r.keys.entries[key]; ok {
+		return r.handleRepeated(now, q, entry)
 	}
 	age := now.Sub(key.IssuedAt())
 	switch {
 	case age > r.keys.ttl || age < -r.keys.ttl:
-		return r.refuse(q.arrival, unknownRefusal(http.StatusConflict, "the key is too old to tell whether the request has run"))
+		return r.refuse(q.arrival, unknownRefusal(http.StatusConflict, "the key is too old to determine whether the request has run"))
 	case r.keys.isFull():
-		return r.refuse(q.arrival, notRunRefusal(http.StatusServiceUnavailable, "too many requests that may not be repeated are remembered", time.Second))
+		return r.refuse(q.arrival, notRunRefusal(
+			http.StatusServiceUnavailable, "the table of requests that may not be repeated is full", time.Second,
+		))
 	}
 	q.keyed = r.keys.add(q.arrival)
 	q.pool.budget.earn(r.settings)
 	return r.admit(now, q)
 }
 
+// unknownRefusal returns the answer to a request that may have run.
 func unknownRefusal(status int, reason string) request.Refusal {
 	return request.Refusal{Status: status, Verdict: verdict.MayHaveRun, Reason: reason}
 }
 
-// handleRepeated takes a further arrival of a request that is known.
-func (r *Router) handleRepeated(now time.Time, q *pending, known *keyedRequest) []effect.Effect {
+// handleRepeated answers another arrival of a request whose key is in the table,
+// or attaches it to the first arrival if that has not ended.
+func (r *Router) handleRepeated(now time.Time, q *pending, entry *keyedRequest) []effect.Effect {
 	switch {
-	case known.digest != q.arrival.Digest:
+	case entry.digest != q.arrival.Digest:
 		return r.refuse(q.arrival, notRunRefusal(http.StatusUnprocessableEntity, "the key belongs to another request", 0))
-	case !known.ended:
-		known.waiters = append(known.waiters, q.arrival)
-		q.keyed, q.state = known, stageAttached
+	case !entry.ended:
+		entry.waiters = append(entry.waiters, q.arrival)
+		q.keyed, q.state = entry, stageAttached
 		r.requests[q.arrival.ID] = q
 		return nil
-	case known.result.refusal != nil:
-		return r.refuse(q.arrival, *known.result.refusal)
+	case entry.result.refusal != nil:
+		return r.refuse(q.arrival, *entry.result.refusal)
 	default:
 		r.count(q.arrival, verdict.Ran, http.StatusOK)
-		return []effect.Effect{effect.Deliver{To: q.arrival.ID, From: known.result.from, Attempt: known.result.attempt, Retain: true}}
+		return []effect.Effect{effect.Deliver{To: q.arrival.ID, From: entry.result.from, Attempt: entry.result.attempt, Retain: true}}
 	}
 }
 
-// forward passes a request on to the incarnation that issued its key. If that
-// cannot be reached, nobody knows whether the request has run.
+// forward sends a request to the box incarnation that issued its key. If that
+// cannot be reached, it is unknown whether the request has run.
 func (r *Router) forward(now time.Time, q *pending) []effect.Effect {
 	key := q.arrival.Key
 	peer, ok := r.peers[key.Box()]
@@ -167,7 +178,8 @@
 	return []effect.Effect{effect.Forward{ID: q.arrival.ID, Address: peer.Address, Timeout: q.deadline.Sub(now)}}
 }
 
-// ForwardEnded takes the end of a request that was passed on.
+// ForwardEnded handles the end of a request that was forwarded or spilled to
+// another box.
 func (r *Router) ForwardEnded(now time.Time, e event.ForwardEnded) []effect.Effect {
 	q, ok := r.requests[e.ID]
 	if ok && q.state == stageSpilled {
--- a/services/routing/policy.go
+++ b/services/routing/policy.go
@@ -10,27 +10,30 @@
 	"saddlevane/modules/rendezvous"
 )
 
-// Policy is what varies between deployments and is measured against baselines.
+// Policy holds the routing decisions that can be replaced, such as for comparison
+// with a baseline.
 type Policy struct {
-	// Share returns how many of a target's slots the box may fill when the live
-	// boxes all fill theirs.
+	// Share returns the number of a target's slots that the box may use, given
+	// that all live boxes use theirs.
 	Share func(target string, slots int, box string, live []string) int
-	// Better says whether a request should rather go to a than to b.
+	// Better reports whether target a is preferred to target b.
 	Better func(a, b *target) bool
-	// Ordered says whether urgent classes go before others.
+	// ByPriority reports whether more urgent classes are served first.
 	ByPriority bool
-	// Early says whether a request is refused at once if it would surely be late.
+	// RefuseLate reports whether a request is refused as soon as it is expected to
+	// miss its deadline.
 	RefuseLate bool
-	// Spill says whether requests without room go to other domains.
+	// Spill reports whether requests that exceed the capacity here are sent to
+	// other domains.
 	Spill bool
-	// AttemptTimeoutFactor times the usual service time is how long an attempt at a
-	// repeatable request is given.
+	// AttemptTimeoutFactor is the timeout of the first attempt at a repeatable
+	// request, as a multiple of the mean service time.
 	AttemptTimeoutFactor time.Duration
-	// MinRetryAfter is the least time after which a refused caller should return.
+	// MinRetryAfter is the minimum time after which a refused caller should retry.
 	MinRetryAfter time.Duration
 }
 
-// DefaultPolicy is what the measurements in docs/DESIGN.md favour.
+// DefaultPolicy returns the policy of a normal deployment.
 func DefaultPolicy() Policy {
 	return Policy{
 		Share: ShareEvenly, Better: leastLoaded, ByPriority: true, RefuseLate: true, Spill: true,
@@ -38,8 +41,9 @@
 	}
 }
 
-// BaselinePolicy is the baseline: targets take turns, requests go in the order in
-// which they came, and wait until their deadline.
+// BaselinePolicy returns the policy for comparison: targets are used round-robin,
+// requests are sent in the order of arrival, wait until their deadlines and are
+// not spilled.
 func BaselinePolicy() Policy {
 	p := DefaultPolicy()
 	p.ByPriority, p.RefuseLate, p.Spill = false, false, false
@@ -47,28 +51,27 @@
 	return p
 }
 
-// ShareEvenly gives each live box the same number of slots of a target, and the
-// remainder to boxes picked by rendezvous hashing. The shares of boxes that
-// agree on who is live add up to the slots. A box that does not see itself in
-// live gets nothing new to fill.
+// ShareEvenly divides a target's slots evenly between the live boxes and assigns
+// the remainder by rendezvous hashing. The shares of boxes that agree on the live
+// boxes add up to slots. The share of a box that is not in live is 0.
 func ShareEvenly(target string, slots int, box string, live []string) int {
 	if !slices.Contains(live, box) {
 		return 0
 	}
 	share := slots / len(live)
-	rest := slices.Clone(live)
+	remaining := slices.Clone(live)
 	for range slots % len(live) {
-		pick := rendezvous.Pick(target, rest)
+		pick := rendezvous.Pick(target, remaining)
 		if pick == box {
 			return share + 1
 		}
-		rest = slices.DeleteFunc(rest, func(name string) bool { return name == pick })
+		remaining = slices.DeleteFunc(remaining, func(name string) bool { return name == pick })
 	}
 	return share
 }
 
-// leastLoaded prefers the target with the smaller part of its slots filled, and
-// between equals the one that has been faster.
+// leastLoaded prefers the target with the smaller fraction of its slots in use,
+// and among equals the one with the shorter mean service time.
 func leastLoaded(a, b *target) bool {
 	fillA, fillB := a.inflight*b.limit, b.inflight*a.limit
 	if fillA != fillB {
--- a/services/routing/pool.go
+++ b/services/routing/pool.go
@@ -10,17 +10,18 @@
 	"saddlevane/models/spec"
 )
 
-// pool is a pool in force: its classes, their queues and its targets.
+// pool holds the classes of a pool, their queues and the pool's targets.
 type pool struct {
 	name    string
 	spec    spec.Pool
 	retired bool
 	classes map[string]*class
-	// order holds the classes, urgent first.
+	// byPriority holds the classes, most urgent first.
 	byPriority    []*class
 	targets       map[string]*target
 	sortedTargets []*target
-	// turn rotates where pick starts, so that equals take turns.
+	// rotation is the index at which pickTarget starts. It advances with each
+	// call, so that equally good targets are used in turn.
 	rotation int
 	budget   retryBudget
 }
@@ -41,7 +42,7 @@
 		c.spec = k
 		p.classes[k.Name] = c
 	}
-	// A class that is gone stays in the order until its queue has drained.
+	// A removed class stays in byPriority until its queue is empty.
 	for name, c := range previous {
 		if p.classes[name] == nil && c.waiting > 0 {
 			p.byPriority = append(p.byPriority, c)
@@ -51,12 +52,12 @@
 }
 
 func (p *pool) sortClasses() {
-	gone := p.byPriority
+	previous := p.byPriority
 	p.byPriority = nil
 	for _, c := range p.classes {
 		p.byPriority = append(p.byPriority, c)
 	}
-	for _, c := range gone {
+	for _, c := range previous {
 		if c.waiting > 0 && !slices.Contains(p.byPriority, c) {
 			p.byPriority = append(p.byPriority, c)
 		}
@@ -85,8 +86,8 @@
 		if _, stays := listed[name]; stays {
 			continue
 		}
-		// One that has requests is kept, because it may come back and its slots
-		// are still filled.
+		// A target with requests in flight is kept: they still occupy its slots,
+		// and it may be listed again.
 		t.listedLeaving = true
 		if t.inflight == 0 {
 			delete(p.targets, name)
@@ -98,10 +99,10 @@
 	}
 }
 
-// nextClass returns the class whose head goes next: the most urgent, and among
-// equally urgent ones the one that has waited longest. If not ordered, urgency
-// does not count.
-func (p *pool) nextClass(ordered bool) *class {
+// nextClass returns the class whose first request is sent next, or nil if none
+// waits. If byPriority is set, the most urgent classes come first; among the
+// classes compared, the one whose first request arrived earliest is chosen.
+func (p *pool) nextClass(byPriority bool) *class {
 	var best *class
 	for _, c := range p.byPriority {
 		head := c.peek()
@@ -112,7 +113,7 @@
 			best = c
 			continue
 		}
-		if ordered && c.spec.Priority != best.spec.Priority {
+		if byPriority && c.spec.Priority != best.spec.Priority {
 			break
 		}
 		if head.arrivedAt.Before(best.peek().arrivedAt) {
@@ -122,8 +123,9 @@
 	return best
 }
 
-// pickTarget returns the target for a request of class c, or nil if none has a free
-// slot. Ejected targets are probed only with requests that may be repeated.
+// pickTarget returns the target for a request of class c, or nil if none has a
+// free slot. Ejected targets are probed only with requests that may be repeated,
+// because a probe is likely to fail.
 func (p *pool) pickTarget(now time.Time, c *class, policy Policy) *target {
 	var best *target
 	p.rotation++
@@ -142,7 +144,8 @@
 	return best
 }
 
-// slots returns how many requests this box may have at healthy targets.
+// slots returns the number of requests that this box may have in flight at all
+// healthy targets together.
 func (p *pool) slots(now time.Time) int {
 	n := 0
 	for _, t := range p.sortedTargets {
@@ -153,7 +156,7 @@
 	return n
 }
 
-// inflight returns how many requests are at targets.
+// inflight returns the number of requests that are being served by targets.
 func (p *pool) inflight() int {
 	n := 0
 	for _, t := range p.sortedTargets {
@@ -162,15 +165,18 @@
 	return n
 }
 
-// expectedWait returns how long a request of class c that came now would wait:
-// by the queues ahead of it, the usual service times and the slots; and, since
-// more urgent requests keep coming, by how fast the class has been served while
-// it waited.
+// expectedWait returns how long a request of class c that arrives now would
+// wait. It is the larger of two estimates: queueWait, from the queues ahead, and
+// the wait at the rate at which the current backlog of the class has been served.
+// The second accounts for more urgent requests that keep arriving.
 func (p *pool) expectedWait(now time.Time, c *class) time.Duration {
-	seen, _ := c.backlog.estimateWait(now, c.waiting, c.serviceTime.mean())
-	return max(seen, p.queueWait(now, c))
+	observed, _ := c.backlog.estimateWait(now, c.waiting, c.serviceTime.mean())
+	return max(observed, p.queueWait(now, c))
 }
 
+// queueWait estimates the wait of a request of class c from the requests that are
+// queued ahead of it, their mean service times and the number of slots. Without
+// healthy targets it returns the time until one can be probed.
 func (p *pool) queueWait(now time.Time, c *class) time.Duration {
 	slots := p.slots(now)
 	if slots == 0 {
@@ -188,23 +194,25 @@
 	return work / time.Duration(slots)
 }
 
-// timeUntilProbe returns how long until the first ejected target is tried again.
+// timeUntilProbe returns the time until the first ejected target may be probed.
 func (p *pool) timeUntilProbe(now time.Time) time.Duration {
-	least := time.Duration(-1)
+	shortest := time.Duration(-1)
 	for _, t := range p.sortedTargets {
 		if t.isLeaving(now) || t.limit == 0 {
 			continue
 		}
-		if wait := max(t.ejectedUntil.Sub(now), 0); least < 0 || wait < least {
-			least = wait
+		if wait := max(t.ejectedUntil.Sub(now), 0); shortest < 0 || wait < shortest {
+			shortest = wait
 		}
 	}
-	return max(least, 0)
+	return max(shortest, 0)
 }
 
 // class is a class of requests and its queue.
 type class struct {
-	spec        spec.Class
+	spec spec.Class
+	// queue holds the requests by deadline, from index head on. Requests that no
+	// longer wait may remain in it, so waiting counts those that do.
 	queue       []*pending
 	head        int
 	waiting     int
@@ -212,8 +220,10 @@
 	backlog     backlog
 }
 
-// minTimeLeft returns how much of its time a request must have left to be sent: one
-// that may be repeated can be cut off, any other must be let finish.
+// minTimeLeft returns the minimum time that must remain before a request's
+// deadline for it to be sent. It is larger for a request that may not be
+// repeated, because such a request must be allowed to finish, whereas an attempt
+// at any other can be cut off.
 func (c *class) minTimeLeft() time.Duration {
 	if c.spec.Repeatable {
 		return c.serviceTime.mean()
@@ -221,22 +231,23 @@
 	return min(c.serviceTime.upperBound(), c.spec.Deadline/2)
 }
 
-// push puts a request in the queue, which is in the order of deadlines: a
-// request that was sent before, or that a peer passed on, goes ahead of those
-// that can wait longer.
+// push inserts a request into the queue, which is sorted by deadline. A request
+// that is retried, or that a peer forwarded, may have an earlier deadline than
+// those already queued.
 func (c *class) push(q *pending) {
 	c.waiting++
 	if n := len(c.queue); n == c.head || !q.deadline.Before(c.queue[n-1].deadline) {
 		c.queue = append(c.queue, q)
 		return
 	}
-	at, _ := slices.BinarySearchFunc(c.queue[c.head:], q, func(a, b *pending) int {
+	index, _ := slices.BinarySearchFunc(c.queue[c.head:], q, func(a, b *pending) int {
 		return a.deadline.Compare(b.deadline)
 	})
-	c.queue = slices.Insert(c.queue, c.head+at, q)
+	c.queue = slices.Insert(c.queue, c.head+index, q)
 }
 
-// peek returns the first request that still waits, or nil.
+// peek returns the first request that still waits, or nil. It removes the ended
+// requests ahead of it from the queue.
 func (c *class) peek() *pending {
 	for c.head < len(c.queue) {
 		if q := c.queue[c.head]; q.state == stageWaiting {
@@ -261,13 +272,15 @@
 	return q
 }
 
-// countAbandoned counts one request out that stays in the queue as a gap.
+// countAbandoned subtracts an abandoned request from the count of waiting ones.
+// The request stays in the queue until peek or compact removes it.
 func (c *class) countAbandoned() {
 	c.waiting--
 	c.compact()
 }
 
-// compact closes gaps once they are the larger part of a queue.
+// compact removes sent and abandoned requests from a queue of at least 64 entries
+// once they are at least half of it.
 func (c *class) compact() {
 	if len(c.queue) < 64 || len(c.queue) < 2*c.waiting {
 		return
@@ -281,10 +294,11 @@
 	c.queue, c.head = kept, 0
 }
 
-// durationEWMA is an exponentially weighted mean of durations and of their deviation
-// from it.
+// durationEWMA is an exponentially weighted moving average of durations, and of
+// their absolute deviation from it.
 type durationEWMA struct{ value, deviation time.Duration }
 
+// ewmaDivisor is the inverse of the weight of a new sample.
 const ewmaDivisor = 16
 
 func (s *durationEWMA) add(d time.Duration) {
@@ -292,28 +306,30 @@
 		s.value, s.deviation = d, d/2
 		return
 	}
-	off := d - s.value
-	s.value += off / ewmaDivisor
-	s.deviation += (max(off, -off) - s.deviation) / ewmaDivisor
+	diff := d - s.value
+	s.value += diff / ewmaDivisor
+	s.deviation += (max(diff, -diff) - s.deviation) / ewmaDivisor
 }
 
 func (s *durationEWMA) mean() time.Duration { return s.value }
 
-// upperBound returns a time that few exceed: the mean and four deviations, as
-// retransmission timers do it (RFC 6298).
+// upperBound returns a duration that few samples exceed: the mean plus four
+// deviations, as for TCP retransmission timers (RFC 6298).
 func (s *durationEWMA) upperBound() time.Duration { return s.value + 4*s.deviation }
 
-// backlog watches how fast a class is served while some of it always waits.
+// backlog measures the rate at which a class is served while its queue is never
+// empty. since is the start of the measurement, sent the number of requests sent
+// from then on.
 type backlog struct {
 	since time.Time
 	sent  int
 }
 
-// minObservation is how long a backlog must have lasted before its rate counts.
+// minObservation is how long a backlog must last before its rate is used.
 const minObservation = time.Second
 
-// estimateWait returns how long the last of waiting requests will wait at the rate seen,
-// or false if the backlog is too young to tell.
+// estimateWait returns how long the last of the waiting requests will wait at the
+// observed rate, or false if the backlog has not lasted long enough.
 func (b *backlog) estimateWait(now time.Time, waiting int, service time.Duration) (time.Duration, bool) {
 	if waiting == 0 || b.since.IsZero() {
 		return 0, false
@@ -325,7 +341,7 @@
 	return elapsed * time.Duration(waiting) / time.Duration(max(b.sent, 1)), true
 }
 
-// update is told how many wait after each change.
+// update records the number of waiting requests. It is called after each change.
 func (b *backlog) update(now time.Time, waiting int) {
 	switch {
 	case waiting == 0:
@@ -333,14 +349,16 @@
 	case b.since.IsZero():
 		b.since = now
 	case now.Sub(b.since) > maxObservation:
-		// What was long ago tells little of how fast it goes now.
+		// Halve the weight of old observations, as the rate may have changed.
 		b.since, b.sent = b.since.Add(now.Sub(b.since)/2), b.sent/2
 	}
 }
 
+// maxObservation is the length of an observation at which its weight is halved.
 const maxObservation = 8 * time.Second
 
-// retryBudget lets retries be only a part of fresh requests.
+// retryBudget is a token bucket that limits retries to a fraction of new requests.
+// A token allows one retry.
 type retryBudget struct {
 	tokens      float64
 	initialized bool
--- a/services/routing/router.go
+++ b/services/routing/router.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package routing decides which target serves a caller's request, when, and
-// what waits or is refused. It is a reducer: it is told what happened and the
-// present time, and returns what to do.
+// Package routing decides which target serves a caller's request, and which
+// requests wait or are refused. It is a reducer: each call takes an event and
+// the current time, and returns the effects to carry out.
 package routing
 
 import (
@@ -21,33 +21,36 @@
 	"github.com/oklog/ulid/v2"
 )
 
-// Settings bound a Router.
+// Settings holds the limits of a Router.
 type Settings struct {
-	// KeyTTL is how long a key, and what became of its request, is remembered.
+	// KeyTTL is how long a key and the result of its request are remembered.
 	KeyTTL time.Duration
-	// MaxKeys is how many keyed requests are remembered.
+	// MaxKeys is the maximum number of keyed requests that are remembered.
 	MaxKeys int
-	// RetryRatio is how many retries each fresh request pays for.
+	// RetryRatio is the number of retries that each new request adds to the
+	// retry budget of its pool.
 	RetryRatio float64
-	// RetryBurst is how many retries can be saved up.
+	// RetryBurst is the maximum size of the retry budget, in retries.
 	RetryBurst float64
-	// EjectAfter is how many failures in a row eject a target.
+	// EjectAfter is the number of consecutive failures after which a target is
+	// ejected.
 	EjectAfter int
-	// EjectFor is how long a target is first ejected for; it doubles up to
-	// MaxEjectFor.
+	// EjectFor is the duration of a target's first ejection. It doubles with
+	// each further failure, up to MaxEjectFor.
 	EjectFor    time.Duration
 	MaxEjectFor time.Duration
-	// MinAttemptTimeout is the least time that an attempt at a repeatable request is
-	// given before another target is tried.
+	// MinAttemptTimeout is the minimum timeout of an attempt at a repeatable
+	// request, after which another target is tried.
 	MinAttemptTimeout time.Duration
 }
 
-// Router is the state. It is not safe for concurrent use.
+// Router holds the pools, the targets and the unanswered requests of one entry
+// box. It is not safe for concurrent use.
 type Router struct {
 	settings Settings
 	policy   Policy
 	box      string
-	// incarnation tells this life of the box from the next.
+	// incarnation changes whenever the process of the box restarts.
 	incarnation string
 	pools       map[string]*pool
 	requests    map[request.ID]*pending
@@ -58,7 +61,7 @@
 	counts      map[CountKey]int64
 }
 
-// CountKey labels a counter of ended requests.
+// CountKey holds the labels of a counter of ended requests.
 type CountKey struct {
 	Pool    string
 	Class   string
@@ -66,14 +69,15 @@
 	Status  int
 }
 
-// Peer is another entry box that requests can be passed on to.
+// Peer is another entry box of the same domain, to which requests can be
+// forwarded.
 type Peer struct {
 	Box         string
 	Incarnation string
 	Address     string
 }
 
-// Target is a target as the platform's list shows it.
+// Target is an entry of the platform's list of targets.
 type Target struct {
 	Name    string
 	Address string
@@ -81,7 +85,7 @@
 	Leaving bool
 }
 
-// New returns a Router that knows no pools. newKey returns the next unique,
+// New returns a Router without pools. newKey returns the next unique,
 // time-ordered identifier for a given time.
 func New(s Settings, p Policy, box, incarnation string, newKey func(now time.Time) ulid.ULID) *Router {
 	return &Router{
@@ -92,7 +96,7 @@
 	}
 }
 
-// pending is one arrival that has not had its answer.
+// pending is a request that has not been answered.
 type pending struct {
 	arrival   request.Arrival
 	pool      *pool
@@ -104,16 +108,17 @@
 	sentAt    time.Time
 	state     stage
 	abandoned bool
-	// maybe says that an attempt may have run, which no later attempt undoes.
+	// mayHaveRun reports whether any attempt may have run. Once set it stays
+	// set, whatever the verdict of later attempts.
 	mayHaveRun bool
 	keyed      *keyedRequest
-	// neighbour has the request, if it was spilled; refusal is what is answered if
-	// that has no room either.
+	// neighbour is the box to which the request was spilled, if it was. refusal
+	// is the answer to the caller if the neighbour does not run the request.
 	neighbour Neighbour
 	refusal   request.Refusal
 }
 
-// stage is where a pending request stands.
+// stage is the processing stage of a pending request.
 type stage string
 
 const (
@@ -125,7 +130,7 @@
 	stageEnded     stage = "ended"
 )
 
-// SetPools takes the pools in force.
+// SetPools replaces the pools. Waiting requests of removed pools are refused.
 func (r *Router) SetPools(now time.Time, pools map[string]spec.Pool) []effect.Effect {
 	for name, p := range pools {
 		if r.pools[name] == nil {
@@ -144,7 +149,7 @@
 	return effects
 }
 
-// SetTargets takes the targets of the own domain.
+// SetTargets replaces the targets, which are those of the box's own domain.
 func (r *Router) SetTargets(now time.Time, targets []Target) []effect.Effect {
 	listed := map[string]map[string]Target{}
 	for _, t := range targets {
@@ -160,8 +165,8 @@
 	return r.dispatchAll(now)
 }
 
-// SetPeers takes the entry boxes of the own domain that take work, this one
-// included, and how to reach the others.
+// SetPeers replaces the entry boxes of the own domain. live names those that
+// accept work, including this one; peers holds the addresses of the others.
 func (r *Router) SetPeers(now time.Time, live []string, peers []Peer) []effect.Effect {
 	r.peers = make(map[string]Peer, len(peers))
 	for _, p := range peers {
@@ -183,7 +188,7 @@
 	}
 }
 
-// IsIdle says whether no request is unanswered.
+// IsIdle reports whether all requests have been answered.
 func (r *Router) IsIdle() bool { return len(r.requests) == 0 }
 
 func (r *Router) dispatchAll(now time.Time) []effect.Effect {
@@ -224,36 +229,43 @@
 	}
 }
 
-// attemptTimeout gives a request that may be repeated only so long at one
-// target that another can still be tried.
+// attemptTimeout returns the timeout of the current attempt. A request that may
+// be repeated gets only a part of its remaining time, so that another target can
+// still be tried.
 func (r *Router) attemptTimeout(now time.Time, q *pending) time.Duration {
 	left := q.deadline.Sub(now)
 	if !q.class.spec.Repeatable {
 		return left
 	}
-	usual := max(r.policy.AttemptTimeoutFactor*q.class.serviceTime.mean(), r.settings.MinAttemptTimeout)
-	// A request may simply take long, so each further attempt gets more time.
-	return min(left, usual<<min(2*(q.attempt-1), maxDoublings))
+	base := max(r.policy.AttemptTimeoutFactor*q.class.serviceTime.mean(), r.settings.MinAttemptTimeout)
+	// The timeout quadruples with each attempt, because the request itself may be
+	// slow.
+	return min(left, base<<min(2*(q.attempt-1), maxDoublings))
 }
 
-// expire answers waiting requests that can no longer be served in time.
+// expire refuses waiting requests that can no longer be served before their
+// deadlines.
 func (r *Router) expire(now time.Time, p *pool) []effect.Effect {
 	var effects []effect.Effect
 	for _, c := range p.byPriority {
-		needs := time.Duration(0)
+		minLeft := time.Duration(0)
 		if r.policy.RefuseLate {
-			needs = c.minTimeLeft()
+			minLeft = c.minTimeLeft()
 		}
-		for q := c.peek(); q != nil && q.deadline.Sub(now) <= needs; q = c.peek() {
+		for q := c.peek(); q != nil && q.deadline.Sub(now) <= minLeft; q = c.peek() {
 			c.pop()
-			f := notRunRefusal(http.StatusServiceUnavailable, "it would not end before its deadline", max(p.expectedWait(now, c), r.policy.MinRetryAfter))
+			f := notRunRefusal(
+				http.StatusServiceUnavailable, "the request would not finish before its deadline",
+				max(p.expectedWait(now, c), r.policy.MinRetryAfter),
+			)
 			effects = append(effects, r.drop(now, q, f)...)
 		}
 	}
 	return effects
 }
 
-// Tick expires what has waited too long and forgets old keys.
+// Tick sends waiting requests to free targets, refuses those that can no longer
+// meet their deadlines and removes expired keys.
 func (r *Router) Tick(now time.Time) []effect.Effect {
 	effects := r.dispatchAll(now)
 	for _, id := range r.keys.expire(now) {
--- a/services/routing/router_test.go
+++ b/services/routing/router_test.go
@@ -50,7 +50,8 @@
 	}}
 }
 
-// driver plays everything around a router and checks what must always hold.
+// driver simulates the environment of a router and checks its invariants after
+// each effect.
 type driver struct {
 	t        rapid.TB
 	r        *routing.Router
@@ -61,7 +62,7 @@
 	inflight map[string]int
 	classes  map[request.ID]string
 	ended    map[request.ID]bool
-	// maybe holds requests of which an attempt may have run.
+	// mayHaveRun counts, for each request, the attempts that may have run.
 	mayHaveRun map[request.ID]int
 	refused    []effect.Refuse
 	sendOrder  []request.ID
@@ -103,7 +104,8 @@
 
 func (d *driver) answer(i int, v verdict.Verdict) { d.answerOn(i, v, false) }
 
-// answerOn ends an attempt, which may have had no answer on a connection used before.
+// answerOn ends the i-th open attempt with a verdict. silent marks an attempt
+// that had no answer on a reused connection.
 func (d *driver) answerOn(i int, v verdict.Verdict, silent bool) {
 	s := d.sends[i]
 	d.sends = append(d.sends[:i:i], d.sends[i+1:]...)
@@ -149,8 +151,8 @@
 	d.ended[id] = true
 }
 
-// The random lists are the same in each run, unless free seeds are asked for;
-// together they hold over 100,000 events.
+// The random event sequences are the same in each run, unless
+// SADDLEVANE_FREE_SEEDS is set. Together they hold over 100,000 events.
 func init() {
 	_ = flag.Set("rapid.checks", "1500")
 	if os.Getenv("SADDLEVANE_FREE_SEEDS") == "" {
@@ -191,7 +193,7 @@
 	})
 }
 
-// finishAll lets everything come to its end and checks that nobody was forgotten.
+// finishAll ends all attempts and checks that every request was answered.
 func (d *driver) finishAll() {
 	d.setTargets("t1", "t2", "t3")
 	for range 1000 {
@@ -254,7 +256,7 @@
 func TestFailingTargetIsEjectedProbedAndRestored(t *testing.T) {
 	d := newDriver(t, "e1")
 	d.setTargets("t1", "t2")
-	fails := func(name string) {
+	answerAllFailing := func(name string) {
 		for len(d.sends) > 0 {
 			if d.sends[0].Target == name {
 				d.answer(0, verdict.MayHaveRun)
@@ -265,13 +267,13 @@
 	}
 	for range 20 {
 		d.arrive(preview, request.Key{})
-		fails("t1")
+		answerAllFailing("t1")
 	}
 	before := len(d.sendOrder)
 	for range 10 {
 		d.arrive(preview, request.Key{})
 		assert.Equal(t, d.sends[0].Target, "t2")
-		fails("t1")
+		answerAllFailing("t1")
 	}
 	assert.Equal(t, len(d.sendOrder), before+10)
 	d.now = d.now.Add(11 * time.Second)
@@ -283,7 +285,7 @@
 		d.arrive(preview, request.Key{})
 		seen[d.sends[len(d.sends)-1].Target] = true
 	}
-	assert.Check(t, seen["t1"], "not taken back after a good probe")
+	assert.Check(t, seen["t1"], "not restored after a successful probe")
 }
 
 func TestTargetIsEjectedForFailuresOnNewConnectionsOnly(t *testing.T) {
@@ -298,9 +300,9 @@
 	assert.Check(t, len(d.sends) > 0, "t1 is ejected though its connections may be at fault")
 	d.answer(0, verdict.MayHaveRun)
 	d.answer(0, verdict.MayHaveRun)
-	under := len(d.sends)
+	before := len(d.sends)
 	d.arrive(preview, request.Key{})
-	assert.Equal(t, len(d.sends), under, "t1 is not ejected though it does not answer on new connections")
+	assert.Equal(t, len(d.sends), before, "t1 is not ejected though it does not answer on new connections")
 }
 
 func TestRequestThatWouldBeLateIsRefusedWithRetryAfter(t *testing.T) {
@@ -349,7 +351,7 @@
 	d := newDriver(t, "e1")
 	d.setTargets("t1")
 	for _, key := range []request.Key{
-		request.NewKey("e1", "an earlier life", ulid.ULID{}), request.NewKey("e9", "i1", ulid.ULID{}),
+		request.NewKey("e1", "earlier incarnation", ulid.ULID{}), request.NewKey("e9", "i1", ulid.ULID{}),
 	} {
 		d.arrive(extract, key)
 		assert.Equal(t, d.refused[len(d.refused)-1].Refusal.Verdict, verdict.MayHaveRun)
--- a/services/routing/spill.go
+++ b/services/routing/spill.go
@@ -19,26 +19,27 @@
 	Address string
 }
 
-// neighbours are the entry boxes of other domains and what is known of their
-// room: a domain that refused, or could not be reached, is left alone for a while.
+// neighbours holds the entry boxes of other domains. A domain that refused a
+// request, or could not be reached, is excluded for a while.
 type neighbours struct {
 	all           []Neighbour
 	excludedUntil map[string]time.Time
 	rotation      int
-	// out is how many requests are with neighbours.
+	// outstanding is the number of spilled requests that have not ended.
 	outstanding int
 }
 
-// The bounds of what goes to other domains.
+// Limits of spilling to other domains.
 const (
-	// maxSpilled is how many requests may be with neighbours at once.
+	// maxSpilled is the maximum number of spilled requests that have not ended.
 	maxSpilled = 256
-	// refusalBackoff and failureBackoff are how long a domain is left alone.
+	// refusalBackoff and failureBackoff are how long a domain is excluded after it
+	// refused a request or could not be reached.
 	refusalBackoff = 250 * time.Millisecond
 	failureBackoff = 5 * time.Second
 )
 
-// SetNeighbours takes the entry boxes of other domains.
+// SetNeighbours replaces the entry boxes of other domains.
 func (r *Router) SetNeighbours(all []Neighbour) {
 	r.neighbours.all = all
 	if r.neighbours.excludedUntil == nil {
@@ -46,7 +47,8 @@
 	}
 }
 
-// pick returns the next neighbour whose domain is not left alone.
+// pick returns the next neighbour whose domain is not excluded, in round-robin
+// order.
 func (n *neighbours) pick(now time.Time) (Neighbour, bool) {
 	n.rotation++
 	for i := range n.all {
@@ -57,9 +59,10 @@
 	return Neighbour{}, false
 }
 
-// spill gives a request that has no room here to an entry box of another domain,
-// once. The key, if it has one, stays here: this box answers for its running at
-// most once. Without a neighbour the request is refused.
+// spill forwards a request that this box has no capacity for to an entry box of
+// another domain, which does not spill it again. If the request has a key, this
+// box keeps it and remains responsible for the request running at most once. If
+// no neighbour is available, the request is refused with f.
 func (r *Router) spill(now time.Time, q *pending, f request.Refusal) []effect.Effect {
 	if !r.policy.Spill || q.arrival.Forwarded || r.neighbours.outstanding >= maxSpilled {
 		return r.drop(now, q, f)
@@ -76,7 +79,7 @@
 	}}
 }
 
-// spillEnded takes the end of a request that a neighbour had.
+// spillEnded handles the end of a request that was spilled to a neighbour.
 func (r *Router) spillEnded(now time.Time, q *pending, e event.ForwardEnded) []effect.Effect {
 	r.neighbours.outstanding--
 	switch {
@@ -90,7 +93,8 @@
 		r.neighbours.excludedUntil[q.neighbour.Domain] = now.Add(failureBackoff)
 		return r.completeUnknown(q, "the entry box of another domain did not answer: "+e.Failure)
 	default:
-		// The neighbour's own word may be that it may have run; its answer says so.
+		// The verdict may be MayHaveRun. The neighbour's answer then says so and is
+		// delivered as it is.
 		return r.deliver(q)
 	}
 }
--- a/services/routing/status.go
+++ b/services/routing/status.go
@@ -9,7 +9,7 @@
 	"saddlevane/models/status"
 )
 
-// Status returns the pools in force as this box sees them.
+// Status returns the state of the pools at this box. Removed pools are left out.
 func (r *Router) Status(now time.Time) []status.Pool {
 	var all []status.Pool
 	for _, name := range sortedNames(r.pools) {
@@ -34,8 +34,8 @@
 	return all
 }
 
-// UnansweredCount returns how many requests are unanswered.
+// UnansweredCount returns the number of unanswered requests.
 func (r *Router) UnansweredCount() int { return len(r.requests) }
 
-// KeyCount returns how many keyed requests are remembered.
+// KeyCount returns the number of keyed requests that are remembered.
 func (r *Router) KeyCount() int { return len(r.keys.entries) }
--- a/services/routing/target.go
+++ b/services/routing/target.go
@@ -10,16 +10,19 @@
 	"saddlevane/models/verdict"
 )
 
-// target is a target of the own domain and its health as this box sees it.
+// target is a target of the own domain, with its load and health as observed by
+// this box.
 type target struct {
 	name    string
 	address string
-	// limit is how many requests this box may have at the target.
+	// limit is the number of requests that this box may have in flight at the
+	// target.
 	limit       int
 	inflight    int
 	serviceTime durationEWMA
-	// listedLeaving is the list's word; reportedLeavingUntil is until when the target's own
-	// word counts, unless the list confirms it meanwhile.
+	// listedLeaving is set while the platform's list marks the target as leaving or
+	// does not contain it. A target may also report in an answer that it is leaving;
+	// that report applies until reportedLeavingUntil.
 	listedLeaving        bool
 	reportedLeavingUntil time.Time
 	failures             int
@@ -32,10 +35,11 @@
 	return t.listedLeaving || now.Before(t.reportedLeavingUntil)
 }
 
-// isEjected says whether the target has failed so often that it only gets probes.
+// isEjected reports whether the target has failed so often that it gets only
+// probes.
 func (t *target) isEjected() bool { return t.ejections > 0 }
 
-// isUsable says whether a request may be sent now.
+// isUsable reports whether a request may be sent to the target now.
 func (t *target) isUsable(now time.Time, repeatable bool) bool {
 	if t.isLeaving(now) || t.inflight >= t.limit {
 		return false
@@ -46,8 +50,8 @@
 	return repeatable && !t.probing && !now.Before(t.ejectedUntil)
 }
 
-// recordAttempt takes the end of an attempt into the target's health. A refusal because
-// the target is full, or leaves, is no sign of ill health.
+// recordAttempt updates the target's health after an attempt. A refusal because
+// the target is full or leaving does not count as a failure.
 func (t *target) recordAttempt(now time.Time, e event.TargetAnswered, s Settings) {
 	t.probing = false
 	if e.Leaving {
@@ -58,8 +62,9 @@
 		t.failures, t.ejections = 0, 0
 	case e.Leaving || e.Busy:
 	case e.Silent && !t.isEjected():
-		// Any number of connections can go silent at once while the target is well; the
-		// next request goes on a new one and tells.
+		// Many reused connections can go silent at once while the target is healthy,
+		// so this counts as at most one failure. The next request uses a new
+		// connection, whose result counts in full.
 		t.failures = max(t.failures, 1)
 	default:
 		t.recordFailure(now, s)
@@ -76,4 +81,5 @@
 	t.ejectedUntil = now.Add(min(wait, s.MaxEjectFor))
 }
 
+// maxDoublings limits the exponents of growing timeouts, to avoid an overflow.
 const maxDoublings = 10
