--- a/cmd/saddlevane-bench/capacity.go
+++ b/cmd/saddlevane-bench/capacity.go
@@ -21,7 +21,7 @@
 type slopes struct {
 	holderMemoryWorkers, holderMemoryTasks slope
 	holderTick                             slope
-	answerUnchanged, answerTold            slope
+	answerUnchanged, answerInventory       slope
 	placement                              slope
 	syncBytes, reportBytes                 slope
 	publishObjects                         slope
@@ -33,7 +33,7 @@
 
 func (s *slopes) all() []slope {
 	return []slope{
-		s.holderMemoryWorkers, s.holderMemoryTasks, s.holderTick, s.answerUnchanged, s.answerTold, s.placement, s.syncBytes, s.reportBytes,
+		s.holderMemoryWorkers, s.holderMemoryTasks, s.holderTick, s.answerUnchanged, s.answerInventory, s.placement, s.syncBytes, s.reportBytes,
 		s.publishObjects, s.ledgerMemory, s.snapshotBytes, s.routeTargets, s.helloPeers,
 	}
 }
@@ -53,18 +53,18 @@
 			points = append(points, fmt.Sprintf("%.5g: %.4g", p.x, p.y))
 		}
 		fmt.Fprintf(&b, "| %s (%s, by %s) | %s | %.4g | %.4g | %.0f%% | [plot](%s) |\n",
-			one.name, one.unit, one.x, strings.Join(points, ", "), one.perX, one.base, 100*one.spread, one.file())
-		if err := one.plot(filepath.Join(docs, one.file())); err != nil {
+			one.name, one.unit, one.x, strings.Join(points, ", "), one.perUnit, one.base, 100*one.maxDeviation, one.plotFile())
+		if err := one.plot(filepath.Join(docs, one.plotFile())); err != nil {
 			return err
 		}
 	}
 	b.WriteString("\n")
-	b.WriteString(s.atSize())
+	b.WriteString(s.costAtSize())
 	fmt.Fprint(out, b.String())
-	return rewrite(filepath.Join(docs, "CAPACITY.md"), b.String())
+	return rewriteTables(filepath.Join(docs, "CAPACITY.md"), b.String())
 }
 
-func rewrite(path, tables string) error {
+func rewriteTables(path, tables string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -79,33 +79,33 @@
 
 // The two-year size, from the users' letter.
 const (
-	sizeWorkers  = 21_000
-	sizeTasks    = 170_000
-	sizeStarts   = 11_000
-	sizeDomains  = 18
-	sizeChanges  = 18_000
-	sizeBoxes    = 6.5 * sizeDomains
-	renewSeconds = 1.0
-	daySeconds   = 86_400
+	sizeWorkers         = 21_000
+	sizeTasks           = 170_000
+	sizeStartsPerSecond = 11_000
+	sizeDomains         = 18
+	sizeChangesPerDay   = 18_000
+	sizeBoxes           = 6.5 * sizeDomains
+	renewSeconds        = 1.0
+	secondsPerDay       = 86_400
 	// sizeObjects is how many jobs, gangs and services are in force at a time: a
 	// tenth of a day's 100,000 jobs, by assumption.
 	sizeObjects  = 10_000
-	nodeCore     = 0.012
+	nodeCores    = 0.012
 	nodeMemory   = 256.0
 	nodeTraffic  = 10.0
 	appendBudget = 100.0
 )
 
-// row is one role's cost in a domain.
-type row struct {
+// roleCost is one role's cost in a domain.
+type roleCost struct {
 	role, carries string
 	// cores, megabytes and kilobytes a second, for one domain.
 	cores, memory, traffic float64
 }
 
-// atSize works the costs of a domain out at the two-year size.
-func (s *slopes) atSize() string {
-	workers, tasks, starts := float64(sizeWorkers)/sizeDomains, float64(sizeTasks)/sizeDomains, float64(sizeStarts)/sizeDomains
+// costAtSize works the costs of a domain out at the two-year size.
+func (s *slopes) costAtSize() string {
+	workers, tasks, starts := float64(sizeWorkers)/sizeDomains, float64(sizeTasks)/sizeDomains, float64(sizeStartsPerSecond)/sizeDomains
 	perWorker := tasks / workers
 	boxes := sizeBoxes / sizeDomains
 	// A worker with short tasks is also asked when one is likely to end, and each
@@ -114,27 +114,27 @@
 	// The inventory is told after each start and each end; else it is unchanged.
 	changes := 2 * starts
 	const httpBytes, httpCore = 350.0, 120e-6
-	rows := []row{
+	rows := []roleCost{
 		{
-			"leases and inventories", "one sync a worker and second; the inventory only when it changed", syncs*(s.answerUnchanged.at(perWorker)*1e-6+httpCore) + changes*s.answerTold.at(perWorker)*1e-6,
-			s.holderMemoryWorkers.perX * workers / 1e6,
-			(syncs*(s.syncBytes.at(0)+s.reportBytes.at(0)+2*httpBytes) + changes*s.reportBytes.perX*perWorker) / 1e3,
+			"leases and inventories", "one sync a worker and second; the inventory only when it changed", syncs*(s.answerUnchanged.at(perWorker)*1e-6+httpCore) + changes*s.answerInventory.at(perWorker)*1e-6,
+			s.holderMemoryWorkers.perUnit * workers / 1e6,
+			(syncs*(s.syncBytes.at(0)+s.reportBytes.at(0)+2*httpBytes) + changes*s.reportBytes.perUnit*perWorker) / 1e3,
 		},
 		{
 			"placement", "grid of free room; each shard places alone", starts * s.placement.at(workers) * 1e-6,
-			s.holderMemoryTasks.perX * tasks / 1e6, starts * s.syncBytes.perX / 1e3,
+			s.holderMemoryTasks.perUnit * tasks / 1e6, starts * s.syncBytes.perUnit / 1e3,
 		},
 		{"decisions every 25 ms", "work only where something changed", s.holderTick.at(workers) * 1e-6 * 40, 0, 0},
 		{
-			"configuration", "each change read once from the log by every box", boxes * sizeChanges / daySeconds * max(s.publishObjects.at(sizeObjects), 0) * 1e-6,
-			boxes * s.ledgerMemory.at(sizeObjects) / 1e6, boxes * sizeChanges / daySeconds * 4,
+			"configuration", "each change read once from the log by every box", boxes * sizeChangesPerDay / secondsPerDay * max(s.publishObjects.at(sizeObjects), 0) * 1e-6,
+			boxes * s.ledgerMemory.at(sizeObjects) / 1e6, boxes * sizeChangesPerDay / secondsPerDay * 4,
 		},
 		{"membership", "heartbeats within a domain only", s.helloPeers.at(boxes) * 1e-6, 0, boxes * (boxes - 1) * 2 * 0.3},
 	}
 	var b strings.Builder
 	b.WriteString("At the two-year size, for one of 18 domains (1,167 workers, 9,444 tasks, 611 starts/s, 6.5 entry boxes):\n\n")
 	b.WriteString("| role | mechanism that carries it | cores | MB | KB/s |\n| --- | --- | --- | --- | --- |\n")
-	var sum row
+	var sum roleCost
 	for _, r := range rows {
 		fmt.Fprintf(&b, "| %s | %s | %.3f | %.1f | %.0f |\n", r.role, r.carries, r.cores, r.memory, r.traffic)
 		sum.cores, sum.memory, sum.traffic = sum.cores+r.cores, sum.memory+r.memory, sum.traffic+r.traffic
@@ -147,7 +147,7 @@
 	}{{"a worker (taken)", workers}, {"an entry box", boxes}} {
 		core, memory, traffic := sum.cores/reading.nodes, sum.memory/reading.nodes, sum.traffic/reading.nodes
 		fmt.Fprintf(&b, "| %s | %.3f%% | %.2fx | %.2f | %.2fx | %.2f | %.2fx |\n", reading.name,
-			100*core, core/nodeCore, memory, memory/nodeMemory, traffic, traffic/nodeTraffic)
+			100*core, core/nodeCores, memory, memory/nodeMemory, traffic, traffic/nodeTraffic)
 	}
 	b.WriteString("\n")
 	b.WriteString(s.logBudget())
@@ -159,9 +159,9 @@
 	checkpoint := s.snapshotBytes.at(sizeObjects) / 1e6
 	var b strings.Builder
 	b.WriteString("Appends, all processes together, of about 100 a second:\n\n| what | appends/s | mechanism |\n| --- | --- | --- |\n")
-	fmt.Fprintf(&b, "| changes of configuration | %.2f | one a publication |\n", float64(sizeChanges)/daySeconds)
+	fmt.Fprintf(&b, "| changes of configuration | %.2f | one a publication |\n", float64(sizeChangesPerDay)/secondsPerDay)
 	fmt.Fprintf(&b, "| intents and outcomes | at most %.0f at one a second and box | one append under way, with all that has gathered |\n", sizeBoxes)
-	fmt.Fprintf(&b, "| claims and marks | %.3f | two a takeover: 1,380 boxes lost or replaced a day |\n", 2*1380.0/daySeconds)
-	fmt.Fprintf(&b, "| checkpoints | %.4f | %.1f MB each, four a retention of a day |\n", checkpoint*4/daySeconds, checkpoint)
+	fmt.Fprintf(&b, "| claims and marks | %.3f | two a takeover: 1,380 boxes lost or replaced a day |\n", 2*1380.0/secondsPerDay)
+	fmt.Fprintf(&b, "| checkpoints | %.4f | %.1f MB each, four a retention of a day |\n", checkpoint*4/secondsPerDay, checkpoint)
 	return b.String()
 }
--- a/cmd/saddlevane-bench/decisions.go
+++ b/cmd/saddlevane-bench/decisions.go
@@ -21,25 +21,25 @@
 	for _, workers := range []int{50, 1200, 21_000} {
 		d := measureFill(workers)
 		fmt.Fprintf(out, "| %d | %d | %.0f | %.1f | %.0f | %.1f | %.0f | %.0f |\n", workers, d.tasks,
-			d.perSecond(), 1e6/d.perSecond(), d.answersPerSecond, 1e6/d.answersPerSecond, d.bytesWorker, d.bytesTask)
+			d.placementsPerSecond(), 1e6/d.placementsPerSecond(), d.answersPerSecond, 1e6/d.answersPerSecond, d.bytesPerWorker, d.bytesPerTask)
 	}
 	packing(out)
-	sweep(out)
+	sweepWeights(out)
 	urgentBurst(out)
 	return nil
 }
 
-// filled is what filling a shard cost.
-type filled struct {
+// fillResult is what filling a shard cost.
+type fillResult struct {
 	tasks            int
-	deciding         time.Duration
+	decideTime       time.Duration
 	answersPerSecond float64
-	bytesWorker      float64
-	bytesTask        float64
-	tickIdle         time.Duration
+	bytesPerWorker   float64
+	bytesPerTask     float64
+	idleTickTime     time.Duration
 }
 
-func (f filled) perSecond() float64 { return float64(f.tasks) / f.deciding.Seconds() }
+func (f fillResult) placementsPerSecond() float64 { return float64(f.tasks) / f.decideTime.Seconds() }
 
 const tasksPerWorker = 8
 
@@ -52,34 +52,34 @@
 }
 
 // measureFill fills a shard with services and jobs of mixed shapes.
-func measureFill(workers int) filled {
+func measureFill(workers int) fillResult {
 	before := heapInUse()
-	r := newRig(workers, 1000)
+	r := newSimShard(workers, 1000)
 	empty := heapInUse()
 	want := workers * tasksPerWorker
 	publishMixed(r, want)
-	r.deciding, r.answering, r.syncs = 0, 0, 0
+	r.decideTime, r.answerTime, r.syncs = 0, 0, 0
 	for tick := 0; r.starts() < want && tick < 5000; tick++ {
 		r.tick()
 	}
-	f := filled{tasks: r.starts(), deciding: r.deciding}
-	f.answersPerSecond = float64(r.syncs) / r.answering.Seconds()
+	f := fillResult{tasks: r.starts(), decideTime: r.decideTime}
+	f.answersPerSecond = float64(r.syncs) / r.answerTime.Seconds()
 	full := heapInUse()
-	f.bytesWorker = float64(empty-before) / float64(workers)
-	f.bytesTask = float64(full-empty) / float64(f.tasks)
+	f.bytesPerWorker = float64(empty-before) / float64(workers)
+	f.bytesPerTask = float64(full-empty) / float64(f.tasks)
 	// What a tick costs when there is nothing to decide.
-	r.deciding = 0
+	r.decideTime = 0
 	const idle = 40
 	for range idle {
 		r.tick()
 	}
-	f.tickIdle = r.deciding / idle
+	f.idleTickTime = r.decideTime / idle
 	runtime.KeepAlive(r)
 	return f
 }
 
 // publishMixed puts work in force: a fifth services, the rest jobs.
-func publishMixed(r *rig, tasks int) {
+func publishMixed(r *simShard, tasks int) {
 	shapes := []string{"processors: 1, memory: 4GiB", "processors: 2, memory: 8GiB", "processors: 4, memory: 8GiB", "processors: 8, memory: 40GiB"}
 	const inOne = 2000
 	var services, jobs strings.Builder
@@ -112,7 +112,7 @@
 }
 
 func burstWait(priority string) *hdrhistogram.Histogram {
-	r := newRig(150, 1000)
+	r := newSimShard(150, 1000)
 	r.publish("bulk", "jobs:\n  - {name: bulk, team: t, priority: batch, count: 20000, resources: {processors: 2, memory: 2GiB}, command: [sleep, 60s], repeatable: true}\n")
 	for range 400 {
 		r.tick()
--- a/cmd/saddlevane-bench/jobcell.go
+++ b/cmd/saddlevane-bench/jobcell.go
@@ -23,75 +23,75 @@
 // The times and sizes of what surrounds the reducer, like those of the users'
 // platform.
 const (
-	cellTick   = 20 * time.Millisecond
-	appendTime = 5 * time.Millisecond
-	orderTime  = 2 * time.Millisecond
-	cellLease  = 6 * time.Second
-	renewWait  = time.Second
-	gatherTime = 12 * time.Millisecond
-	rackSize   = 12
+	tickInterval   = 20 * time.Millisecond
+	appendLatency  = 5 * time.Millisecond
+	orderLatency   = 2 * time.Millisecond
+	workerLease    = 6 * time.Second
+	renewWait      = time.Second
+	appendInterval = 12 * time.Millisecond
+	rackSize       = 12
 )
 
-// due is something that happens at a time. Numbers order what happens at the same
+// scheduledEvent is something that happens at a time. Numbers order what happens at the same
 // time.
-type due struct {
-	at     time.Time
-	number int
-	do     func()
+type scheduledEvent struct {
+	at  time.Time
+	seq int
+	run func()
 }
 
-// dueQueue is a heap of what is due, the first to happen on top.
-type dueQueue []due
+// eventQueue is a heap of what is due, the first to happen on top.
+type eventQueue []scheduledEvent
 
-func (q dueQueue) Len() int { return len(q) }
+func (q eventQueue) Len() int { return len(q) }
 
-func (q dueQueue) Less(i, j int) bool {
-	return q[i].at.Before(q[j].at) || q[i].at.Equal(q[j].at) && q[i].number < q[j].number
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at.Before(q[j].at) || q[i].at.Equal(q[j].at) && q[i].seq < q[j].seq
 }
 
-func (q dueQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (q *dueQueue) Push(x any) { *q = append(*q, x.(due)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(scheduledEvent)) }
 
-func (q *dueQueue) Pop() any {
+func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	*q = old[:len(old)-1]
 	return last
 }
 
-// jobCell is one box that holds a cell, its workers, the log and the advice
+// simCell is one box that holds a cell, its workers, the log and the advice
 // service, in virtual time. Nothing fails in it.
-type jobCell struct {
+type simCell struct {
 	mix jobMix
 	rng *rand.Rand
 	// arrivals draws the jobs, so that they are the same under each policy.
 	arrivals *rand.Rand
 	now      time.Time
 	// queue is what is still to happen, number that of the last thing put there.
-	queue  dueQueue
-	number int
-	core   *dispatch.Core
+	queue   eventQueue
+	lastSeq int
+	core    *dispatch.Core
 	// offset is that of the next record of the log.
-	offset  int64
-	workers map[string]*cellWorker
+	nextOffset int64
+	workers    map[string]*simWorker
 	// advising is when the calls of each box are over.
-	advising map[string]time.Time
-	jobs     map[job.ID]*cellJob
-	lastCall exchange.CallID
+	adviceBusyUntil map[string]time.Time
+	jobs            map[job.ID]*simJob
+	lastCall        exchange.CallID
 
-	// deciding is the processor time that the reducer took, mostDeciding that of
+	// deciding is the processor time that the reducer took, maxDecideTime that of
 	// its longest group of events.
-	deciding, mostDeciding time.Duration
-	starts                 int
-	adviceCalls            int
-	adviceTime             time.Duration
+	decideTime, maxDecideTime time.Duration
+	starts                    int
+	adviceCalls               int
+	adviceTime                time.Duration
 	// worked and wasted are processor seconds.
-	worked, wasted float64
+	usefulCoreSeconds, wastedCoreSeconds float64
 }
 
-// cellJob is a job as its caller sees it.
-type cellJob struct {
+// simJob is a job as its caller sees it.
+type simJob struct {
 	kind *jobKind
 	sub  job.Submission
 	// work is how long the tasks of each step work.
@@ -101,28 +101,28 @@
 	doneAt time.Time
 }
 
-// newJobCell returns a cell whose box is about to take it over.
-func newJobCell(mix jobMix, seed int64, without map[mechanism.Mechanism]bool) *jobCell {
-	c := &jobCell{
+// newSimCell returns a cell whose box is about to take it over.
+func newSimCell(mix jobMix, seed int64, without map[mechanism.Mechanism]bool) *simCell {
+	c := &simCell{
 		mix: mix, rng: rand.New(rand.NewSource(seed)), arrivals: rand.New(rand.NewSource(seed)), now: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC),
-		workers: map[string]*cellWorker{}, advising: map[string]time.Time{}, jobs: map[job.ID]*cellJob{},
+		workers: map[string]*simWorker{}, adviceBusyUntil: map[string]time.Time{}, jobs: map[job.ID]*simJob{},
 	}
 	for i := range mix.workers {
-		w := newCellWorker(c, i)
+		w := newSimWorker(c, i)
 		c.workers[w.Name] = w
 	}
 	c.core = dispatch.New(dispatch.Settings{
 		Authority: authority.Settings{RenewInterval: 400 * time.Millisecond, HoldFor: 1400 * time.Millisecond, ClaimAfter: 1550 * time.Millisecond},
-		Lease:     cellLease, RenewWait: renewWait, AppendInterval: gatherTime, EndedRetention: time.Minute, StopGrace: time.Second,
+		Lease:     workerLease, RenewWait: renewWait, AppendInterval: appendInterval, EndedRetention: time.Minute, StopGrace: time.Second,
 		OrderTimeout: 300 * time.Millisecond,
 		Disabled:     without,
 	}, claim.Member{Box: "box-00", Incarnation: "1", Address: "box-00", Size: 1000})
-	c.begin()
+	c.takeOver()
 	return c
 }
 
-// begin lets the box take the cell over.
-func (c *jobCell) begin() {
+// takeOver lets the box take the cell over.
+func (c *simCell) takeOver() {
 	config := job.Config{Version: 1, Queues: map[string]job.Queue{}}
 	for i := range c.mix.kinds {
 		config.Queues[c.mix.kinds[i].queue.Name] = c.mix.kinds[i].queue
@@ -133,87 +133,89 @@
 		members = append(members, claim.Member{Box: name, Incarnation: "1", Address: name, Size: 500})
 	}
 	members[0].Size = 1000
-	c.give(exchange.ConfigRead{Config: config}, exchange.MembersRead{Members: members}, exchange.ClaimsRead{First: true})
+	c.deliver(exchange.ConfigRead{Config: config}, exchange.MembersRead{Members: members}, exchange.ClaimsRead{First: true})
 	c.tick()
 }
 
 // tick gives the reducer its ticks.
-func (c *jobCell) tick() {
-	c.give(exchange.Tick{})
-	c.after(cellTick, c.tick)
+func (c *simCell) tick() {
+	c.deliver(exchange.Tick{})
+	c.schedule(tickInterval, c.tick)
 }
 
-// after does something once some time has passed.
-func (c *jobCell) after(d time.Duration, do func()) {
-	c.number++
-	heap.Push(&c.queue, due{at: c.now.Add(d), number: c.number, do: do})
+// schedule does something once some time has passed.
+func (c *simCell) schedule(d time.Duration, do func()) {
+	c.lastSeq++
+	heap.Push(&c.queue, scheduledEvent{at: c.now.Add(d), seq: c.lastSeq, run: do})
 }
 
-// run lets time pass until a moment.
-func (c *jobCell) run(until time.Time) {
+// runUntil lets time pass until a moment.
+func (c *simCell) runUntil(until time.Time) {
 	for len(c.queue) > 0 && !c.queue[0].at.After(until) {
-		next := heap.Pop(&c.queue).(due)
+		next := heap.Pop(&c.queue).(scheduledEvent)
 		c.now = next.at
-		next.do()
+		next.run()
 	}
 	c.now = until
 }
 
-// give tells the reducer some events that came together, and carries out what it
+// deliver tells the reducer some events that came together, and carries out what it
 // asks for.
-func (c *jobCell) give(events ...exchange.Event) {
+func (c *simCell) deliver(events ...exchange.Event) {
 	began := time.Now()
 	for _, e := range events {
 		c.core.Handle(c.now, e)
 	}
 	effects := c.core.Decide(c.now)
 	took := time.Since(began)
-	c.deciding += took
-	c.mostDeciding = max(c.mostDeciding, took)
+	c.decideTime += took
+	c.maxDecideTime = max(c.maxDecideTime, took)
 	for _, e := range effects {
-		c.do(e)
+		c.execute(e)
 	}
 }
 
-// back gives the reducer an event after a while.
-func (c *jobCell) back(d time.Duration, e exchange.Event) { c.after(d, func() { c.give(e) }) }
+// deliverAfter gives the reducer an event after a while.
+func (c *simCell) deliverAfter(d time.Duration, e exchange.Event) {
+	c.schedule(d, func() { c.deliver(e) })
+}
 
-// do carries out one effect. Answers to callers are not looked at: what becomes of a
+// execute carries out one effect. Answers to callers are not looked at: what becomes of a
 // job is seen in the log.
-func (c *jobCell) do(e exchange.Effect) {
+func (c *simCell) execute(e exchange.Effect) {
 	switch e := e.(type) {
 	case exchange.Append:
 		c.append(e)
 	case exchange.LoadJobs:
-		c.back(appendTime, exchange.JobsLoaded{Epoch: e.Epoch})
+		c.deliverAfter(appendLatency, exchange.JobsLoaded{Epoch: e.Epoch})
 	case exchange.FollowWorkers:
-		c.list()
+		c.listWorkers()
 	case exchange.Renew:
 		c.workers[e.Worker.Name].renew(e)
 	case exchange.StartRun:
 		c.starts++
-		c.workers[e.Worker.Name].start(e)
+		c.workers[e.Worker.Name].startRun(e)
 	case exchange.StopRun:
-		c.workers[e.Worker.Name].stop(e)
+		c.workers[e.Worker.Name].stopRun(e)
 	case exchange.Advise:
 		c.advise(e)
 	}
 }
 
 // append keeps records, whose end the reducer hears of later.
-func (c *jobCell) append(e exchange.Append) {
-	first := c.offset
-	c.offset += int64(len(e.Append.Records))
-	c.after(appendTime, func() {
-		c.give(exchange.AppendEnded{Purpose: e.Purpose, Number: e.Number, Offset: first})
+func (c *simCell) append(e exchange.Append) {
+	first := c.nextOffset
+	c.nextOffset += int64(len(e.Append.Records))
+	c.schedule(appendLatency, func() {
+		c.deliver(exchange.AppendEnded{Purpose: e.Purpose, Number: e.Number, Offset: first})
 		if e.Purpose == exchange.ForJournal {
-			c.see(e.Append.Records)
+			c.recordSuccesses(e.Append.Records)
 		}
 	})
 }
 
-// see notes the jobs that the log says have succeeded.
-func (c *jobCell) see(records []stream.Record) {
+// recordSuccesses notes the jobs that the log says have succeeded.
+func (c *simCell) recordSuccesses(records []stream.Record) {
 	for _, r := range records {
 		if len(r.Key) < 3 || r.Key[:2] != "p/" {
 			continue
@@ -228,41 +230,41 @@
 	}
 }
 
-// list tells the reducer of all workers.
-func (c *jobCell) list() {
+// listWorkers tells the reducer of all workers.
+func (c *simCell) listWorkers() {
 	l := order.Listing{Complete: true}
 	for i := range c.mix.workers {
 		l.Present = append(l.Present, c.workers[workerName(i)].Worker)
 	}
-	c.back(appendTime, exchange.WorkersRead{Listing: l})
+	c.deliverAfter(appendLatency, exchange.WorkersRead{Listing: l})
 }
 
 // advise answers a call for advice: one after the other for each box.
-func (c *jobCell) advise(e exchange.Advise) {
+func (c *simCell) advise(e exchange.Advise) {
 	j := c.jobs[e.Step.Job]
 	q := j.kind.queue.Advice
 	takes := q.BaseTime + time.Duration(len(e.Workers))*q.TimePerWorker
 	c.adviceCalls++
 	c.adviceTime += takes
-	free := c.advising[e.Box]
+	free := c.adviceBusyUntil[e.Box]
 	if free.Before(c.now) {
 		free = c.now
 	}
 	free = free.Add(takes)
-	c.advising[e.Box] = free
+	c.adviceBusyUntil[e.Box] = free
 	a := exchange.Advised{Step: e.Step, Box: e.Box, Epoch: e.Epoch, Number: e.Number}
 	for _, id := range e.Workers {
-		if c.workers[id].suits(e.Step, j.kind.suits) {
+		if c.workers[id].isEligible(e.Step, j.kind.eligibleShare) {
 			a.Tickets = append(a.Tickets, order.Ticket{Worker: id, Ticket: "t"})
 		}
 	}
-	c.back(free.Add(orderTime).Sub(c.now), a)
+	c.deliverAfter(free.Add(orderLatency).Sub(c.now), a)
 }
 
 // submit hands a job in.
-func (c *jobCell) submit(k *jobKind, number int) {
+func (c *simCell) submit(k *jobKind, number int) {
 	sub, work := k.submission(c.arrivals, number)
-	c.jobs[sub.ID] = &cellJob{kind: k, sub: sub, work: work, sentAt: c.now}
+	c.jobs[sub.ID] = &simJob{kind: k, sub: sub, work: work, sentAt: c.now}
 	c.lastCall++
-	c.give(exchange.Submitted{Call: c.lastCall, Submission: sub})
+	c.deliver(exchange.Submitted{Call: c.lastCall, Submission: sub})
 }
--- a/cmd/saddlevane-bench/load.go
+++ b/cmd/saddlevane-bench/load.go
@@ -20,15 +20,15 @@
 	"github.com/sourcegraph/conc"
 )
 
-// load sends requests at a rate, whether or not earlier ones were answered.
-type load struct {
+// loadGenerator sends requests at a rate, whether or not earlier ones were answered.
+type loadGenerator struct {
 	cell *cell.Cell
 	rate float64
 	// entries are the boxes that callers ask.
-	entries []*cell.Entry
-	client  *http.Client
-	begun   time.Time
-	mu      sync.Mutex
+	entries   []*cell.Entry
+	client    *http.Client
+	startedAt time.Time
+	mu        sync.Mutex
 	// byClass holds what came of each class while measured.
 	byClass map[string]*tally
 	keyed   map[string]bool
@@ -38,17 +38,17 @@
 // tally is what came of one class.
 type tally struct {
 	offered, done, refused, unknown int
-	wait, refusal                   *hdrhistogram.Histogram
-	served                          time.Duration
+	waitTime, refusalTime           *hdrhistogram.Histogram
+	serviceTime                     time.Duration
 }
 
-func newLoad(c *cell.Cell, rate float64, skew bool) *load {
-	l := &load{cell: c, rate: rate, entries: c.Entries(), client: newClient(), byClass: map[string]*tally{}, keyed: map[string]bool{}}
+func newLoadGenerator(c *cell.Cell, rate float64, skew bool) *loadGenerator {
+	l := &loadGenerator{cell: c, rate: rate, entries: c.Entries(), client: newClient(), byClass: map[string]*tally{}, keyed: map[string]bool{}}
 	if skew {
 		l.entries = c.EntriesIn("a")
 	}
-	for _, k := range kinds {
-		l.byClass[k.class] = &tally{wait: newHistogram(), refusal: newHistogram()}
+	for _, k := range requestKinds {
+		l.byClass[k.class] = &tally{waitTime: newHistogram(), refusalTime: newHistogram()}
 	}
 	return l
 }
@@ -59,24 +59,24 @@
 }
 
 // run sends for the warm-up and the measured time, and waits for all answers.
-func (l *load) run(ctx context.Context) {
+func (l *loadGenerator) run(ctx context.Context) {
 	r := rand.New(rand.NewPCG(uint64(l.rate), 3))
 	var tasks conc.WaitGroup
-	l.begun = time.Now()
-	next := l.begun
-	for i := 0; time.Since(l.begun) < warmUp+measured; i++ {
+	l.startedAt = time.Now()
+	next := l.startedAt
+	for i := 0; time.Since(l.startedAt) < warmUpPeriod+measurePeriod; i++ {
 		next = next.Add(time.Duration(r.ExpFloat64() / l.rate * float64(time.Second)))
 		time.Sleep(time.Until(next))
-		k, e := pick(r), l.entries[r.IntN(len(l.entries))]
-		service := time.Duration(math.Round(r.ExpFloat64()*k.service.Seconds()*1000)) * time.Millisecond
+		k, e := pickKind(r), l.entries[r.IntN(len(l.entries))]
+		service := time.Duration(math.Round(r.ExpFloat64()*k.serviceTime.Seconds()*1000)) * time.Millisecond
 		nonce := fmt.Sprintf("%.0f-%d", l.rate, i)
-		tasks.Go(func() { l.ask(ctx, k, e, service, nonce) })
+		tasks.Go(func() { l.sendRequest(ctx, k, e, service, nonce) })
 	}
 	tasks.Wait()
 	l.client.CloseIdleConnections()
 }
 
-func (l *load) ask(ctx context.Context, k kind, e *cell.Entry, service time.Duration, nonce string) {
+func (l *loadGenerator) sendRequest(ctx context.Context, k requestKind, e *cell.Entry, service time.Duration, nonce string) {
 	key := ""
 	if k.keyed {
 		key, _ = cell.IssueKey(ctx, l.client, e)
@@ -92,11 +92,11 @@
 		l.keyed[nonce] = true
 	}
 	t := l.byClass[k.class]
-	if at := begun.Sub(l.begun); at >= warmUp {
+	if at := begun.Sub(l.startedAt); at >= warmUpPeriod {
 		t.offered++
 	}
 	// What came of a request counts when it came.
-	if at := time.Since(l.begun); at < warmUp || at >= warmUp+measured {
+	if at := time.Since(l.startedAt); at < warmUpPeriod || at >= warmUpPeriod+measurePeriod {
 		return
 	}
 	switch {
@@ -104,31 +104,31 @@
 		t.unknown++
 	case verdict.Verdict(resp.Header.Get("Saddlevane-Verdict")) == verdict.NotRun:
 		t.refused++
-		_ = t.refusal.RecordValue(max(took.Microseconds(), 1))
+		_ = t.refusalTime.RecordValue(max(took.Microseconds(), 1))
 	default:
 		t.done++
-		t.served += service
-		_ = t.wait.RecordValue(max((took - service).Microseconds(), 1))
+		t.serviceTime += service
+		_ = t.waitTime.RecordValue(max((took - service).Microseconds(), 1))
 	}
 }
 
 // print writes a row for each class.
-func (l *load) print(out io.Writer, factor float64) {
+func (l *loadGenerator) print(out io.Writer, factor float64) {
 	served := time.Duration(0)
 	for _, t := range l.byClass {
-		served += t.served
+		served += t.serviceTime
 	}
-	used := served.Seconds() / measured.Seconds() / (benchTargets * benchSlots)
-	for _, k := range kinds {
+	used := served.Seconds() / measurePeriod.Seconds() / (benchTargets * benchSlots)
+	for _, k := range requestKinds {
 		t := l.byClass[k.class]
-		rate := func(n int) float64 { return float64(n) / measured.Seconds() }
+		rate := func(n int) float64 { return float64(n) / measurePeriod.Seconds() }
 		fmt.Fprintf(out, "| %.1fx | %s | %.0f | %.0f | %.0f | %d | %s | %s | %s | %s | %.0f%% |\n", factor, k.class,
 			rate(t.offered), rate(t.done), rate(t.refused), t.unknown,
-			micros(t.wait.ValueAtQuantile(50)), micros(t.wait.ValueAtQuantile(99)), micros(t.wait.Max()),
-			micros(t.refusal.ValueAtQuantile(99)), 100*used)
+			formatMicros(t.waitTime.ValueAtQuantile(50)), formatMicros(t.waitTime.ValueAtQuantile(99)), formatMicros(t.waitTime.Max()),
+			formatMicros(t.refusalTime.ValueAtQuantile(99)), 100*used)
 	}
 }
 
-func micros(n int64) string {
+func formatMicros(n int64) string {
 	return (time.Duration(n) * time.Microsecond).Round(100 * time.Microsecond).String()
 }
--- a/cmd/saddlevane-bench/main.go
+++ b/cmd/saddlevane-bench/main.go
@@ -28,7 +28,7 @@
 	jobs.StringVar(&jobsOf.mix, "mix", "", "only this cell: today, grown, slow or large")
 	jobs.Float64Var(&jobsOf.load, "load", 1, "times the usual load")
 	jobs.IntVar(&jobsOf.seeds, "seeds", 2, "runs of each cell")
-	jobs.StringVar(&jobsOf.without, "without", "", "parts of the policy that are switched off, separated by commas")
+	jobs.StringVar(&jobsOf.disabled, "without", "", "parts of the policy that are switched off, separated by commas")
 	jobs.StringVar(&jobsOf.profile, "profile", "", "file for a profile of the processor time")
 	root := &ffcli.Command{
 		Name: "saddlevane-bench", ShortUsage: "saddlevane-bench [flags] decisions|jobs|requests|takeover|capacity", FlagSet: fs,
--- a/cmd/saddlevane-bench/measure.go
+++ b/cmd/saddlevane-bench/measure.go
@@ -33,10 +33,10 @@
 	for _, n := range []int{300, 600, 1200, 2400} {
 		f := measureFill(n)
 		x := float64(n)
-		memoryWorkers = append(memoryWorkers, point{x, f.bytesWorker * x})
-		memoryTasks = append(memoryTasks, point{float64(f.tasks), f.bytesTask * float64(f.tasks)})
-		tick = append(tick, point{x, float64(f.tickIdle) / float64(time.Microsecond)})
-		place = append(place, point{x, 1e6 / f.perSecond()})
+		memoryWorkers = append(memoryWorkers, point{x, f.bytesPerWorker * x})
+		memoryTasks = append(memoryTasks, point{float64(f.tasks), f.bytesPerTask * float64(f.tasks)})
+		tick = append(tick, point{x, float64(f.idleTickTime) / float64(time.Microsecond)})
+		place = append(place, point{x, 1e6 / f.placementsPerSecond()})
 	}
 	s.holderMemoryWorkers = newSlope("holder memory, workers", "workers", "bytes", memoryWorkers)
 	s.holderMemoryTasks = newSlope("holder memory, tasks", "tasks", "bytes", memoryTasks)
@@ -48,26 +48,26 @@
 		told = append(told, point{float64(n), answerCost(n, true)})
 	}
 	s.answerUnchanged = newSlope("one unchanged answer of a worker", "tasks on it", "µs", unchanged)
-	s.answerTold = newSlope("one answer with the inventory", "tasks on it", "µs", told)
+	s.answerInventory = newSlope("one answer with the inventory", "tasks on it", "µs", told)
 }
 
 // answerCost returns the µs that a holder spends on one answer of a worker with
 // so many tasks.
 func answerCost(tasks int, tellAll bool) float64 {
 	const workers, rounds = 100, 1000
-	r := newRig(workers, 10_000)
-	r.tellAll = tellAll
+	r := newSimShard(workers, 10_000)
+	r.fullInventory = tellAll
 	if tasks > 0 {
 		r.publish("work", fmt.Sprintf("jobs:\n  - {name: j, team: t, count: %d, resources: {processors: 1}, command: [serve], repeatable: true}\n", workers*tasks))
 	}
 	for range 200 {
 		r.tick()
 	}
-	r.answering, r.syncs = 0, 0
+	r.answerTime, r.syncs = 0, 0
 	for range rounds {
 		r.tick()
 	}
-	return r.answering.Seconds() * 1e6 / float64(r.syncs)
+	return r.answerTime.Seconds() * 1e6 / float64(r.syncs)
 }
 
 // measureWire measures the size of a worker's messages.
@@ -76,20 +76,20 @@
 	for _, n := range []int{0, 4, 8, 16} {
 		id := task.ID{Object: task.ObjectID{Name: "scoring-2026-12-01", Born: 1_234_567}, Attempt: 1}
 		sync := worker.Sync{Holder: "entry-a1/01M8VAYQQ24TVMYVZ2A1D5Y1F6", Epoch: 123, Seq: 123_456, TTL: 5000}
-		report := worker.Report{Worker: "worker-a12-8", Granted: true, Epoch: 123, Holder: sync.Holder, ExpiresIn: 5000, Capacity: benchCapacity}
+		report := worker.Report{Worker: "worker-a12-8", Granted: true, Epoch: 123, Holder: sync.Holder, ExpiresIn: 5000, Capacity: benchWorkerCapacity}
 		for i := range n {
 			id.Index = 10_000 + i
 			sync.Starts = append(sync.Starts, worker.Start{Task: id, Resources: vector(2000, 6), Command: []string{"score", "--night", "2026-12-01"}, Version: 1_234_567})
 			report.Tasks = append(report.Tasks, worker.Item{Task: id, State: task.Running, Resources: vector(2000, 6), Usage: vector(1500, 5), Version: 1_234_567})
 		}
-		syncs = append(syncs, point{float64(n), size(sync)})
-		reports = append(reports, point{float64(n), size(report)})
+		syncs = append(syncs, point{float64(n), jsonSize(sync)})
+		reports = append(reports, point{float64(n), jsonSize(report)})
 	}
 	s.syncBytes = newSlope("bytes of a sync", "starts in it", "bytes", syncs)
 	s.reportBytes = newSlope("bytes of a report", "tasks in it", "bytes", reports)
 }
 
-func size(v any) float64 {
+func jsonSize(v any) float64 {
 	data, _ := json.Marshal(v)
 	return float64(len(data))
 }
@@ -101,7 +101,7 @@
 		before := heapInUse()
 		l := ledgerWith(n)
 		memory = append(memory, point{float64(n), float64(heapInUse() - before)})
-		snapshots = append(snapshots, point{float64(n), size(l.Snapshot())})
+		snapshots = append(snapshots, point{float64(n), jsonSize(l.Snapshot())})
 		applies = append(applies, point{float64(n), publishCost(l)})
 		runtime.KeepAlive(l)
 	}
@@ -110,7 +110,7 @@
 	s.snapshotBytes = newSlope("bytes of a snapshot", "objects in force", "bytes", snapshots)
 }
 
-const objectsInFile = 20
+const objectsPerFile = 20
 
 // ledgerWith returns a fold with so many jobs in force, 20 a file, in 18 domains.
 func ledgerWith(objects int) *ledger.Ledger {
@@ -130,7 +130,7 @@
 		apply(fmt.Sprintf("racks%d", d), b.String())
 	}
 	apply("teams", "teams:\n  - {name: t, quota: {processors: 10000000, memory: 9000TiB}}\n")
-	for f := range objects / objectsInFile {
+	for f := range objects / objectsPerFile {
 		apply(fmt.Sprintf("work%d", f), jobsFile(f))
 	}
 	return l
@@ -139,7 +139,7 @@
 func jobsFile(f int) string {
 	var b strings.Builder
 	b.WriteString("jobs:\n")
-	for i := range objectsInFile {
+	for i := range objectsPerFile {
 		fmt.Fprintf(&b, "  - {name: j%d-%d, team: t, count: 100, resources: {processors: 2, memory: 6GiB}, command: [score], repeatable: true}\n", f, i)
 	}
 	return b.String()
--- a/cmd/saddlevane-bench/mix.go
+++ b/cmd/saddlevane-bench/mix.go
@@ -9,10 +9,10 @@
 	"saddlevane/models/resource"
 )
 
-// shape is a size of task and how common it is.
-type shape struct {
-	need resource.Vector
-	part int
+// taskShape is a size of task and how common it is.
+type taskShape struct {
+	need    resource.Vector
+	percent int
 }
 
 // mix is a workload of one deployment. The shapes are made up after the brief's
@@ -20,7 +20,7 @@
 type mix struct {
 	name     string
 	capacity resource.Vector
-	shapes   []shape
+	shapes   []taskShape
 }
 
 func vector(millis resource.Millis, gib int64) resource.Vector {
@@ -28,10 +28,10 @@
 }
 
 var mixes = []mix{
-	{"Jordan", vector(60_000, 130), []shape{
+	{"Jordan", vector(60_000, 130), []taskShape{
 		{vector(500, 1), 30}, {vector(2_000, 4), 40}, {vector(4_000, 16), 15}, {vector(8_000, 8), 10}, {vector(16_000, 40), 5},
 	}},
-	{"Lakeshore", vector(60_000, 260), []shape{
+	{"Lakeshore", vector(60_000, 260), []taskShape{
 		{vector(1_000, 6), 50}, {vector(4_000, 8), 20}, {vector(2_000, 20), 15}, {vector(10_000, 40), 10}, {vector(20_000, 30), 5},
 	}},
 }
@@ -39,7 +39,7 @@
 func (m mix) draw(r *rand.Rand) resource.Vector {
 	n := r.IntN(100)
 	for _, s := range m.shapes {
-		if n -= s.part; n < 0 {
+		if n -= s.percent; n < 0 {
 			return s.need
 		}
 	}
@@ -51,8 +51,8 @@
 func (m mix) bound() (processors, memory float64) {
 	var p, b float64
 	for _, s := range m.shapes {
-		p += float64(s.part) * float64(s.need.Processors)
-		b += float64(s.part) * float64(s.need.Memory)
+		p += float64(s.percent) * float64(s.need.Processors)
+		b += float64(s.percent) * float64(s.need.Memory)
 	}
 	p /= float64(m.capacity.Processors)
 	b /= float64(m.capacity.Memory)
--- a/cmd/saddlevane-bench/packing.go
+++ b/cmd/saddlevane-bench/packing.go
@@ -54,14 +54,14 @@
 	}},
 }
 
-// placed is a task at a worker.
-type placed struct {
+// placedTask is a task at a worker.
+type placedTask struct {
 	node *placement.Node
 	need resource.Vector
 }
 
-// packed is what a placer came to.
-type packed struct {
+// packingResult is what a placer came to.
+type packingResult struct {
 	processors, memory float64
 	p50, p99           time.Duration
 }
@@ -72,21 +72,21 @@
 
 // churn fills workers from a queue that is never empty, while tasks end one by
 // one, and returns the mean share reserved once full.
-func churn(m mix, p placer, workers, steps int, seed uint64) packed {
+func churn(m mix, p placer, workers, steps int, seed uint64) packingResult {
 	r := rand.New(rand.NewPCG(seed, 1))
 	x := &placement.Index{}
 	nodes := make([]*placement.Node, workers)
 	for i := range nodes {
-		nodes[i] = placement.NewNode(fmt.Sprint("w", i), fmt.Sprint("r", i/perRack), m.capacity)
+		nodes[i] = placement.NewNode(fmt.Sprint("w", i), fmt.Sprint("r", i/workersPerRack), m.capacity)
 		x.Add(nodes[i])
 	}
-	var running []placed
+	var running []placedTask
 	queue := make([]resource.Vector, lookahead)
 	for i := range queue {
 		queue[i] = m.draw(r)
 	}
 	var times []time.Duration
-	var out packed
+	var out packingResult
 	samples := 0
 	fill := func() {
 		for i := 0; i < len(queue); {
@@ -98,7 +98,7 @@
 				continue
 			}
 			n.Reserve(queue[i])
-			running = append(running, placed{n, queue[i]})
+			running = append(running, placedTask{n, queue[i]})
 			queue = append(slices.Delete(queue, i, i+1), m.draw(r))
 		}
 	}
@@ -110,7 +110,7 @@
 		running = running[:len(running)-1]
 		fill()
 		if step > steps/2 && step%16 == 0 {
-			p, b := reserved(nodes)
+			p, b := reservedShare(nodes)
 			out.processors, out.memory = out.processors+p, out.memory+b
 			samples++
 		}
@@ -122,7 +122,7 @@
 	return out
 }
 
-func reserved(nodes []*placement.Node) (processors, memory float64) {
+func reservedShare(nodes []*placement.Node) (processors, memory float64) {
 	var total, free resource.Vector
 	for _, n := range nodes {
 		total, free = total.Plus(n.Capacity()), free.Plus(n.Free())
@@ -131,29 +131,29 @@
 	return float64(used.Processors) / float64(total.Processors), float64(used.Memory) / float64(total.Memory)
 }
 
-// seeds is how many runs a figure is the mean of. All placers get the same
+// seedCount is how many runs a figure is the mean of. All placers get the same
 // tasks.
-const seeds = 3
+const seedCount = 3
 
-func meanOf(m mix, p placer, workers int) packed {
-	var sum packed
-	for seed := range uint64(seeds) {
+func meanResult(m mix, p placer, workers int) packingResult {
+	var sum packingResult
+	for seed := range uint64(seedCount) {
 		c := churn(m, p, workers, workers*10, seed)
-		sum.processors += c.processors / seeds
-		sum.memory += c.memory / seeds
-		sum.p50, sum.p99 = sum.p50+c.p50/seeds, sum.p99+c.p99/seeds
+		sum.processors += c.processors / seedCount
+		sum.memory += c.memory / seedCount
+		sum.p50, sum.p99 = sum.p50+c.p50/seedCount, sum.p99+c.p99/seedCount
 	}
 	return sum
 }
 
 func packing(out io.Writer) {
-	fmt.Fprintf(out, "\nPacking: mean share reserved while the queue is never empty, and time of one search; mean of %d seeds.\n\n", seeds)
+	fmt.Fprintf(out, "\nPacking: mean share reserved while the queue is never empty, and time of one search; mean of %d seeds.\n\n", seedCount)
 	fmt.Fprintln(out, "| mix | workers | placer | processors | memory | search p50 | p99 |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- |")
 	for _, m := range mixes {
 		for _, workers := range []int{50, 1200} {
 			for _, p := range placers {
-				c := meanOf(m, p, workers)
+				c := meanResult(m, p, workers)
 				fmt.Fprintf(out, "| %s | %d | %s | %.1f%% | %.1f%% | %s | %s |\n", m.name, workers, p.name, 100*c.processors, 100*c.memory, c.p50, c.p99)
 			}
 			p, b := m.bound()
@@ -162,8 +162,8 @@
 	}
 }
 
-// sweep measures the weights that a deployment can set.
-func sweep(out io.Writer) {
+// sweepWeights measures the weights that a deployment can set.
+func sweepWeights(out io.Writer) {
 	fmt.Fprintf(out, "\nWeights: the same at 1200 workers, mean of 3 seeds.\n\n")
 	fmt.Fprintln(out, "| mix | tight | balance | processors | memory |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- |")
@@ -172,7 +172,7 @@
 			p := placer{"", func(_ []*placement.Node, x *placement.Index, _ *rand.Rand, need resource.Vector) *placement.Node {
 				return x.Best(need, func(n *placement.Node) float64 { return w.Score(n, need) })
 			}}
-			sum := meanOf(m, p, 1200)
+			sum := meanResult(m, p, 1200)
 			fmt.Fprintf(out, "| %s | %v | %v | %.1f%% | %.1f%% |\n", m.name, w.Tight, w.Balance, 100*sum.processors, 100*sum.memory)
 		}
 	}
--- a/cmd/saddlevane-bench/requests.go
+++ b/cmd/saddlevane-bench/requests.go
@@ -18,22 +18,22 @@
 
 // The cell is of Jordan's size: 3 domains, 6 entry boxes, 50 targets of 8 slots.
 const (
-	benchTargets = 50
-	benchSlots   = 8
-	measured     = 10 * time.Second
-	warmUp       = 3 * time.Second
+	benchTargets  = 50
+	benchSlots    = 8
+	measurePeriod = 10 * time.Second
+	warmUpPeriod  = 3 * time.Second
 )
 
-// kind is a class of requests and what one takes at a target, on average; times
+// requestKind is a class of requests and what one takes at a target, on average; times
 // are exponentially distributed.
-type kind struct {
-	class   string
-	part    int
-	service time.Duration
-	keyed   bool
+type requestKind struct {
+	class       string
+	percent     int
+	serviceTime time.Duration
+	keyed       bool
 }
 
-var kinds = []kind{
+var requestKinds = []requestKind{
 	{"preview", 50, 40 * time.Millisecond, false},
 	{"render", 20, 300 * time.Millisecond, false},
 	{"extract", 30, 800 * time.Millisecond, true},
@@ -42,20 +42,20 @@
 // capacityPerSecond is how many requests the slots can serve in a second.
 func capacityPerSecond() float64 {
 	mean := 0.0
-	for _, k := range kinds {
-		mean += float64(k.part) / 100 * k.service.Seconds()
+	for _, k := range requestKinds {
+		mean += float64(k.percent) / 100 * k.serviceTime.Seconds()
 	}
 	return benchTargets * benchSlots / mean
 }
 
-func pick(r *rand.Rand) kind {
+func pickKind(r *rand.Rand) requestKind {
 	n := r.IntN(100)
-	for _, k := range kinds {
-		if n -= k.part; n < 0 {
+	for _, k := range requestKinds {
+		if n -= k.percent; n < 0 {
 			return k
 		}
 	}
-	return kinds[0]
+	return requestKinds[0]
 }
 
 // requestOptions say what is measured.
@@ -77,7 +77,7 @@
 
 func benchRequests(ctx context.Context, out io.Writer, o requestOptions) error {
 	fmt.Fprintf(out, "Requests: 3 domains, 6 entry boxes, %d targets of %d slots, open loop, %.0f requests/s fill the slots; %s each after %s.\n",
-		benchTargets, benchSlots, capacityPerSecond(), measured, warmUp)
+		benchTargets, benchSlots, capacityPerSecond(), measurePeriod, warmUpPeriod)
 	fmt.Fprintln(out, "Waiting is the caller's time less the service time it asked for.")
 	policies := []string{"shared"}
 	if o.baseline {
@@ -102,18 +102,18 @@
 		return err
 	}
 	defer c.Close()
-	if err := prepare(ctx, c, dir); err != nil {
+	if err := publishCellFile(ctx, c, dir); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "\n### %s\n\n", policy)
 	fmt.Fprintln(out, "| load | class | offered/s | done/s | refused/s | unknown | wait p50 | p99 | max | refusal p99 | slots used |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-	var costs []cost
+	var costs []loadCost
 	for _, factor := range o.factors() {
-		l := newLoad(c, factor*capacityPerSecond(), o.skew)
-		before := usage(c)
+		l := newLoadGenerator(c, factor*capacityPerSecond(), o.skew)
+		before := entryUsage(c)
 		l.run(ctx)
-		costs = append(costs, costOf(before, usage(c), l))
+		costs = append(costs, newLoadCost(before, entryUsage(c), l))
 		l.print(out, factor)
 	}
 	fmt.Fprintln(out, "\n| load | duplicate runs | CPU s a 1,000 requests and entry box | most memory of an entry box |")
@@ -142,8 +142,8 @@
 	return o
 }
 
-// prepare puts the cell's file in force everywhere.
-func prepare(ctx context.Context, c *cell.Cell, dir string) error {
+// publishCellFile puts the cell's file in force everywhere.
+func publishCellFile(ctx context.Context, c *cell.Cell, dir string) error {
 	if err := c.WaitReady(ctx); err != nil {
 		return err
 	}
--- a/cmd/saddlevane-bench/rig.go
+++ b/cmd/saddlevane-bench/rig.go
@@ -22,33 +22,33 @@
 	"saddlevane/tests/fake"
 )
 
-// rig is one holder with a log and workers that answer at once, in virtual time.
-type rig struct {
-	now     time.Time
-	ledger  *ledger.Ledger
-	members *membership.Membership
-	journal *journal.Journal
-	holder  *shard.Holder
-	workers map[string]*fake.Worker
-	next    int64
-	appends int64
-	syncs   int64
-	// tellAll makes workers tell their whole inventory each time.
-	tellAll bool
+// simShard is one holder with a log and workers that answer at once, in virtual time.
+type simShard struct {
+	now        time.Time
+	ledger     *ledger.Ledger
+	members    *membership.Membership
+	journal    *journal.Journal
+	holder     *shard.Holder
+	workers    map[string]*fake.Worker
+	nextOffset int64
+	appends    int64
+	syncs      int64
+	// fullInventory makes workers tell their whole inventory each time.
+	fullInventory bool
 	// deciding is the time spent in the holder, answering that spent on answers.
-	deciding  time.Duration
-	answering time.Duration
+	decideTime time.Duration
+	answerTime time.Duration
 }
 
 var benchShard = spec.ShardID{Domain: "a"}
 
-// benchCapacity is a worker of Lakeshore's.
-var benchCapacity = resource.Vector{Processors: 60 * resource.Processor, Memory: 260 * resource.GiB}
+// benchWorkerCapacity is a worker of Lakeshore's.
+var benchWorkerCapacity = resource.Vector{Processors: 60 * resource.Processor, Memory: 260 * resource.GiB}
 
-const perRack = 8
+const workersPerRack = 8
 
-func newRig(workers, perTick int) *rig {
-	r := &rig{now: time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC), workers: map[string]*fake.Worker{}, ledger: ledger.New()}
+func newSimShard(workers, perTick int) *simShard {
+	r := &simShard{now: time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC), workers: map[string]*fake.Worker{}, ledger: ledger.New()}
 	r.members = membership.New(membership.Settings{HeartbeatInterval: time.Second, DeadAfter: 5 * time.Second},
 		peer.Hello{Box: "e1", Incarnation: "i", Domain: "a", Address: "127.0.0.1:1"})
 	r.journal = journal.New(journal.Settings{Interval: 100 * time.Millisecond, RetryAfter: time.Second, Limit: 100_000}, "e1/i")
@@ -68,7 +68,7 @@
 }
 
 // publishRacks puts the workers in force, in files of bounded size.
-func (r *rig) publishRacks(workers int) {
+func (r *simShard) publishRacks(workers int) {
 	const racksInFile = 100
 	var list box.List
 	var b strings.Builder
@@ -80,16 +80,16 @@
 			file++
 		}
 	}
-	for w := 0; w < workers; w += perRack {
+	for w := 0; w < workers; w += workersPerRack {
 		var names []string
-		for i := w; i < min(w+perRack, workers); i++ {
+		for i := w; i < min(w+workersPerRack, workers); i++ {
 			name := fmt.Sprintf("w%d", i)
 			names = append(names, name)
-			r.workers[name] = fake.NewWorker(name, benchCapacity, 30*time.Second)
+			r.workers[name] = fake.NewWorker(name, benchWorkerCapacity, 30*time.Second)
 			list.Boxes = append(list.Boxes, box.Box{Name: name, Role: box.Worker, Domain: "a", Address: name, State: box.Live})
 		}
 		fmt.Fprintf(&b, "  - {name: r%d, domain: a, shard: 0, workers: [%s], each: {processors: %s, memory: %s}}\n",
-			rack, strings.Join(names, ", "), benchCapacity.Processors, benchCapacity.Memory)
+			rack, strings.Join(names, ", "), benchWorkerCapacity.Processors, benchWorkerCapacity.Memory)
 		if rack++; rack%racksInFile == 0 {
 			flush()
 		}
@@ -98,7 +98,7 @@
 	r.members.SetBoxes(r.now, list)
 }
 
-func (r *rig) publish(name, rest string) {
+func (r *simShard) publish(name, rest string) {
 	p := &record.Publish{ID: name, File: name, Replaces: r.ledger.Revision(name), Data: "name: " + name + "\n" + rest}
 	applied := r.apply(record.Envelope{ID: name, From: "bench", Entries: []record.Entry{{Publish: p}}})
 	if pub := applied.Changes[0].PublishDecision; !pub.Accepted {
@@ -107,18 +107,18 @@
 	r.holder.SetObjects(r.now)
 }
 
-func (r *rig) apply(e record.Envelope) ledger.ApplyResult {
-	applied := r.ledger.Apply(r.next, r.now, e)
-	r.next++
+func (r *simShard) apply(e record.Envelope) ledger.ApplyResult {
+	applied := r.ledger.Apply(r.nextOffset, r.now, e)
+	r.nextOffset++
 	return applied
 }
 
 // tick lets 25 ms of virtual time pass.
-func (r *rig) tick() {
+func (r *simShard) tick() {
 	r.now = r.now.Add(25 * time.Millisecond)
 	begun := time.Now()
 	effects := r.holder.Tick(r.now)
-	r.deciding += time.Since(begun)
+	r.decideTime += time.Since(begun)
 	effects = append(effects, r.journal.Tick(r.now)...)
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -128,16 +128,16 @@
 			r.journal.RecordApplied(r.now, e.Envelope.ID)
 		case effect.SyncWorker:
 			r.syncs++
-			if r.tellAll {
+			if r.fullInventory {
 				e.Sync.KnownVersion = 0
 			}
 			report := r.workers[e.Worker].Apply(r.now, e.Sync)
 			begun := time.Now()
 			r.holder.WorkerAnswered(r.now, event.WorkerAnswered{Worker: e.Worker, Seq: e.Sync.Seq, SentAt: r.now, Report: report})
-			r.answering += time.Since(begun)
+			r.answerTime += time.Since(begun)
 		}
 	}
 }
 
 // starts returns how many starts the holder has sent.
-func (r *rig) starts() int { return int(r.holder.Counts().Starts) }
+func (r *simShard) starts() int { return int(r.holder.Counts().Starts) }
--- a/cmd/saddlevane-bench/slope.go
+++ b/cmd/saddlevane-bench/slope.go
@@ -17,11 +17,11 @@
 type slope struct {
 	name, x, unit string
 	points        []point
-	// perX and base are the fit: y = base + perX * x.
-	perX, base float64
+	// perUnit and base are the fit: y = base + perUnit * x.
+	perUnit, base float64
 	// spread is the largest distance of a point from the fit, in parts of the
 	// point.
-	spread float64
+	maxDeviation float64
 }
 
 // newSlope fits a line through the points by least squares.
@@ -37,21 +37,21 @@
 		up += (p.x - mx) * (p.y - my)
 		down += (p.x - mx) * (p.x - mx)
 	}
-	s.perX = up / down
-	s.base = my - s.perX*mx
+	s.perUnit = up / down
+	s.base = my - s.perUnit*mx
 	for _, p := range points {
 		if p.y != 0 {
-			s.spread = max(s.spread, math.Abs(s.at(p.x)-p.y)/p.y)
+			s.maxDeviation = max(s.maxDeviation, math.Abs(s.at(p.x)-p.y)/p.y)
 		}
 	}
 	return s
 }
 
 // at returns the fit at x.
-func (s slope) at(x float64) float64 { return s.base + s.perX*x }
+func (s slope) at(x float64) float64 { return s.base + s.perUnit*x }
 
-// file returns the name of the slope's plot.
-func (s slope) file() string {
+// plotFile returns the name of the slope's plot.
+func (s slope) plotFile() string {
 	return "slope-" + strings.NewReplacer(" ", "-", "/", "-", ",", "").Replace(s.name) + ".svg"
 }
 
--- a/cmd/saddlevane-bench/takeover.go
+++ b/cmd/saddlevane-bench/takeover.go
@@ -14,14 +14,14 @@
 	"saddlevane/tests/cell"
 )
 
-// takeoverTimes is how often a holder is killed.
-const takeoverTimes = 5
+// takeoverRuns is how often a holder is killed.
+const takeoverRuns = 5
 
 // takeover measures, with real processes and default settings, how long a shard
 // is without an active holder after a crash and after a planned stop, and what
 // the log takes in for it.
 func takeover(ctx context.Context, out io.Writer, bin string) error {
-	fmt.Fprintf(out, "Takeover of a shard of 40 workers, real processes, default settings, %d times each:\n\n", takeoverTimes)
+	fmt.Fprintf(out, "Takeover of a shard of 40 workers, real processes, default settings, %d times each:\n\n", takeoverRuns)
 	fmt.Fprintln(out, "| end of the holder | until active again: least, most | appends |\n| --- | --- | --- |")
 	for _, planned := range []bool{false, true} {
 		if err := measureTakeover(ctx, out, bin, planned); err != nil {
@@ -45,12 +45,12 @@
 		return err
 	}
 	defer c.Close()
-	if err := prepare(ctx, c, dir); err != nil {
+	if err := publishCellFile(ctx, c, dir); err != nil {
 		return err
 	}
 	least, most, appends := time.Hour, time.Duration(0), int64(0)
-	for range takeoverTimes {
-		took, n, err := oneTakeover(ctx, c, planned)
+	for range takeoverRuns {
+		took, n, err := runTakeover(ctx, c, planned)
 		if err != nil {
 			return err
 		}
@@ -60,12 +60,12 @@
 	if planned {
 		name = "stopped as planned"
 	}
-	fmt.Fprintf(out, "| %s | %s, %s | %.1f |\n", name, least.Round(10*time.Millisecond), most.Round(10*time.Millisecond), float64(appends)/takeoverTimes)
+	fmt.Fprintf(out, "| %s | %s, %s | %.1f |\n", name, least.Round(10*time.Millisecond), most.Round(10*time.Millisecond), float64(appends)/takeoverRuns)
 	return nil
 }
 
-func oneTakeover(ctx context.Context, c *cell.Cell, planned bool) (time.Duration, int64, error) {
-	holder, other, err := holderOf(ctx, c)
+func runTakeover(ctx context.Context, c *cell.Cell, planned bool) (time.Duration, int64, error) {
+	holder, other, err := awaitHolder(ctx, c)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -79,7 +79,7 @@
 	} else {
 		holder.Process().Kill()
 	}
-	if err := cell.Until(ctx, "the other box holds the shard", func() bool { return active(ctx, other) }); err != nil {
+	if err := cell.Until(ctx, "the other box holds the shard", func() bool { return isActive(ctx, other) }); err != nil {
 		return 0, 0, err
 	}
 	took := time.Since(begun)
@@ -94,11 +94,11 @@
 	return took, after.Next - before.Next, c.WaitReady(ctx)
 }
 
-// holderOf waits for an active holder and returns it and the other box.
-func holderOf(ctx context.Context, c *cell.Cell) (holder, other *cell.Entry, err error) {
+// awaitHolder waits for an active holder and returns it and the other box.
+func awaitHolder(ctx context.Context, c *cell.Cell) (holder, other *cell.Entry, err error) {
 	err = cell.Until(ctx, "the shard has a holder", func() bool {
 		for i, e := range c.Entries() {
-			if active(ctx, e) {
+			if isActive(ctx, e) {
 				holder, other = e, c.Entries()[1-i]
 				return true
 			}
@@ -108,7 +108,7 @@
 	return holder, other, err
 }
 
-func active(ctx context.Context, e *cell.Entry) bool {
+func isActive(ctx context.Context, e *cell.Entry) bool {
 	s, err := e.Status(ctx)
 	return err == nil && len(s.Shards) == 1 && s.Shards[0].Phase == "active"
 }
--- a/cmd/saddlevane-bench/usage.go
+++ b/cmd/saddlevane-bench/usage.go
@@ -13,8 +13,8 @@
 	"saddlevane/tests/cell"
 )
 
-// used is what a process has used so far.
-type used struct {
+// processUsage is what a process has used so far.
+type processUsage struct {
 	// cpu is in seconds, memory the most resident so far in megabytes.
 	cpu, memory float64
 }
@@ -22,17 +22,17 @@
 // ticksPerSecond is the kernel's unit of processor time on Linux.
 const ticksPerSecond = 100
 
-// usage reads what each entry box has used.
-func usage(c *cell.Cell) map[string]used {
-	all := map[string]used{}
+// entryUsage reads what each entry box has used.
+func entryUsage(c *cell.Cell) map[string]processUsage {
+	all := map[string]processUsage{}
 	for _, e := range c.Entries() {
-		all[e.Name] = usageOf(e.Process().PID())
+		all[e.Name] = readProcessUsage(e.Process().PID())
 	}
 	return all
 }
 
-func usageOf(pid int) used {
-	var u used
+func readProcessUsage(pid int) processUsage {
+	var u processUsage
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return u
@@ -55,25 +55,25 @@
 	return u
 }
 
-// cost is what a load cost the entry boxes.
-type cost struct {
+// loadCost is what a load cost the entry boxes.
+type loadCost struct {
 	cpu, memory float64
 	duplicates  int
 }
 
-func costOf(before, after map[string]used, l *load) cost {
-	var c cost
+func newLoadCost(before, after map[string]processUsage, l *loadGenerator) loadCost {
+	var c loadCost
 	for name, u := range after {
 		c.cpu += u.cpu - before[name].cpu
 		c.memory = max(c.memory, u.memory)
 	}
 	c.cpu = c.cpu / float64(l.sent) * 1000
-	c.duplicates = duplicates(l)
+	c.duplicates = countDuplicates(l)
 	return c
 }
 
-// duplicates counts runs beyond the first of requests that may not be repeated.
-func duplicates(l *load) int {
+// countDuplicates counts runs beyond the first of requests that may not be repeated.
+func countDuplicates(l *loadGenerator) int {
 	all, err := l.cell.Runs(context.Background())
 	if err != nil {
 		return -1
--- a/cmd/saddlevane-demo/jobs.go
+++ b/cmd/saddlevane-demo/jobs.go
@@ -28,12 +28,12 @@
 	dir string
 }
 
-// taskTime is how long each task of the demo works.
-const taskTime = 400 * time.Millisecond
+// taskDuration is how long each task of the demo works.
+const taskDuration = 400 * time.Millisecond
 
-// submittedJobs starts daemons that serve submitted jobs, hands a job in, has workers start
+// runJobsDemo starts daemons that serve submitted jobs, hands a job in, has workers start
 // again, kills the box that holds the cell and waits for the job's end.
-func submittedJobs(ctx context.Context, bin, dir string) error {
+func runJobsDemo(ctx context.Context, bin, dir string) error {
 	rig, err := soak.NewRig(1, filepath.Join(bin, "saddlevaned"), dir, 3, 6)
 	if rig != nil {
 		defer rig.Close()
@@ -49,25 +49,25 @@
 	return d.run()
 }
 
-// nightly is a job of two steps: all tasks of the second start together.
-func nightly() job.Submission {
+// nightlyJob is a job of two steps: all tasks of the second start together.
+func nightlyJob() job.Submission {
 	need := resource.Vector{Processors: 4 * resource.Processor, Memory: 4 * resource.GiB}
 	return job.Submission{
 		ID: "nightly-1", Queue: "wide", Spec: "score the portfolio",
 		Steps: []job.Step{
-			{Tasks: 12, Need: need, Estimate: job.Milliseconds(taskTime.Milliseconds())},
-			{Tasks: 4, Need: need, Estimate: job.Milliseconds(taskTime.Milliseconds()), After: []int{0}, Gang: true},
+			{Tasks: 12, Need: need, Estimate: job.Milliseconds(taskDuration.Milliseconds())},
+			{Tasks: 4, Need: need, Estimate: job.Milliseconds(taskDuration.Milliseconds()), After: []int{0}, Gang: true},
 		},
 	}
 }
 
 // run hands a job in, has workers start again, kills the holder and checks what became of the job.
 func (d *jobsDemo) run() error {
-	s := nightly()
+	s := nightlyJob()
 	if err := d.submit(s); err != nil {
 		return err
 	}
-	if err := d.tool("job", string(s.ID)); err != nil {
+	if err := d.runTool("job", string(s.ID)); err != nil {
 		return err
 	}
 	if err := cell.Until(d.ctx, "tasks run", func() bool { return d.rig.Starts() > 0 }); err != nil {
@@ -86,7 +86,7 @@
 	if broken := d.rig.Broken(); state != job.Succeeded || len(broken) > 0 {
 		return fmt.Errorf("the job is %s; broken: %v", state, broken)
 	}
-	if err := d.tool("cell"); err != nil {
+	if err := d.runTool("cell"); err != nil {
 		return err
 	}
 	fmt.Printf("\n%s is %s after %d task starts; no task ran in two places, none beyond a worker's size\n", s.ID, state, d.rig.Starts())
@@ -105,7 +105,7 @@
 
 // submit hands a job in until a box holds the cell; the same ID is the same job.
 func (d *jobsDemo) submit(s job.Submission) error {
-	if err := d.rig.Expect(s, taskTime); err != nil {
+	if err := d.rig.Expect(s, taskDuration); err != nil {
 		return err
 	}
 	data, err := json.MarshalIndent(s, "", "  ")
@@ -116,11 +116,11 @@
 	if err := os.WriteFile(path, data, 0o600); err != nil {
 		return err
 	}
-	return cell.Until(d.ctx, "the job is accepted", func() bool { return d.tool("submit", path) == nil })
+	return cell.Until(d.ctx, "the job is accepted", func() bool { return d.runTool("submit", path) == nil })
 }
 
-// tool runs the command-line tool against the boxes that are up.
-func (d *jobsDemo) tool(args ...string) error {
+// runTool runs the command-line tool against the boxes that are up.
+func (d *jobsDemo) runTool(args ...string) error {
 	all := append([]string{"-address", strings.Join(d.rig.Operators(d.ctx), ",")}, args...)
 	out, err := exec.CommandContext(d.ctx, filepath.Join(d.bin, "saddlevanectl"), all...).CombinedOutput()
 	if err != nil {
--- a/cmd/saddlevane-demo/main.go
+++ b/cmd/saddlevane-demo/main.go
@@ -19,8 +19,8 @@
 	"saddlevane/tests/cell"
 )
 
-// demoWithin bounds the whole demo.
-const demoWithin = 90 * time.Second
+// demoTimeout bounds the whole demo.
+const demoTimeout = 90 * time.Second
 
 func main() {
 	bin := flag.String("bin", "bin", "folder of the programs")
@@ -33,7 +33,7 @@
 }
 
 func run(bin string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), demoWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "saddlevane-demo-")
 	if err != nil {
@@ -46,7 +46,7 @@
 	}
 	defer c.Close()
 	d := &demo{ctx: ctx, cell: c, dir: dir}
-	return errors.Join(d.steps(), submittedJobs(ctx, bin, dir))
+	return errors.Join(d.runSteps(), runJobsDemo(ctx, bin, dir))
 }
 
 func options(bin, dir string) cell.Options {
@@ -67,10 +67,10 @@
 	dir  string
 }
 
-func (d *demo) steps() error {
+func (d *demo) runSteps() error {
 	fmt.Println("== 6 entry boxes in 3 failure domains, 12 workers, 6 targets, a log and a list of boxes are running")
 	for _, step := range []func() error{
-		d.publishCell, d.publishWork, d.showWork, d.refuse, d.askTargets, d.show,
+		d.publishCell, d.publishWork, d.awaitWork, d.publishTooLarge, d.sendRequests, d.showStatus,
 	} {
 		if err := step(); err != nil {
 			return err
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// file writes a file and returns its path.
-func (d *demo) file(name, text string) (string, error) {
+// writeFile writes a file and returns its path.
+func (d *demo) writeFile(name, text string) (string, error) {
 	path := filepath.Join(d.dir, name)
 	return path, os.WriteFile(path, []byte(text), 0o644)
 }
--- a/cmd/saddlevane-demo/steps.go
+++ b/cmd/saddlevane-demo/steps.go
@@ -13,8 +13,8 @@
 	"saddlevane/tests/cell"
 )
 
-// work is a file with one object of each kind, and one that cannot fit at once.
-const work = `name: work
+// workFile is a file with one object of each kind, and one that cannot fit at once.
+const workFile = `name: work
 services:
   - name: portal
     team: archive
@@ -55,7 +55,7 @@
     repeatable: true
 `
 
-const tooLarge = `name: wrong
+const tooLargeFile = `name: wrong
 jobs:
   - name: giant
     team: archive
@@ -82,10 +82,10 @@
 	})
 }
 
-func (d *demo) publishWork() error { return d.publish("work.yaml", work) }
+func (d *demo) publishWork() error { return d.publish("work.yaml", workFile) }
 
 func (d *demo) publish(name, text string) error {
-	path, err := d.file(name, text)
+	path, err := d.writeFile(name, text)
 	if err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 	return nil
 }
 
-func (d *demo) showWork() error {
+func (d *demo) awaitWork() error {
 	err := cell.Until(d.ctx, "the service runs and the jobs and the gang are done", func() bool {
 		w := d.cell.Work(d.ctx)
 		return w["portal"].Running == 3 && w["renders"].Done == 60 && w["extracts"].Done == 12 &&
@@ -134,8 +134,8 @@
 	return nil
 }
 
-func (d *demo) refuse() error {
-	path, err := d.file("wrong.yaml", tooLarge)
+func (d *demo) publishTooLarge() error {
+	path, err := d.writeFile("wrong.yaml", tooLargeFile)
 	if err != nil {
 		return err
 	}
@@ -147,28 +147,28 @@
 	return nil
 }
 
-// asked is one request and what its caller must get.
-type asked struct {
+// requestCase is one request and what its caller must get.
+type requestCase struct {
 	path, key, nonce, body string
 	status                 int
 	verdict                verdict.Verdict
 }
 
-func (d *demo) askTargets() error {
+func (d *demo) sendRequests() error {
 	entries := d.cell.Entries()
 	fmt.Println("\ncallers ask entry boxes:")
 	for i := range 12 {
 		body := fmt.Sprintf("page %d", i)
-		a := asked{path: "runners/preview?ms=5", nonce: fmt.Sprint("p", i), body: body, status: 200, verdict: verdict.Ran}
-		if err := d.ask(entries[i%len(entries)], a); err != nil {
+		a := requestCase{path: "runners/preview?ms=5", nonce: fmt.Sprint("p", i), body: body, status: 200, verdict: verdict.Ran}
+		if err := d.sendRequest(entries[i%len(entries)], a); err != nil {
 			return err
 		}
 	}
-	return d.askKeyed(entries[0], entries[1])
+	return d.sendKeyedRequest(entries[0], entries[1])
 }
 
-// askKeyed sends a request that may not be repeated twice, to two boxes.
-func (d *demo) askKeyed(first, second *cell.Entry) error {
+// sendKeyedRequest sends a request that may not be repeated twice, to two boxes.
+func (d *demo) sendKeyedRequest(first, second *cell.Entry) error {
 	resp, _, err := cell.Ask(d.ctx, http.DefaultClient, first, "runners/extract", "", "x", "filing")
 	if err != nil {
 		return err
@@ -179,8 +179,8 @@
 	}
 	fmt.Printf("  %s extract without a key: %d, not run, a key is given\n", first.Name, resp.StatusCode)
 	for _, e := range []*cell.Entry{first, second} {
-		a := asked{path: "runners/extract?ms=5", key: key, nonce: "x", body: "filing", status: 200, verdict: verdict.Ran}
-		if err := d.ask(e, a); err != nil {
+		a := requestCase{path: "runners/extract?ms=5", key: key, nonce: "x", body: "filing", status: 200, verdict: verdict.Ran}
+		if err := d.sendRequest(e, a); err != nil {
 			return err
 		}
 	}
@@ -199,7 +199,7 @@
 	return nil
 }
 
-func (d *demo) ask(e *cell.Entry, a asked) error {
+func (d *demo) sendRequest(e *cell.Entry, a requestCase) error {
 	resp, body, err := cell.Ask(d.ctx, http.DefaultClient, e, a.path, a.key, a.nonce, a.body)
 	if err != nil {
 		return err
@@ -212,7 +212,7 @@
 	return nil
 }
 
-func (d *demo) show() error {
+func (d *demo) showStatus() error {
 	for _, args := range [][]string{{"status"}, {"get"}, {"explain", "portal/0"}, {"explain", "backlog/39"}} {
 		out, code := d.cell.Tool(d.ctx, args...)
 		fmt.Printf("\n$ saddlevanectl %s\n%s", strings.Join(args, " "), out)
--- a/cmd/saddlevane-standin/boxes.go
+++ b/cmd/saddlevane-standin/boxes.go
@@ -12,20 +12,20 @@
 	"saddlevane/modules/httpjson"
 )
 
-// maxBoxList bounds a list, in bytes.
-const maxBoxList = 64 << 20
+// maxBoxListBytes bounds a list, in bytes.
+const maxBoxListBytes = 64 << 20
 
 // boxesStandin is the platform's list of boxes. What is set shows only after a
 // lag.
 type boxesStandin struct {
 	*http.ServeMux
-	faults faultBox
+	faults faultState
 	lag    time.Duration
 
-	mu     sync.Mutex
-	shown  box.List
-	coming box.List
-	dueAt  time.Time
+	mu        sync.Mutex
+	shown     box.List
+	pending   box.List
+	visibleAt time.Time
 }
 
 func newBoxes(lag time.Duration) *boxesStandin {
@@ -37,28 +37,28 @@
 }
 
 func (b *boxesStandin) read(w http.ResponseWriter, _ *http.Request) {
-	if !b.faults.before(w) {
+	if !b.faults.beforeCall(w) {
 		return
 	}
 	b.mu.Lock()
-	if !time.Now().Before(b.dueAt) {
-		b.shown = b.coming
+	if !time.Now().Before(b.visibleAt) {
+		b.shown = b.pending
 	}
 	shown := b.shown
 	b.mu.Unlock()
 	if shown.Boxes == nil {
 		shown.Boxes = []box.Box{}
 	}
-	b.faults.answer(w, shown)
+	b.faults.writeAnswer(w, shown)
 }
 
 func (b *boxesStandin) set(w http.ResponseWriter, r *http.Request) {
 	var l box.List
-	if !httpjson.Decode(w, r, maxBoxList, &l) {
+	if !httpjson.Decode(w, r, maxBoxListBytes, &l) {
 		return
 	}
 	b.mu.Lock()
-	b.coming, b.dueAt = l, time.Now().Add(b.lag)
+	b.pending, b.visibleAt = l, time.Now().Add(b.lag)
 	b.mu.Unlock()
 	httpjson.Write(w, http.StatusOK, struct{}{})
 }
--- a/cmd/saddlevane-standin/faults.go
+++ b/cmd/saddlevane-standin/faults.go
@@ -29,38 +29,38 @@
 	Leaving bool `json:"leaving"`
 }
 
-// faultBox holds the faults in force.
-type faultBox struct {
-	mu sync.Mutex
-	f  faults
+// faultState holds the faults in force.
+type faultState struct {
+	mu      sync.Mutex
+	current faults
 }
 
-func (b *faultBox) get() faults {
+func (b *faultState) get() faults {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.f
+	return b.current
 }
 
-func (b *faultBox) serve(w http.ResponseWriter, r *http.Request) {
+func (b *faultState) serve(w http.ResponseWriter, r *http.Request) {
 	var f faults
 	if !httpjson.Decode(w, r, 1<<16, &f) {
 		return
 	}
 	b.mu.Lock()
-	b.f = f
+	b.current = f
 	b.mu.Unlock()
 	httpjson.Write(w, http.StatusOK, f)
 }
 
-// before applies what happens before a call runs, and returns false if it does
+// beforeCall applies what happens before a call runs, and returns false if it does
 // not run.
-func (b *faultBox) before(w http.ResponseWriter) bool {
+func (b *faultState) beforeCall(w http.ResponseWriter) bool {
 	f := b.get()
 	if f.Slow > 0 {
 		time.Sleep(time.Duration(f.Slow) * time.Millisecond)
 	}
 	if f.Drop {
-		hangUp(w)
+		closeConnection(w)
 		return false
 	}
 	if f.Down {
@@ -70,17 +70,17 @@
 	return true
 }
 
-// answer sends an answer unless it is to be lost.
-func (b *faultBox) answer(w http.ResponseWriter, v any) {
+// writeAnswer sends an answer unless it is to be lost.
+func (b *faultState) writeAnswer(w http.ResponseWriter, v any) {
 	if b.get().LoseAnswers {
-		hangUp(w)
+		closeConnection(w)
 		return
 	}
 	httpjson.Write(w, http.StatusOK, v)
 }
 
-// hangUp closes the connection of a call.
-func hangUp(w http.ResponseWriter) {
+// closeConnection closes the connection of a call.
+func closeConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
 		_ = conn.Close()
--- a/cmd/saddlevane-standin/main.go
+++ b/cmd/saddlevane-standin/main.go
@@ -64,7 +64,7 @@
 func run(o options) error {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	servers, err := build(o)
+	servers, err := buildServers(o)
 	if err != nil {
 		return err
 	}
@@ -74,8 +74,8 @@
 		if err != nil {
 			return err
 		}
-		if s.wrap != nil {
-			l = s.wrap(l)
+		if s.wrapListener != nil {
+			l = s.wrapListener(l)
 		}
 		server := &http.Server{Handler: s.handler, ReadHeaderTimeout: 10 * time.Second}
 		tasks.Go(func() { _ = server.Serve(l) })
@@ -91,25 +91,25 @@
 
 // server is one listener and what it answers.
 type server struct {
-	address string
-	handler http.Handler
-	wrap    func(net.Listener) net.Listener
+	address      string
+	handler      http.Handler
+	wrapListener func(net.Listener) net.Listener
 }
 
-func build(o options) ([]server, error) {
+func buildServers(o options) ([]server, error) {
 	switch o.role {
 	case "log":
 		return []server{{address: o.listen, handler: newLog(o.rate, o.retention)}}, nil
 	case "boxes":
 		return []server{{address: o.listen, handler: newBoxes(o.lag)}}, nil
 	case "workers", "targets":
-		return buildMembers(o)
+		return buildMemberServers(o)
 	default:
 		return nil, fmt.Errorf("unknown role %q", o.role)
 	}
 }
 
-func buildMembers(o options) ([]server, error) {
+func buildMemberServers(o options) ([]server, error) {
 	data, err := os.ReadFile(o.members)
 	if err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 			continue
 		}
 		t := newTarget(m)
-		servers = append(servers, server{address: m.Listen, handler: t, wrap: t.limit})
+		servers = append(servers, server{address: m.Listen, handler: t, wrapListener: t.limitConnections})
 	}
 	return servers, nil
 }
--- a/cmd/saddlevane-standin/target.go
+++ b/cmd/saddlevane-standin/target.go
@@ -20,16 +20,16 @@
 // and counts how often each one ran.
 type targetStandin struct {
 	*http.ServeMux
-	faults      faultBox
+	faults      faultState
 	name        string
 	slots       chan struct{}
 	connections chan struct{}
 
-	mu      sync.Mutex
-	runs    map[string]int
-	served  int64
-	busiest int
-	queued  int
+	mu            sync.Mutex
+	runs          map[string]int
+	served        int64
+	maxConcurrent int
+	queued        int
 }
 
 // headerNonce names a request in a test, whatever its key.
@@ -57,14 +57,14 @@
 	if err != nil {
 		return
 	}
-	t.wait(1)
+	t.addQueued(1)
 	t.slots <- struct{}{}
-	t.wait(-1)
+	t.addQueued(-1)
 	defer func() { <-t.slots }()
-	if !t.faults.before(w) {
+	if !t.faults.beforeCall(w) {
 		return
 	}
-	t.count(r.Header.Get(headerNonce))
+	t.countRun(r.Header.Get(headerNonce))
 	ms, _ := strconv.ParseFloat(r.URL.Query().Get("ms"), 64)
 	time.Sleep(time.Duration(ms * float64(time.Millisecond)))
 	t.reply(w, body)
@@ -73,27 +73,27 @@
 func (t *targetStandin) reply(w http.ResponseWriter, body []byte) {
 	f := t.faults.get()
 	if f.LoseAnswers {
-		hangUp(w)
+		closeConnection(w)
 		return
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.Header().Set("Test-Target", t.name)
 	if f.Truncate {
 		_, _ = w.Write(body[:len(body)/2])
-		hangUp(w)
+		closeConnection(w)
 		return
 	}
 	_, _ = w.Write(body)
 }
 
-func (t *targetStandin) wait(by int) {
+func (t *targetStandin) addQueued(by int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.queued += by
-	t.busiest = max(t.busiest, len(t.slots)+t.queued)
+	t.maxConcurrent = max(t.maxConcurrent, len(t.slots)+t.queued)
 }
 
-func (t *targetStandin) count(nonce string) {
+func (t *targetStandin) countRun(nonce string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.served++
@@ -102,8 +102,8 @@
 	}
 }
 
-// runs is the answer to GET /admin/runs.
-type runs struct {
+// runCounts is the answer to GET /admin/runs.
+type runCounts struct {
 	Target string         `json:"target"`
 	Served int64          `json:"served"`
 	Runs   map[string]int `json:"runs"`
@@ -114,11 +114,11 @@
 func (t *targetStandin) showRuns(w http.ResponseWriter, _ *http.Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	httpjson.Write(w, http.StatusOK, runs{Target: t.name, Served: t.served, Runs: t.runs, Busiest: t.busiest})
+	httpjson.Write(w, http.StatusOK, runCounts{Target: t.name, Served: t.served, Runs: t.runs, Busiest: t.maxConcurrent})
 }
 
-// limit refuses connections beyond what the target accepts.
-func (t *targetStandin) limit(l net.Listener) net.Listener {
+// limitConnections refuses connections beyond what the target accepts.
+func (t *targetStandin) limitConnections(l net.Listener) net.Listener {
 	return &limitedListener{Listener: l, open: t.connections}
 }
 
--- a/cmd/saddlevane-standin/worker.go
+++ b/cmd/saddlevane-standin/worker.go
@@ -13,13 +13,13 @@
 	"saddlevane/tests/fake"
 )
 
-// maxSync bounds one Sync, in bytes.
-const maxSync = 16 << 20
+// maxSyncBytes bounds one Sync, in bytes.
+const maxSyncBytes = 16 << 20
 
 // workerStandin serves one worker of the platform.
 type workerStandin struct {
 	*http.ServeMux
-	faults faultBox
+	faults faultState
 	name   string
 
 	mu     sync.Mutex
@@ -37,14 +37,14 @@
 }
 
 func (w *workerStandin) sync(rw http.ResponseWriter, r *http.Request) {
-	if !w.faults.before(rw) {
+	if !w.faults.beforeCall(rw) {
 		return
 	}
 	var s worker.Sync
-	if !httpjson.Decode(rw, r, maxSync, &s) {
+	if !httpjson.Decode(rw, r, maxSyncBytes, &s) {
 		return
 	}
-	w.faults.answer(rw, w.apply(s))
+	w.faults.writeAnswer(rw, w.apply(s))
 }
 
 func (w *workerStandin) apply(s worker.Sync) worker.Report {
--- a/cmd/saddlevanectl/client.go
+++ b/cmd/saddlevanectl/client.go
@@ -20,18 +20,18 @@
 	"saddlevane/modules/httpjson"
 )
 
-// maxAnswer bounds an answer of a daemon, in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes bounds an answer of a daemon, in bytes.
+const maxResponseBytes = 64 << 20
 
 const (
-	// callWithin bounds one call, dialWithin the opening of a connection.
-	callWithin = 15 * time.Second
-	dialWithin = 5 * time.Second
-	// unusedFor is how long a connection is kept between two calls.
-	unusedFor = 10 * time.Second
-	// answerWithin is after how long a read on a connection that may be silent is made
+	// callTimeout bounds one call, dialTimeout the opening of a connection.
+	callTimeout = 15 * time.Second
+	dialTimeout = 5 * time.Second
+	// idleConnTimeout is how long a connection is kept between two calls.
+	idleConnTimeout = 10 * time.Second
+	// answerTimeout is after how long a read on a connection that may be silent is made
 	// again. A dump of a large cell takes longer, and then is made twice.
-	answerWithin = time.Second
+	answerTimeout = time.Second
 )
 
 // client calls the operators' ports of daemons.
@@ -47,10 +47,10 @@
 		return nil, err
 	}
 	c := &client{http: httpclient.New(httpclient.Settings{
-		To: "entry box", Dial: dialWithin, Unused: unusedFor, Answer: answerWithin, PerHost: 1, Now: now.Now,
+		To: "entry box", Dial: dialTimeout, Unused: idleConnTimeout, Answer: answerTimeout, PerHost: 1, Now: now.Now,
 	})}
-	c.http.Timeout = callWithin
-	c.json = httpjson.NewClient(c.http, maxAnswer)
+	c.http.Timeout = callTimeout
+	c.json = httpjson.NewClient(c.http, maxResponseBytes)
 	for _, a := range strings.Split(addresses, ",") {
 		if _, err := netip.ParseAddrPort(a); err != nil {
 			return nil, usageError("-address: want IP addresses and ports, got %q", a)
@@ -68,8 +68,8 @@
 	return v, err
 }
 
-// first reads path from the first daemon that answers.
-func first[T any](ctx context.Context, c *client, path string) (T, error) {
+// getFirst reads path from the first daemon that answers.
+func getFirst[T any](ctx context.Context, c *client, path string) (T, error) {
 	var errs []error
 	for _, a := range c.addresses {
 		v, err := get[T](ctx, c, a, path)
@@ -82,10 +82,10 @@
 	return none, errors.Join(errs...)
 }
 
-// each reads path from every daemon and returns the answers with the addresses
+// getAll reads path from every daemon and returns the answers with the addresses
 // that gave them.
-func each[T any](ctx context.Context, c *client, path string) ([]answered[T], error) {
-	var all []answered[T]
+func getAll[T any](ctx context.Context, c *client, path string) ([]daemonAnswer[T], error) {
+	var all []daemonAnswer[T]
 	var errs []error
 	for _, a := range c.addresses {
 		v, err := get[T](ctx, c, a, path)
@@ -93,13 +93,13 @@
 			errs = append(errs, fmt.Errorf("%s: %w", a, err))
 			continue
 		}
-		all = append(all, answered[T]{a, v})
+		all = append(all, daemonAnswer[T]{a, v})
 	}
 	return all, errors.Join(errs...)
 }
 
-// answered is one daemon's answer.
-type answered[T any] struct {
+// daemonAnswer is one daemon's answer.
+type daemonAnswer[T any] struct {
 	Address string `json:"address"`
 	Answer  T      `json:"answer"`
 }
@@ -117,7 +117,7 @@
 	return resp, sent, err
 }
 
-func readAnswer(resp *http.Response) ([]byte, error) {
+func readBody(resp *http.Response) ([]byte, error) {
 	defer resp.Body.Close()
-	return httpjson.ReadAll(io.Reader(resp.Body), maxAnswer)
+	return httpjson.ReadAll(io.Reader(resp.Body), maxResponseBytes)
 }
--- a/cmd/saddlevanectl/jobs.go
+++ b/cmd/saddlevanectl/jobs.go
@@ -26,24 +26,24 @@
 			if len(args) != 1 {
 				return usageError("job: want the ID of a job")
 			}
-			a, err := first[exchange.Answer](ctx, t.client, "/v1/jobs/"+url.PathEscape(args[0])+"/explain")
+			a, err := getFirst[exchange.Answer](ctx, t.client, "/v1/jobs/"+url.PathEscape(args[0])+"/explain")
 			if err != nil {
 				return err
 			}
-			return t.print(a.Explanation, func() { t.explanation(a.Explanation) })
+			return t.print(a.Explanation, func() { t.printExplanation(a.Explanation) })
 		})
 }
 
-// explanation prints a job and why its tasks wait.
-func (t *tool) explanation(x *job.Explanation) {
+// printExplanation prints a job and why its tasks wait.
+func (t *tool) printExplanation(x *job.Explanation) {
 	if x == nil {
 		return
 	}
 	if x.State.IsFinal() {
-		fmt.Fprintf(t.out, "%s in queue %s is %s%s\n", x.ID, x.Queue, x.State, because(x.FailureReason))
+		fmt.Fprintf(t.out, "%s in queue %s is %s%s\n", x.ID, x.Queue, x.State, reasonSuffix(x.FailureReason))
 		return
 	}
-	fmt.Fprintf(t.out, "%s in queue %s%s is %s, slack %v\n", x.ID, x.Queue, ofWorkspace(x.Workspace), x.State, x.Slack.Duration())
+	fmt.Fprintf(t.out, "%s in queue %s%s is %s, slack %v\n", x.ID, x.Queue, workspaceSuffix(x.Workspace), x.State, x.Slack.Duration())
 	table := t.table("STEP", "TASKS", "DONE", "PLACED", "WAITING", "WHY")
 	for _, s := range x.Steps {
 		table.row(s.Step, s.Tasks, s.Done, s.Placed, s.Waiting, s.Reason)
@@ -51,16 +51,16 @@
 	table.flush()
 }
 
-// ofWorkspace names whose job it is, if it is anyone's.
-func ofWorkspace(name string) string {
+// workspaceSuffix names whose job it is, if it is anyone's.
+func workspaceSuffix(name string) string {
 	if name == "" {
 		return ""
 	}
 	return " of workspace " + name
 }
 
-// because puts a reason after what it is for, if there is one.
-func because(why string) string {
+// reasonSuffix puts a reason after what it is for, if there is one.
+func reasonSuffix(why string) string {
 	if why == "" {
 		return ""
 	}
@@ -71,16 +71,16 @@
 func (t *tool) cell() *ffcli.Command {
 	return t.command("cell", "", "shows who holds the cell and what each process knows of it",
 		"cell -o json", func(ctx context.Context, _ []string) error {
-			all, err := each[job.CellStatus](ctx, t.client, "/v1/cell")
-			if printed := t.print(all, func() { t.cellTable(all) }); printed != nil {
+			all, err := getAll[job.CellStatus](ctx, t.client, "/v1/cell")
+			if printed := t.print(all, func() { t.printCells(all) }); printed != nil {
 				return printed
 			}
 			return err
 		})
 }
 
-// cellTable prints one row for each daemon.
-func (t *tool) cellTable(all []answered[job.CellStatus]) {
+// printCells prints one row for each daemon.
+func (t *tool) printCells(all []daemonAnswer[job.CellStatus]) {
 	table := t.table("BOX", "HOLDER", "CLAIM", "HOLDS", "LOG", "CONFIG", "OPEN STEPS", "WORKERS", "RELAYS", "USED", "CAPACITY")
 	for _, a := range all {
 		s := a.Answer
@@ -92,12 +92,12 @@
 	}
 	table.flush()
 	for _, a := range all {
-		t.workspaceTable(a.Answer)
+		t.printWorkspaces(a.Answer)
 	}
 }
 
-// workspaceTable prints what the tasks of each workspace take, as the holder knows it.
-func (t *tool) workspaceTable(s job.CellStatus) {
+// printWorkspaces prints what the tasks of each workspace take, as the holder knows it.
+func (t *tool) printWorkspaces(s job.CellStatus) {
 	if len(s.Workspaces) == 0 {
 		return
 	}
@@ -119,7 +119,7 @@
 			if err != nil {
 				return usageError("submit: %v", err)
 			}
-			return t.callJob(ctx, http.MethodPost, "/v1/jobs", body)
+			return t.sendJobRequest(ctx, http.MethodPost, "/v1/jobs", body)
 		})
 }
 
@@ -130,7 +130,7 @@
 			if len(args) != 1 {
 				return usageError("cancel: want the ID of a job")
 			}
-			return t.callJob(ctx, http.MethodDelete, "/v1/jobs/"+url.PathEscape(args[0]), nil)
+			return t.sendJobRequest(ctx, http.MethodDelete, "/v1/jobs/"+url.PathEscape(args[0]), nil)
 		})
 }
 
@@ -142,8 +142,8 @@
 	return os.ReadFile(name)
 }
 
-// callJob makes a call at the first daemon; the exit code says what is known.
-func (t *tool) callJob(ctx context.Context, method, path string, body []byte) error {
+// sendJobRequest makes a call at the first daemon; the exit code says what is known.
+func (t *tool) sendJobRequest(ctx context.Context, method, path string, body []byte) error {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+t.client.addresses[0]+path, bytes.NewReader(body))
 	if err != nil {
 		return err
@@ -152,7 +152,7 @@
 	if err != nil {
 		return &codeError{exitUnknown, err}
 	}
-	answer, err := readAnswer(resp)
+	answer, err := readBody(resp)
 	if err != nil {
 		return &codeError{exitUnknown, err}
 	}
--- a/cmd/saddlevanectl/losses.go
+++ b/cmd/saddlevanectl/losses.go
@@ -13,9 +13,9 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// lossSpan is the time that one row of the losses by time covers, unless the flag
+// defaultLossInterval is the time that one row of the losses by time covers, unless the flag
 // says otherwise.
-const lossSpan = 2 * time.Second
+const defaultLossInterval = 2 * time.Second
 
 // losses is the command that sums up why jobs were late and calls not served.
 func (t *tool) losses() *ffcli.Command {
@@ -31,7 +31,7 @@
 			}
 			return t.printLosses(l)
 		})
-	every = c.FlagSet.Duration("every", lossSpan, "time that one row of the losses by time covers")
+	every = c.FlagSet.Duration("every", defaultLossInterval, "time that one row of the losses by time covers")
 	return c
 }
 
@@ -47,9 +47,9 @@
 func (t *tool) printLosses(l *joblog.Losses) error {
 	report := lossReport{Queues: l.Queues(), Workspaces: l.Workspaces(), Spans: l.Spans(), Torn: l.Torn}
 	return t.print(report, func() {
-		t.lossTable("QUEUE", report.Queues, func(q joblog.QueueLoss) string { return q.Queue })
+		t.printLossTable("QUEUE", report.Queues, func(q joblog.QueueLoss) string { return q.Queue })
 		if len(report.Workspaces) > 0 {
-			t.lossTable("WORKSPACE", report.Workspaces, func(q joblog.QueueLoss) string { return q.Workspace })
+			t.printLossTable("WORKSPACE", report.Workspaces, func(q joblog.QueueLoss) string { return q.Workspace })
 		}
 		spans := t.table("FROM", "COUNT", "REASON")
 		for _, s := range report.Spans {
@@ -62,8 +62,8 @@
 	})
 }
 
-// lossTable prints losses by what they are of.
-func (t *tool) lossTable(title string, all []joblog.QueueLoss, name func(joblog.QueueLoss) string) {
+// printLossTable prints losses by what they are of.
+func (t *tool) printLossTable(title string, all []joblog.QueueLoss, name func(joblog.QueueLoss) string) {
 	table := t.table(title, "ENDED", "FAILED", "LATE", "DELAY", "LATE JOBS")
 	for _, q := range all {
 		table.row(name(q), q.Ended, q.Failed, q.Late, "", "")
--- a/cmd/saddlevanectl/main.go
+++ b/cmd/saddlevanectl/main.go
@@ -70,10 +70,10 @@
 	if err == nil {
 		err = root.Run(ctx)
 	}
-	return code(err, errOut)
+	return exitCode(err, errOut)
 }
 
-func code(err error, errOut io.Writer) int {
+func exitCode(err error, errOut io.Writer) int {
 	if err == nil {
 		return exitDone
 	}
--- a/cmd/saddlevanectl/publish.go
+++ b/cmd/saddlevanectl/publish.go
@@ -27,7 +27,7 @@
 			if len(args) != 1 {
 				return usageError("validate: want one file")
 			}
-			f, _, err := readFile(args[0])
+			f, _, err := parseFile(args[0])
 			if err != nil {
 				return err
 			}
@@ -36,7 +36,7 @@
 		})
 }
 
-func readFile(path string) (*spec.File, string, error) {
+func parseFile(path string) (*spec.File, string, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, "", &codeError{exitUsage, err}
@@ -52,7 +52,7 @@
 type publishOptions struct {
 	replaces int64
 	id       string
-	within   time.Duration
+	timeout  time.Duration
 }
 
 func (t *tool) publish() *ffcli.Command {
@@ -69,21 +69,21 @@
 		})
 	cmd.FlagSet.Int64Var(&o.replaces, "replaces", -1, "revision that the file replaces, 0 for a new file")
 	cmd.FlagSet.StringVar(&o.id, "id", "", "name of this publication; the same again after exit code 3 cannot apply it twice")
-	cmd.FlagSet.DurationVar(&o.within, "within", 20*time.Second, "how long to try")
+	cmd.FlagSet.DurationVar(&o.timeout, "within", 20*time.Second, "how long to try")
 	return cmd
 }
 
 func (t *tool) publishFile(ctx context.Context, path string, o publishOptions) error {
-	f, data, err := readFile(path)
+	f, data, err := parseFile(path)
 	if err != nil {
 		return err
 	}
 	if o.id == "" {
 		o.id = ulid.Make().String()
 	}
-	ctx, cancel := context.WithTimeout(ctx, o.within)
+	ctx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
-	result, err := t.publishAnywhere(ctx, f.Name, data, o)
+	result, err := t.publishToAny(ctx, f.Name, data, o)
 	if err != nil {
 		return err
 	}
@@ -101,9 +101,9 @@
 	return &codeError{exitUnknown, fmt.Errorf("not known whether the file was applied (publish again with -id %s): %w", id, cause)}
 }
 
-// publishAnywhere tries one daemon after the other. Once a daemon may have
+// publishToAny tries one daemon after the other. Once a daemon may have
 // received the file, only an answer that names this publication tells its fate.
-func (t *tool) publishAnywhere(ctx context.Context, name, data string, o publishOptions) (effect.PublishResult, error) {
+func (t *tool) publishToAny(ctx context.Context, name, data string, o publishOptions) (effect.PublishResult, error) {
 	query := url.Values{"replaces": {strconv.FormatInt(o.replaces, 10)}, "id": {o.id}}
 	maybe := false
 	var last error
@@ -125,7 +125,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(tryAgain):
+		case <-time.After(publishRetryDelay):
 			continue
 		}
 		if maybe {
@@ -135,7 +135,7 @@
 	}
 }
 
-const tryAgain = 200 * time.Millisecond
+const publishRetryDelay = 200 * time.Millisecond
 
 func (t *tool) publishTo(ctx context.Context, address, name, data string, query url.Values) (effect.PublishResult, bool, error) {
 	var result effect.PublishResult
@@ -143,7 +143,7 @@
 	if err != nil {
 		return result, sent, err
 	}
-	body, err := readAnswer(resp)
+	body, err := readBody(resp)
 	if err != nil {
 		return result, true, err
 	}
--- a/cmd/saddlevanectl/read.go
+++ b/cmd/saddlevanectl/read.go
@@ -25,13 +25,13 @@
 			if len(args) == 1 {
 				return t.getFile(ctx, args[0])
 			}
-			all, err := each[status.Process](ctx, t.client, "/v1/status")
+			all, err := getAll[status.Process](ctx, t.client, "/v1/status")
 			return errors.Join(t.printRevisions(all), err)
 		})
 }
 
 func (t *tool) getFile(ctx context.Context, name string) error {
-	f, err := first[status.File](ctx, t.client, "/v1/files/"+url.PathEscape(name))
+	f, err := getFirst[status.File](ctx, t.client, "/v1/files/"+url.PathEscape(name))
 	if err != nil {
 		return err
 	}
@@ -40,19 +40,19 @@
 	})
 }
 
-// inForce is one file on one process.
-type inForce struct {
+// fileRevision is one file on one process.
+type fileRevision struct {
 	Box      string `json:"box"`
 	File     string `json:"file"`
 	Revision int64  `json:"revision"`
 	InForce  bool   `json:"in_force"`
 }
 
-func (t *tool) printRevisions(all []answered[status.Process]) error {
-	rows := []inForce{}
+func (t *tool) printRevisions(all []daemonAnswer[status.Process]) error {
+	rows := []fileRevision{}
 	for _, a := range all {
 		for _, f := range a.Answer.Files {
-			rows = append(rows, inForce{a.Answer.Box, f.Name, f.Revision, a.Answer.InForce})
+			rows = append(rows, fileRevision{a.Answer.Box, f.Name, f.Revision, a.Answer.InForce})
 		}
 	}
 	return t.print(rows, func() {
@@ -67,12 +67,12 @@
 func (t *tool) status() *ffcli.Command {
 	return t.command("status", "", "shows the state of each process in short",
 		"status -o json", func(ctx context.Context, _ []string) error {
-			all, err := each[status.Process](ctx, t.client, "/v1/status")
-			return errors.Join(t.print(all, func() { t.statusTable(all) }), err)
+			all, err := getAll[status.Process](ctx, t.client, "/v1/status")
+			return errors.Join(t.print(all, func() { t.printStatus(all) }), err)
 		})
 }
 
-func (t *tool) statusTable(all []answered[status.Process]) {
+func (t *tool) printStatus(all []daemonAnswer[status.Process]) {
 	table := t.table("BOX", "DOMAIN", "IN FORCE", "LIVE", "LOG NEXT", "LOG", "SHARD", "PHASE", "HOLDER", "HELD", "RUNNING", "WAITING", "PACKED")
 	for _, a := range all {
 		p := a.Answer
@@ -80,7 +80,7 @@
 		if p.Log.ReadFailing != "" || p.Log.AppendFailing != "" {
 			log = "failing"
 		}
-		for _, s := range shardsOf(p) {
+		for _, s := range shardsOrPlaceholder(p) {
 			table.row(p.Box, p.Domain, p.InForce, strings.Join(p.Live, ","), p.Log.Next, log, s.ID, s.Phase, s.Holder,
 				fmt.Sprintf("%d/%d", s.Held, s.Workers), s.Running, s.Waiting, fmt.Sprintf("%.0f%%", 100*s.Packed))
 		}
@@ -88,7 +88,7 @@
 	table.flush()
 }
 
-func shardsOf(p status.Process) []status.Shard {
+func shardsOrPlaceholder(p status.Process) []status.Shard {
 	if len(p.Shards) == 0 {
 		return []status.Shard{{ID: "-", Phase: "-"}}
 	}
@@ -98,16 +98,16 @@
 func (t *tool) queue() *ffcli.Command {
 	return t.command("queue", "", "shows what waits, since when and for what",
 		"queue", func(ctx context.Context, _ []string) error {
-			all, err := each[[]status.Work](ctx, t.client, "/v1/queue")
+			all, err := getAll[[]status.Work](ctx, t.client, "/v1/queue")
 			rows := []status.Work{}
 			for _, a := range all {
 				rows = append(rows, a.Answer...)
 			}
-			return errors.Join(t.print(rows, func() { t.queueTable(rows) }), err)
+			return errors.Join(t.print(rows, func() { t.printQueue(rows) }), err)
 		})
 }
 
-func (t *tool) queueTable(rows []status.Work) {
+func (t *tool) printQueue(rows []status.Work) {
 	table := t.table("OBJECT", "KIND", "TEAM", "PRIORITY", "SHARD", "TASKS", "RUNNING", "DONE", "FAILED", "UNKNOWN", "WAITING", "SINCE", "WHY")
 	for _, w := range rows {
 		since := "-"
@@ -125,7 +125,7 @@
 			if len(args) != 1 {
 				return usageError("explain: want one task, such as renders/3")
 			}
-			e, err := first[status.Explanation](ctx, t.client, "/v1/explain?task="+url.QueryEscape(args[0]))
+			e, err := getFirst[status.Explanation](ctx, t.client, "/v1/explain?task="+url.QueryEscape(args[0]))
 			if err != nil {
 				return err
 			}
@@ -136,7 +136,7 @@
 func (t *tool) dump() *ffcli.Command {
 	return t.command("dump", "", "prints the whole state of each process, as JSON or YAML",
 		"dump -address 127.0.0.1:8081", func(ctx context.Context, _ []string) error {
-			all, err := each[status.Dump](ctx, t.client, "/v1/dump")
+			all, err := getAll[status.Dump](ctx, t.client, "/v1/dump")
 			if t.format == formatTable {
 				t.format = formatYAML
 			}
--- a/cmd/saddlevanectl/trace.go
+++ b/cmd/saddlevanectl/trace.go
@@ -27,7 +27,7 @@
 				return usageError("trace: %v", err)
 			}
 			h.Sort()
-			t.history(&h)
+			t.printHistory(&h)
 			if len(h.Lines) == 0 {
 				return fmt.Errorf("no line tells of job %s", args[0])
 			}
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// history prints lines in order; a gap has a mark.
-func (t *tool) history(h *joblog.History) {
+// printHistory prints lines in order; a gap has a mark.
+func (t *tool) printHistory(h *joblog.History) {
 	for _, l := range h.Lines {
 		mark := " "
 		if l.Gap {
--- a/cmd/saddlevaned/daemon.go
+++ b/cmd/saddlevaned/daemon.go
@@ -28,20 +28,20 @@
 // The bounds of the HTTP servers. The idle time is longer than that of
 // well-known balancers, which must be the ones to close an idle connection.
 const (
-	headerWithin = 5 * time.Second
-	idleWithin   = 75 * time.Second
-	maxHeader    = 64 << 10
+	headerTimeout  = 5 * time.Second
+	idleTimeout    = 75 * time.Second
+	maxHeaderBytes = 64 << 10
 )
 
 // daemon is all that a running process owns.
 type daemon struct {
-	log       *logrus.Entry
-	loop      *runtime.Loop
-	adapters  runtime.Adapters
-	callers   *http.Server
-	operators *http.Server
-	tasks     conc.WaitGroup
-	failed    chan error
+	log         *logrus.Entry
+	loop        *runtime.Loop
+	adapters    runtime.Adapters
+	callers     *http.Server
+	operators   *http.Server
+	wg          conc.WaitGroup
+	serveErrors chan error
 }
 
 // listeners are the three ports of a daemon.
@@ -61,7 +61,7 @@
 	defer d.close()
 	d.log.WithField(logger.FieldAddress, s.Listen.Callers).Info("serving")
 	select {
-	case err := <-d.failed:
+	case err := <-d.serveErrors:
 		return err
 	case <-signals:
 	}
@@ -111,7 +111,7 @@
 		log: log.WithFields(logrus.Fields{
 			logger.FieldBox: self.Box, logger.FieldIncarnation: self.Incarnation, logger.FieldDomain: self.Domain,
 		}),
-		failed: make(chan error, 2),
+		serveErrors: make(chan error, 2),
 	}
 	d.loop = runtime.NewLoop(core.New(now, coreSettings(s), policies(s.Policy), self, newKey), d.log, c.Now)
 	connections := runtime.Connections{Probe: s.Connections.Probe, Answer: s.Connections.Answer, Unused: s.Connections.Unused}
@@ -129,8 +129,8 @@
 		}, d.loop),
 	}
 	d.loop.Run(d.adapters)
-	d.callers = d.http(l.callers, routers.NewCallers(d.loop, requests, s.Requests.MaxBody))
-	d.operators = d.http(l.operators, routers.NewOperators(d.loop, routers.NewMetrics(d.loop)))
+	d.callers = d.serveHTTP(l.callers, routers.NewCallers(d.loop, requests, s.Requests.MaxBody))
+	d.operators = d.serveHTTP(l.operators, routers.NewOperators(d.loop, routers.NewMetrics(d.loop)))
 	return d
 }
 
@@ -139,13 +139,13 @@
 	return ulid.MustNew(ulid.Timestamp(now), ulid.DefaultEntropy())
 }
 
-func (d *daemon) http(l net.Listener, h http.Handler) *http.Server {
+func (d *daemon) serveHTTP(l net.Listener, h http.Handler) *http.Server {
 	server := &http.Server{
-		Handler: h, ReadHeaderTimeout: headerWithin, IdleTimeout: idleWithin, MaxHeaderBytes: maxHeader,
+		Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
-	d.tasks.Go(func() {
+	d.wg.Go(func() {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			d.failed <- err
+			d.serveErrors <- err
 		}
 	})
 	return server
@@ -164,7 +164,7 @@
 
 // drain waits until the requests that peers passed on are answered too.
 func (d *daemon) drain(ctx context.Context) {
-	ticker := time.NewTicker(drainPoll)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for idle := false; !idle; {
 		if !d.loop.Query(func(_ time.Time, c *core.Core) { idle = c.Idle() }) {
@@ -178,7 +178,7 @@
 	}
 }
 
-const drainPoll = 10 * time.Millisecond
+const drainPollInterval = 10 * time.Millisecond
 
 // close ends everything that still runs.
 func (d *daemon) close() {
@@ -189,5 +189,5 @@
 	d.adapters.Workers.Close()
 	d.adapters.Requests.Close()
 	d.loop.Close()
-	d.tasks.Wait()
+	d.wg.Wait()
 }
--- a/cmd/saddlevaned/jobs.go
+++ b/cmd/saddlevaned/jobs.go
@@ -39,30 +39,30 @@
 	// jobTick is the time between two ticks of the reducer; what is urgent comes
 	// as an event.
 	jobTick = 20 * time.Millisecond
-	// logCall bounds a call to the log; its usual answer takes 4 ms.
-	logCall = 900 * time.Millisecond
-	// claimsWait is how long a read of the claims waits for a record. Renewals come
+	// logTimeout bounds a call to the log; its usual answer takes 4 ms.
+	logTimeout = 900 * time.Millisecond
+	// claimsReadWait is how long a read of the claims waits for a record. Renewals come
 	// more often, so that it costs no more calls than a longer one.
-	claimsWait = 500 * time.Millisecond
-	// workersEvery is the time between two reads of the list of workers, which
+	claimsReadWait = 500 * time.Millisecond
+	// workersReadInterval is the time between two reads of the list of workers, which
 	// itself lags by 0.8 s.
-	workersEvery = 300 * time.Millisecond
-	// dialWithin bounds the opening of a connection.
-	dialWithin = 500 * time.Millisecond
-	// connsPerHost bounds the connections kept to one worker.
-	connsPerHost = 16
-	// shutdownWithin bounds the wait for answers under way.
-	shutdownWithin = 2 * time.Second
+	workersReadInterval = 300 * time.Millisecond
+	// dialTimeout bounds the opening of a connection.
+	dialTimeout = 500 * time.Millisecond
+	// maxConnsPerHost bounds the connections kept to one worker.
+	maxConnsPerHost = 16
+	// shutdownTimeout bounds the wait for answers under way.
+	shutdownTimeout = 2 * time.Second
 )
 
 // jobDaemon is all that a process owns that serves submitted jobs.
 type jobDaemon struct {
-	loop     *jobrun.Loop
-	peers    *jobrun.Peers
-	servers  []*http.Server
-	tasks    conc.WaitGroup
-	failed   chan error
-	stopping atomic.Bool
+	loop        *jobrun.Loop
+	peers       *jobrun.Peers
+	servers     []*http.Server
+	wg          conc.WaitGroup
+	serveErrors chan error
+	stopping    atomic.Bool
 }
 
 // serveJobs runs the daemon until a signal has stopped it.
@@ -105,7 +105,7 @@
 func (d *jobDaemon) awaitStop(log *logrus.Entry, signals, reload <-chan os.Signal) error {
 	for {
 		select {
-		case err := <-d.failed:
+		case err := <-d.serveErrors:
 			return err
 		case <-reload:
 			log.Info("settings take effect at the next start")
@@ -117,7 +117,7 @@
 
 // startJobs starts all parts of the daemon.
 func startJobs(s setting.Settings, c *clock.Clock, self claim.Member, log *logrus.Entry) (*jobDaemon, error) {
-	d := &jobDaemon{failed: make(chan error, 2)}
+	d := &jobDaemon{serveErrors: make(chan error, 2)}
 	settings, err := jobSettings(s.Jobs, s.Connections)
 	if err != nil {
 		return nil, fmt.Errorf("settings: jobs.without: %w", err)
@@ -126,7 +126,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	d.loop = jobrun.NewLoop(settings, self, newPlatform(s, c, d.reports), log, c)
+	d.loop = jobrun.NewLoop(settings, self, newPlatform(s, c, d.connectionReports), log, c)
 	d.peers = jobrun.NewPeers(listener, d.loop)
 	d.loop.Run(d.peers)
 	d.peers.Serve()
@@ -135,7 +135,7 @@
 		s.Listen.Callers: platform.NewCallers(d.loop), s.Jobs.Ready: platform.Ready(ready),
 		s.Listen.Operators: routers.NewJobs(d.loop),
 	} {
-		if err := d.serve(address, handler); err != nil {
+		if err := d.listenAndServe(address, handler); err != nil {
 			d.close()
 			return nil, err
 		}
@@ -143,17 +143,17 @@
 	return d, nil
 }
 
-// serve answers at one address.
-func (d *jobDaemon) serve(address string, handler http.Handler) error {
+// listenAndServe answers at one address.
+func (d *jobDaemon) listenAndServe(address string, handler http.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerWithin, IdleTimeout: idleWithin, MaxHeaderBytes: maxHeader}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	d.servers = append(d.servers, server)
-	d.tasks.Go(func() {
+	d.wg.Go(func() {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			d.failed <- err
+			d.serveErrors <- err
 		}
 	})
 	return nil
@@ -169,7 +169,7 @@
 			OrderTimeout: j.OrderTimeout, EndedRetention: j.KeepEnded, StopGrace: j.StopGrace,
 			ConfigPropagation: j.ConfigWithin, ShareWindow: j.Share, Disabled: without,
 		},
-		Tick: jobTick, ReadWait: claimsWait, WorkersInterval: workersEvery, CallTimeout: logCall,
+		Tick: jobTick, ReadWait: claimsReadWait, WorkersInterval: workersReadInterval, CallTimeout: logTimeout,
 		Relays: relay.Limits{MinWorkers: j.RelayFrom, WorkersPerRelay: j.RelayWorkers}, PeerTimeout: j.PeerTimeout, Probe: c.Probe, Answer: c.Answer,
 	}, err
 }
@@ -180,8 +180,8 @@
 func newPlatform(s setting.Settings, c *clock.Clock, reports func(to string) httpclient.Reports) jobrun.Platform {
 	client := func(to string) *http.Client {
 		return httpclient.New(httpclient.Settings{
-			To: to, Dial: dialWithin, Unused: s.Connections.Unused, Answer: s.Connections.Answer,
-			PerHost: connsPerHost, Now: c.Now, Reports: reports(to),
+			To: to, Dial: dialTimeout, Unused: s.Connections.Unused, Answer: s.Connections.Answer,
+			PerHost: maxConnsPerHost, Now: c.Now, Reports: reports(to),
 		})
 	}
 	log := platform.NewLog(s.Jobs.Log, client("log"))
@@ -194,9 +194,9 @@
 	}
 }
 
-// reports has the loop told of the connections to a service. There is a loop by the time
+// connectionReports has the loop told of the connections to a service. There is a loop by the time
 // that the first is opened.
-func (d *jobDaemon) reports(to string) httpclient.Reports {
+func (d *jobDaemon) connectionReports(to string) httpclient.Reports {
 	bytes := sync.OnceValue(func() func(in, out int) { return d.loop.ByteCounter(to) })
 	return httpclient.Reports{
 		Unanswered: func(u conntrack.Unanswered) { d.loop.CallUnanswered(u) },
@@ -209,7 +209,7 @@
 
 // shutdown closes the callers' ports and waits for the answers under way.
 func (d *jobDaemon) shutdown() {
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	for _, s := range d.servers {
 		_ = s.Shutdown(ctx)
@@ -223,5 +223,5 @@
 	}
 	d.peers.Close()
 	d.loop.Close()
-	d.tasks.Wait()
+	d.wg.Wait()
 }
