--- a/cmd/saddlevanectl/client.go
+++ b/cmd/saddlevanectl/client.go
@@ -47,7 +47,7 @@
 		return nil, err
 	}
 	c := &client{http: httpclient.New(httpclient.Settings{
-		To: "entry box", Dial: dialTimeout, Unused: idleConnTimeout, Answer: answerTimeout, PerHost: 1, Now: now.Now,
+		To: "entry box", DialTimeout: dialTimeout, IdleTimeout: idleConnTimeout, MinOverdue: answerTimeout, MaxIdlePerHost: 1, Now: now.Now,
 	})}
 	c.http.Timeout = callTimeout
 	c.json = httpjson.NewClient(c.http, maxResponseBytes)
@@ -63,7 +63,7 @@
 // get reads path from one daemon.
 func get[T any](ctx context.Context, c *client, address, path string) (T, error) {
 	var v T
-	ctx = httpclient.Repeatable(ctx, httpclient.Repeat{})
+	ctx = httpclient.WithRetry(ctx, httpclient.Retry{})
 	err := c.json.Get(ctx, "http://"+address+path, &v)
 	return v, err
 }
--- a/cmd/saddlevanectl/losses.go
+++ b/cmd/saddlevanectl/losses.go
@@ -67,7 +67,7 @@
 	table := t.table(title, "ENDED", "FAILED", "LATE", "DELAY", "LATE JOBS")
 	for _, q := range all {
 		table.row(name(q), q.Ended, q.Failed, q.Late, "", "")
-		for _, d := range q.Longest() {
+		for _, d := range q.SortedDelays() {
 			table.row("", "", "", "", d, fmt.Sprintf("%.1f", q.Delays[d]))
 		}
 	}
--- a/cmd/saddlevaned/daemon.go
+++ b/cmd/saddlevaned/daemon.go
@@ -72,7 +72,7 @@
 	case <-signals:
 		d.log.Warning("stopped at once by a second signal")
 	}
-	d.shutdown(s.Stop.Most)
+	d.shutdown(s.Stop.MaxStopTime)
 	d.log.Info("stopped")
 	return nil
 }
@@ -105,7 +105,7 @@
 	now := c.Now()
 	self := peer.Hello{
 		Box: s.Box.Name, Incarnation: ulid.MustNew(ulid.Timestamp(now), ulid.DefaultEntropy()).String(),
-		Domain: s.Box.Domain, Address: s.Listen.Reached(),
+		Domain: s.Box.Domain, Address: s.Listen.PeerAddress(),
 	}
 	d := &daemon{
 		log: log.WithFields(logrus.Fields{
@@ -114,7 +114,7 @@
 		serveErrors: make(chan error, 2),
 	}
 	d.loop = runtime.NewLoop(core.New(now, coreSettings(s), policies(s.Policy), self, newKey), d.log, c.Now)
-	connections := runtime.Connections{Probe: s.Connections.Probe, Answer: s.Connections.Answer, Unused: s.Connections.Unused}
+	connections := runtime.Connections{Probe: s.Connections.ProbeAfter, Answer: s.Connections.AnswerTimeout, Unused: s.Connections.IdleTimeout}
 	requests := runtime.NewRequests(runtime.RequestSettings{
 		MaxAnswer: s.Requests.MaxAnswer, MaxPending: s.Requests.MaxPending, MaxKept: s.Requests.MaxKept,
 		Connections: connections,
@@ -124,8 +124,8 @@
 		Workers:  runtime.NewWorkers(s.Workers.Timeout, connections, d.loop),
 		Peers:    runtime.NewPeers(l.peers, connections, d.loop, requests),
 		Log: runtime.NewLog(runtime.PlatformSettings{
-			Log: s.Platform.Log, Boxes: s.Platform.Boxes, Timeout: s.Platform.Timeout,
-			Wait: s.Platform.Wait, BoxesEvery: s.Platform.BoxesEvery, Connections: connections,
+			Log: s.Platform.LogURL, Boxes: s.Platform.BoxesURL, Timeout: s.Platform.Timeout,
+			Wait: s.Platform.ReadWait, BoxesEvery: s.Platform.BoxesInterval, Connections: connections,
 		}, d.loop),
 	}
 	d.loop.Run(d.adapters)
--- a/cmd/saddlevaned/jobs.go
+++ b/cmd/saddlevaned/jobs.go
@@ -73,7 +73,7 @@
 	}
 	self := claim.Member{
 		Box: s.Box.Name, Incarnation: ulid.MustNew(ulid.Timestamp(c.Now()), ulid.DefaultEntropy()).String(),
-		Domain: s.Box.Domain, Address: s.Listen.Reached(), Size: s.Box.Size(),
+		Domain: s.Box.Domain, Address: s.Listen.PeerAddress(), Size: s.Box.Size(),
 	}
 	entry := log.WithFields(logrus.Fields{logger.FieldBox: self.Box, logger.FieldIncarnation: self.Incarnation})
 	d, err := startJobs(s, c, self, entry)
@@ -132,7 +132,7 @@
 	d.peers.Serve()
 	ready := func() bool { return !d.stopping.Load() && d.loop.Ready() }
 	for address, handler := range map[string]http.Handler{
-		s.Listen.Callers: platform.NewCallers(d.loop), s.Jobs.Ready: platform.Ready(ready),
+		s.Listen.Callers: platform.NewCallers(d.loop), s.Jobs.ReadyAddress: platform.Ready(ready),
 		s.Listen.Operators: routers.NewJobs(d.loop),
 	} {
 		if err := d.listenAndServe(address, handler); err != nil {
@@ -161,32 +161,32 @@
 
 // jobSettings returns what the loop and the reducer need of the settings.
 func jobSettings(j setting.Jobs, c setting.Connections) (jobrun.Settings, error) {
-	without, err := mechanism.Parse(j.Without)
+	without, err := mechanism.Parse(j.Disabled)
 	return jobrun.Settings{
 		Dispatch: dispatch.Settings{
-			Authority: authority.Settings{RenewInterval: j.Renew, HoldFor: j.HoldFor, ClaimAfter: j.ClaimAfter},
-			Lease:     j.WorkerLease(), MaxLease: j.LeaseMost, RenewWait: j.Wait, AppendInterval: j.Gather,
-			OrderTimeout: j.OrderTimeout, EndedRetention: j.KeepEnded, StopGrace: j.StopGrace,
-			ConfigPropagation: j.ConfigWithin, ShareWindow: j.Share, Disabled: without,
+			Authority: authority.Settings{RenewInterval: j.RenewInterval, HoldFor: j.HoldFor, ClaimAfter: j.ClaimAfter},
+			Lease:     j.WorkerLease(), MaxLease: j.MaxLease, RenewWait: j.RenewWait, AppendInterval: j.AppendInterval,
+			OrderTimeout: j.OrderTimeout, EndedRetention: j.EndedRetention, StopGrace: j.StopGrace,
+			ConfigPropagation: j.ConfigPropagation, ShareWindow: j.ShareWindow, Disabled: without,
 		},
 		Tick: jobTick, ReadWait: claimsReadWait, WorkersInterval: workersReadInterval, CallTimeout: logTimeout,
-		Relays: relay.Limits{MinWorkers: j.RelayFrom, WorkersPerRelay: j.RelayWorkers}, PeerTimeout: j.PeerTimeout, Probe: c.Probe, Answer: c.Answer,
+		Relays: relay.Limits{MinWorkers: j.MinRelayedWorkers, WorkersPerRelay: j.WorkersPerRelay}, PeerTimeout: j.PeerTimeout, Probe: c.ProbeAfter, Answer: c.AnswerTimeout,
 	}, err
 }
 
 // newPlatform returns the calls to the platform. Each service has a client of its
 // own, so that its connections are not taken up by others. What happens to them is told
 // to the reports of what they lead to.
-func newPlatform(s setting.Settings, c *clock.Clock, reports func(to string) httpclient.Reports) jobrun.Platform {
+func newPlatform(s setting.Settings, c *clock.Clock, reports func(to string) httpclient.Hooks) jobrun.Platform {
 	client := func(to string) *http.Client {
 		return httpclient.New(httpclient.Settings{
-			To: to, Dial: dialTimeout, Unused: s.Connections.Unused, Answer: s.Connections.Answer,
-			PerHost: maxConnsPerHost, Now: c.Now, Reports: reports(to),
+			To: to, DialTimeout: dialTimeout, IdleTimeout: s.Connections.IdleTimeout, MinOverdue: s.Connections.AnswerTimeout,
+			MaxIdlePerHost: maxConnsPerHost, Now: c.Now, Hooks: reports(to),
 		})
 	}
-	log := platform.NewLog(s.Jobs.Log, client("log"))
+	log := platform.NewLog(s.Jobs.LogAddress, client("log"))
 	workers := platform.NewWorkers(client("worker"))
-	advice := platform.NewAdvice(s.Jobs.Advice, client("advice service"))
+	advice := platform.NewAdvice(s.Jobs.AdviceAddress, client("advice service"))
 	return jobrun.Platform{
 		Log:     jobrun.Log{Append: log.Append, Read: log.Read, Newest: log.Newest},
 		Workers: relay.WorkerCalls{Renew: workers.Renew, Start: workers.Start, Stop: workers.Stop, Throttle: workers.Throttle},
@@ -196,14 +196,14 @@
 
 // connectionReports has the loop told of the connections to a service. There is a loop by the time
 // that the first is opened.
-func (d *jobDaemon) connectionReports(to string) httpclient.Reports {
+func (d *jobDaemon) connectionReports(to string) httpclient.Hooks {
 	bytes := sync.OnceValue(func() func(in, out int) { return d.loop.ByteCounter(to) })
-	return httpclient.Reports{
-		Unanswered: func(u conntrack.Unanswered) { d.loop.CallUnanswered(u) },
-		GivenUp:    func(g conntrack.GivenUp) { d.loop.ConnectionsGivenUp(g) },
-		Again:      func(a httpclient.Again) { d.loop.CallRetried(a) },
-		Open:       func(delta int) { d.loop.ConnectionsChanged(to, delta) },
-		Bytes:      func(in, out int) { bytes()(in, out) },
+	return httpclient.Hooks{
+		OnUnanswered: func(u conntrack.Unanswered) { d.loop.CallUnanswered(u) },
+		OnDiscard:    func(g conntrack.Discarded) { d.loop.ConnectionsGivenUp(g) },
+		OnRetry:      func(a httpclient.RetriedCall) { d.loop.CallRetried(a) },
+		OnOpen:       func(delta int) { d.loop.ConnectionsChanged(to, delta) },
+		OnBytes:      func(in, out int) { bytes()(in, out) },
 	}
 }
 
--- a/cmd/saddlevaned/settings.go
+++ b/cmd/saddlevaned/settings.go
@@ -20,7 +20,7 @@
 func coreSettings(s setting.Settings) core.Settings {
 	return core.Settings{
 		Journal: journal.Settings{
-			Interval: s.Platform.AppendEvery, RetryAfter: 5 * s.Platform.AppendEvery, Limit: journalLimit,
+			Interval: s.Platform.AppendInterval, RetryAfter: 5 * s.Platform.AppendInterval, Limit: journalLimit,
 		},
 		Membership: membership.Settings{
 			HeartbeatInterval: s.Peers.Heartbeat, DeadAfter: s.Peers.DeadAfter, Seeds: s.Peers.Seeds,
@@ -28,19 +28,19 @@
 		Routing: routing.Settings{
 			KeyTTL: s.Requests.KeyTTL, MaxKeys: s.Requests.MaxKeys,
 			RetryRatio: s.Requests.RetryRatio, RetryBurst: s.Requests.RetryBurst,
-			EjectAfter: s.Requests.EjectAfter, EjectFor: s.Requests.EjectFor, MaxEjectFor: s.Requests.EjectMost,
-			MinAttemptTimeout: s.Requests.LeastAttempt,
+			EjectAfter: s.Requests.EjectAfter, EjectFor: s.Requests.EjectFor, MaxEjectFor: s.Requests.MaxEjectFor,
+			MinAttemptTimeout: s.Requests.MinAttemptTimeout,
 		},
 		Shard:     shardSettings(s),
-		Retention: s.Platform.Retention, StopGrace: s.Stop.Grace, MaxStopTime: s.Stop.Most,
+		Retention: s.Platform.Retention, StopGrace: s.Stop.Grace, MaxStopTime: s.Stop.MaxStopTime,
 	}
 }
 
 func shardSettings(s setting.Settings) shard.Settings {
 	return shard.Settings{
-		Lease: s.Workers.Lease, RenewInterval: s.Workers.Renew, ClockMargin: s.Workers.Margin, TaskLease: s.Workers.TaskLease,
-		GoneAfter: s.Workers.GoneAfter, SettleTime: s.Workers.Settle, Backoff: s.Queue.Backoff, MaxBackoff: s.Queue.BackoffMost,
-		GangOvertakeTimeout: s.Queue.GangPatience, QuarantineAfter: s.Workers.QuarantineAfter,
+		Lease: s.Workers.Lease, RenewInterval: s.Workers.RenewInterval, ClockMargin: s.Workers.ClockMargin, TaskLease: s.Workers.TaskLease,
+		GoneAfter: s.Workers.GoneAfter, SettleTime: s.Workers.SettleTime, Backoff: s.Queue.Backoff, MaxBackoff: s.Queue.MaxBackoff,
+		GangOvertakeTimeout: s.Queue.GangOvertakeTimeout, QuarantineAfter: s.Workers.QuarantineAfter,
 		QuarantineFor: s.Workers.QuarantineFor, PlacementsPerTick: s.Queue.PlacementsPerTick,
 		StopsPerTick: s.Queue.StopsPerTick,
 	}
--- a/modules/clock/clock.go
+++ b/modules/clock/clock.go
@@ -25,20 +25,20 @@
 	suspended func() time.Duration
 	// first is what suspended was at the start, counted how much of it has been counted
 	// since, in nanoseconds.
-	first   time.Duration
-	counted atomic.Int64
+	initialSuspension time.Duration
+	counted           atomic.Int64
 }
 
-// leastSuspension is the shortest suspension that is counted.
-const leastSuspension = time.Millisecond
+// minSuspension is the shortest suspension that is counted.
+const minSuspension = time.Millisecond
 
 // New returns the clock of the machine.
 func New() (*Clock, error) {
-	if _, err := machineSuspended(); err != nil {
+	if _, err := machineSuspension(); err != nil {
 		return nil, err
 	}
-	return Of(time.Now, func() time.Duration {
-		d, err := machineSuspended()
+	return NewWith(time.Now, func() time.Duration {
+		d, err := machineSuspension()
 		if err != nil {
 			// It could be read before, and takes no arguments that could be wrong.
 			panic(err)
@@ -47,10 +47,10 @@
 	}), nil
 }
 
-// Of returns a clock that reads some functions: Go's clock, and how long the machine has
+// NewWith returns a clock that reads some functions: Go's clock, and how long the machine has
 // been suspended so far, or somewhat less.
-func Of(now func() time.Time, suspended func() time.Duration) *Clock {
-	return &Clock{now: now, suspended: suspended, first: suspended()}
+func NewWith(now func() time.Time, suspended func() time.Duration) *Clock {
+	return &Clock{now: now, suspended: suspended, initialSuspension: suspended()}
 }
 
 // Now returns the time. Times differ by what has passed, suspensions included, whatever
@@ -79,10 +79,10 @@
 
 // Suspended returns how long the machine has been suspended since the clock was made.
 func (c *Clock) Suspended() time.Duration {
-	d := c.suspended() - c.first
+	d := c.suspended() - c.initialSuspension
 	for {
 		counted := c.counted.Load()
-		if d-time.Duration(counted) < leastSuspension {
+		if d-time.Duration(counted) < minSuspension {
 			return time.Duration(counted)
 		}
 		if c.counted.CompareAndSwap(counted, int64(d)) {
@@ -91,20 +91,20 @@
 	}
 }
 
-// machineSuspended returns how long the machine has been suspended since it started, or
+// machineSuspension returns how long the machine has been suspended since it started, or
 // somewhat less: the clock that stands still meanwhile is read last, and this process may
 // wait for a processor between.
-func machineSuspended() (time.Duration, error) {
-	boot, err := read(unix.CLOCK_BOOTTIME)
+func machineSuspension() (time.Duration, error) {
+	boot, err := readClock(unix.CLOCK_BOOTTIME)
 	if err != nil {
 		return 0, err
 	}
-	steady, err := read(unix.CLOCK_MONOTONIC)
+	steady, err := readClock(unix.CLOCK_MONOTONIC)
 	return boot - steady, err
 }
 
-// read reads one of the system's clocks.
-func read(id int32) (time.Duration, error) {
+// readClock reads one of the system's clocks.
+func readClock(id int32) (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(id, &t); err != nil {
 		return 0, fmt.Errorf("clock %d: %w", id, err)
--- a/modules/clock/clock_test.go
+++ b/modules/clock/clock_test.go
@@ -13,9 +13,9 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTimeGoesOnWhileTheMachineIsSuspended(t *testing.T) {
+func TestTimeAdvancesDuringSuspension(t *testing.T) {
 	steady, suspended := time.Now(), 90*time.Minute
-	c := clock.Of(func() time.Time { return steady }, func() time.Duration { return suspended })
+	c := clock.NewWith(func() time.Time { return steady }, func() time.Duration { return suspended })
 	began := c.Now()
 	assert.Equal(t, c.Suspended(), time.Duration(0), "what was before it counts for nothing")
 
@@ -28,9 +28,9 @@
 }
 
 // The two clocks are read one after the other, so what they differ by varies.
-func TestTimeNeverGoesBack(t *testing.T) {
+func TestTimeIsMonotonic(t *testing.T) {
 	steady, suspended := time.Now(), time.Duration(0)
-	c := clock.Of(func() time.Time { return steady }, func() time.Duration { return suspended })
+	c := clock.NewWith(func() time.Time { return steady }, func() time.Duration { return suspended })
 	last := c.Now()
 	for _, told := range []time.Duration{30, 0, 2000, -700, 2000, 1500, 0} {
 		suspended = told * time.Microsecond
@@ -41,7 +41,7 @@
 	assert.Equal(t, c.Suspended(), 2*time.Millisecond)
 }
 
-func TestTheClockOfTheMachine(t *testing.T) {
+func TestMachineClock(t *testing.T) {
 	c, err := clock.New()
 	assert.NilError(t, err)
 	began, same := time.Now(), c.Now()
@@ -49,7 +49,7 @@
 	assert.Check(t, passed >= 0 && passed <= time.Since(began)+c.Suspended()+time.Second, "%v", passed)
 }
 
-func TestAWaitEndsWithItsTimeOrWhatItIsFor(t *testing.T) {
+func TestWaitEndsAtTimeoutOrContextEnd(t *testing.T) {
 	began := time.Now()
 	clock.Wait(context.Background(), 20*time.Millisecond)
 	assert.Check(t, time.Since(began) >= 20*time.Millisecond)
--- a/modules/clock/only_test.go
+++ b/modules/clock/only_test.go
@@ -14,9 +14,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestNothingElseReadsClocks holds that the daemon and its tool judge time by this package
+// TestOnlyClockPackageReadsClocks holds that the daemon and its tool judge time by this package
 // only. Stand-ins, tests and benchmarks may read what they like.
-func TestNothingElseReadsClocks(t *testing.T) {
+func TestOnlyClockPackageReadsClocks(t *testing.T) {
 	reads := regexp.MustCompile(`\btime\.(Now|Since|Until)\b|ClockGettime`)
 	others := []string{"modules/clock/", "tests/", "platform/standin/", "cmd/saddlevane-"}
 	root := filepath.Join("..", "..")
--- a/modules/conntrack/conntrack.go
+++ b/modules/conntrack/conntrack.go
@@ -19,13 +19,13 @@
 	now func() time.Time
 	// began is when the table was made. Times of connections are kept as what has
 	// passed since then on the steady clock: the time of day may be set meanwhile.
-	began time.Time
+	createdAt time.Time
 
 	mu sync.Mutex
 	// changed is told of each connection that is opened (1) or closed (-1).
-	changed func(delta int)
+	onChange func(delta int)
 	// passed is told of the bytes that were read from and written to a connection.
-	passed func(in, out int)
+	onBytes func(in, out int)
 	// conns holds the open connections by address.
 	conns map[string]map[*Conn]struct{}
 	count int
@@ -33,24 +33,24 @@
 
 // NewTable returns an empty table that tells the time by now.
 func NewTable(now func() time.Time) *Table {
-	return &Table{now: now, began: now(), changed: func(int) {}, passed: func(int, int) {}, conns: map[string]map[*Conn]struct{}{}}
+	return &Table{now: now, createdAt: now(), onChange: func(int) {}, onBytes: func(int, int) {}, conns: map[string]map[*Conn]struct{}{}}
 }
 
 // OnChange has f told of each connection that is opened (1) or closed (-1) from now on.
 func (t *Table) OnChange(f func(delta int)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.changed = f
+	t.onChange = f
 }
 
 // OnBytes has f told of the bytes that are read and written from now on. It is called
 // before the first connection is added.
-func (t *Table) OnBytes(f func(in, out int)) { t.passed = f }
+func (t *Table) OnBytes(f func(in, out int)) { t.onBytes = f }
 
 // Add returns a connection that is in the table until it is closed.
 func (t *Table) Add(address string, raw net.Conn) *Conn {
 	c := &Conn{Conn: raw, table: t, address: address, openedAt: t.now()}
-	c.heard.Store(int64(c.openedAt.Sub(t.began)))
+	c.lastReceived.Store(int64(c.openedAt.Sub(t.createdAt)))
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.conns[address] == nil {
@@ -58,7 +58,7 @@
 	}
 	t.conns[address][c] = struct{}{}
 	t.count++
-	t.changed(1)
+	t.onChange(1)
 	return c
 }
 
@@ -81,17 +81,17 @@
 		delete(t.conns, c.address)
 	}
 	t.count--
-	t.changed(-1)
+	t.onChange(-1)
 }
 
-// silent returns the connections to an address over which nothing has come since a
+// silentSince returns the connections to an address over which nothing has come since a
 // time, but for one.
-func (t *Table) silent(address string, since time.Time, but *Conn) []*Conn {
+func (t *Table) silentSince(address string, since time.Time, but *Conn) []*Conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var silent []*Conn
 	for c := range t.conns[address] {
-		if c != but && c.HeardAt().Before(since) {
+		if c != but && c.LastReceivedAt().Before(since) {
 			silent = append(silent, c)
 		}
 	}
@@ -105,54 +105,56 @@
 	address  string
 	openedAt time.Time
 	// heard is when something last came, in nanoseconds since the table was made.
-	heard atomic.Int64
+	lastReceived atomic.Int64
 	// busy counts the calls under way, and begun is when the last one began, in
 	// nanoseconds since the table was made.
-	busy  atomic.Int32
-	begun atomic.Int64
+	calls     atomic.Int32
+	lastBegun atomic.Int64
 	// distrusted says that the connection was given up.
-	distrusted atomic.Bool
+	discarded atomic.Bool
 }
 
-// ErrGivenUp ends what is under way on a connection that was given up.
-var ErrGivenUp = errors.New("the connection was given up: a call to its address had no answer")
+// ErrDiscarded ends what is under way on a connection that was given up.
+var ErrDiscarded = errors.New("the connection was given up: a call to its address had no answer")
 
 // Read reads and notes that something came.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.heard.Store(int64(c.table.now().Sub(c.table.began)))
-		c.table.passed(n, 0)
+		c.lastReceived.Store(int64(c.table.now().Sub(c.table.createdAt)))
+		c.table.onBytes(n, 0)
 	}
-	return n, c.explain(err)
+	return n, c.translateError(err)
 }
 
 // Write writes.
 func (c *Conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.table.passed(0, n)
-	return n, c.explain(err)
+	c.table.onBytes(0, n)
+	return n, c.translateError(err)
 }
 
-// explain says of an error that it came of giving the connection up.
-func (c *Conn) explain(err error) error {
-	if err != nil && c.distrusted.Load() {
-		return ErrGivenUp
+// translateError says of an error that it came of giving the connection up.
+func (c *Conn) translateError(err error) error {
+	if err != nil && c.discarded.Load() {
+		return ErrDiscarded
 	}
 	return err
 }
 
-// Begin notes that a call is made on the connection.
-func (c *Conn) Begin() {
-	c.begun.Store(int64(c.table.now().Sub(c.table.began)))
-	c.busy.Add(1)
+// BeginCall notes that a call is made on the connection.
+func (c *Conn) BeginCall() {
+	c.lastBegun.Store(int64(c.table.now().Sub(c.table.createdAt)))
+	c.calls.Add(1)
 }
 
-// begunAt returns when the last call on the connection was made.
-func (c *Conn) begunAt() time.Time { return c.table.began.Add(time.Duration(c.begun.Load())) }
+// lastBegunAt returns when the last call on the connection was made.
+func (c *Conn) lastBegunAt() time.Time {
+	return c.table.createdAt.Add(time.Duration(c.lastBegun.Load()))
+}
 
-// End notes that a call on the connection is over.
-func (c *Conn) End() { c.busy.Add(-1) }
+// EndCall notes that a call on the connection is over.
+func (c *Conn) EndCall() { c.calls.Add(-1) }
 
 // Close closes the connection and takes it out of its table.
 func (c *Conn) Close() error {
@@ -166,78 +168,80 @@
 // OpenedAt returns when the connection was opened.
 func (c *Conn) OpenedAt() time.Time { return c.openedAt }
 
-// HeardAt returns when something last came over the connection; before that, when it
+// LastReceivedAt returns when something last came over the connection; before that, when it
 // was opened.
-func (c *Conn) HeardAt() time.Time { return c.table.began.Add(time.Duration(c.heard.Load())) }
+func (c *Conn) LastReceivedAt() time.Time {
+	return c.table.createdAt.Add(time.Duration(c.lastReceived.Load()))
+}
 
-// Behind says whether a call that was made on the connection at some time may wait behind
+// MayBeQueued says whether a call that was made on the connection at some time may wait behind
 // others at its address: one made earlier on another connection is still under way, or
 // something has come since over one that was open by then.
-func (c *Conn) Behind(sentAt time.Time) bool {
+func (c *Conn) MayBeQueued(sentAt time.Time) bool {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
 	for o := range c.table.conns[c.address] {
 		if o == c || !o.openedAt.Before(sentAt) {
 			continue
 		}
-		if o.HeardAt().After(sentAt) || o.busy.Load() > 0 && o.begunAt().Before(sentAt) {
+		if o.LastReceivedAt().After(sentAt) || o.calls.Load() > 0 && o.lastBegunAt().Before(sentAt) {
 			return true
 		}
 	}
 	return false
 }
 
-// Which says which connections are given up.
-type Which string
+// DiscardScope says which connections are given up.
+type DiscardScope string
 
 // The connections to give up beside the one that gave no answer.
 const (
-	// All that have been silent as well.
-	All Which = "all"
-	// Idle ones only: calls under way on the others may still be answered.
-	Idle Which = "idle"
+	// AllSilent that have been silent as well.
+	AllSilent DiscardScope = "all"
+	// SilentAndIdle ones only: calls under way on the others may still be answered.
+	SilentAndIdle DiscardScope = "idle"
 )
 
-// GivenUp tells of connections to one address that were given up together.
-type GivenUp struct {
+// Discarded tells of connections to one address that were given up together.
+type Discarded struct {
 	// To is what was called, such as the log or an entry box, and Address where.
 	To      string
 	Address string
-	// Count is how many there were, HeardAgo how long nothing had come over any.
-	Count    int
-	HeardAgo time.Duration
+	// Count is how many there were, SilentFor how long nothing had come over any.
+	Count     int
+	SilentFor time.Duration
 }
 
-// GiveUp closes the connection, on which a call sent at some time has had no answer,
+// Discard closes the connection, on which a call sent at some time has had no answer,
 // and others to its address over which nothing has come since then either: whatever
 // silenced one may have silenced all that were open. One that was opened later or over
 // which something came is trusted.
-func (c *Conn) GiveUp(now, sentAt time.Time, which Which) GivenUp {
-	g := c.GiveUpOthers(now, sentAt, which)
+func (c *Conn) Discard(now, sentAt time.Time, which DiscardScope) Discarded {
+	g := c.DiscardOthers(now, sentAt, which)
 	g.Count++
-	g.HeardAgo = min(g.HeardAgo, now.Sub(c.HeardAt()))
-	c.distrust()
+	g.SilentFor = min(g.SilentFor, now.Sub(c.LastReceivedAt()))
+	c.closeDiscarded()
 	return g
 }
 
-// GiveUpOthers closes the other connections that GiveUp would close: the answer to the
+// DiscardOthers closes the other connections that Discard would close: the answer to the
 // call is overdue, and may still come.
-func (c *Conn) GiveUpOthers(now, sentAt time.Time, which Which) GivenUp {
-	g := GivenUp{Address: c.address, HeardAgo: now.Sub(c.HeardAt())}
-	for _, o := range c.table.silent(c.address, sentAt, c) {
-		if which == Idle && o.busy.Load() > 0 {
+func (c *Conn) DiscardOthers(now, sentAt time.Time, which DiscardScope) Discarded {
+	g := Discarded{Address: c.address, SilentFor: now.Sub(c.LastReceivedAt())}
+	for _, o := range c.table.silentSince(c.address, sentAt, c) {
+		if which == SilentAndIdle && o.calls.Load() > 0 {
 			continue
 		}
 		g.Count++
-		g.HeardAgo = min(g.HeardAgo, now.Sub(o.HeardAt()))
-		o.distrust()
+		g.SilentFor = min(g.SilentFor, now.Sub(o.LastReceivedAt()))
+		o.closeDiscarded()
 	}
 	return g
 }
 
-// distrust closes the connection, and has what is under way on it end with ErrGivenUp.
-func (c *Conn) distrust() {
-	c.distrusted.Store(true)
+// closeDiscarded closes the connection, and has what is under way on it end with ErrDiscarded.
+func (c *Conn) closeDiscarded() {
+	c.discarded.Store(true)
 	_ = c.Close()
 }
 
@@ -251,16 +255,16 @@
 	// Reused says whether the connection had carried earlier calls.
 	Reused bool
 	// Waited is how long the call was under way, OpenFor how long its connection had
-	// been open, HeardAgo how long nothing had come over it.
-	Waited   time.Duration
-	OpenFor  time.Duration
-	HeardAgo time.Duration
+	// been open, SilentFor how long nothing had come over it.
+	Waited    time.Duration
+	OpenFor   time.Duration
+	SilentFor time.Duration
 }
 
 // Unanswered describes a call on the connection that began at some time and has had
 // no answer by now.
 func (c *Conn) Unanswered(now, began time.Time) Unanswered {
 	return Unanswered{
-		Address: c.address, Waited: now.Sub(began), OpenFor: now.Sub(c.openedAt), HeardAgo: now.Sub(c.HeardAt()),
+		Address: c.address, Waited: now.Sub(began), OpenFor: now.Sub(c.openedAt), SilentFor: now.Sub(c.LastReceivedAt()),
 	}
 }
--- a/modules/conntrack/conntrack_test.go
+++ b/modules/conntrack/conntrack_test.go
@@ -14,10 +14,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// clock is the time of a test.
-type clock struct{ now time.Time }
+// fakeClock is the time of a test.
+type fakeClock struct{ now time.Time }
 
-func (c *clock) read() time.Time { return c.now }
+func (c *fakeClock) read() time.Time { return c.now }
 
 // pipe returns a connection of a table and its far end.
 func pipe(t *testing.T, table *conntrack.Table, address string) (*conntrack.Conn, net.Conn) {
@@ -30,69 +30,69 @@
 	return table.Add(address, near), far
 }
 
-// hear has something come over a connection.
-func hear(t *testing.T, c *conntrack.Conn, far net.Conn) {
+// receive has something come over a connection.
+func receive(t *testing.T, c *conntrack.Conn, far net.Conn) {
 	t.Helper()
 	go func() { _, _ = far.Write([]byte{'x'}) }()
 	_, err := c.Read(make([]byte, 1))
 	assert.NilError(t, err)
 }
 
-// closed says whether a connection is closed at its far end.
-func closed(far net.Conn) bool {
+// isClosed says whether a connection is closed at its far end.
+func isClosed(far net.Conn) bool {
 	_ = far.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
 	_, err := far.Read(make([]byte, 1))
 	return err == io.EOF
 }
 
-func TestOnlyConnectionsSilentSinceTheUnansweredCallAreGivenUp(t *testing.T) {
-	at := &clock{now: time.Now()}
+func TestDiscardClosesOnlyConnectionsSilentSinceCall(t *testing.T) {
+	at := &fakeClock{now: time.Now()}
 	table := conntrack.NewTable(at.read)
 	silent, silentFar := pipe(t, table, "a")
 	idle, idleFar := pipe(t, table, "a")
 	heard, heardFar := pipe(t, table, "a")
 	other, otherFar := pipe(t, table, "b")
-	hear(t, idle, idleFar)
+	receive(t, idle, idleFar)
 
 	at.now = at.now.Add(time.Second)
 	sentAt := at.now
 	at.now = at.now.Add(time.Second)
-	hear(t, heard, heardFar)
+	receive(t, heard, heardFar)
 	_, laterFar := pipe(t, table, "a")
 	assert.Equal(t, table.Len(), 5)
 
-	got := silent.GiveUp(at.now, sentAt, conntrack.All)
-	assert.Equal(t, got, conntrack.GivenUp{Address: "a", Count: 2, HeardAgo: 2 * time.Second})
-	assert.Check(t, closed(silentFar) && closed(idleFar))
-	assert.Check(t, !closed(heardFar), "something came over it since the call was sent")
-	assert.Check(t, !closed(laterFar), "it was opened since the call was sent")
-	assert.Check(t, !closed(otherFar), "it leads elsewhere")
+	got := silent.Discard(at.now, sentAt, conntrack.AllSilent)
+	assert.Equal(t, got, conntrack.Discarded{Address: "a", Count: 2, SilentFor: 2 * time.Second})
+	assert.Check(t, isClosed(silentFar) && isClosed(idleFar))
+	assert.Check(t, !isClosed(heardFar), "something came over it since the call was sent")
+	assert.Check(t, !isClosed(laterFar), "it was opened since the call was sent")
+	assert.Check(t, !isClosed(otherFar), "it leads elsewhere")
 	assert.Equal(t, table.Len(), 3)
 	_, err := idle.Read(make([]byte, 1))
-	assert.ErrorIs(t, err, conntrack.ErrGivenUp)
+	assert.ErrorIs(t, err, conntrack.ErrDiscarded)
 	_, err = idle.Write([]byte{'x'})
-	assert.ErrorIs(t, err, conntrack.ErrGivenUp)
+	assert.ErrorIs(t, err, conntrack.ErrDiscarded)
 	assert.NilError(t, other.Close())
 	_, err = other.Read(make([]byte, 1))
-	assert.Check(t, err != nil && err != conntrack.ErrGivenUp, "%v", err)
+	assert.Check(t, err != nil && err != conntrack.ErrDiscarded, "%v", err)
 }
 
-func TestConnectionsWithACallUnderWayAreKeptIfAsked(t *testing.T) {
-	at := &clock{now: time.Now()}
+func TestSilentAndIdleKeepsConnectionsWithCalls(t *testing.T) {
+	at := &fakeClock{now: time.Now()}
 	table := conntrack.NewTable(at.read)
 	silent, silentFar := pipe(t, table, "a")
 	busy, busyFar := pipe(t, table, "a")
 	was, wasFar := pipe(t, table, "a")
-	silent.Begin()
-	busy.Begin()
-	was.Begin()
-	was.End()
+	silent.BeginCall()
+	busy.BeginCall()
+	was.BeginCall()
+	was.EndCall()
 	at.now = at.now.Add(time.Second)
 
-	got := silent.GiveUp(at.now, at.now, conntrack.Idle)
+	got := silent.Discard(at.now, at.now, conntrack.SilentAndIdle)
 	assert.Equal(t, got.Count, 2)
-	assert.Check(t, closed(silentFar) && closed(wasFar))
-	assert.Check(t, !closed(busyFar))
+	assert.Check(t, isClosed(silentFar) && isClosed(wasFar))
+	assert.Check(t, !isClosed(busyFar))
 }
 
 // Symptom: a connection seems silent for seconds over which something has just come,
@@ -103,11 +103,11 @@
 // Cause: when something last came was kept as a time of day.
 //
 // What settled it: reading the code; the users' machines set their clocks by seconds.
-func TestTimesAreThoseOfTheSteadyClock(t *testing.T) {
+func TestTimesAreMonotonic(t *testing.T) {
 	c, far := pipe(t, conntrack.NewTable(time.Now), "a")
 	began := time.Now()
-	hear(t, c, far)
-	heard := c.HeardAt()
+	receive(t, c, far)
+	heard := c.LastReceivedAt()
 	assert.Check(t, heard != heard.Round(0), "%v has no steady time", heard)
 	assert.Check(t, !heard.Before(began) && !heard.After(time.Now()), "heard at %v, read since %v", heard, began)
 }
@@ -124,8 +124,8 @@
 	assert.Equal(t, open, 1)
 }
 
-func TestACallIsBehindThoseBeforeIt(t *testing.T) {
-	at := &clock{now: time.Now()}
+func TestCallMayBeQueuedBehindEarlierOnes(t *testing.T) {
+	at := &fakeClock{now: time.Now()}
 	table := conntrack.NewTable(at.read)
 	c, _ := pipe(t, table, "a")
 	beside, besideFar := pipe(t, table, "a")
@@ -134,32 +134,32 @@
 	since := at.now
 	at.now = at.now.Add(time.Second)
 	later, laterFar := pipe(t, table, "a")
-	hear(t, later, laterFar)
-	hear(t, elsewhere, elsewhereFar)
-	assert.Check(t, !c.Behind(since), "only what was open by then counts")
-	hear(t, beside, besideFar)
-	assert.Check(t, c.Behind(since), "one was answered since")
+	receive(t, later, laterFar)
+	receive(t, elsewhere, elsewhereFar)
+	assert.Check(t, !c.MayBeQueued(since), "only what was open by then counts")
+	receive(t, beside, besideFar)
+	assert.Check(t, c.MayBeQueued(since), "one was answered since")
 
 	now := at.now
 	at.now = at.now.Add(time.Second)
-	beside.Begin()
-	assert.Check(t, !c.Behind(now), "the other one was made later")
+	beside.BeginCall()
+	assert.Check(t, !c.MayBeQueued(now), "the other one was made later")
 	at.now = at.now.Add(time.Second)
-	assert.Check(t, c.Behind(at.now), "the other one is under way")
-	beside.End()
-	assert.Check(t, !c.Behind(at.now))
+	assert.Check(t, c.MayBeQueued(at.now), "the other one is under way")
+	beside.EndCall()
+	assert.Check(t, !c.MayBeQueued(at.now))
 }
 
-func TestTheConnectionOfAnOverdueCallIsKept(t *testing.T) {
-	at := &clock{now: time.Now()}
+func TestDiscardOthersKeepsConnectionOfOverdueCall(t *testing.T) {
+	at := &fakeClock{now: time.Now()}
 	table := conntrack.NewTable(at.read)
 	overdue, overdueFar := pipe(t, table, "a")
 	_, idleFar := pipe(t, table, "a")
-	overdue.Begin()
+	overdue.BeginCall()
 	at.now = at.now.Add(time.Second)
 
-	got := overdue.GiveUpOthers(at.now, at.now, conntrack.Idle)
-	assert.Equal(t, got, conntrack.GivenUp{Address: "a", Count: 1, HeardAgo: time.Second})
-	assert.Check(t, closed(idleFar))
-	assert.Check(t, !closed(overdueFar))
+	got := overdue.DiscardOthers(at.now, at.now, conntrack.SilentAndIdle)
+	assert.Equal(t, got, conntrack.Discarded{Address: "a", Count: 1, SilentFor: time.Second})
+	assert.Check(t, isClosed(idleFar))
+	assert.Check(t, !isClosed(overdueFar))
 }
--- a/modules/httpclient/attempt.go
+++ b/modules/httpclient/attempt.go
@@ -41,7 +41,7 @@
 	if !ok {
 		return
 	}
-	conn.Begin()
+	conn.BeginCall()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.conn, a.sentAt, a.reused = conn, a.now(), i.Reused
@@ -51,7 +51,7 @@
 func (a *attempt) putIdle(err error) {
 	conn, _, _ := a.connection()
 	if conn != nil && err == nil {
-		conn.End()
+		conn.EndCall()
 	}
 }
 
@@ -63,24 +63,24 @@
 	return a.conn, a.sentAt, a.reused
 }
 
-// awaitsTurn says of a call that the service takes in turn whether others may be before
+// mayBeQueued says of a call that the service takes in turn whether others may be before
 // it.
-func (a *attempt) awaitsTurn(r Repeat) bool {
+func (a *attempt) mayBeQueued(r Retry) bool {
 	conn, sentAt, _ := a.connection()
-	return r.InTurn && conn != nil && conn.Behind(sentAt)
+	return r.Serialized && conn != nil && conn.MayBeQueued(sentAt)
 }
 
-// dueIn returns how long the answer may take from now on, if it may be late by some
+// timeUntilOverdue returns how long the answer may take from now on, if it may be late by some
 // time. An answer that comes in pieces is under way as long as they come.
-func (a *attempt) dueIn(now time.Time, r Repeat, late time.Duration) time.Duration {
+func (a *attempt) timeUntilOverdue(now time.Time, r Retry, late time.Duration) time.Duration {
 	conn, sentAt, reused := a.connection()
-	if !reused || a.awaitsTurn(r) {
+	if !reused || a.mayBeQueued(r) {
 		// A connection that is being opened, or was opened for the call: then the service
 		// is slow or away, and another one would be no faster.
 		return r.Expected + late
 	}
 	due := sentAt.Add(r.Expected)
-	if heard := conn.HeardAt(); heard.After(sentAt) {
+	if heard := conn.LastReceivedAt(); heard.After(sentAt) {
 		due = heard
 	}
 	return due.Add(late).Sub(now)
--- a/modules/httpclient/calls_test.go
+++ b/modules/httpclient/calls_test.go
@@ -21,25 +21,25 @@
 )
 
 // A read whose connection is given up has waited long enough, too.
-func TestAReadWhoseConnectionIsGivenUpNeedNotWaitAgain(t *testing.T) {
+func TestReadOnDiscardedConnectionIsRetriedWithoutWait(t *testing.T) {
 	for name, body := range map[string]io.Reader{"no body": nil, "an empty body": bytes.NewReader(nil)} {
-		t.Run(name, func(t *testing.T) { testAGivenUpReadNeedNotWait(t, body) })
+		t.Run(name, func(t *testing.T) { testDiscardedReadIsRetriedWithoutWait(t, body) })
 	}
 }
 
-func testAGivenUpReadNeedNotWait(t *testing.T, body io.Reader) {
+func testDiscardedReadIsRetriedWithoutWait(t *testing.T, body io.Reader) {
 	const wait = 600 * time.Millisecond
-	r := newRig(t, slow(wait, waits), nil)
-	r.fill(2)
-	r.between.Stall()
+	r := newRig(t, slowEcho(wait, hasWait), nil)
+	r.openConnections(2)
+	r.proxy.Stall()
 	var calls sync.WaitGroup
 	calls.Go(func() {
 		_, err := r.call(repeatable(0), "beside it")
 		assert.Check(t, err)
 	})
 	began := time.Now()
-	ctx := httpclient.Repeatable(context.Background(), httpclient.Repeat{
-		Expected: wait, Change: func(req *http.Request) { req.URL.RawQuery = "" },
+	ctx := httpclient.WithRetry(context.Background(), httpclient.Retry{
+		Expected: wait, ModifyRetry: func(req *http.Request) { req.URL.RawQuery = "" },
 	})
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, r.url+"/read?wait=1", body)
 	assert.NilError(t, err)
@@ -49,21 +49,21 @@
 	took := time.Since(began)
 	assert.Check(t, took < wait, "it took %v", took)
 	calls.Wait()
-	assert.Equal(t, len(r.again), 2)
+	assert.Equal(t, len(r.retried), 2)
 }
 
 // A service that takes a caller's calls one at a time goes on with those that were given
 // up, so each needless one makes its queue longer.
-func TestACallThatWaitsItsTurnIsNotMadeAgainWhileTheServiceAnswers(t *testing.T) {
-	const takes = 3 * overdue
-	turn, serve := make(chan struct{}, 1), slow(takes, isCall)
+func TestQueuedCallIsNotRetriedWhileServiceAnswers(t *testing.T) {
+	const takes = 3 * overdueAfter
+	turn, serve := make(chan struct{}, 1), slowEcho(takes, isCall)
 	r := newRig(t, func(w http.ResponseWriter, req *http.Request) {
 		turn <- struct{}{}
 		defer func() { <-turn }()
 		serve(w, req)
 	}, nil)
-	r.fill(3)
-	inTurn := httpclient.Repeatable(context.Background(), httpclient.Repeat{Expected: takes, InTurn: true})
+	r.openConnections(3)
+	inTurn := httpclient.WithRetry(context.Background(), httpclient.Retry{Expected: takes, Serialized: true})
 	var calls sync.WaitGroup
 	for range 3 {
 		calls.Go(func() {
@@ -72,11 +72,11 @@
 		})
 	}
 	calls.Wait()
-	assert.Equal(t, len(r.again), 0)
+	assert.Equal(t, len(r.retried), 0)
 	assert.Equal(t, r.served.Load(), int64(3+3))
 
 	// The first is made again, and the others once that was answered.
-	r.between.Stall()
+	r.proxy.Stall()
 	for range 3 {
 		calls.Go(func() {
 			_, err := r.call(inTurn, "text")
@@ -84,14 +84,14 @@
 		})
 	}
 	calls.Wait()
-	assert.Equal(t, len(r.again), 3)
+	assert.Equal(t, len(r.retried), 3)
 	assert.Equal(t, r.served.Load(), int64(3+3+3))
 }
 
-func TestACallThatMayNotBeMadeAgainIsMadeOnceAndTheNextOneWorks(t *testing.T) {
+func TestNonRetryableCallIsMadeOnceAndNextSucceeds(t *testing.T) {
 	r := newRig(t, echo, nil)
-	r.fill(1)
-	r.between.Stall(forward.Answers)
+	r.openConnections(1)
+	r.proxy.Stall(forward.Answers)
 	_, err := r.call(context.Background(), "lost answer")
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 	assert.Equal(t, r.served.Load(), int64(2))
@@ -102,7 +102,7 @@
 }
 
 // An address that leaves one call unanswered and talks on another connection is well.
-func TestAConnectionThatTalksIsKept(t *testing.T) {
+func TestActiveConnectionIsKept(t *testing.T) {
 	var hold atomic.Bool
 	r := newRig(t, func(w http.ResponseWriter, req *http.Request) {
 		if hold.CompareAndSwap(true, false) {
@@ -110,7 +110,7 @@
 		}
 		echo(w, req)
 	}, nil)
-	r.fill(2)
+	r.openConnections(2)
 	hold.Store(true)
 	var lost sync.WaitGroup
 	lost.Go(func() {
@@ -126,64 +126,64 @@
 	_, err := r.call(context.Background(), "beside it")
 	assert.NilError(t, err)
 	lost.Wait()
-	assert.Equal(t, r.givenUp[0].Count, 1)
+	assert.Equal(t, r.discarded[0].Count, 1)
 	assert.Equal(t, r.open.Load(), int64(1), "the other connection is kept")
 }
 
 // The log can be fifty times slower for seconds. Two calls in place of each would make
 // it slower still.
-func TestASlowServiceIsNotAskedTwiceForEver(t *testing.T) {
+func TestRetriesStopWhileServiceIsSlow(t *testing.T) {
 	var isSlow atomic.Bool
 	var later atomic.Int64
-	r := newRig(t, slow(3*overdue, func(*http.Request) bool { return isSlow.Load() }), func(s *httpclient.Settings) {
+	r := newRig(t, slowEcho(3*overdueAfter, func(*http.Request) bool { return isSlow.Load() }), func(s *httpclient.Settings) {
 		s.Now = func() time.Time { return time.Now().Add(time.Duration(later.Load())) }
 	})
-	r.fill(1)
+	r.openConnections(1)
 	isSlow.Store(true)
 	for range 6 {
 		_, err := r.call(repeatable(0), "text")
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, len(r.again), 1)
-	assert.Equal(t, r.again[0].Answered, httpclient.OnOld)
-	assert.Equal(t, len(r.givenUp), 0)
+	assert.Equal(t, len(r.retried), 1)
+	assert.Equal(t, r.retried[0].AnsweredOn, httpclient.OnOld)
+	assert.Equal(t, len(r.discarded), 0)
 	assert.Equal(t, r.served.Load(), int64(1+6+1))
 
 	// That it was slow is forgotten.
 	later.Store(int64(time.Minute))
 	_, err := r.call(repeatable(0), "text")
 	assert.NilError(t, err)
-	assert.Equal(t, len(r.again), 2)
+	assert.Equal(t, len(r.retried), 2)
 }
 
-func TestACallWhoseConnectionIsResetIsMadeAgain(t *testing.T) {
+func TestCallOnResetConnectionIsRetried(t *testing.T) {
 	var resets atomic.Bool
 	var r *rig
 	r = newRig(t, func(w http.ResponseWriter, req *http.Request) {
 		if resets.CompareAndSwap(true, false) {
-			r.between.Reset()
+			r.proxy.Reset()
 		}
 		echo(w, req)
 	}, nil)
-	r.fill(1)
+	r.openConnections(1)
 	resets.Store(true)
 	got, err := r.call(repeatable(time.Minute), "text")
 	assert.NilError(t, err)
 	assert.Equal(t, got, "text")
 	assert.Equal(t, r.served.Load(), int64(3))
-	assert.Equal(t, len(r.givenUp), 0, "a reset is told to each connection by itself")
+	assert.Equal(t, len(r.discarded), 0, "a reset is told to each connection by itself")
 }
 
-func TestACallOnAConnectionOpenedForItIsMadeOnce(t *testing.T) {
+func TestCallOnNewConnectionIsNotRetried(t *testing.T) {
 	r := newRig(t, func(_ http.ResponseWriter, req *http.Request) { hang(req) }, nil)
 	_, err := r.call(repeatable(0), "text")
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 	assert.Equal(t, r.served.Load(), int64(1))
-	assert.Equal(t, len(r.again), 0)
-	assert.Equal(t, len(r.givenUp), 0)
+	assert.Equal(t, len(r.retried), 0)
+	assert.Equal(t, len(r.discarded), 0)
 }
 
-func TestAServiceThatIsAwayIsAskedAtMostTwice(t *testing.T) {
+func TestCallToUnresponsiveServiceIsRetriedOnce(t *testing.T) {
 	var away atomic.Bool
 	r := newRig(t, func(w http.ResponseWriter, req *http.Request) {
 		if away.Load() {
@@ -191,34 +191,34 @@
 		}
 		echo(w, req)
 	}, nil)
-	r.fill(1)
+	r.openConnections(1)
 	away.Store(true)
 	_, err := r.call(repeatable(0), "text")
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 	assert.Equal(t, r.served.Load(), int64(3))
-	assert.Equal(t, r.again[0].Answered, httpclient.OnNeither)
+	assert.Equal(t, r.retried[0].AnsweredOn, httpclient.OnNeither)
 	assert.Equal(t, len(r.unanswered), 2)
-	assert.Equal(t, len(r.givenUp), 0, "calls on other connections may be about to be answered")
+	assert.Equal(t, len(r.discarded), 0, "calls on other connections may be about to be answered")
 }
 
 // An answer that comes in pieces is under way, however long it takes.
-func TestALongAnswerIsNotHadTwice(t *testing.T) {
+func TestAnswerInProgressIsNotRetried(t *testing.T) {
 	r := newRig(t, func(w http.ResponseWriter, _ *http.Request) {
 		for range 8 {
 			_, _ = io.WriteString(w, "piece ")
 			_ = http.NewResponseController(w).Flush()
-			time.Sleep(overdue / 4)
+			time.Sleep(overdueAfter / 4)
 		}
 	}, nil)
 	for range 2 {
 		_, err := r.call(repeatable(0), "")
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, len(r.again), 0)
+	assert.Equal(t, len(r.retried), 0)
 }
 
 // What is too large to keep is passed on as it comes.
-func TestALargeAnswerIsWhole(t *testing.T) {
+func TestLargeAnswerIsComplete(t *testing.T) {
 	const size = 20 << 20
 	r := newRig(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, size)) }, nil)
 	got, err := r.call(repeatable(0), "")
@@ -226,11 +226,11 @@
 	assert.Equal(t, len(got), size)
 }
 
-func TestASilentConnectionThatNobodyUsesIsGoneAfterAWhile(t *testing.T) {
+func TestIdleSilentConnectionIsClosedAfterIdleTimeout(t *testing.T) {
 	const unused = 200 * time.Millisecond
-	r := newRig(t, echo, func(s *httpclient.Settings) { s.Unused = unused })
-	r.fill(4)
-	r.between.Stall()
+	r := newRig(t, echo, func(s *httpclient.Settings) { s.IdleTimeout = unused })
+	r.openConnections(4)
+	r.proxy.Stall()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if n := r.open.Load(); n > 0 {
 			return poll.Continue("%d are open", n)
@@ -239,45 +239,45 @@
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(10*time.Millisecond))
 }
 
-func TestACallerThatWaitsNoLongerSaysNothingOfTheConnection(t *testing.T) {
+func TestCancelledCallDiscardsNoConnection(t *testing.T) {
 	r := newRig(t, func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.Query().Has("hold") {
 			hang(req)
 		}
 		echo(w, req)
 	}, nil)
-	r.fill(2)
+	r.openConnections(2)
 	for _, ctx := range []context.Context{context.Background(), repeatable(time.Minute)} {
 		ctx, cancel := context.WithCancel(ctx)
-		time.AfterFunc(overdue, cancel)
+		time.AfterFunc(overdueAfter, cancel)
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, r.url+"/?hold", nil)
 		assert.NilError(t, err)
 		_, err = r.client.Do(req)
 		assert.ErrorIs(t, err, context.Canceled)
 	}
-	assert.Equal(t, len(r.givenUp), 0)
+	assert.Equal(t, len(r.discarded), 0)
 	assert.Equal(t, len(r.unanswered), 0)
 }
 
 // An answer that is overdue may still come; the connections beside it may be as silent,
 // and the next call must not be made on one of them.
-func TestAnOverdueCallIsWaitedForAndTheNextOneGetsANewConnection(t *testing.T) {
-	r := newRig(t, slow(3*overdue, isCall), nil)
-	r.fill(3)
-	got, err := r.call(httpclient.Overdue(context.Background(), overdue), "late")
+func TestOverdueCallContinuesAndNextCallUsesNewConnection(t *testing.T) {
+	r := newRig(t, slowEcho(3*overdueAfter, isCall), nil)
+	r.openConnections(3)
+	got, err := r.call(httpclient.WithOverdueAfter(context.Background(), overdueAfter), "late")
 	assert.NilError(t, err)
 	assert.Equal(t, got, "late")
-	r.note(func() {
+	r.locked(func() {
 		assert.Equal(t, len(r.unanswered), 1)
-		assert.Equal(t, r.givenUp[0].Count, 2, "the others carried no call")
+		assert.Equal(t, r.discarded[0].Count, 2, "the others carried no call")
 	})
 	assert.Equal(t, r.open.Load(), int64(1))
 
-	r.between.Stall()
+	r.proxy.Stall()
 	began := time.Now()
 	var lost sync.WaitGroup
 	lost.Go(func() {
-		_, err := r.call(httpclient.Overdue(context.Background(), overdue), "silent")
+		_, err := r.call(httpclient.WithOverdueAfter(context.Background(), overdueAfter), "silent")
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
 	})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -291,7 +291,7 @@
 	got, err = r.call(context.Background(), "next")
 	assert.NilError(t, err)
 	assert.Equal(t, got, "next")
-	r.soon(began)
+	r.checkFast(began)
 	lost.Wait()
-	r.note(func() { assert.Equal(t, len(r.unanswered), 2, "it is told of once") })
+	r.locked(func() { assert.Equal(t, len(r.unanswered), 2, "it is told of once") })
 }
--- a/modules/httpclient/httpclient.go
+++ b/modules/httpclient/httpclient.go
@@ -33,35 +33,35 @@
 	// To names what is called, for lines and metrics.
 	To string
 	// Dial bounds the opening of a connection.
-	Dial time.Duration
+	DialTimeout time.Duration
 	// Unused is how long a connection is kept that carries no call.
-	Unused time.Duration
+	IdleTimeout time.Duration
 	// Answer is how long the answer to a call that may be made again may at least be
 	// overdue before it is made again.
-	Answer time.Duration
-	// PerHost is how many unused connections to one address are kept, Most how many
+	MinOverdue time.Duration
+	// MaxIdlePerHost is how many unused connections to one address are kept, Most how many
 	// connections there are to it at a time, or 0 for any number.
-	PerHost, Most int
-	// GiveUp says which connections are given up beside one that gave no answer. Empty
+	MaxIdlePerHost, MaxPerHost int
+	// Discard says which connections are given up beside one that gave no answer. Empty
 	// means all.
-	GiveUp conntrack.Which
+	Discard conntrack.DiscardScope
 	// Now tells the time.
-	Now     func() time.Time
-	Reports Reports
+	Now   func() time.Time
+	Hooks Hooks
 }
 
-// Reports are told what happens to connections and calls. Each may be nil.
-type Reports struct {
+// Hooks are told what happens to connections and calls. Each may be nil.
+type Hooks struct {
 	// Unanswered is told of each call that ran out of its time without an answer.
-	Unanswered func(conntrack.Unanswered)
+	OnUnanswered func(conntrack.Unanswered)
 	// GivenUp is told of connections that were given up.
-	GivenUp func(conntrack.GivenUp)
+	OnDiscard func(conntrack.Discarded)
 	// Again is told of each call that was made again, once it is over.
-	Again func(Again)
+	OnRetry func(RetriedCall)
 	// Open is told of each connection that is opened (1) or closed (-1).
-	Open func(delta int)
+	OnOpen func(delta int)
 	// Bytes is told of the bytes that were read and written.
-	Bytes func(in, out int)
+	OnBytes func(in, out int)
 }
 
 // New returns a client with connections of its own.
@@ -69,16 +69,16 @@
 
 // NewTransport returns what carries out the calls of a client.
 func NewTransport(s Settings) *Transport {
-	t := &Transport{settings: s, table: conntrack.NewTable(s.Now), pace: newPace(s.Answer)}
-	if s.Reports.Open != nil {
-		t.table.OnChange(s.Reports.Open)
+	t := &Transport{settings: s, table: conntrack.NewTable(s.Now), lateness: newLatenessTracker(s.MinOverdue)}
+	if s.Hooks.OnOpen != nil {
+		t.table.OnChange(s.Hooks.OnOpen)
 	}
-	if s.Reports.Bytes != nil {
-		t.table.OnBytes(s.Reports.Bytes)
+	if s.Hooks.OnBytes != nil {
+		t.table.OnBytes(s.Hooks.OnBytes)
 	}
-	t.kept = &http.Transport{
+	t.pooled = &http.Transport{
 		DialContext: t.dial, DisableCompression: true,
-		MaxIdleConnsPerHost: s.PerHost, MaxConnsPerHost: s.Most, IdleConnTimeout: s.Unused,
+		MaxIdleConnsPerHost: s.MaxIdlePerHost, MaxConnsPerHost: s.MaxPerHost, IdleConnTimeout: s.IdleTimeout,
 	}
 	// It keeps no connection, so each call on it is on one opened for it.
 	t.fresh = &http.Transport{DialContext: t.dial, DisableCompression: true, MaxIdleConnsPerHost: -1}
@@ -89,15 +89,15 @@
 type Transport struct {
 	settings Settings
 	table    *conntrack.Table
-	pace     *pace
+	lateness *latenessTracker
 	// kept has the connections that are used again.
-	kept  *http.Transport
-	fresh *http.Transport
+	pooled *http.Transport
+	fresh  *http.Transport
 }
 
 // dial opens a connection.
 func (t *Transport) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	dialer := &net.Dialer{Timeout: t.settings.Dial}
+	dialer := &net.Dialer{Timeout: t.settings.DialTimeout}
 	raw, err := dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
@@ -106,37 +106,37 @@
 }
 
 // CloseIdleConnections closes the connections that carry no call.
-func (t *Transport) CloseIdleConnections() { t.kept.CloseIdleConnections() }
+func (t *Transport) CloseIdleConnections() { t.pooled.CloseIdleConnections() }
 
 // RoundTrip makes one call, or one and a second time if that may be.
 func (t *Transport) RoundTrip(req *http.Request) (*http.Response, error) {
-	if r, ok := repeatOf(req); ok {
-		return t.race(req, r)
+	if r, ok := retryOf(req); ok {
+		return t.doRetryable(req, r)
 	}
-	return t.once(req)
+	return t.doOnce(req)
 }
 
-// once makes a call that may not be made again.
-func (t *Transport) once(req *http.Request) (*http.Response, error) {
+// doOnce makes a call that may not be made again.
+func (t *Transport) doOnce(req *http.Request) (*http.Response, error) {
 	a := t.newAttempt(req)
 	defer t.watchOverdue(a)()
-	resp, err := t.kept.RoundTrip(a.req)
+	resp, err := t.pooled.RoundTrip(a.req)
 	if err != nil {
-		t.lost(a, err)
+		t.handleFailure(a, err)
 		return nil, err
 	}
-	resp.Body = &watched{ReadCloser: resp.Body, failed: func(err error) { t.lost(a, err) }}
+	resp.Body = &watchedBody{ReadCloser: resp.Body, onError: func(err error) { t.handleFailure(a, err) }}
 	return resp, nil
 }
 
-// lost takes the failure of a call that may not be made again. One that ran out of its
+// handleFailure takes the failure of a call that may not be made again. One that ran out of its
 // time on a connection used before is the sign that those to its address may be silent.
-func (t *Transport) lost(a *attempt, err error) {
-	if _, told := OverdueOf(a.req.Context()); !told {
-		t.unanswered(a, err)
+func (t *Transport) handleFailure(a *attempt, err error) {
+	if _, told := OverdueAfter(a.req.Context()); !told {
+		t.reportUnanswered(a, err)
 	}
 	if conn, sentAt, reused := a.connection(); reused && errors.Is(err, context.DeadlineExceeded) {
-		t.giveUp(conn, sentAt)
+		t.discard(conn, sentAt)
 	}
 }
 
@@ -144,38 +144,38 @@
 // answer is overdue and they are as silent. The call itself goes on. It returns what ends
 // the watch.
 func (t *Transport) watchOverdue(a *attempt) (end func()) {
-	after, ok := OverdueOf(a.req.Context())
+	after, ok := OverdueAfter(a.req.Context())
 	if !ok {
 		return func() {}
 	}
 	timer := time.AfterFunc(after, func() {
-		t.unanswered(a, context.DeadlineExceeded)
+		t.reportUnanswered(a, context.DeadlineExceeded)
 		if conn, sentAt, reused := a.connection(); reused {
-			t.report(conn.GiveUpOthers(t.settings.Now(), sentAt, conntrack.Idle))
+			t.reportDiscarded(conn.DiscardOthers(t.settings.Now(), sentAt, conntrack.SilentAndIdle))
 		}
 	})
 	return func() { timer.Stop() }
 }
 
-// watched is the body of an answer. It tells of an error while it is read: the call
+// watchedBody is the body of an answer. It tells of an error while it is read: the call
 // lasts until its answer is whole.
-type watched struct {
+type watchedBody struct {
 	io.ReadCloser
-	failed func(error)
+	onError func(error)
 }
 
 // Read reads.
-func (w *watched) Read(b []byte) (int, error) {
+func (w *watchedBody) Read(b []byte) (int, error) {
 	n, err := w.ReadCloser.Read(b)
 	if err != nil && err != io.EOF {
-		w.failed(err)
+		w.onError(err)
 	}
 	return n, err
 }
 
-// unanswered tells of a try that failed because its time ran out.
-func (t *Transport) unanswered(a *attempt, err error) {
-	report := t.settings.Reports.Unanswered
+// reportUnanswered tells of a try that failed because its time ran out.
+func (t *Transport) reportUnanswered(a *attempt, err error) {
+	report := t.settings.Hooks.OnUnanswered
 	conn, sentAt, reused := a.connection()
 	if report == nil || conn == nil || !errors.Is(err, context.DeadlineExceeded) {
 		return
@@ -185,16 +185,16 @@
 	report(u)
 }
 
-// giveUp gives up a connection on which a call had no answer, and others to its address
+// discard gives up a connection on which a call had no answer, and others to its address
 // that may be as silent.
-func (t *Transport) giveUp(conn *conntrack.Conn, sentAt time.Time) {
-	t.report(conn.GiveUp(t.settings.Now(), sentAt, t.settings.GiveUp))
+func (t *Transport) discard(conn *conntrack.Conn, sentAt time.Time) {
+	t.reportDiscarded(conn.Discard(t.settings.Now(), sentAt, t.settings.Discard))
 }
 
-// report tells of connections that were given up.
-func (t *Transport) report(g conntrack.GivenUp) {
+// reportDiscarded tells of connections that were given up.
+func (t *Transport) reportDiscarded(g conntrack.Discarded) {
 	g.To = t.settings.To
-	if report := t.settings.Reports.GivenUp; report != nil && g.Count > 0 {
+	if report := t.settings.Hooks.OnDiscard; report != nil && g.Count > 0 {
 		report(g)
 	}
 }
--- a/modules/httpclient/httpclient_test.go
+++ b/modules/httpclient/httpclient_test.go
@@ -23,47 +23,47 @@
 )
 
 const (
-	// overdue is after how long a call of the tests that may be made again is.
-	overdue = 100 * time.Millisecond
-	// within bounds the calls of the tests; it is far longer than an answer takes.
-	within = 2 * time.Second
+	// overdueAfter is after how long a call of the tests that may be made again is.
+	overdueAfter = 100 * time.Millisecond
+	// callTimeout bounds the calls of the tests; it is far longer than an answer takes.
+	callTimeout = 2 * time.Second
 )
 
 // rig is a client, a service, and what stands between them.
 type rig struct {
-	t       *testing.T
-	client  *http.Client
-	between *forward.Proxy
-	url     string
+	t      *testing.T
+	client *http.Client
+	proxy  *forward.Proxy
+	url    string
 	// served counts the calls that the service has taken.
 	served atomic.Int64
 	open   atomic.Int64
 
 	mu         sync.Mutex
 	unanswered []conntrack.Unanswered
-	givenUp    []conntrack.GivenUp
-	again      []httpclient.Again
+	discarded  []conntrack.Discarded
+	retried    []httpclient.RetriedCall
 }
 
 // newRig returns a client of a service that answers by a function, or with what it
 // was sent.
 func newRig(t *testing.T, answer http.HandlerFunc, change func(*httpclient.Settings)) *rig {
 	t.Helper()
-	r := &rig{t: t, between: forward.New()}
+	r := &rig{t: t, proxy: forward.New()}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		r.served.Add(1)
 		answer(w, req)
 	}))
-	address, err := r.between.Forward(server.Listener.Addr().String())
+	address, err := r.proxy.Forward(server.Listener.Addr().String())
 	assert.NilError(t, err)
 	r.url = "http://" + address
 	s := httpclient.Settings{
-		To: "service", Dial: time.Second, Unused: time.Minute, Answer: overdue, PerHost: 16, Now: time.Now,
-		Reports: httpclient.Reports{
-			Unanswered: func(u conntrack.Unanswered) { r.note(func() { r.unanswered = append(r.unanswered, u) }) },
-			GivenUp:    func(g conntrack.GivenUp) { r.note(func() { r.givenUp = append(r.givenUp, g) }) },
-			Again:      func(a httpclient.Again) { r.note(func() { r.again = append(r.again, a) }) },
-			Open:       func(delta int) { r.open.Add(int64(delta)) },
+		To: "service", DialTimeout: time.Second, IdleTimeout: time.Minute, MinOverdue: overdueAfter, MaxIdlePerHost: 16, Now: time.Now,
+		Hooks: httpclient.Hooks{
+			OnUnanswered: func(u conntrack.Unanswered) { r.locked(func() { r.unanswered = append(r.unanswered, u) }) },
+			OnDiscard:    func(g conntrack.Discarded) { r.locked(func() { r.discarded = append(r.discarded, g) }) },
+			OnRetry:      func(a httpclient.RetriedCall) { r.locked(func() { r.retried = append(r.retried, a) }) },
+			OnOpen:       func(delta int) { r.open.Add(int64(delta)) },
 		},
 	}
 	if change != nil {
@@ -72,14 +72,14 @@
 	r.client = httpclient.New(s)
 	t.Cleanup(func() {
 		r.client.CloseIdleConnections()
-		r.between.Close()
+		r.proxy.Close()
 		server.CloseClientConnections()
 		server.Close()
 	})
 	return r
 }
 
-func (r *rig) note(f func()) {
+func (r *rig) locked(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
@@ -91,8 +91,8 @@
 	_, _ = w.Write(body)
 }
 
-// slow answers as echo does, but some requests only after a while.
-func slow(takes time.Duration, which func(*http.Request) bool) http.HandlerFunc {
+// slowEcho answers as echo does, but some requests only after a while.
+func slowEcho(takes time.Duration, which func(*http.Request) bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		if which(req) {
 			time.Sleep(takes)
@@ -101,9 +101,9 @@
 	}
 }
 
-// waits and isCall tell requests apart that are to be slow.
-func waits(req *http.Request) bool  { return req.URL.Query().Has("wait") }
-func isCall(req *http.Request) bool { return req.URL.Path == "/call" }
+// hasWait and isCall tell requests apart that are to be slow.
+func hasWait(req *http.Request) bool { return req.URL.Query().Has("wait") }
+func isCall(req *http.Request) bool  { return req.URL.Path == "/call" }
 
 // hang gives no answer as long as the caller waits.
 func hang(req *http.Request) {
@@ -113,7 +113,7 @@
 
 // call posts a text and returns the answer.
 func (r *rig) call(ctx context.Context, text string) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, r.url+"/call", bytes.NewReader([]byte(text)))
 	assert.NilError(r.t, err)
@@ -128,18 +128,18 @@
 
 // repeatable marks calls of the tests that may be made again.
 func repeatable(expected time.Duration) context.Context {
-	return httpclient.Repeatable(context.Background(), httpclient.Repeat{Expected: expected})
+	return httpclient.WithRetry(context.Background(), httpclient.Retry{Expected: expected})
 }
 
-// fill opens some connections by as many calls at once, and waits until the client
+// openConnections opens some connections by as many calls at once, and waits until the client
 // has them all back.
-func (r *rig) fill(count int) {
+func (r *rig) openConnections(count int) {
 	r.t.Helper()
 	var all, calls sync.WaitGroup
 	all.Add(count)
 	for range count {
 		calls.Go(func() {
-			body := &held{wait: func() { all.Done(); all.Wait() }}
+			body := &heldBody{wait: func() { all.Done(); all.Wait() }}
 			req, err := http.NewRequest(http.MethodPost, r.url+"/fill", body)
 			assert.Check(r.t, err)
 			resp, err := r.client.Do(req)
@@ -153,20 +153,20 @@
 	assert.Equal(r.t, r.open.Load(), int64(count))
 }
 
-// held is an empty body that ends once wait returns.
-type held struct{ wait func() }
+// heldBody is an empty body that ends once wait returns.
+type heldBody struct{ wait func() }
 
 // Read ends the body.
-func (h *held) Read([]byte) (int, error) {
+func (h *heldBody) Read([]byte) (int, error) {
 	h.wait()
 	return 0, io.EOF
 }
 
-// soon fails the test unless what began then took less than a call's whole time.
-func (r *rig) soon(began time.Time) {
+// checkFast fails the test unless what began then took less than a call's whole time.
+func (r *rig) checkFast(began time.Time) {
 	r.t.Helper()
 	took := time.Since(began)
-	assert.Check(r.t, took < within/2, "it took %v", took)
+	assert.Check(r.t, took < callTimeout/2, "it took %v", took)
 }
 
 // Symptom: after the connections of a process had gone silent, each that was left in
@@ -183,19 +183,19 @@
 // What settled it: of 2,668 calls without an answer not one was on a connection opened
 // for it; the log was read anew on a connection that nobody had used for 27 s, which
 // took another 0.9 s.
-func TestSilentConnectionsToAService(t *testing.T) {
-	t.Run("a pool of them costs one call", testAPoolCostsOneCall)
-	t.Run("calls under way on them fail with the first", testCallsUnderWayFail)
-	t.Run("a call that may be made again is answered", testARepeatableCallIsAnswered)
-	t.Run("a read that waits is answered", testAWaitingReadIsAnswered)
-	t.Run("an answer that stops half-way is had again", testAStoppedAnswerIsHadAgain)
-	t.Run("a call whose connection was given up is made again", testAGivenUpCallIsMadeAgain)
+func TestSilentConnections(t *testing.T) {
+	t.Run("a pool of them costs one call", testSilentPoolCostsOneCall)
+	t.Run("calls under way on them fail with the first", testInflightCallsFail)
+	t.Run("a call that may be made again is answered", testRetryableCallIsAnswered)
+	t.Run("a read that waits is answered", testWaitingReadIsAnswered)
+	t.Run("an answer that stops half-way is had again", testStalledAnswerIsRetried)
+	t.Run("a call whose connection was given up is made again", testCallOnDiscardedConnectionIsRetried)
 }
 
-func testAPoolCostsOneCall(t *testing.T) {
+func testSilentPoolCostsOneCall(t *testing.T) {
 	r := newRig(t, echo, nil)
-	r.fill(8)
-	assert.Equal(t, r.between.Stall(), 8)
+	r.openConnections(8)
+	assert.Equal(t, r.proxy.Stall(), 8)
 
 	_, err := r.call(context.Background(), "lost")
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
@@ -204,21 +204,21 @@
 		got, err := r.call(context.Background(), fmt.Sprint(i))
 		assert.NilError(t, err)
 		assert.Equal(t, got, fmt.Sprint(i))
-		r.soon(began)
+		r.checkFast(began)
 	}
 	assert.Equal(t, r.served.Load(), int64(8+8), "a call that may not be made again was")
 	assert.Equal(t, len(r.unanswered), 1)
-	assert.Equal(t, len(r.givenUp), 1)
-	assert.Equal(t, r.givenUp[0].Count, 8)
+	assert.Equal(t, len(r.discarded), 1)
+	assert.Equal(t, r.discarded[0].Count, 8)
 }
 
-func testCallsUnderWayFail(t *testing.T) {
+func testInflightCallsFail(t *testing.T) {
 	r := newRig(t, echo, nil)
-	r.fill(4)
-	r.between.Stall()
+	r.openConnections(4)
+	r.proxy.Stall()
 	var calls sync.WaitGroup
 	calls.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), within/8)
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout/8)
 		defer cancel()
 		_, err := r.call(ctx, "first")
 		assert.Check(t, err != nil)
@@ -227,39 +227,39 @@
 		calls.Go(func() {
 			began := time.Now()
 			_, err := r.call(context.Background(), "beside it")
-			assert.ErrorIs(t, err, conntrack.ErrGivenUp)
-			r.soon(began)
+			assert.ErrorIs(t, err, conntrack.ErrDiscarded)
+			r.checkFast(began)
 		})
 	}
 	calls.Wait()
 }
 
-func testARepeatableCallIsAnswered(t *testing.T) {
+func testRetryableCallIsAnswered(t *testing.T) {
 	r := newRig(t, echo, nil)
-	r.fill(8)
-	r.between.Stall()
+	r.openConnections(8)
+	r.proxy.Stall()
 	for i := range 8 {
 		began := time.Now()
 		got, err := r.call(repeatable(0), fmt.Sprint(i))
 		assert.NilError(t, err)
 		assert.Equal(t, got, fmt.Sprint(i))
-		r.soon(began)
+		r.checkFast(began)
 	}
 	assert.Equal(t, r.served.Load(), int64(8+8))
-	assert.Equal(t, len(r.again), 1)
-	assert.Equal(t, r.again[0].Answered, httpclient.OnNew)
-	assert.Equal(t, r.givenUp[0].Count, 8)
+	assert.Equal(t, len(r.retried), 1)
+	assert.Equal(t, r.retried[0].AnsweredOn, httpclient.OnNew)
+	assert.Equal(t, r.discarded[0].Count, 8)
 	assert.Equal(t, len(r.unanswered), 0)
 }
 
-func testAWaitingReadIsAnswered(t *testing.T) {
+func testWaitingReadIsAnswered(t *testing.T) {
 	const wait = 300 * time.Millisecond
-	r := newRig(t, slow(wait, waits), nil)
+	r := newRig(t, slowEcho(wait, hasWait), nil)
 	read := func() {
 		t.Helper()
-		ctx, cancel := context.WithTimeout(httpclient.Repeatable(context.Background(), httpclient.Repeat{
-			Expected: wait, Change: func(req *http.Request) { req.URL.RawQuery = "" },
-		}), within)
+		ctx, cancel := context.WithTimeout(httpclient.WithRetry(context.Background(), httpclient.Retry{
+			Expected: wait, ModifyRetry: func(req *http.Request) { req.URL.RawQuery = "" },
+		}), callTimeout)
 		defer cancel()
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, r.url+"/read?wait=1", nil)
 		assert.NilError(t, err)
@@ -269,17 +269,17 @@
 		_, err = io.ReadAll(resp.Body)
 		assert.NilError(t, err)
 		assert.NilError(t, resp.Body.Close())
-		r.soon(began)
+		r.checkFast(began)
 	}
 	read()
 	read()
-	assert.Equal(t, len(r.again), 0)
-	r.between.Stall()
+	assert.Equal(t, len(r.retried), 0)
+	r.proxy.Stall()
 	read()
-	assert.Equal(t, len(r.again), 1)
+	assert.Equal(t, len(r.retried), 1)
 }
 
-func testAStoppedAnswerIsHadAgain(t *testing.T) {
+func testStalledAnswerIsRetried(t *testing.T) {
 	var stops atomic.Bool
 	r := newRig(t, func(w http.ResponseWriter, req *http.Request) {
 		_, _ = io.WriteString(w, "half ")
@@ -298,7 +298,7 @@
 	got, err := r.call(repeatable(0), "")
 	assert.NilError(t, err)
 	assert.Equal(t, got, "half whole")
-	r.soon(began)
+	r.checkFast(began)
 
 	// One that may not be made again ends at its own time.
 	_, err = r.call(context.Background(), "")
@@ -309,10 +309,10 @@
 	assert.Equal(t, len(r.unanswered), 1)
 }
 
-func testAGivenUpCallIsMadeAgain(t *testing.T) {
+func testCallOnDiscardedConnectionIsRetried(t *testing.T) {
 	r := newRig(t, echo, nil)
-	r.fill(4)
-	r.between.Stall()
+	r.openConnections(4)
+	r.proxy.Stall()
 	var calls sync.WaitGroup
 	for _, expected := range []time.Duration{0, time.Minute, time.Minute, time.Minute} {
 		calls.Go(func() {
@@ -321,7 +321,7 @@
 			if assert.Check(t, err) {
 				assert.Check(t, got == "text")
 			}
-			r.soon(began)
+			r.checkFast(began)
 		})
 	}
 	calls.Wait()
--- a/modules/httpclient/pace.go
+++ b/modules/httpclient/pace.go
@@ -13,69 +13,69 @@
 	// address may take, so that a service that has become slow is not asked twice for
 	// each call, which would make it slower still.
 	slowFactor = 2
-	// paceFor is how long an answer counts as recent; it counts at most twice as long.
+	// latenessWindow is how long an answer counts as recent; it counts at most twice as long.
 	// Services are slow for seconds at a time.
-	paceFor = 10 * time.Second
+	latenessWindow = 10 * time.Second
 )
 
-// pace knows how late answers are of addresses that are slow.
-type pace struct {
+// latenessTracker knows how late answers are of addresses that are slow.
+type latenessTracker struct {
 	// least is how late any answer may be.
-	least time.Duration
+	minAllowed time.Duration
 
 	mu sync.Mutex
 	// slow has the addresses with a recent answer that was late.
-	slow map[string]*lateness
+	slow map[string]*recentLateness
 }
 
-// lateness is how late the latest answers were in this span of paceFor and the last.
-type lateness struct {
-	since      time.Time
-	this, last time.Duration
+// recentLateness is how late the latest answers were in this span of latenessWindow and the last.
+type recentLateness struct {
+	since             time.Time
+	current, previous time.Duration
 }
 
-func newPace(least time.Duration) *pace {
-	return &pace{least: least, slow: map[string]*lateness{}}
+func newLatenessTracker(least time.Duration) *latenessTracker {
+	return &latenessTracker{minAllowed: least, slow: map[string]*recentLateness{}}
 }
 
 // allowed returns how late an answer of an address may be.
-func (p *pace) allowed(now time.Time, address string) time.Duration {
+func (p *latenessTracker) allowed(now time.Time, address string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.slow[address]
 	if l == nil {
-		return p.least
+		return p.minAllowed
 	}
-	l.pass(now)
-	if l.this == 0 && l.last == 0 {
+	l.advance(now)
+	if l.current == 0 && l.previous == 0 {
 		delete(p.slow, address)
 	}
-	return max(p.least, slowFactor*max(l.this, l.last))
+	return max(p.minAllowed, slowFactor*max(l.current, l.previous))
 }
 
-// answered notes how late an answer was. Those that change nothing are not kept.
-func (p *pace) answered(now time.Time, address string, late time.Duration) {
-	if slowFactor*late <= p.least {
+// recordAnswer notes how late an answer was. Those that change nothing are not kept.
+func (p *latenessTracker) recordAnswer(now time.Time, address string, late time.Duration) {
+	if slowFactor*late <= p.minAllowed {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.slow[address]
 	if l == nil {
-		l = &lateness{since: now}
+		l = &recentLateness{since: now}
 		p.slow[address] = l
 	}
-	l.pass(now)
-	l.this = max(l.this, late)
+	l.advance(now)
+	l.current = max(l.current, late)
 }
 
-// pass begins a new span if this one is over.
-func (l *lateness) pass(now time.Time) {
-	switch spans := now.Sub(l.since) / paceFor; {
+// advance begins a new span if this one is over.
+func (l *recentLateness) advance(now time.Time) {
+	switch spans := now.Sub(l.since) / latenessWindow; {
 	case spans <= 0:
 	case spans == 1:
-		l.since, l.last, l.this = now, l.this, 0
+		l.since, l.previous, l.current = now, l.current, 0
 	default:
-		l.since, l.last, l.this = now, 0, 0
+		l.since, l.previous, l.current = now, 0, 0
 	}
 }
--- a/modules/httpclient/race.go
+++ b/modules/httpclient/race.go
@@ -12,43 +12,43 @@
 	"github.com/sourcegraph/conc"
 )
 
-// race is a call that may be made again: two tries at most, of which the first answer
+// retryableCall is a call that may be made again: two tries at most, of which the first answer
 // counts.
-type race struct {
-	t      *Transport
-	req    *http.Request
-	repeat Repeat
-	began  time.Time
-	tasks  conc.WaitGroup
+type retryableCall struct {
+	t     *Transport
+	req   *http.Request
+	retry Retry
+	began time.Time
+	wg    conc.WaitGroup
 	// ended has the tries that are over.
-	ended chan *try
-	first *try
+	finished chan *try
+	first    *try
 	// second is nil unless the call was made again.
 	second *try
 }
 
-// race makes a call, and makes it again when its answer is overdue.
-func (t *Transport) race(req *http.Request, r Repeat) (*http.Response, error) {
-	c := &race{t: t, req: req, repeat: r, began: t.settings.Now(), ended: make(chan *try, 2)}
-	defer c.tasks.Wait()
-	c.first = c.begin(t.kept, onlyOnce(req))
-	timer := time.NewTimer(r.Expected + c.late())
+// doRetryable makes a call, and makes it again when its answer is overdue.
+func (t *Transport) doRetryable(req *http.Request, r Retry) (*http.Response, error) {
+	c := &retryableCall{t: t, req: req, retry: r, began: t.settings.Now(), finished: make(chan *try, 2)}
+	defer c.wg.Wait()
+	c.first = c.startTry(t.pooled, withoutTransportRetry(req))
+	timer := time.NewTimer(r.Expected + c.allowedLateness())
 	defer timer.Stop()
 	for {
 		select {
-		case done := <-c.ended:
-			if c.decides(done) {
+		case done := <-c.finished:
+			if c.handleTryEnd(done) {
 				return c.finish(done)
 			}
 		case <-timer.C:
-			c.check(timer)
+			c.retryIfOverdue(timer)
 		}
 	}
 }
 
-// onlyOnce returns the request so that the transport does not make it again by itself.
+// withoutTransportRetry returns the request so that the transport does not make it again by itself.
 // Once its connection is closed it would make a read again as it was, with its whole wait.
-func onlyOnce(req *http.Request) *http.Request {
+func withoutTransportRetry(req *http.Request) *http.Request {
 	if req.Body != nil && req.Body != http.NoBody {
 		return req
 	}
@@ -57,37 +57,37 @@
 	return once
 }
 
-// late returns how late the answer may be.
-func (c *race) late() time.Duration {
-	return c.t.pace.allowed(c.t.settings.Now(), c.req.URL.Host)
+// allowedLateness returns how late the answer may be.
+func (c *retryableCall) allowedLateness() time.Duration {
+	return c.t.lateness.allowed(c.t.settings.Now(), c.req.URL.Host)
 }
 
-// begin makes a try.
-func (c *race) begin(on *http.Transport, req *http.Request) *try {
+// startTry makes a try.
+func (c *retryableCall) startTry(on *http.Transport, req *http.Request) *try {
 	ctx, cancel := context.WithCancel(req.Context())
 	y := &try{attempt: c.t.newAttempt(req.WithContext(ctx)), cancel: cancel}
-	c.tasks.Go(func() {
-		y.make(c.t, on)
-		c.ended <- y
+	c.wg.Go(func() {
+		y.run(c.t, on)
+		c.finished <- y
 	})
 	return y
 }
 
-// check makes the call again if its answer is overdue, else sets the timer for when it
+// retryIfOverdue makes the call again if its answer is overdue, else sets the timer for when it
 // will be.
-func (c *race) check(timer *time.Timer) {
+func (c *retryableCall) retryIfOverdue(timer *time.Timer) {
 	if c.second != nil {
 		return
 	}
-	if wait := c.first.dueIn(c.t.settings.Now(), c.repeat, c.late()); wait > 0 {
+	if wait := c.first.timeUntilOverdue(c.t.settings.Now(), c.retry, c.allowedLateness()); wait > 0 {
 		timer.Reset(wait)
 		return
 	}
-	c.again()
+	c.startSecond()
 }
 
-// again makes the call on a connection opened for it. It returns false if it cannot.
-func (c *race) again() bool {
+// startSecond makes the call on a connection opened for it. It returns false if it cannot.
+func (c *retryableCall) startSecond() bool {
 	req := c.req.Clone(c.req.Context())
 	if c.req.GetBody != nil {
 		body, err := c.req.GetBody()
@@ -96,31 +96,31 @@
 		}
 		req.Body = body
 	}
-	if c.repeat.Change != nil {
-		c.repeat.Change(req)
+	if c.retry.ModifyRetry != nil {
+		c.retry.ModifyRetry(req)
 	}
-	c.second = c.begin(c.t.fresh, req)
+	c.second = c.startTry(c.t.fresh, req)
 	return true
 }
 
-// decides takes the end of a try and says whether the call ends with it. A connection
+// handleTryEnd takes the end of a try and says whether the call ends with it. A connection
 // that failed says nothing of the service if it had carried other calls before.
-func (c *race) decides(done *try) bool {
-	done.over = true
+func (c *retryableCall) handleTryEnd(done *try) bool {
+	done.done = true
 	if done.err == nil {
 		return true
 	}
-	c.t.unanswered(done.attempt, done.err)
+	c.t.reportUnanswered(done.attempt, done.err)
 	if c.second == nil {
 		_, _, reused := done.connection()
-		return !reused || c.req.Context().Err() != nil || !c.again()
+		return !reused || c.req.Context().Err() != nil || !c.startSecond()
 	}
-	return c.first.over && c.second.over
+	return c.first.done && c.second.done
 }
 
 // finish ends the call with the end of a try.
-func (c *race) finish(done *try) (*http.Response, error) {
-	c.learn(done)
+func (c *retryableCall) finish(done *try) (*http.Response, error) {
+	c.recordResult(done)
 	if done != c.first {
 		c.first.cancel()
 	}
@@ -130,12 +130,12 @@
 	return done.resp, done.err
 }
 
-// learn draws the conclusions: from how late the answer was, and on which connection it
+// recordResult draws the conclusions: from how late the answer was, and on which connection it
 // came.
-func (c *race) learn(done *try) {
-	if done.err == nil && !done.awaitsTurn(c.repeat) {
+func (c *retryableCall) recordResult(done *try) {
+	if done.err == nil && !done.mayBeQueued(c.retry) {
 		_, sentAt, _ := done.connection()
-		c.t.pace.answered(done.answeredAt, c.req.URL.Host, done.answeredAt.Sub(sentAt)-c.repeat.Expected)
+		c.t.lateness.recordAnswer(done.answeredAt, c.req.URL.Host, done.answeredAt.Sub(sentAt)-c.retry.Expected)
 	}
 	if c.second == nil {
 		return
@@ -147,13 +147,13 @@
 		answered = OnOld
 	default:
 		answered = OnNew
-		if conn, sentAt, reused := c.first.connection(); reused && !c.first.over {
-			c.t.giveUp(conn, sentAt)
+		if conn, sentAt, reused := c.first.connection(); reused && !c.first.done {
+			c.t.discard(conn, sentAt)
 		}
 	}
-	if report := c.t.settings.Reports.Again; report != nil {
-		report(Again{
-			To: c.t.settings.To, Address: c.req.URL.Host, Call: c.req.URL.Path, Answered: answered,
+	if report := c.t.settings.Hooks.OnRetry; report != nil {
+		report(RetriedCall{
+			To: c.t.settings.To, Address: c.req.URL.Host, Call: c.req.URL.Path, AnsweredOn: answered,
 			Took: c.t.settings.Now().Sub(c.began),
 		})
 	}
--- a/modules/joblog/joblog.go
+++ b/modules/joblog/joblog.go
@@ -41,22 +41,22 @@
 
 // The names of fields that are told apart from the others.
 const (
-	fieldTime    = "time"
-	fieldMessage = "msg"
-	fieldBox     = "box"
-	leftOut      = "lines were left out"
+	fieldTime      = "time"
+	fieldMessage   = "msg"
+	fieldBox       = "box"
+	messageLeftOut = "lines were left out"
 )
 
-// hidden are fields that say nothing of the job itself.
-var hidden = []string{fieldTime, fieldMessage, fieldBox, "level", "incarnation"}
+// hiddenFields are fields that say nothing of the job itself.
+var hiddenFields = []string{fieldTime, fieldMessage, fieldBox, "level", "incarnation"}
 
 // Read adds the lines of r that concern a job.
 func (h *History) Read(r io.Reader, job string) error {
-	return eachLine(r, func(text string) { h.take(text, job) })
+	return forEachLine(r, func(text string) { h.addLine(text, job) })
 }
 
-// eachLine gives the lines of r that are not empty to a function.
-func eachLine(r io.Reader, take func(text string)) error {
+// forEachLine gives the lines of r that are not empty to a function.
+func forEachLine(r io.Reader, take func(text string)) error {
 	in := bufio.NewReaderSize(r, 64<<10)
 	for {
 		text, err := in.ReadString('\n')
@@ -72,9 +72,9 @@
 	}
 }
 
-// take looks at one line. Whatever stands before the first brace was added by
+// addLine looks at one line. Whatever stands before the first brace was added by
 // whoever gathered the lines.
-func (h *History) take(text, job string) {
+func (h *History) addLine(text, job string) {
 	brace := strings.IndexByte(text, '{')
 	if brace < 0 {
 		h.Foreign++
@@ -90,14 +90,14 @@
 		h.Foreign++
 		return
 	}
-	if message != leftOut && !concerns(fields, job) {
+	if message != messageLeftOut && !isAboutJob(fields, job) {
 		return
 	}
 	h.Lines = append(h.Lines, newLine(fields, message))
 }
 
-// concerns says whether a line names the job, or a step or task of it.
-func concerns(fields map[string]any, job string) bool {
+// isAboutJob says whether a line names the job, or a step or task of it.
+func isAboutJob(fields map[string]any, job string) bool {
 	for _, name := range []string{"job", "step", "task"} {
 		if v, ok := fields[name].(string); ok && (v == job || strings.HasPrefix(v, job+".")) {
 			return true
@@ -108,13 +108,13 @@
 
 // newLine keeps what is worth showing of a line.
 func newLine(fields map[string]any, message string) Line {
-	l := Line{Message: message, Gap: message == leftOut}
+	l := Line{Message: message, Gap: message == messageLeftOut}
 	l.Box, _ = fields[fieldBox].(string)
 	if text, ok := fields[fieldTime].(string); ok {
 		l.At, _ = time.Parse(time.RFC3339Nano, text)
 	}
 	for name, v := range fields {
-		if !slices.Contains(hidden, name) {
+		if !slices.Contains(hiddenFields, name) {
 			l.Fields = append(l.Fields, fmt.Sprintf("%s=%v", name, v))
 		}
 	}
--- a/modules/joblog/joblog_test.go
+++ b/modules/joblog/joblog_test.go
@@ -24,7 +24,7 @@
 {"not":"ours"}
 `
 
-func TestAHistoryIsInOrderAndNamesItsGaps(t *testing.T) {
+func TestHistoryIsSortedAndReportsGaps(t *testing.T) {
 	var h joblog.History
 	assert.NilError(t, h.Read(strings.NewReader(lines), "j1"))
 	h.Sort()
--- a/modules/joblog/losses.go
+++ b/modules/joblog/losses.go
@@ -15,8 +15,8 @@
 
 // The messages of daemons that tell of jobs and calls that were not served in time.
 const (
-	jobEnded      = "job ended"
-	callNotServed = "call not served"
+	messageJobEnded      = "job ended"
+	messageCallNotServed = "call not served"
 )
 
 // Losses sums up what the daemons logged of jobs that were late or failed, and of
@@ -24,8 +24,8 @@
 type Losses struct {
 	queues map[string]*QueueLoss
 	// spans counts by the time of the day and by reason, in steps of every.
-	spans map[time.Time]map[string]int
-	every time.Duration
+	spans    map[time.Time]map[string]int
+	interval time.Duration
 	// workspaces has the losses of each workspace.
 	workspaces map[string]*QueueLoss
 	// Torn counts lines that looked like a daemon's and could not be read.
@@ -55,11 +55,11 @@
 
 // NewLosses returns no losses yet; they are counted in spans of some length.
 func NewLosses(every time.Duration) *Losses {
-	return &Losses{queues: map[string]*QueueLoss{}, workspaces: map[string]*QueueLoss{}, spans: map[time.Time]map[string]int{}, every: every}
+	return &Losses{queues: map[string]*QueueLoss{}, workspaces: map[string]*QueueLoss{}, spans: map[time.Time]map[string]int{}, interval: every}
 }
 
-// endedLine is the part of a line that tells the end of a job or of a call.
-type endedLine struct {
+// lossLine is the part of a line that tells the end of a job or of a call.
+type lossLine struct {
 	Message   string                   `json:"msg"`
 	At        time.Time                `json:"time"`
 	Queue     string                   `json:"queue"`
@@ -75,40 +75,40 @@
 
 // Read adds the lines of r.
 func (l *Losses) Read(r io.Reader) error {
-	return eachLine(r, func(text string) {
+	return forEachLine(r, func(text string) {
 		brace := strings.IndexByte(text, '{')
-		if brace < 0 || !strings.Contains(text, jobEnded) && !strings.Contains(text, callNotServed) {
+		if brace < 0 || !strings.Contains(text, messageJobEnded) && !strings.Contains(text, messageCallNotServed) {
 			return
 		}
-		var line endedLine
+		var line lossLine
 		if json.Unmarshal([]byte(text[brace:]), &line) != nil {
 			l.Torn++
 			return
 		}
-		l.take(line)
+		l.addLine(line)
 	})
 }
 
-// take counts one line.
-func (l *Losses) take(line endedLine) {
+// addLine counts one line.
+func (l *Losses) addLine(line lossLine) {
 	switch line.Message {
-	case jobEnded:
-		l.ended(line)
-	case callNotServed:
-		l.lose(line.At, line.Call+" "+line.Outcome+": "+reasonClass(line.Reason))
+	case messageJobEnded:
+		l.addEnded(line)
+	case messageCallNotServed:
+		l.countLoss(line.At, line.Call+" "+line.Outcome+": "+reasonClass(line.Reason))
 	}
 }
 
-// ended counts the end of a job, for its queue and for its workspace if it is of one.
-func (l *Losses) ended(line endedLine) {
+// addEnded counts the end of a job, for its queue and for its workspace if it is of one.
+func (l *Losses) addEnded(line lossLine) {
 	q := l.queues[line.Queue]
 	if q == nil {
 		q = &QueueLoss{Queue: line.Queue, Delays: map[string]float64{}}
 		l.queues[line.Queue] = q
 	}
-	why := q.ended(line)
+	why := q.addEnded(line)
 	if why != "" {
-		l.lose(line.At, why)
+		l.countLoss(line.At, why)
 	}
 	if line.Workspace == "" {
 		return
@@ -118,12 +118,12 @@
 		w = &QueueLoss{Workspace: line.Workspace, Delays: map[string]float64{}}
 		l.workspaces[line.Workspace] = w
 	}
-	w.ended(line)
+	w.addEnded(line)
 }
 
-// ended counts the end of a job, and returns what was lost by it, if anything. One without
+// addEnded counts the end of a job, and returns what was lost by it, if anything. One without
 // an objective has none: it lasts, or falls due several times.
-func (q *QueueLoss) ended(line endedLine) string {
+func (q *QueueLoss) addEnded(line lossLine) string {
 	switch {
 	case line.Outcome == "failed":
 		q.Ended++
@@ -133,14 +133,14 @@
 		q.Ended++
 		if line.Late {
 			q.Late++
-			return "job late: " + q.late(line)
+			return "job late: " + q.addLate(line)
 		}
 	}
 	return ""
 }
 
-// late divides a late job among what delayed it, and returns what did most.
-func (q *QueueLoss) late(line endedLine) string {
+// addLate divides a late job among what delayed it, and returns what did most.
+func (q *QueueLoss) addLate(line lossLine) string {
 	total, longest := time.Duration(0), ""
 	for _, why := range slices.Sorted(maps.Keys(line.Delays)) {
 		took := line.Delays[why]
@@ -159,9 +159,9 @@
 	return longest
 }
 
-// lose counts one loss.
-func (l *Losses) lose(at time.Time, reason string) {
-	begin := at.Truncate(l.every)
+// countLoss counts one loss.
+func (l *Losses) countLoss(at time.Time, reason string) {
+	begin := at.Truncate(l.interval)
 	if l.spans[begin] == nil {
 		l.spans[begin] = map[string]int{}
 	}
@@ -177,12 +177,12 @@
 }
 
 // Queues returns the losses of each queue, by name.
-func (l *Losses) Queues() []QueueLoss { return byName(l.queues) }
+func (l *Losses) Queues() []QueueLoss { return sortedByName(l.queues) }
 
 // Workspaces returns the losses of each workspace, by name.
-func (l *Losses) Workspaces() []QueueLoss { return byName(l.workspaces) }
+func (l *Losses) Workspaces() []QueueLoss { return sortedByName(l.workspaces) }
 
-func byName(losses map[string]*QueueLoss) []QueueLoss {
+func sortedByName(losses map[string]*QueueLoss) []QueueLoss {
 	var all []QueueLoss
 	for _, name := range slices.Sorted(maps.Keys(losses)) {
 		all = append(all, *losses[name])
@@ -201,8 +201,8 @@
 	return all
 }
 
-// Longest returns the delays, that of most late jobs first.
-func (q *QueueLoss) Longest() []string {
+// SortedDelays returns the delays, that of most late jobs first.
+func (q *QueueLoss) SortedDelays() []string {
 	return slices.SortedFunc(maps.Keys(q.Delays), func(a, b string) int {
 		return cmp.Or(cmp.Compare(q.Delays[b], q.Delays[a]), cmp.Compare(a, b))
 	})
--- a/modules/joblog/losses_test.go
+++ b/modules/joblog/losses_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const ends = `
+const endedLines = `
 {"msg":"job ended","queue":"quick","outcome":"succeeded","objective":"1s","late":true,"delays":{"slow run":3000000000,"room":1000000000},"time":"2026-01-02T03:04:07Z"}
 {"msg":"job ended","queue":"quick","outcome":"succeeded","objective":"1s","late":false,"delays":{},"time":"2026-01-02T03:04:07Z"}
 {"msg":"job ended","queue":"quick","outcome":"succeeded","objective":"1s","late":true,"delays":{},"time":"2026-01-02T03:04:08Z"}
@@ -25,15 +25,15 @@
 {"msg":"job ended","queue":"qu
 `
 
-func TestLossesAreCountedByQueueAndByTime(t *testing.T) {
+func TestLossesPerQueueAndInterval(t *testing.T) {
 	l := joblog.NewLosses(5 * time.Second)
-	assert.NilError(t, l.Read(strings.NewReader(ends)))
+	assert.NilError(t, l.Read(strings.NewReader(endedLines)))
 	queues := l.Queues()
 	assert.Equal(t, len(queues), 3)
 	assert.DeepEqual(t, queues[1], joblog.QueueLoss{
 		Queue: "quick", Ended: 3, Late: 2, Delays: map[string]float64{"slow run": 0.75, "room": 0.25, "no delay was told": 1},
 	})
-	assert.DeepEqual(t, queues[1].Longest(), []string{"no delay was told", "slow run", "room"})
+	assert.DeepEqual(t, queues[1].SortedDelays(), []string{"no delay was told", "slow run", "room"})
 	assert.Equal(t, queues[2].Failed, 1)
 	at := func(second int) time.Time { return time.Date(2026, 1, 2, 3, 4, second, 0, time.UTC) }
 	assert.DeepEqual(t, l.Spans(), []joblog.SpanLoss{
--- a/modules/ordered/ordered.go
+++ b/modules/ordered/ordered.go
@@ -16,11 +16,11 @@
 // Map yields the entries of m by their keys, smallest first. Entries that are
 // removed meanwhile are left out.
 func Map[K cmp.Ordered, V any](m map[K]V) iter.Seq2[K, V] {
-	return By(m, cmp.Compare[K])
+	return MapFunc(m, cmp.Compare[K])
 }
 
-// By yields the entries of m in the order of compare.
-func By[K comparable, V any](m map[K]V, compare func(a, b K) int) iter.Seq2[K, V] {
+// MapFunc yields the entries of m in the order of compare.
+func MapFunc[K comparable, V any](m map[K]V, compare func(a, b K) int) iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for _, k := range slices.SortedFunc(maps.Keys(m), compare) {
 			v, ok := m[k]
--- a/modules/peering/accept_test.go
+++ b/modules/peering/accept_test.go
@@ -17,15 +17,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// failing is a listener whose first accepts fail.
-type failing struct {
+// failingListener is a listener whose first accepts fail.
+type failingListener struct {
 	net.Listener
-	fails atomic.Int32
+	failuresLeft atomic.Int32
 }
 
 // Accept fails as it does without a free descriptor.
-func (f *failing) Accept() (net.Conn, error) {
-	if f.fails.Add(-1) >= 0 {
+func (f *failingListener) Accept() (net.Conn, error) {
+	if f.failuresLeft.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: syscall.EMFILE}
 	}
 	return f.Listener.Accept()
@@ -39,11 +39,11 @@
 // Cause: the first accept that failed ended all accepting.
 //
 // What settled it: reading the code; this test.
-func TestABoxAcceptsAgainAfterItCouldNot(t *testing.T) {
+func TestAcceptIsRetriedAfterFailure(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	listener := &failing{Listener: l}
-	listener.fails.Store(3)
+	listener := &failingListener{Listener: l}
+	listener.failuresLeft.Store(3)
 	links := peering.New(context.Background(), listener, settings(),
 		func(_ context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) { return req.Method, nil })
 	links.Serve()
--- a/modules/peering/bench_test.go
+++ b/modules/peering/bench_test.go
@@ -16,47 +16,47 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// counted is a listener that counts the bytes of its connections, both ways, without
+// countingListener is a listener that counts the bytes of its connections, both ways, without
 // what TCP and IP add.
-type counted struct {
+type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
 }
 
 // Accept accepts a connection.
-func (l *counted) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	return &countedConn{Conn: c, bytes: &l.bytes}, err
+	return &countingConn{Conn: c, bytes: &l.bytes}, err
 }
 
-// countedConn is a connection whose bytes are counted.
-type countedConn struct {
+// countingConn is a connection whose bytes are counted.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
 // Read reads and counts.
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
 // Write writes and counts.
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
 // benchBox returns a box and where it listens.
-func benchBox(b *testing.B) (*peering.Links, *counted) {
+func benchBox(b *testing.B) (*peering.Links, *countingListener) {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	l := &counted{Listener: listener}
+	l := &countingListener{Listener: listener}
 	box := peering.New(context.Background(), l, settings(), func(_ context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
 		return req.Method, nil
 	})
@@ -65,8 +65,8 @@
 	return box, l
 }
 
-// processor returns the processor time that this process has used.
-func processor(b *testing.B) time.Duration {
+// cpuTime returns the processor time that this process has used.
+func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var used syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &used); err != nil {
@@ -85,11 +85,11 @@
 		}
 	}
 	probe()
-	bytes, used := to.bytes.Load(), processor(b)
+	bytes, used := to.bytes.Load(), cpuTime(b)
 	for b.Loop() {
 		probe()
 	}
-	b.ReportMetric(float64(processor(b)-used)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64(cpuTime(b)-used)/float64(b.N), "cpu-ns/op")
 	b.ReportMetric(float64(to.bytes.Load()-bytes)/float64(b.N), "wire-B/op")
 }
 
@@ -97,7 +97,7 @@
 func BenchmarkIdleLinks(b *testing.B) {
 	const links, span = 200, 5 * time.Second
 	from, _ := benchBox(b)
-	boxes := make([]*counted, links)
+	boxes := make([]*countingListener, links)
 	for i := range boxes {
 		_, boxes[i] = benchBox(b)
 		if _, err := from.Call(context.Background(), boxes[i].Addr().String(), peering.Call{Method: "greet"}); err != nil {
@@ -105,7 +105,7 @@
 		}
 	}
 	for b.Loop() {
-		bytes, used := int64(0), processor(b)
+		bytes, used := int64(0), cpuTime(b)
 		for _, box := range boxes {
 			bytes -= box.bytes.Load()
 		}
@@ -114,7 +114,7 @@
 			bytes += box.bytes.Load()
 		}
 		perLink := links * span.Seconds()
-		b.ReportMetric(float64((processor(b)-used).Microseconds())/perLink, "cpu-µs/link/s")
+		b.ReportMetric(float64((cpuTime(b)-used).Microseconds())/perLink, "cpu-µs/link/s")
 		b.ReportMetric(float64(bytes)/perLink, "wire-B/link/s")
 	}
 }
--- a/modules/peering/call.go
+++ b/modules/peering/call.go
@@ -29,10 +29,10 @@
 	Address, Method string
 	// Sent says that the call may have arrived. Without it nothing was done.
 	Sent bool
-	// OfBox says that this tells of the box and not of an old connection that is dead: no
+	// BoxUnresponsive says that this tells of the box and not of an old connection that is dead: no
 	// connection could be opened, or nothing has ever come over the last one, though it
 	// had the usual time of an answer.
-	OfBox bool
+	BoxUnresponsive bool
 	// Err is why the last try has failed.
 	Err error
 }
@@ -45,9 +45,9 @@
 // Unwrap returns why the last try has failed.
 func (e *NoAnswerError) Unwrap() error { return e.Err }
 
-// maxTries bounds how often a call is made whose connections are lost: another is had
+// maxAttempts bounds how often a call is made whose connections are lost: another is had
 // in a few milliseconds, and a second loss in a row is rare.
-const maxTries = 4
+const maxAttempts = 4
 
 // Call calls the box at an address. repeated says that an earlier try of the call may
 // have been served besides, so that an answer that refuses it tells of the last try
@@ -56,32 +56,32 @@
 	began := l.settings.Now()
 	failed := &NoAnswerError{Address: address, Method: c.Method}
 	for tries := 1; ; tries++ {
-		o := l.opening(address)
+		o := l.linkTo(address)
 		sent, err := o.call(ctx, c)
 		if err == nil {
 			return failed.Sent, nil
 		}
-		if !unanswered(err) {
+		if !isNoAnswer(err) {
 			return failed.Sent, fmt.Errorf("entry box %s: %s: %w", address, c.Method, err)
 		}
 		failed.Sent = failed.Sent || sent
-		failed.OfBox, failed.Err = o.tells(l.settings.Now(), began, l.settings.Answer), err
-		if tries == maxTries || ctx.Err() != nil || !c.mayRepeat(failed) {
+		failed.BoxUnresponsive, failed.Err = o.indicatesBoxFailure(l.settings.Now(), began, l.settings.AnswerTimeout), err
+		if tries == maxAttempts || ctx.Err() != nil || !c.canRetry(failed) {
 			return failed.Sent, failed
 		}
 	}
 }
 
-// mayRepeat says whether a call that has failed may be made again: if it has not
+// canRetry says whether a call that has failed may be made again: if it has not
 // arrived, or does no harm twice, and the box was not found to be out of reach.
-func (c Call) mayRepeat(failed *NoAnswerError) bool {
-	unreached := failed.OfBox && errors.Is(failed.Err, errUnreached)
+func (c Call) canRetry(failed *NoAnswerError) bool {
+	unreached := failed.BoxUnresponsive && errors.Is(failed.Err, errNotConnected)
 	return !unreached && (c.Idempotent || !failed.Sent)
 }
 
-// unanswered says whether an error means that there was no answer.
-func unanswered(err error) bool {
-	for _, target := range []error{errUnreached, jsonrpc2.ErrClosed, context.DeadlineExceeded, context.Canceled} {
+// isNoAnswer says whether an error means that there was no answer.
+func isNoAnswer(err error) bool {
+	for _, target := range []error{errNotConnected, jsonrpc2.ErrClosed, context.DeadlineExceeded, context.Canceled} {
 		if errors.Is(err, target) {
 			return true
 		}
@@ -90,7 +90,7 @@
 }
 
 // call makes one call once the connection is open.
-func (o *opening) call(ctx context.Context, c Call) (sent bool, err error) {
+func (o *sharedLink) call(ctx context.Context, c Call) (sent bool, err error) {
 	if err := o.wait(ctx); err != nil {
 		return false, err
 	}
--- a/modules/peering/givenup.go
+++ b/modules/peering/givenup.go
@@ -16,31 +16,31 @@
 	ReasonWrite Reason = "write"
 )
 
-// GivenUp describes a link that was given up as silent.
-type GivenUp struct {
+// Discarded describes a link that was given up as silent.
+type Discarded struct {
 	// To is what was at its other end, and Address where.
 	To      string
 	Address string
 	Reason  Reason
-	// OpenFor is how long it had been open, HeardAgo how long nothing had come over it.
-	OpenFor  time.Duration
-	HeardAgo time.Duration
+	// OpenFor is how long it had been open, SilentFor how long nothing had come over it.
+	OpenFor   time.Duration
+	SilentFor time.Duration
 	// Calls is how many calls of this box were under way on it.
 	Calls int
 }
 
-// giveUp ends a silent link.
-func (k *link) giveUp(now time.Time, reason Reason) {
+// discard ends a silent link.
+func (k *link) discard(now time.Time, reason Reason) {
 	k.mu.Lock()
-	first, calls := !k.givenUp, k.calls
-	k.givenUp = true
+	first, calls := !k.discarded, k.calls
+	k.discarded = true
 	k.mu.Unlock()
-	if !first || k.ended() {
+	if !first || k.isClosed() {
 		return
 	}
-	k.links.settings.GivenUp(GivenUp{
-		To: To, Address: k.conn.Address(), Reason: reason,
-		OpenFor: now.Sub(k.conn.OpenedAt()), HeardAgo: now.Sub(k.conn.HeardAt()), Calls: calls,
+	k.links.settings.OnDiscard(Discarded{
+		To: PeerName, Address: k.conn.Address(), Reason: reason,
+		OpenFor: now.Sub(k.conn.OpenedAt()), SilentFor: now.Sub(k.conn.LastReceivedAt()), Calls: calls,
 	})
 	k.close()
 }
--- a/modules/peering/kept_test.go
+++ b/modules/peering/kept_test.go
@@ -26,70 +26,70 @@
 	slowMessage = 1 << 20
 )
 
-// kept checks that a call was served on the one connection there is.
-func (p *pair) kept() {
+// checkKept checks that a call was served on the one connection there is.
+func (p *pair) checkKept() {
 	p.t.Helper()
-	p.answered(10 * time.Second)
-	connections, _ := p.to.callsOn()
+	p.mustAnswer(10 * time.Second)
+	connections, _ := p.to.connectionsAndCalls()
 	assert.Check(p.t, connections == 1, "calls came on %d connections", connections)
-	assert.Check(p.t, len(p.from.givenUp()) == 0 && len(p.to.givenUp()) == 0, "%+v %+v", p.from.givenUp(), p.to.givenUp())
+	assert.Check(p.t, len(p.from.discardedLinks()) == 0 && len(p.to.discardedLinks()) == 0, "%+v %+v", p.from.discardedLinks(), p.to.discardedLinks())
 }
 
-func TestALinkThatWorksIsKept(t *testing.T) {
+func TestWorkingLinkIsKept(t *testing.T) {
 	t.Run("while a call on it takes long", func(t *testing.T) {
 		p := newPair(t)
 		done := make(chan error, 1)
 		go func() {
-			_, repeated, err := p.from.ask(p.address, peering.Call{Method: methodWait, Idempotent: true})
+			_, repeated, err := p.from.call(p.address, peering.Call{Method: methodWait, Idempotent: true})
 			assert.Check(t, !repeated)
 			done <- err
 		}()
 		began := time.Now()
-		until(t, "the call is under way for long", func() bool { return time.Since(began) > 2*settings().Probe })
+		waitUntil(t, "the call is under way for long", func() bool { return time.Since(began) > 2*settings().ProbeAfter })
 		assert.Equal(t, len(done), 0)
-		close(p.to.until)
+		close(p.to.release)
 		assert.NilError(t, <-done)
-		p.kept()
+		p.checkKept()
 	})
 	t.Run("though calls on it run out of their time", func(t *testing.T) {
 		p := newPair(t)
-		defer close(p.to.until)
+		defer close(p.to.release)
 		for range 3 {
-			ctx, cancel := context.WithTimeout(context.Background(), 2*settings().Answer)
+			ctx, cancel := context.WithTimeout(context.Background(), 2*settings().AnswerTimeout)
 			_, err := p.from.links.Call(ctx, p.address, peering.Call{Method: methodWait, Idempotent: true})
 			cancel()
 			e, ok := errors.AsType[*peering.NoAnswerError](err)
 			assert.Assert(t, ok, "%v", err)
-			assert.Check(t, e.Sent && !e.OfBox && errors.Is(err, context.DeadlineExceeded), "%+v", e)
+			assert.Check(t, e.Sent && !e.BoxUnresponsive && errors.Is(err, context.DeadlineExceeded), "%+v", e)
 		}
-		p.kept()
+		p.checkKept()
 	})
 	t.Run("while nobody calls", func(t *testing.T) {
 		p := newPair(t)
 		began := time.Now()
-		until(t, "nobody has called for long", func() bool { return time.Since(began) > 3*settings().Probe })
-		p.kept()
+		waitUntil(t, "nobody has called for long", func() bool { return time.Since(began) > 3*settings().ProbeAfter })
+		p.checkKept()
 	})
 }
 
 // A link that carries large messages slowly works, too.
-func TestALinkThatCarriesLargeMessagesSlowlyIsKept(t *testing.T) {
-	p := &pair{t: t, from: newBox(t), to: newBox(t), by: forward.New()}
-	t.Cleanup(p.by.Close)
-	p.by.SetRate(slowRate)
+func TestLinkWithLargeSlowMessagesIsKept(t *testing.T) {
+	p := &pair{t: t, from: newBox(t), to: newBox(t), proxy: forward.New()}
+	t.Cleanup(p.proxy.Close)
+	p.proxy.SetRate(slowRate)
 	var err error
-	p.address, err = p.by.Forward(p.to.address)
+	p.address, err = p.proxy.Forward(p.to.address)
 	assert.NilError(t, err)
-	_, repeated, err := p.from.ask(p.address, peering.Call{Method: "greet", Params: strings.Repeat("x", slowMessage)})
-	assert.Check(t, err == nil, "%v: %+v %+v", err, p.from.givenUp(), p.to.givenUp())
+	_, repeated, err := p.from.call(p.address, peering.Call{Method: "greet", Params: strings.Repeat("x", slowMessage)})
+	assert.Check(t, err == nil, "%v: %+v %+v", err, p.from.discardedLinks(), p.to.discardedLinks())
 	assert.Check(t, !repeated)
-	got, _, err := p.from.ask(p.address, peering.Call{Method: methodLarge})
-	assert.Check(t, err == nil, "%v: %+v %+v", err, p.from.givenUp(), p.to.givenUp())
+	got, _, err := p.from.call(p.address, peering.Call{Method: methodLarge})
+	assert.Check(t, err == nil, "%v: %+v %+v", err, p.from.discardedLinks(), p.to.discardedLinks())
 	assert.Equal(t, len(got), slowMessage)
-	p.kept()
+	p.checkKept()
 }
 
-func TestALinkToABoxThatKnowsNoProbesIsKept(t *testing.T) {
+func TestLinkToBoxWithoutProbeSupportIsKept(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer listener.Close()
@@ -110,10 +110,10 @@
 	}()
 	a := newBox(t)
 	began := time.Now()
-	time.AfterFunc(2*settings().Probe, func() { close(answer) })
-	got, repeated, err := a.ask(listener.Addr().String(), peering.Call{Method: methodWait})
+	time.AfterFunc(2*settings().ProbeAfter, func() { close(answer) })
+	got, repeated, err := a.call(listener.Addr().String(), peering.Call{Method: methodWait})
 	assert.NilError(t, err)
 	assert.Equal(t, got, methodWait)
-	assert.Check(t, !repeated && time.Since(began) >= 2*settings().Probe)
-	assert.Check(t, len(a.givenUp()) == 0, "%+v", a.givenUp())
+	assert.Check(t, !repeated && time.Since(began) >= 2*settings().ProbeAfter)
+	assert.Check(t, len(a.discardedLinks()) == 0, "%+v", a.discardedLinks())
 }
--- a/modules/peering/link.go
+++ b/modules/peering/link.go
@@ -28,19 +28,19 @@
 	reading atomic.Bool
 	// sending is held by the call that is being written, so that others can leave when
 	// their time is out.
-	sending chan struct{}
+	sendSlot chan struct{}
 
 	mu sync.Mutex
 	// rpc is the end that speaks JSON-RPC.
 	rpc *jsonrpc2.Conn
 	// serve has the calls of the peer handled.
-	serve jsonrpc2.Handler
+	handler jsonrpc2.Handler
 	// calls is how many calls of this box wait on it, and waitingSince since when there
 	// has been at least one.
 	calls        int
 	waitingSince time.Time
 	// urgent says that it is to be probed at once.
-	urgent bool
+	probeNow bool
 	// probing says that a probe is under way. probedAt is when all that was written until
 	// the probe should have arrived, or zero while the probe waits to be written.
 	probing  bool
@@ -48,17 +48,17 @@
 	// answeredAt is when the last probe was answered, or zero before calls wait.
 	answeredAt time.Time
 	// overdue says that it was found to be silent once.
-	overdue bool
-	givenUp bool
-	// clearAt is when the peer should have all that was written, if the link works.
-	clearAt time.Time
+	overdue   bool
+	discarded bool
+	// deliveredBy is when the peer should have all that was written, if the link works.
+	deliveredBy time.Time
 }
 
 // newLink serves the calls that come over a connection.
 func newLink(l *Links, conn *conntrack.Conn) *link {
-	k := &link{links: l, conn: conn, sending: make(chan struct{}, 1)}
+	k := &link{links: l, conn: conn, sendSlot: make(chan struct{}, 1)}
 	k.stream = newStream(k)
-	k.serve = jsonrpc2.HandlerWithError(l.handle).SuppressErrClosed()
+	k.handler = jsonrpc2.HandlerWithError(l.handle).SuppressErrClosed()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.rpc = jsonrpc2.NewConn(l.ctx, k.stream, jsonrpc2.AsyncHandler(k))
@@ -75,8 +75,8 @@
 // close ends the connection; calls under way on it fail.
 func (k *link) close() { _ = k.peer().Close() }
 
-// ended says whether the connection has ended.
-func (k *link) ended() bool {
+// isClosed says whether the connection has ended.
+func (k *link) isClosed() bool {
 	select {
 	case <-k.peer().DisconnectNotify():
 		return true
@@ -89,15 +89,15 @@
 // written whole is not served.
 func (k *link) call(ctx context.Context, c Call) (sent bool, err error) {
 	began, reused := k.links.settings.Now(), k.used.Swap(true)
-	k.begin(began, c.Urgent)
-	defer k.end()
+	k.beginCall(began, c.Urgent)
+	defer k.endCall()
 	defer func() {
 		if !errors.Is(err, context.DeadlineExceeded) {
 			return
 		}
 		u := k.conn.Unanswered(k.links.settings.Now(), began)
-		u.To, u.Call, u.Reused = To, c.Method, reused
-		k.links.settings.Unanswered(u)
+		u.To, u.Call, u.Reused = PeerName, c.Method, reused
+		k.links.settings.OnUnanswered(u)
 	}()
 	answer, err := k.send(ctx, c)
 	if err != nil {
@@ -106,14 +106,14 @@
 	return true, answer.Wait(ctx, c.Result)
 }
 
-// To is what the lines and counters of connections call the other end of a link.
-const To = "entry box"
+// PeerName is what the lines and counters of connections call the other end of a link.
+const PeerName = "entry box"
 
 // send writes a call.
 func (k *link) send(ctx context.Context, c Call) (jsonrpc2.Waiter, error) {
 	select {
-	case k.sending <- struct{}{}:
-		defer func() { <-k.sending }()
+	case k.sendSlot <- struct{}{}:
+		defer func() { <-k.sendSlot }()
 	case <-ctx.Done():
 		return jsonrpc2.Waiter{}, ctx.Err()
 	case <-k.peer().DisconnectNotify():
@@ -137,5 +137,5 @@
 	if req.Method == methodBusy {
 		return
 	}
-	k.serve.Handle(ctx, c, req)
+	k.handler.Handle(ctx, c, req)
 }
--- a/modules/peering/links.go
+++ b/modules/peering/links.go
@@ -28,44 +28,44 @@
 // Settings of the connections of one box.
 type Settings struct {
 	// Dial bounds the opening of a connection.
-	Dial time.Duration
+	DialTimeout time.Duration
 	// Probe is how long nothing may have come over a connection before it is probed.
-	Probe time.Duration
+	ProbeAfter time.Duration
 	// Answer is how long nothing may come after a probe before the connection is given
 	// up.
-	Answer time.Duration
+	AnswerTimeout time.Duration
 	// Now tells the time.
 	Now func() time.Time
 	// Unanswered is told of each call that ran out of its time without an answer.
-	Unanswered func(conntrack.Unanswered)
+	OnUnanswered func(conntrack.Unanswered)
 	// GivenUp is told of each connection that is given up as silent.
-	GivenUp func(GivenUp)
-	// NotAccepted is told why a connection of a peer could not be accepted.
-	NotAccepted func(error)
+	OnDiscard func(Discarded)
+	// OnAcceptError is told why a connection of a peer could not be accepted.
+	OnAcceptError func(error)
 	// Open, if set, is told of each connection that is opened (1) or closed (-1).
-	Open func(delta int)
+	OnOpen func(delta int)
 	// Bytes, if set, is told of the bytes that were read and written.
-	Bytes func(in, out int)
+	OnBytes func(in, out int)
 }
 
 // Links are the connections of one box. They may be used by several goroutines.
 type Links struct {
-	settings Settings
-	listener net.Listener
-	dialer   net.Dialer
-	handle   Handler
-	table    *conntrack.Table
-	alarm    *alarm
-	ctx      context.Context
-	cancel   context.CancelFunc
-	tasks    conc.WaitGroup
+	settings   Settings
+	listener   net.Listener
+	dialer     net.Dialer
+	handle     Handler
+	table      *conntrack.Table
+	checkTimer *checkTimer
+	ctx        context.Context
+	cancel     context.CancelFunc
+	wg         conc.WaitGroup
 
 	mu sync.Mutex
 	// links has all connections that are open.
 	links map[*link]struct{}
 	// newest has the newest connection, open or being opened, to each address that was
 	// called.
-	newest map[string]*opening
+	newest map[string]*sharedLink
 	closed bool
 }
 
@@ -73,22 +73,22 @@
 func New(ctx context.Context, listener net.Listener, s Settings, handle Handler) *Links {
 	ctx, cancel := context.WithCancel(ctx)
 	l := &Links{
-		settings: s, listener: listener, dialer: net.Dialer{Timeout: s.Dial}, handle: handle,
-		table: conntrack.NewTable(s.Now), alarm: newAlarm(s.Now()), ctx: ctx, cancel: cancel,
-		links: map[*link]struct{}{}, newest: map[string]*opening{},
+		settings: s, listener: listener, dialer: net.Dialer{Timeout: s.DialTimeout}, handle: handle,
+		table: conntrack.NewTable(s.Now), checkTimer: newCheckTimer(s.Now()), ctx: ctx, cancel: cancel,
+		links: map[*link]struct{}{}, newest: map[string]*sharedLink{},
 	}
-	if s.Open != nil {
-		l.table.OnChange(s.Open)
+	if s.OnOpen != nil {
+		l.table.OnChange(s.OnOpen)
 	}
-	if s.Bytes != nil {
-		l.table.OnBytes(s.Bytes)
+	if s.OnBytes != nil {
+		l.table.OnBytes(s.OnBytes)
 	}
-	l.tasks.Go(l.watch)
+	l.wg.Go(l.runChecks)
 	return l
 }
 
 // Serve accepts peers until Close.
-func (l *Links) Serve() { l.tasks.Go(l.accept) }
+func (l *Links) Serve() { l.wg.Go(l.accept) }
 
 // Close ends all connections and waits for what is under way on them.
 func (l *Links) Close() {
@@ -97,14 +97,14 @@
 	l.mu.Lock()
 	l.closed = true
 	l.mu.Unlock()
-	for _, k := range l.all() {
+	for _, k := range l.openLinks() {
 		k.close()
 	}
-	l.tasks.Wait()
+	l.wg.Wait()
 }
 
-// all returns the connections that are open.
-func (l *Links) all() []*link {
+// openLinks returns the connections that are open.
+func (l *Links) openLinks() []*link {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Collect(maps.Keys(l.links))
@@ -113,9 +113,9 @@
 // Len returns how many connections are open.
 func (l *Links) Len() int { return l.table.Len() }
 
-// acceptAgain is the pause after an accept that failed, mostly for want of a
+// acceptRetryDelay is the pause after an accept that failed, mostly for want of a
 // descriptor: others are closed within that time.
-const acceptAgain = 50 * time.Millisecond
+const acceptRetryDelay = 50 * time.Millisecond
 
 // accept takes connections of peers until the links are closed. One that cannot be taken
 // does not end it: the box would answer nobody any more.
@@ -124,19 +124,19 @@
 		raw, err := l.listener.Accept()
 		switch {
 		case err == nil:
-			l.connect(raw.RemoteAddr().String(), raw)
+			l.addLink(raw.RemoteAddr().String(), raw)
 		case errors.Is(err, net.ErrClosed):
 			return
 		default:
-			l.settings.NotAccepted(err)
-			clock.Wait(l.ctx, acceptAgain)
+			l.settings.OnAcceptError(err)
+			clock.Wait(l.ctx, acceptRetryDelay)
 		}
 	}
 }
 
-// connect makes a link of a connection.
-func (l *Links) connect(address string, raw net.Conn) *link {
-	boundBuffer(raw)
+// addLink makes a link of a connection.
+func (l *Links) addLink(address string, raw net.Conn) *link {
+	limitSendBuffer(raw)
 	l.mu.Lock()
 	k := newLink(l, l.table.Add(address, raw))
 	l.links[k] = struct{}{}
@@ -146,17 +146,17 @@
 		k.close()
 	}
 	now := l.settings.Now()
-	l.alarm.setBy(now, now.Add(l.settings.Probe))
+	l.checkTimer.scheduleBy(now, now.Add(l.settings.ProbeAfter))
 	return k
 }
 
-// forget takes a connection out that has ended.
-func (l *Links) forget(k *link) {
+// removeLink takes a connection out that has ended.
+func (l *Links) removeLink(k *link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.links, k)
 	address := k.conn.Address()
-	if o := l.newest[address]; o != nil && o.over() {
+	if o := l.newest[address]; o != nil && o.hasEnded() {
 		delete(l.newest, address)
 	}
 }
--- a/modules/peering/peering_test.go
+++ b/modules/peering/peering_test.go
@@ -23,7 +23,7 @@
 
 func settings() peering.Settings {
 	return peering.Settings{
-		Dial: time.Second, Probe: time.Second, Answer: 250 * time.Millisecond, Now: time.Now, Unanswered: func(conntrack.Unanswered) {}, GivenUp: func(peering.GivenUp) {}, NotAccepted: func(error) {},
+		DialTimeout: time.Second, ProbeAfter: time.Second, AnswerTimeout: 250 * time.Millisecond, Now: time.Now, OnUnanswered: func(conntrack.Unanswered) {}, OnDiscard: func(peering.Discarded) {}, OnAcceptError: func(error) {},
 	}
 }
 
@@ -33,14 +33,14 @@
 	links   *peering.Links
 	address string
 	// reset closes the connections on which a call comes the first time.
-	reset *forward.Proxy
+	resetProxy *forward.Proxy
 
 	// until is closed when calls that wait are to be answered.
-	until chan struct{}
+	release chan struct{}
 
 	mu sync.Mutex
 	// given has the links that were given up.
-	given []peering.GivenUp
+	discards []peering.Discarded
 	// conns has the connections on which calls came, in their order.
 	conns []*jsonrpc2.Conn
 }
@@ -62,9 +62,9 @@
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	b := &box{address: listener.Addr().String(), until: make(chan struct{})}
+	b := &box{address: listener.Addr().String(), release: make(chan struct{})}
 	s := settings()
-	s.GivenUp = b.gaveUp
+	s.OnDiscard = b.recordDiscard
 	b.links = peering.New(context.Background(), listener, s, b.handle)
 	b.links.Serve()
 	t.Cleanup(b.links.Close)
@@ -82,32 +82,32 @@
 		return nil, errors.New("it is refused")
 	case methodLose:
 		if calls == 1 {
-			b.reset.Reset()
+			b.resetProxy.Reset()
 		}
 	case methodWait:
-		<-b.until
+		<-b.release
 	case methodLarge:
 		return strings.Repeat("x", slowMessage), nil
 	}
 	return req.Method, nil
 }
 
-// gaveUp notes a link that was given up.
-func (b *box) gaveUp(g peering.GivenUp) {
+// recordDiscard notes a link that was given up.
+func (b *box) recordDiscard(g peering.Discarded) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.given = append(b.given, g)
+	b.discards = append(b.discards, g)
 }
 
-// givenUp returns the links that were given up.
-func (b *box) givenUp() []peering.GivenUp {
+// discardedLinks returns the links that were given up.
+func (b *box) discardedLinks() []peering.Discarded {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return slices.Clone(b.given)
+	return slices.Clone(b.discards)
 }
 
-// callsOn returns on how many connections calls came, and how many there were.
-func (b *box) callsOn() (connections, calls int) {
+// connectionsAndCalls returns on how many connections calls came, and how many there were.
+func (b *box) connectionsAndCalls() (connections, calls int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	different := map[*jsonrpc2.Conn]bool{}
@@ -117,13 +117,13 @@
 	return len(different), len(b.conns)
 }
 
-// ask makes a call and returns its answer.
-func (b *box) ask(address string, c peering.Call) (answer string, repeated bool, err error) {
-	return b.within(address, time.Minute, c)
+// call makes a call and returns its answer.
+func (b *box) call(address string, c peering.Call) (answer string, repeated bool, err error) {
+	return b.callWithin(address, time.Minute, c)
 }
 
-// within makes a call that is to be answered in some time.
-func (b *box) within(address string, span time.Duration, c peering.Call) (answer string, repeated bool, err error) {
+// callWithin makes a call that is to be answered in some time.
+func (b *box) callWithin(address string, span time.Duration, c peering.Call) (answer string, repeated bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), span)
 	defer cancel()
 	c.Result = &answer
@@ -131,103 +131,103 @@
 	return answer, repeated, err
 }
 
-func TestACallReachesThePeer(t *testing.T) {
+func TestCallReachesPeer(t *testing.T) {
 	a, b := newBox(t), newBox(t)
-	got, repeated, err := a.ask(b.address, peering.Call{Method: "greet"})
+	got, repeated, err := a.call(b.address, peering.Call{Method: "greet"})
 	assert.NilError(t, err)
 	assert.Equal(t, got, "greet")
 	assert.Check(t, !repeated)
 	assert.Equal(t, a.links.Len(), 1)
 }
 
-func TestAConnectionIsKeptUntilItEnds(t *testing.T) {
+func TestConnectionIsReusedUntilItCloses(t *testing.T) {
 	a, b := newBox(t), newBox(t)
 	by := forward.New()
 	defer by.Close()
 	address, err := by.Forward(b.address)
 	assert.NilError(t, err)
 	for _, want := range []int{1, 1, 2} {
-		got, _, err := a.ask(address, peering.Call{Method: "greet"})
+		got, _, err := a.call(address, peering.Call{Method: "greet"})
 		assert.NilError(t, err)
 		assert.Equal(t, got, "greet")
-		connections, calls := b.callsOn()
+		connections, calls := b.connectionsAndCalls()
 		assert.Equal(t, connections, want)
 		if calls == 2 {
 			by.Reset()
-			until(t, "the connection has ended", func() bool { return a.links.Len() == 0 })
+			waitUntil(t, "the connection has ended", func() bool { return a.links.Len() == 0 })
 		}
 	}
 }
 
-func TestCallersWhoComeTogetherShareAConnection(t *testing.T) {
+func TestConcurrentCallersShareConnection(t *testing.T) {
 	a, b := newBox(t), newBox(t)
 	var callers sync.WaitGroup
 	for range 50 {
 		callers.Go(func() {
-			_, _, err := a.ask(b.address, peering.Call{Method: "greet"})
+			_, _, err := a.call(b.address, peering.Call{Method: "greet"})
 			assert.Check(t, err == nil, "%v", err)
 		})
 	}
 	callers.Wait()
-	connections, calls := b.callsOn()
+	connections, calls := b.connectionsAndCalls()
 	assert.Equal(t, connections, 1)
 	assert.Equal(t, calls, 50)
 }
 
-func TestNobodyReachedIsAnError(t *testing.T) {
+func TestUnreachablePeerIsAnError(t *testing.T) {
 	a := newBox(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
-	_, _, err = a.ask(address, peering.Call{Method: "greet"})
+	_, _, err = a.call(address, peering.Call{Method: "greet"})
 	e, ok := errors.AsType[*peering.NoAnswerError](err)
 	assert.Assert(t, ok, "%v", err)
-	assert.Check(t, !e.Sent && e.OfBox, "%+v", e)
+	assert.Check(t, !e.Sent && e.BoxUnresponsive, "%+v", e)
 }
 
-func TestABoxThatDoesNotAnswerIsToldFromASilentLink(t *testing.T) {
-	within := settings().Answer + 50*time.Millisecond
+func TestUnresponsiveBoxIsDistinguishedFromSilentLink(t *testing.T) {
+	within := settings().AnswerTimeout + 50*time.Millisecond
 	call := peering.Call{Method: "greet", Idempotent: true}
 	t.Run("a box that takes connections and never answers", func(t *testing.T) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
 		defer listener.Close()
 		a := newBox(t)
-		_, _, err = a.within(listener.Addr().String(), within, call)
+		_, _, err = a.callWithin(listener.Addr().String(), within, call)
 		e, ok := errors.AsType[*peering.NoAnswerError](err)
 		assert.Assert(t, ok, "%v", err)
-		assert.Check(t, e.Sent && e.OfBox, "%+v", e)
+		assert.Check(t, e.Sent && e.BoxUnresponsive, "%+v", e)
 	})
 	t.Run("a link that went silent", func(t *testing.T) {
 		p := newPair(t)
 		p.silence()
-		_, _, err := p.from.within(p.address, within, call)
+		_, _, err := p.from.callWithin(p.address, within, call)
 		e, ok := errors.AsType[*peering.NoAnswerError](err)
 		assert.Assert(t, ok, "%v", err)
-		assert.Check(t, e.Sent && !e.OfBox, "%+v", e)
+		assert.Check(t, e.Sent && !e.BoxUnresponsive, "%+v", e)
 	})
 }
 
-func TestWhatABoxHasRefusedIsNotACallWithoutAnAnswer(t *testing.T) {
+func TestErrorResponseIsNotNoAnswer(t *testing.T) {
 	a, b := newBox(t), newBox(t)
-	_, _, err := a.ask(b.address, peering.Call{Method: methodRefuse, Idempotent: true})
+	_, _, err := a.call(b.address, peering.Call{Method: methodRefuse, Idempotent: true})
 	assert.ErrorContains(t, err, "it is refused")
 	_, ok := errors.AsType[*peering.NoAnswerError](err)
 	assert.Check(t, !ok, "%v", err)
-	_, calls := b.callsOn()
+	_, calls := b.connectionsAndCalls()
 	assert.Equal(t, calls, 1)
 }
 
-func TestACallWhoseConnectionIsLostIsMadeAgainOnlyIfItMayBe(t *testing.T) {
+func TestOnlyIdempotentCallIsRetriedAfterConnectionLoss(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
 		a, b := newBox(t), newBox(t)
-		b.reset = forward.New()
-		defer b.reset.Close()
-		address, err := b.reset.Forward(b.address)
+		b.resetProxy = forward.New()
+		defer b.resetProxy.Close()
+		address, err := b.resetProxy.Forward(b.address)
 		assert.NilError(t, err)
-		got, repeated, err := a.ask(address, peering.Call{Method: methodLose, Idempotent: idempotent})
-		_, calls := b.callsOn()
+		got, repeated, err := a.call(address, peering.Call{Method: methodLose, Idempotent: idempotent})
+		_, calls := b.connectionsAndCalls()
 		if idempotent {
 			assert.NilError(t, err)
 			assert.Equal(t, got, methodLose)
@@ -242,10 +242,10 @@
 	}
 }
 
-func TestClosedLinksReachNobody(t *testing.T) {
+func TestClosedLinksRefuseCalls(t *testing.T) {
 	a, b := newBox(t), newBox(t)
 	a.links.Close()
-	_, _, err := a.ask(b.address, peering.Call{Method: "greet", Idempotent: true})
+	_, _, err := a.call(b.address, peering.Call{Method: "greet", Idempotent: true})
 	e, ok := errors.AsType[*peering.NoAnswerError](err)
 	assert.Assert(t, ok, "%v", err)
 	assert.Check(t, !e.Sent, "%+v", e)
--- a/modules/peering/silent_test.go
+++ b/modules/peering/silent_test.go
@@ -30,7 +30,7 @@
 // What settled it: in the lines of calls without an answer all were on connections over
 // which nothing had come since the silence; here, the connections are still open at both
 // ends, and a second connection answers at once.
-func TestASilentLink(t *testing.T) {
+func TestSilentLink(t *testing.T) {
 	for name, directions := range map[string][]forward.Direction{
 		"silent in both directions": {forward.Requests, forward.Answers},
 		"without requests":          {forward.Requests},
@@ -40,13 +40,13 @@
 			t.Run("is given up at both ends if nobody calls", func(t *testing.T) {
 				p := newPair(t)
 				p.silence(directions...)
-				until(t, "no connection is open at either end", p.givenUp)
+				waitUntil(t, "no connection is open at either end", p.allClosed)
 			})
 			t.Run("costs a call only a small part of its time", func(t *testing.T) {
 				p := newPair(t)
 				p.silence(directions...)
 				began := time.Now()
-				p.answered(10 * time.Second)
+				p.mustAnswer(10 * time.Second)
 				assert.Check(t, time.Since(began) < 3*time.Second, "answered after %v", time.Since(began))
 			})
 		})
@@ -56,9 +56,9 @@
 		p.silence()
 		// Longer than calls usually leave a link in peace.
 		began := time.Now()
-		until(t, "the link is at rest", func() bool { return time.Since(began) > settings().Probe/2 })
+		waitUntil(t, "the link is at rest", func() bool { return time.Since(began) > settings().ProbeAfter/2 })
 		s := settings()
-		got, repeated, err := p.from.within(p.address, s.Answer+100*time.Millisecond, peering.Call{Method: "greet", Idempotent: true, Urgent: true})
+		got, repeated, err := p.from.callWithin(p.address, s.AnswerTimeout+100*time.Millisecond, peering.Call{Method: "greet", Idempotent: true, Urgent: true})
 		assert.NilError(t, err)
 		assert.Equal(t, got, "greet")
 		assert.Check(t, repeated)
@@ -68,12 +68,12 @@
 		p.silence(forward.Requests)
 		var calls sync.WaitGroup
 		defer calls.Wait()
-		defer p.by.Close()
-		calls.Go(func() { _, _ = p.calls(20*time.Second, strings.Repeat("x", largeMessage)) })
+		defer p.proxy.Close()
+		calls.Go(func() { _, _ = p.call(20*time.Second, strings.Repeat("x", largeMessage)) })
 		var done atomic.Int32
 		for range 5 {
 			calls.Go(func() {
-				if _, err := p.calls(20*time.Second, struct{}{}); err == nil {
+				if _, err := p.call(20*time.Second, struct{}{}); err == nil {
 					done.Add(1)
 				}
 			})
@@ -96,46 +96,46 @@
 	t        *testing.T
 	from, to *box
 	address  string
-	by       *forward.Proxy
+	proxy    *forward.Proxy
 }
 
 // newPair returns two boxes with an open connection.
 func newPair(t *testing.T) *pair {
 	t.Helper()
-	p := &pair{t: t, from: newBox(t), to: newBox(t), by: forward.New()}
-	t.Cleanup(p.by.Close)
+	p := &pair{t: t, from: newBox(t), to: newBox(t), proxy: forward.New()}
+	t.Cleanup(p.proxy.Close)
 	var err error
-	p.address, err = p.by.Forward(p.to.address)
+	p.address, err = p.proxy.Forward(p.to.address)
 	assert.NilError(t, err)
-	p.answered(10 * time.Second)
+	p.mustAnswer(10 * time.Second)
 	return p
 }
 
 // silence silences the open connection.
 func (p *pair) silence(directions ...forward.Direction) {
 	p.t.Helper()
-	assert.Equal(p.t, p.by.Stall(directions...), 1)
+	assert.Equal(p.t, p.proxy.Stall(directions...), 1)
 }
 
-// calls makes a call that may be made again, and returns its answer.
-func (p *pair) calls(within time.Duration, params any) (string, error) {
-	got, _, err := p.from.within(p.address, within, peering.Call{Method: "greet", Params: params, Idempotent: true})
+// call makes a call that may be made again, and returns its answer.
+func (p *pair) call(within time.Duration, params any) (string, error) {
+	got, _, err := p.from.callWithin(p.address, within, peering.Call{Method: "greet", Params: params, Idempotent: true})
 	return got, err
 }
 
-// answered makes a call that must be answered.
-func (p *pair) answered(within time.Duration) {
+// mustAnswer makes a call that must be answered.
+func (p *pair) mustAnswer(within time.Duration) {
 	p.t.Helper()
-	got, err := p.calls(within, struct{}{})
+	got, err := p.call(within, struct{}{})
 	assert.NilError(p.t, err)
 	assert.Equal(p.t, got, "greet")
 }
 
-// givenUp says whether no connection is open at either end.
-func (p *pair) givenUp() bool { return p.from.links.Len() == 0 && p.to.links.Len() == 0 }
+// allClosed says whether no connection is open at either end.
+func (p *pair) allClosed() bool { return p.from.links.Len() == 0 && p.to.links.Len() == 0 }
 
-// until waits until a condition holds.
-func until(t *testing.T, what string, holds func() bool) {
+// waitUntil waits until a condition holds.
+func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if holds() {
--- a/modules/peering/stream.go
+++ b/modules/peering/stream.go
@@ -20,31 +20,31 @@
 )
 
 const (
-	// leastRate is how fast a link that works carries bytes at least, in bytes a second:
+	// minLinkRate is how fast a link that works carries bytes at least, in bytes a second:
 	// thin links have 10 Mbit/s.
-	leastRate = 10_000_000 / 8
-	// decodeRate is how fast a busy box decodes a message at least, in bytes a second: a
+	minLinkRate = 10_000_000 / 8
+	// minDecodeRate is how fast a busy box decodes a message at least, in bytes a second: a
 	// fifteenth of a core decodes 2 MB. Until it has, it reads nothing more from the link.
-	decodeRate = 2_000_000
+	minDecodeRate = 2_000_000
 	// sendBuffer is how many bytes the system is asked to take for a link before they are
 	// sent. It holds up to twice as many; without the bound, silence would show only after
 	// megabytes.
 	sendBuffer = 128 << 10
-	// bufferedFor is how long a link of the least rate takes for what the system holds.
-	bufferedFor = 2 * sendBuffer * time.Second / leastRate
+	// maxBufferedTime is how long a link of the least rate takes for what the system holds.
+	maxBufferedTime = 2 * sendBuffer * time.Second / minLinkRate
 	// largeMessage is from which size on a message may take long to decode, in bytes.
 	largeMessage = 64 << 10
-	// busyShare is how many times the peer is told within the bound on answers that a
+	// busyPerAnswerTimeout is how many times the peer is told within the bound on answers that a
 	// message is being decoded.
-	busyShare = 4
-	// writePart is how many bytes are written at a time, so that the bound on writes is
+	busyPerAnswerTimeout = 4
+	// writeChunk is how many bytes are written at a time, so that the bound on writes is
 	// one on their progress, however long a message is.
-	writePart = 64 << 10
+	writeChunk = 64 << 10
 )
 
-// boundBuffer has the system hold no more than sendBuffer for a connection. Where that
+// limitSendBuffer has the system hold no more than sendBuffer for a connection. Where that
 // cannot be set, only the time is longer until a silent link is given up.
-func boundBuffer(raw net.Conn) {
+func limitSendBuffer(raw net.Conn) {
 	if c, ok := raw.(*net.TCPConn); ok {
 		_ = c.SetWriteBuffer(sendBuffer)
 	}
@@ -56,7 +56,7 @@
 	reader *bufio.Reader
 	// writing is held while a message is written, but not while it is encoded: a probe is
 	// answered meanwhile.
-	writing sync.Mutex
+	writeMu sync.Mutex
 }
 
 // newStream returns the stream of a link.
@@ -74,18 +74,18 @@
 		return err
 	}
 	if len(data) >= largeMessage {
-		defer s.sayBusy()()
+		defer s.reportBusy()()
 	}
 	return json.Unmarshal(data, v)
 }
 
-// sayBusy tells the peer that this end is at work, until end is called. Under a load of
+// reportBusy tells the peer that this end is at work, until end is called. Under a load of
 // 22 on 8 processors a message of 1 MB took 1.5 s to decode, and the peer, which allows
 // it 0.5 s and the bound on answers, gave the link up each time.
-func (s *stream) sayBusy() (end func()) {
+func (s *stream) reportBusy() (end func()) {
 	done := make(chan struct{})
-	s.link.links.tasks.Go(func() {
-		ticker := time.NewTicker(s.link.links.settings.Answer / busyShare)
+	s.link.links.wg.Go(func() {
+		ticker := time.NewTicker(s.link.links.settings.AnswerTimeout / busyPerAnswerTimeout)
 		defer ticker.Stop()
 		for {
 			select {
@@ -113,24 +113,24 @@
 // Write writes a whole message in parts that must each be taken in time. A failure ends
 // the link: the peer could make nothing of what comes after half a message.
 func (s *stream) Write(b []byte) (n int, err error) {
-	s.writing.Lock()
-	defer s.writing.Unlock()
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	for n < len(b) {
-		part := b[n:min(n+writePart, len(b))]
+		part := b[n:min(n+writeChunk, len(b))]
 		written, err := s.link.write(part)
 		n += written
 		if err != nil {
-			s.link.writeFailed(err)
+			s.link.handleWriteError(err)
 			return n, err
 		}
 	}
-	s.link.written(n)
+	s.link.recordWrite(n)
 	return n, nil
 }
 
 // Close closes the connection.
 func (s *stream) Close() error {
-	s.link.links.forget(s.link)
+	s.link.links.removeLink(s.link)
 	return s.link.conn.Close()
 }
 
@@ -139,7 +139,7 @@
 func (k *link) write(part []byte) (int, error) {
 	now := k.links.settings.Now()
 	k.mu.Lock()
-	by := ordered.Later(now, k.clearAt).Add(bufferedFor + k.links.settings.Answer)
+	by := ordered.Later(now, k.deliveredBy).Add(maxBufferedTime + k.links.settings.AnswerTimeout)
 	k.mu.Unlock()
 	// The deadline is one of Go's clock, which the links' own may be ahead of.
 	if err := k.conn.SetWriteDeadline(clock.Deadline(by.Sub(now))); err != nil {
@@ -155,24 +155,24 @@
 	return n, nil
 }
 
-// written notes when the peer should have a message of some bytes that was written.
-func (k *link) written(n int) {
+// recordWrite notes when the peer should have a message of some bytes that was written.
+func (k *link) recordWrite(n int) {
 	now := k.links.settings.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	carried := ordered.Later(k.clearAt, now).Add(time.Duration(n) * time.Second / leastRate)
-	if most := now.Add(bufferedFor); carried.After(most) {
+	carried := ordered.Later(k.deliveredBy, now).Add(time.Duration(n) * time.Second / minLinkRate)
+	if most := now.Add(maxBufferedTime); carried.After(most) {
 		// The system has no more of it.
 		carried = most
 	}
-	decoded := now.Add(time.Duration(n) * time.Second / decodeRate)
-	k.clearAt = ordered.Later(k.clearAt, ordered.Later(carried, decoded))
+	decoded := now.Add(time.Duration(n) * time.Second / minDecodeRate)
+	k.deliveredBy = ordered.Later(k.deliveredBy, ordered.Later(carried, decoded))
 }
 
-// writeFailed ends a link on which a write has failed.
-func (k *link) writeFailed(err error) {
+// handleWriteError ends a link on which a write has failed.
+func (k *link) handleWriteError(err error) {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		k.giveUp(k.links.settings.Now(), ReasonWrite)
+		k.discard(k.links.settings.Now(), ReasonWrite)
 		return
 	}
 	k.close()
--- a/modules/setting/box.go
+++ b/modules/setting/box.go
@@ -10,9 +10,9 @@
 	// Processors is how much of a processor the daemon may use, and Link the rate
 	// of the box's network in Mbit/s. The cell is held by a large box.
 	Processors float64 `yaml:"processors"`
-	Link       float64 `yaml:"link_mbps"`
+	LinkMbps   float64 `yaml:"link_mbps"`
 	// Memory is how much the daemon may use, in MiB; 0 means as much as there is.
-	Memory int64 `yaml:"memory_mb"`
+	MemoryMiB int64 `yaml:"memory_mb"`
 }
 
 // heapShare is the part of its memory that a daemon's heap may take before the
@@ -20,29 +20,29 @@
 const heapShare = 0.7
 
 // HeapLimit returns how large the heap should stay, in bytes, or 0 for any size.
-func (b *Box) HeapLimit() int64 { return int64(float64(b.Memory<<20) * heapShare) }
+func (b *Box) HeapLimit() int64 { return int64(float64(b.MemoryMiB<<20) * heapShare) }
 
-// holderLink is the rate, in Mbit/s, below which a box counts as a quarter of its
+// minHolderLinkMbps is the rate, in Mbit/s, below which a box counts as a quarter of its
 // processors: the reports of 350 workers come to about 20 Mbit/s in bursts.
-const holderLink = 50
+const minHolderLinkMbps = 50
 
 // Size is how much the box can do, in thousandths of a processor.
 func (b *Box) Size() int64 {
 	size := int64(b.Processors * 1000)
-	if b.Link < holderLink {
+	if b.LinkMbps < minHolderLinkMbps {
 		size /= 4
 	}
 	return size
 }
 
-func defaultBox() Box { return Box{Processors: 1, Link: 1000} }
+func defaultBox() Box { return Box{Processors: 1, LinkMbps: 1000} }
 
 func (b *Box) check(c *checker) {
 	c.name("box.name", b.Name)
 	c.name("box.domain", b.Domain)
-	between(c, "box.processors", b.Processors, 0.001, 1024)
-	between(c, "box.link_mbps", b.Link, 0.001, 1e6)
-	between(c, "box.memory_mb", b.Memory, 0, 1<<30)
+	checkRange(c, "box.processors", b.Processors, 0.001, 1024)
+	checkRange(c, "box.link_mbps", b.LinkMbps, 0.001, 1e6)
+	checkRange(c, "box.memory_mb", b.MemoryMiB, 0, 1<<30)
 }
 
 // Listen says where the daemon listens.
@@ -58,8 +58,8 @@
 	Advertise string `yaml:"advertise"`
 }
 
-// Reached returns the address under which other entry boxes reach this one.
-func (l *Listen) Reached() string {
+// PeerAddress returns the address under which other entry boxes reach this one.
+func (l *Listen) PeerAddress() string {
 	if l.Advertise != "" {
 		return l.Advertise
 	}
--- a/modules/setting/check.go
+++ b/modules/setting/check.go
@@ -51,15 +51,15 @@
 	}
 }
 
-// between checks a value against bounds that belong to the range.
-func between[T cmp.Ordered](c *checker, key string, got, least, most T) {
+// checkRange checks a value against bounds that belong to the range.
+func checkRange[T cmp.Ordered](c *checker, key string, got, least, most T) {
 	if got < least || got > most {
 		c.fail(key, "want %v to %v, got %v", least, most, got)
 	}
 }
 
-// below checks that one setting is smaller than another.
-func below[T cmp.Ordered](c *checker, key string, got T, otherKey string, other T) {
+// checkBelow checks that one setting is smaller than another.
+func checkBelow[T cmp.Ordered](c *checker, key string, got T, otherKey string, other T) {
 	if got >= other {
 		c.fail(key, "%v is not below %s, which is %v", got, otherKey, other)
 	}
--- a/modules/setting/connections.go
+++ b/modules/setting/connections.go
@@ -10,30 +10,30 @@
 type Connections struct {
 	// Probe is how long nothing may have come over a link to another entry box before
 	// it is probed.
-	Probe time.Duration `yaml:"probe"`
+	ProbeAfter time.Duration `yaml:"probe"`
 	// Answer is how long the answer to a probe may take, and how long the answer to a
 	// call that can be made again may be overdue before it is made again on a new
 	// connection.
-	Answer time.Duration `yaml:"answer"`
+	AnswerTimeout time.Duration `yaml:"answer"`
 	// Unused is how long a connection to the platform or a worker is kept that carries
 	// no call. It bounds what silent ones hold that nobody calls on. To 350 workers 4,050
 	// connections were opened in a minute with 10 s, 2,800 with 75 s, 7,700 with 3 s and
 	// 13,500 with 1 s, with no difference to callers (means of 2 plays).
-	Unused time.Duration `yaml:"unused"`
+	IdleTimeout time.Duration `yaml:"unused"`
 	// Callers is how long a caller's connection may give no sign of life before it is
 	// closed.
-	Callers time.Duration `yaml:"callers"`
+	CallerTimeout time.Duration `yaml:"callers"`
 }
 
 func defaultConnections() Connections {
 	return Connections{
-		Probe: time.Second, Answer: 250 * time.Millisecond, Unused: 10 * time.Second, Callers: 5 * time.Second,
+		ProbeAfter: time.Second, AnswerTimeout: 250 * time.Millisecond, IdleTimeout: 10 * time.Second, CallerTimeout: 5 * time.Second,
 	}
 }
 
 func (s *Connections) check(c *checker) {
-	between(c, "connections.probe", s.Probe, 10*time.Millisecond, time.Minute)
-	between(c, "connections.answer", s.Answer, 10*time.Millisecond, time.Minute)
-	between(c, "connections.unused", s.Unused, 10*time.Millisecond, 10*time.Minute)
-	between(c, "connections.callers", s.Callers, 3*time.Second, 10*time.Minute)
+	checkRange(c, "connections.probe", s.ProbeAfter, 10*time.Millisecond, time.Minute)
+	checkRange(c, "connections.answer", s.AnswerTimeout, 10*time.Millisecond, time.Minute)
+	checkRange(c, "connections.unused", s.IdleTimeout, 10*time.Millisecond, 10*time.Minute)
+	checkRange(c, "connections.callers", s.CallerTimeout, 3*time.Second, 10*time.Minute)
 }
--- a/modules/setting/lease_test.go
+++ b/modules/setting/lease_test.go
@@ -12,9 +12,9 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTheShorterLeaseHolds(t *testing.T) {
-	j := setting.Jobs{Lease: 6 * time.Second, LeaseMost: 10 * time.Second}
+func TestWorkerLeaseIsLimitedByMaxLease(t *testing.T) {
+	j := setting.Jobs{Lease: 6 * time.Second, MaxLease: 10 * time.Second}
 	assert.Equal(t, j.WorkerLease(), 6*time.Second)
-	j.LeaseMost = 4 * time.Second
+	j.MaxLease = 4 * time.Second
 	assert.Equal(t, j.WorkerLease(), 4*time.Second)
 }
--- a/modules/setting/peers.go
+++ b/modules/setting/peers.go
@@ -22,9 +22,9 @@
 }
 
 func (p *Peers) check(c *checker) {
-	between(c, "peers.heartbeat", p.Heartbeat, 10*time.Millisecond, time.Minute)
-	between(c, "peers.dead_after", p.DeadAfter, 20*time.Millisecond, 10*time.Minute)
-	below(c, "peers.heartbeat", 2*p.Heartbeat, "peers.dead_after", p.DeadAfter)
+	checkRange(c, "peers.heartbeat", p.Heartbeat, 10*time.Millisecond, time.Minute)
+	checkRange(c, "peers.dead_after", p.DeadAfter, 20*time.Millisecond, 10*time.Minute)
+	checkBelow(c, "peers.heartbeat", 2*p.Heartbeat, "peers.dead_after", p.DeadAfter)
 	for i, seed := range p.Seeds {
 		c.address("peers.seeds["+strconv.Itoa(i)+"]", seed)
 	}
--- a/modules/setting/policy.go
+++ b/modules/setting/policy.go
@@ -25,9 +25,9 @@
 func defaultPolicy() Policy { return Policy{Tight: 1, Balance: 4, Spread: 10, Routing: RoutingShared} }
 
 func (p *Policy) check(c *checker) {
-	between(c, "policy.tight", p.Tight, 0, 1000)
-	between(c, "policy.balance", p.Balance, 0, 1000)
-	between(c, "policy.spread", p.Spread, 0, 1000)
+	checkRange(c, "policy.tight", p.Tight, 0, 1000)
+	checkRange(c, "policy.balance", p.Balance, 0, 1000)
+	checkRange(c, "policy.spread", p.Spread, 0, 1000)
 	if p.Routing != RoutingShared && p.Routing != RoutingPlain {
 		c.fail("policy.routing", "want %s or %s, got %q", RoutingShared, RoutingPlain, p.Routing)
 	}
--- a/modules/setting/queue.go
+++ b/modules/setting/queue.go
@@ -8,11 +8,11 @@
 // Queue says how waiting tasks are treated.
 type Queue struct {
 	// Backoff is the wait before a failed task is tried again; it doubles up to
-	// BackoffMost.
-	Backoff     time.Duration `yaml:"backoff"`
-	BackoffMost time.Duration `yaml:"backoff_most"`
-	// GangPatience is how long a gang waits before smaller work stops overtaking.
-	GangPatience time.Duration `yaml:"gang_patience"`
+	// MaxBackoff.
+	Backoff    time.Duration `yaml:"backoff"`
+	MaxBackoff time.Duration `yaml:"backoff_most"`
+	// GangOvertakeTimeout is how long a gang waits before smaller work stops overtaking.
+	GangOvertakeTimeout time.Duration `yaml:"gang_patience"`
 	// PlacementsPerTick and StopsPerTick bound the work of one decision.
 	PlacementsPerTick int `yaml:"placements_per_tick"`
 	StopsPerTick      int `yaml:"stops_per_tick"`
@@ -20,15 +20,15 @@
 
 func defaultQueue() Queue {
 	return Queue{
-		Backoff: 500 * time.Millisecond, BackoffMost: 5 * time.Minute, GangPatience: 30 * time.Second,
+		Backoff: 500 * time.Millisecond, MaxBackoff: 5 * time.Minute, GangOvertakeTimeout: 30 * time.Second,
 		PlacementsPerTick: 1000, StopsPerTick: 100,
 	}
 }
 
 func (q *Queue) check(c *checker) {
-	between(c, "queue.backoff", q.Backoff, time.Millisecond, time.Hour)
-	between(c, "queue.backoff_most", q.BackoffMost, q.Backoff, 24*time.Hour)
-	between(c, "queue.gang_patience", q.GangPatience, 0, 24*time.Hour)
-	between(c, "queue.placements_per_tick", q.PlacementsPerTick, 1, 1_000_000)
-	between(c, "queue.stops_per_tick", q.StopsPerTick, 1, 1_000_000)
+	checkRange(c, "queue.backoff", q.Backoff, time.Millisecond, time.Hour)
+	checkRange(c, "queue.backoff_most", q.MaxBackoff, q.Backoff, 24*time.Hour)
+	checkRange(c, "queue.gang_patience", q.GangOvertakeTimeout, 0, 24*time.Hour)
+	checkRange(c, "queue.placements_per_tick", q.PlacementsPerTick, 1, 1_000_000)
+	checkRange(c, "queue.stops_per_tick", q.StopsPerTick, 1, 1_000_000)
 }
--- a/modules/setting/requests.go
+++ b/modules/setting/requests.go
@@ -22,33 +22,33 @@
 	RetryRatio float64 `yaml:"retry_ratio"`
 	RetryBurst float64 `yaml:"retry_burst"`
 	// EjectAfter failures in a row take a target out for EjectFor, doubling up to
-	// EjectMost.
-	EjectAfter int           `yaml:"eject_after"`
-	EjectFor   time.Duration `yaml:"eject_for"`
-	EjectMost  time.Duration `yaml:"eject_most"`
-	// LeastAttempt is the least time one attempt is given.
-	LeastAttempt time.Duration `yaml:"least_attempt"`
+	// MaxEjectFor.
+	EjectAfter  int           `yaml:"eject_after"`
+	EjectFor    time.Duration `yaml:"eject_for"`
+	MaxEjectFor time.Duration `yaml:"eject_most"`
+	// MinAttemptTimeout is the least time one attempt is given.
+	MinAttemptTimeout time.Duration `yaml:"least_attempt"`
 }
 
 func defaultRequests() Requests {
 	return Requests{
 		MaxBody: 1 << 20, MaxAnswer: 4 << 20, MaxPending: 4096, MaxKept: 32 << 20,
 		KeyTTL: 10 * time.Minute, MaxKeys: 100_000, RetryRatio: 0.1, RetryBurst: 20,
-		EjectAfter: 3, EjectFor: time.Second, EjectMost: 30 * time.Second, LeastAttempt: 250 * time.Millisecond,
+		EjectAfter: 3, EjectFor: time.Second, MaxEjectFor: 30 * time.Second, MinAttemptTimeout: 250 * time.Millisecond,
 	}
 }
 
 func (r *Requests) check(c *checker) {
-	between(c, "requests.max_body_bytes", r.MaxBody, 1, 64<<20)
-	between(c, "requests.max_answer_bytes", r.MaxAnswer, 1, 64<<20)
-	between(c, "requests.max_pending", r.MaxPending, 1, 1_000_000)
-	between(c, "requests.max_kept_bytes", r.MaxKept, 0, 1<<30)
-	between(c, "requests.key_ttl", r.KeyTTL, time.Second, 24*time.Hour)
-	between(c, "requests.max_keys", r.MaxKeys, 1, 10_000_000)
-	between(c, "requests.retry_ratio", r.RetryRatio, 0, 1)
-	between(c, "requests.retry_burst", r.RetryBurst, 0, 10_000)
-	between(c, "requests.eject_after", r.EjectAfter, 1, 1000)
-	between(c, "requests.eject_for", r.EjectFor, time.Millisecond, time.Hour)
-	between(c, "requests.eject_most", r.EjectMost, r.EjectFor, 24*time.Hour)
-	between(c, "requests.least_attempt", r.LeastAttempt, time.Millisecond, time.Hour)
+	checkRange(c, "requests.max_body_bytes", r.MaxBody, 1, 64<<20)
+	checkRange(c, "requests.max_answer_bytes", r.MaxAnswer, 1, 64<<20)
+	checkRange(c, "requests.max_pending", r.MaxPending, 1, 1_000_000)
+	checkRange(c, "requests.max_kept_bytes", r.MaxKept, 0, 1<<30)
+	checkRange(c, "requests.key_ttl", r.KeyTTL, time.Second, 24*time.Hour)
+	checkRange(c, "requests.max_keys", r.MaxKeys, 1, 10_000_000)
+	checkRange(c, "requests.retry_ratio", r.RetryRatio, 0, 1)
+	checkRange(c, "requests.retry_burst", r.RetryBurst, 0, 10_000)
+	checkRange(c, "requests.eject_after", r.EjectAfter, 1, 1000)
+	checkRange(c, "requests.eject_for", r.EjectFor, time.Millisecond, time.Hour)
+	checkRange(c, "requests.eject_most", r.MaxEjectFor, r.EjectFor, 24*time.Hour)
+	checkRange(c, "requests.least_attempt", r.MinAttemptTimeout, time.Millisecond, time.Hour)
 }
--- a/modules/setting/setting_test.go
+++ b/modules/setting/setting_test.go
@@ -28,17 +28,17 @@
 	return s, err
 }
 
-func TestTheExampleShowsTheDefaults(t *testing.T) {
+func TestExampleFileHoldsDefaults(t *testing.T) {
 	got, _, err := setting.Load("test", []string{"-config", example})
 	assert.NilError(t, err)
 	want := setting.Default()
 	want.Box = got.Box
-	want.Platform.Log, want.Platform.Boxes = got.Platform.Log, got.Platform.Boxes
+	want.Platform.LogURL, want.Platform.BoxesURL = got.Platform.LogURL, got.Platform.BoxesURL
 	want.Peers.Seeds = []string{}
 	assert.DeepEqual(t, got, want)
 }
 
-func TestTheExampleNamesEverySetting(t *testing.T) {
+func TestExampleFileNamesEverySetting(t *testing.T) {
 	data, err := os.ReadFile(example)
 	assert.NilError(t, err)
 	for _, key := range setting.Keys() {
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestFlagsGoBeforeTheEnvironmentAndThatBeforeTheFile(t *testing.T) {
+func TestFlagsOverrideEnvironmentAndFile(t *testing.T) {
 	text := required + "peers: {heartbeat: 100ms, dead_after: 5s}\nworkers: {renew: 300ms}\n"
 	t.Setenv("SADDLEVANE_PEERS_HEARTBEAT", "200ms")
 	t.Setenv("SADDLEVANE_PEERS_DEAD_AFTER", "6s")
@@ -55,11 +55,11 @@
 	assert.NilError(t, err)
 	assert.Equal(t, s.Peers.Heartbeat, 300*time.Millisecond)
 	assert.Equal(t, s.Peers.DeadAfter, 6*time.Second)
-	assert.Equal(t, s.Workers.Renew, 300*time.Millisecond)
+	assert.Equal(t, s.Workers.RenewInterval, 300*time.Millisecond)
 	assert.Equal(t, s.Workers.Lease, setting.Default().Workers.Lease)
 }
 
-func TestEveryMistakeIsReportedAtOnceWithItsPlace(t *testing.T) {
+func TestAllErrorsAreReportedWithPosition(t *testing.T) {
 	_, err := load(t, strings.Join([]string{
 		"box: {name: Upper, domain: a}",
 		"platform:",
@@ -80,12 +80,12 @@
 	assert.Equal(t, strings.Count(err.Error(), "\n"), 6, "%s", err)
 }
 
-func TestABadFlagIsAMistakeToo(t *testing.T) {
+func TestInvalidFlagIsReported(t *testing.T) {
 	_, err := load(t, required, "-workers.lease", "long")
 	assert.ErrorContains(t, err, "workers.lease: want a duration")
 }
 
-func TestAMissingFileIsAMistake(t *testing.T) {
+func TestMissingFileIsReported(t *testing.T) {
 	_, _, err := setting.Load("test", []string{"-config", "nowhere.yaml"})
 	assert.ErrorContains(t, err, "nowhere.yaml")
 }
--- a/modules/setting/stop.go
+++ b/modules/setting/stop.go
@@ -8,14 +8,14 @@
 // Stop says how a planned stop goes.
 type Stop struct {
 	// Grace is how long new requests are still served, Most bounds the stop.
-	Grace time.Duration `yaml:"grace"`
-	Most  time.Duration `yaml:"most"`
+	Grace       time.Duration `yaml:"grace"`
+	MaxStopTime time.Duration `yaml:"most"`
 }
 
-func defaultStop() Stop { return Stop{Grace: 3 * time.Second, Most: time.Minute} }
+func defaultStop() Stop { return Stop{Grace: 3 * time.Second, MaxStopTime: time.Minute} }
 
 func (s *Stop) check(c *checker) {
-	between(c, "stop.grace", s.Grace, 0, 10*time.Minute)
-	between(c, "stop.most", s.Most, time.Second, time.Hour)
-	below(c, "stop.grace", s.Grace, "stop.most", s.Most)
+	checkRange(c, "stop.grace", s.Grace, 0, 10*time.Minute)
+	checkRange(c, "stop.most", s.MaxStopTime, time.Second, time.Hour)
+	checkBelow(c, "stop.grace", s.Grace, "stop.most", s.MaxStopTime)
 }
--- a/modules/strictyaml/decode.go
+++ b/modules/strictyaml/decode.go
@@ -28,32 +28,32 @@
 const Tag = "yaml"
 
 var (
-	textType     = reflect.TypeFor[encoding.TextUnmarshaler]()
-	durationType = reflect.TypeFor[time.Duration]()
+	textUnmarshalerType = reflect.TypeFor[encoding.TextUnmarshaler]()
+	durationType        = reflect.TypeFor[time.Duration]()
 )
 
 // Decode fills dst, a pointer to a struct, from data. It returns where each key
 // stood, for checks that come later, and every mistake found.
 func Decode(file string, data []byte, dst any) (Positions, Problems) {
 	d := decoder{file: file, positions: Positions{}}
-	if depth := nesting(data); depth > MaxDepth {
-		d.problem(Position{Line: 1, Column: 1}, "", "nested %d deep, the limit is %d", depth, MaxDepth)
+	if depth := maxNesting(data); depth > MaxDepth {
+		d.addProblem(Position{Line: 1, Column: 1}, "", "nested %d deep, the limit is %d", depth, MaxDepth)
 		return d.positions, d.problems
 	}
 	tree, err := parser.ParseBytes(data, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
 		at, message := syntaxError(err)
-		d.problem(at, "", "not YAML: %s", message)
+		d.addProblem(at, "", "not YAML: %s", message)
 		return d.positions, d.problems
 	}
 	if len(tree.Docs) > 1 {
-		d.problem(Position{Line: 1, Column: 1}, "", "holds %d documents, want one", len(tree.Docs))
+		d.addProblem(Position{Line: 1, Column: 1}, "", "holds %d documents, want one", len(tree.Docs))
 		return d.positions, d.problems
 	}
 	if len(tree.Docs) == 0 || tree.Docs[0].Body == nil {
 		return d.positions, d.problems
 	}
-	d.node(tree.Docs[0].Body, reflect.ValueOf(dst).Elem(), "")
+	d.decodeNode(tree.Docs[0].Body, reflect.ValueOf(dst).Elem(), "")
 	return d.positions, d.problems
 }
 
@@ -65,7 +65,7 @@
 
 // IsScalar says whether values of type t are written as one YAML scalar.
 func IsScalar(t reflect.Type) bool {
-	if reflect.PointerTo(t).Implements(textType) || t == durationType {
+	if reflect.PointerTo(t).Implements(textUnmarshalerType) || t == durationType {
 		return true
 	}
 	switch t.Kind() {
@@ -82,13 +82,13 @@
 	problems  Problems
 }
 
-func (d *decoder) problem(at Position, path, format string, args ...any) {
+func (d *decoder) addProblem(at Position, path, format string, args ...any) {
 	d.problems = append(d.problems, Problem{
 		File: d.file, Position: at, Path: path, Reason: fmt.Sprintf(format, args...),
 	})
 }
 
-func (d *decoder) node(n ast.Node, v reflect.Value, path string) {
+func (d *decoder) decodeNode(n ast.Node, v reflect.Value, path string) {
 	at := positionOf(n)
 	d.positions[path] = at
 	if _, ok := n.(*ast.NullNode); ok {
@@ -96,39 +96,39 @@
 	}
 	switch n.(type) {
 	case *ast.AliasNode, *ast.AnchorNode, *ast.TagNode:
-		d.problem(at, path, "anchors, aliases and tags are not accepted")
+		d.addProblem(at, path, "anchors, aliases and tags are not accepted")
 		return
 	}
 	switch {
 	case IsScalar(v.Type()):
-		d.scalar(n, v, path)
+		d.decodeScalar(n, v, path)
 	case v.Kind() == reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		d.node(n, v.Elem(), path)
+		d.decodeNode(n, v.Elem(), path)
 	case v.Kind() == reflect.Struct:
-		d.mapping(n, v, path)
+		d.decodeMapping(n, v, path)
 	case v.Kind() == reflect.Slice:
-		d.sequence(n, v, path)
+		d.decodeSequence(n, v, path)
 	default:
-		d.problem(at, path, "cannot be set from YAML")
+		d.addProblem(at, path, "cannot be set from YAML")
 	}
 }
 
-func (d *decoder) scalar(n ast.Node, v reflect.Value, path string) {
+func (d *decoder) decodeScalar(n ast.Node, v reflect.Value, path string) {
 	text, ok := scalarText(n)
 	if !ok {
-		d.problem(positionOf(n), path, "want a single value")
+		d.addProblem(positionOf(n), path, "want a single value")
 		return
 	}
 	if err := setScalar(v, text); err != nil {
-		d.problem(positionOf(n), path, "%s", err)
+		d.addProblem(positionOf(n), path, "%s", err)
 	}
 }
 
-func (d *decoder) mapping(n ast.Node, v reflect.Value, path string) {
+func (d *decoder) decodeMapping(n ast.Node, v reflect.Value, path string) {
 	values, ok := mappingValues(n)
 	if !ok {
-		d.problem(positionOf(n), path, "want keys and values")
+		d.addProblem(positionOf(n), path, "want keys and values")
 		return
 	}
 	fields := fieldsByKey(v.Type())
@@ -140,26 +140,26 @@
 		index, known := fields[key]
 		switch {
 		case !known:
-			d.problem(at, child, "unknown key")
+			d.addProblem(at, child, "unknown key")
 		case seen[key]:
-			d.problem(at, child, "key given twice")
+			d.addProblem(at, child, "key given twice")
 		default:
-			d.node(kv.Value, v.FieldByIndex(index), child)
+			d.decodeNode(kv.Value, v.FieldByIndex(index), child)
 			d.positions[child] = at
 		}
 		seen[key] = true
 	}
 }
 
-func (d *decoder) sequence(n ast.Node, v reflect.Value, path string) {
+func (d *decoder) decodeSequence(n ast.Node, v reflect.Value, path string) {
 	seq, ok := n.(*ast.SequenceNode)
 	if !ok {
-		d.problem(positionOf(n), path, "want a list")
+		d.addProblem(positionOf(n), path, "want a list")
 		return
 	}
 	v.Set(reflect.MakeSlice(v.Type(), len(seq.Values), len(seq.Values)))
 	for i, item := range seq.Values {
-		d.node(item, v.Index(i), path+"["+strconv.Itoa(i)+"]")
+		d.decodeNode(item, v.Index(i), path+"["+strconv.Itoa(i)+"]")
 	}
 }
 
@@ -211,10 +211,10 @@
 		v.SetInt(int64(parsed))
 		return nil
 	}
-	return setPlain(v, text)
+	return setBasicKind(v, text)
 }
 
-func setPlain(v reflect.Value, text string) error {
+func setBasicKind(v reflect.Value, text string) error {
 	switch v.Kind() {
 	case reflect.String:
 		v.SetString(text)
@@ -242,11 +242,11 @@
 	return nil
 }
 
-// nesting bounds the depth of data from its flow brackets and compact block
+// maxNesting bounds the depth of data from its flow brackets and compact block
 // sequences, without parsing it. It may count too much, never too little.
 // Deeper block indentation costs the square of its depth in bytes, so the size
 // limit of the caller bounds that.
-func nesting(data []byte) int {
+func maxNesting(data []byte) int {
 	depth, deepest, compact := 0, 0, 0
 	lineStart := true
 	for i, c := range data {
--- a/modules/strictyaml/decode_test.go
+++ b/modules/strictyaml/decode_test.go
@@ -49,7 +49,7 @@
 	assert.Equal(t, got.List[0].Wait, time.Millisecond)
 }
 
-func TestDecodeReportsEveryMistakeWithItsPlace(t *testing.T) {
+func TestDecodeReportsAllErrorsWithPosition(t *testing.T) {
 	text := "count: many\nnone: 1\ninner:\n  wait: soon\n  words: single\nlist:\n  - odd: 1\ncount: 2\non: {a: b}\n"
 	var got outer
 	_, problems := strictyaml.Decode("f.yaml", []byte(text), &got)
@@ -68,7 +68,7 @@
 	})
 }
 
-func TestDecodeRefusesWhatWouldCostTooMuch(t *testing.T) {
+func TestDecodeRefusesExpensiveInput(t *testing.T) {
 	for name, text := range map[string]string{
 		"flow":    "a: " + strings.Repeat("[", 100_000),
 		"block":   strings.Repeat("- ", 100_000),
--- a/services/core/core.go
+++ b/services/core/core.go
@@ -182,7 +182,7 @@
 
 func (c *Core) boxesRead(now time.Time, l box.List) []effect.Effect {
 	c.members.SetBoxes(now, l)
-	for _, h := range ordered.By(c.holders, spec.ShardID.Compare) {
+	for _, h := range ordered.MapFunc(c.holders, spec.ShardID.Compare) {
 		h.SetWorkers(now)
 	}
 	c.router.SetNeighbours(c.neighbours())
@@ -225,7 +225,7 @@
 			c.holders[id] = shard.New(c.started, c.settings.Shard, c.policies.Shard, id, c.ledger, c.members, c.journal)
 		}
 	}
-	for _, h := range ordered.By(c.holders, spec.ShardID.Compare) {
+	for _, h := range ordered.MapFunc(c.holders, spec.ShardID.Compare) {
 		h.SetWorkers(now)
 		h.SetObjects(now)
 	}
@@ -233,7 +233,7 @@
 }
 
 func (c *Core) workerAnswered(now time.Time, e event.WorkerAnswered) {
-	for _, h := range ordered.By(c.holders, spec.ShardID.Compare) {
+	for _, h := range ordered.MapFunc(c.holders, spec.ShardID.Compare) {
 		h.WorkerAnswered(now, e)
 	}
 }
--- a/services/dispatch/silence.go
+++ b/services/dispatch/silence.go
@@ -64,7 +64,7 @@
 		state.Runs = append(state.Runs, a.runID())
 		state.WorkTimes = append(state.WorkTimes, a.recordedWorkTime(w.presence.SilentSince()))
 	}
-	for run := range ordered.By(w.orphans, order.Run.Compare) {
+	for run := range ordered.MapFunc(w.orphans, order.Run.Compare) {
 		state.Runs = append(state.Runs, run)
 	}
 	h.journal.addRecord(kept.UnresponsiveWorkerRecord(w.Worker, state))
--- a/services/dispatch/worldcheck_test.go
+++ b/services/dispatch/worldcheck_test.go
@@ -41,7 +41,7 @@
 		w.violationf("%v starts on %s: the needs of its runs, %v, exceed its capacity %v (formerly %v, until %v ago); runs %v", s.Task, f.incarnation, used, f.capacity, f.formerCapacity, w.now.Sub(f.shrunkAt), slices.Collect(maps.Keys(f.runs)))
 	}
 	for _, other := range w.workers {
-		for run, r := range ordered.By(other.runs, order.Run.Compare) {
+		for run, r := range ordered.MapFunc(other.runs, order.Run.Compare) {
 			if other.alive && run.Task == s.Task && !r.unreached {
 				w.violationf("%v is running on %s as run %d and starts on %s as run %d (fence %d, late order: %v)", s.Task, other.incarnation, run.Number, f.incarnation, s.Number, s.Fence, w.executingLateOrder)
 			}
--- a/services/dispatch/worldworker_test.go
+++ b/services/dispatch/worldworker_test.go
@@ -175,7 +175,7 @@
 	// A run that is being stopped is reported as running until its end is reported. The workers of
 	// users do the same: on one day, 280 renewals reported such runs, and 42 reported runs that
 	// were stopped before they began, none of which ended later.
-	for run := range ordered.By(f.runs, order.Run.Compare) {
+	for run := range ordered.MapFunc(f.runs, order.Run.Compare) {
 		r.Running = append(r.Running, order.Running{Run: run, Progress: f.runs[run].progress(f.w.now)})
 	}
 	return r
@@ -308,14 +308,14 @@
 func (w *world) beginRuns() {
 	present := map[order.Run]int{}
 	for _, f := range w.workers {
-		for run, r := range ordered.By(f.runs, order.Run.Compare) {
+		for run, r := range ordered.MapFunc(f.runs, order.Run.Compare) {
 			if f.alive && r.step.Gang && r.endsAt.IsZero() {
 				present[gangRun(run)]++
 			}
 		}
 	}
 	for _, f := range w.workers {
-		for run, r := range ordered.By(f.runs, order.Run.Compare) {
+		for run, r := range ordered.MapFunc(f.runs, order.Run.Compare) {
 			switch {
 			case !r.step.Gang:
 				if r.begunAt.IsZero() {
@@ -351,7 +351,7 @@
 // advance ends the worker's runs that are complete, stopped, or without a lease.
 func (f *fakeWorker) advance() {
 	now := f.w.now
-	for run, r := range ordered.By(f.runs, order.Run.Compare) {
+	for run, r := range ordered.MapFunc(f.runs, order.Run.Compare) {
 		if now.After(f.leaseEnd) {
 			r.endsAt, r.endStatus = now, order.LeaseExpired
 		}
@@ -385,7 +385,7 @@
 		return
 	}
 	for _, f := range w.workers {
-		for other, o := range ordered.By(f.runs, order.Run.Compare) {
+		for other, o := range ordered.MapFunc(f.runs, order.Run.Compare) {
 			if gangRun(other) != gangRun(run) {
 				continue
 			}
--- a/services/jobrun/advice.go
+++ b/services/jobrun/advice.go
@@ -109,9 +109,9 @@
 	l.post(result)
 }
 
-// callAdviceService calls the advice service. The call may be retried, but with InTurn: the
+// callAdviceService calls the advice service. The call may be retried, but with Serialized: the
 // service takes one call of a box at a time and goes on with those that were given up.
 func (l *Loop) callAdviceService(ctx context.Context, a adviseParams) ([]order.Ticket, error) {
-	ctx = httpclient.Repeatable(ctx, httpclient.Repeat{Expected: a.Expected.Duration(), InTurn: true})
+	ctx = httpclient.WithRetry(ctx, httpclient.Retry{Expected: a.Expected.Duration(), Serialized: true})
 	return l.platform.Advise(ctx, a.Step, a.Workers)
 }
--- a/services/jobrun/connections.go
+++ b/services/jobrun/connections.go
@@ -16,7 +16,7 @@
 
 // ConnectionsGivenUp counts connections that were closed because a call had no answer. It logs
 // them if more than the connection of that call was closed.
-func (l *Loop) ConnectionsGivenUp(g conntrack.GivenUp) {
+func (l *Loop) ConnectionsGivenUp(g conntrack.Discarded) {
 	l.metrics.connectionsGivenUp.WithLabelValues(g.To, reasonNoAnswer).Add(float64(g.Count))
 	if g.Count < 2 {
 		return
@@ -26,18 +26,18 @@
 		{Name: "address", Value: g.Address},
 		{Name: "count", Value: g.Count},
 		{Name: "reason", Value: reasonNoAnswer},
-		{Name: "heard_ago", Value: g.HeardAgo.String()},
+		{Name: "heard_ago", Value: g.SilentFor.String()},
 	}})
 }
 
 // CallRetried logs and counts a call that was retried on another connection.
-func (l *Loop) CallRetried(r httpclient.Again) {
-	l.metrics.callsRetried.WithLabelValues(r.To, string(r.Answered)).Inc()
+func (l *Loop) CallRetried(r httpclient.RetriedCall) {
+	l.metrics.callsRetried.WithLabelValues(r.To, string(r.AnsweredOn)).Inc()
 	l.logWriter.write(exchange.LogEvent{Message: "a call was made again", Fields: []exchange.LogField{
 		{Name: "to", Value: r.To},
 		{Name: "address", Value: r.Address},
 		{Name: "call", Value: r.Call},
-		{Name: "answered_on", Value: string(r.Answered)},
+		{Name: "answered_on", Value: string(r.AnsweredOn)},
 		{Name: "took", Value: r.Took.String()},
 	}})
 }
@@ -59,18 +59,18 @@
 		{Name: "reused", Value: u.Reused},
 		{Name: "waited", Value: u.Waited.String()},
 		{Name: "open_for", Value: u.OpenFor.String()},
-		{Name: "heard_ago", Value: u.HeardAgo.String()},
+		{Name: "heard_ago", Value: u.SilentFor.String()},
 	}})
 }
 
 // linkGivenUp logs and counts a link to another entry box that was closed because it was silent.
-func (l *Loop) linkGivenUp(g peering.GivenUp) {
+func (l *Loop) linkGivenUp(g peering.Discarded) {
 	l.metrics.recordGivenUpLink(g.To, string(g.Reason))
 	l.logWriter.write(exchange.LogEvent{Message: "a link to an entry box was given up", Fields: []exchange.LogField{
 		{Name: "address", Value: g.Address},
 		{Name: "reason", Value: g.Reason},
 		{Name: "open_for", Value: g.OpenFor.String()},
-		{Name: "heard_ago", Value: g.HeardAgo.String()},
+		{Name: "heard_ago", Value: g.SilentFor.String()},
 		{Name: "calls", Value: g.Calls},
 	}})
 }
--- a/services/jobrun/orders.go
+++ b/services/jobrun/orders.go
@@ -22,7 +22,7 @@
 func (l *Loop) appendToLog(e exchange.Append) {
 	ctx, cancel := context.WithTimeout(l.ctx, l.settings.CallTimeout)
 	defer cancel()
-	ctx = httpclient.Repeatable(ctx, httpclient.Repeat{})
+	ctx = httpclient.WithRetry(ctx, httpclient.Retry{})
 	startedAt := l.now()
 	offset, err := l.platform.Log.Append(ctx, e.Append)
 	l.metrics.recordAppend(e.Purpose, l.now().Sub(startedAt), err)
@@ -52,7 +52,7 @@
 		l.post(exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Renewal: e.Renewal, Answer: answerAuthorityEnded})
 		return
 	}
-	ctx, cancel := context.WithTimeout(httpclient.Overdue(l.ctx, e.Timeout), e.Timeout+e.GracePeriod)
+	ctx, cancel := context.WithTimeout(httpclient.WithOverdueAfter(l.ctx, e.Timeout), e.Timeout+e.GracePeriod)
 	defer cancel()
 	ended := exchange.RenewEnded{Worker: e.Worker, Epoch: e.Epoch, Renewal: e.Renewal}
 	noAnswer := ended
--- a/services/jobrun/passed_test.go
+++ b/services/jobrun/passed_test.go
@@ -34,7 +34,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	s := peering.Settings{
-		Dial: time.Second, Probe: time.Second, Answer: 250 * time.Millisecond, Now: time.Now, Unanswered: func(conntrack.Unanswered) {}, GivenUp: func(peering.GivenUp) {}, NotAccepted: func(error) {},
+		DialTimeout: time.Second, ProbeAfter: time.Second, AnswerTimeout: 250 * time.Millisecond, Now: time.Now, OnUnanswered: func(conntrack.Unanswered) {}, OnDiscard: func(peering.Discarded) {}, OnAcceptError: func(error) {},
 	}
 	links := peering.New(context.Background(), listener, s, func(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) { return answer() })
 	links.Serve()
--- a/services/jobrun/peers.go
+++ b/services/jobrun/peers.go
@@ -50,10 +50,10 @@
 	p := &Peers{loop: loop, ctx: ctx, cancel: cancel, unresponsiveUntil: map[string]time.Time{}, notHolder: map[string]bool{}}
 	p.relayServer = relay.NewServer(loop.now, loop.platform.Workers, loop.batchSender(methodCarried))
 	p.links = peering.New(ctx, listener, peering.Settings{
-		Dial: loop.settings.PeerTimeout, Probe: loop.settings.Probe, Answer: loop.settings.Answer, Now: loop.now,
-		Unanswered: loop.CallUnanswered, GivenUp: loop.linkGivenUp, NotAccepted: loop.linkNotAccepted,
-		Open:  func(delta int) { loop.ConnectionsChanged(peering.To, delta) },
-		Bytes: loop.ByteCounter(peering.To),
+		DialTimeout: loop.settings.PeerTimeout, ProbeAfter: loop.settings.Probe, AnswerTimeout: loop.settings.Answer, Now: loop.now,
+		OnUnanswered: loop.CallUnanswered, OnDiscard: loop.linkGivenUp, OnAcceptError: loop.linkNotAccepted,
+		OnOpen:  func(delta int) { loop.ConnectionsChanged(peering.PeerName, delta) },
+		OnBytes: loop.ByteCounter(peering.PeerName),
 	}, p.handle)
 	return p
 }
@@ -120,7 +120,7 @@
 	switch {
 	case err == nil:
 		p.recordAnswer(address, a.Outcome == exchange.HeldElsewhere)
-	case noAnswer != nil && noAnswer.OfBox && ctx.Err() == nil:
+	case noAnswer != nil && noAnswer.BoxUnresponsive && ctx.Err() == nil:
 		// If the caller's own context has ended, the missing answer says nothing about the box.
 		p.markUnresponsive(address)
 	}
--- a/services/jobrun/service_test.go
+++ b/services/jobrun/service_test.go
@@ -42,7 +42,7 @@
 func newClient(t *testing.T, to string) *http.Client {
 	t.Helper()
 	c := httpclient.New(httpclient.Settings{
-		To: to, Dial: time.Second, Unused: time.Minute, Answer: maxAnswerDelay, PerHost: 16, Now: time.Now,
+		To: to, DialTimeout: time.Second, IdleTimeout: time.Minute, MinOverdue: maxAnswerDelay, MaxIdlePerHost: 16, Now: time.Now,
 	})
 	t.Cleanup(c.CloseIdleConnections)
 	return c
--- a/services/jobrun/suspended_test.go
+++ b/services/jobrun/suspended_test.go
@@ -22,7 +22,7 @@
 func TestHolderLosesAuthorityWhenItsMachineIsSuspended(t *testing.T) {
 	on := newPlatform(t)
 	var suspended atomic.Int64
-	c := clock.Of(time.Now, func() time.Duration { return time.Duration(suspended.Load()) })
+	c := clock.NewWith(time.Now, func() time.Duration { return time.Duration(suspended.Load()) })
 	p := startBoxWithClock(t, c, settings(), on.Calls(), "a", io.Discard, func(address string) string { return address })
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if p.holdsCell() {
--- a/services/relay/client.go
+++ b/services/relay/client.go
@@ -114,7 +114,7 @@
 	if o.AnswerTimeout <= 0 {
 		return Result{}, false
 	}
-	overdue, ok := httpclient.OverdueOf(ctx)
+	overdue, ok := httpclient.OverdueAfter(ctx)
 	if !ok {
 		overdue = timeout
 	}
--- a/services/relay/server.go
+++ b/services/relay/server.go
@@ -57,7 +57,7 @@
 		s.goroutines.Go(func() {
 			// The process may have been paused; the order must not be sent after its timeout.
 			timeout := o.AnswerTimeout.Duration() - s.now().Sub(received)
-			ctx, cancel := context.WithTimeout(httpclient.Overdue(s.ctx, o.OverdueAfter.Duration()), timeout)
+			ctx, cancel := context.WithTimeout(httpclient.WithOverdueAfter(s.ctx, o.OverdueAfter.Duration()), timeout)
 			defer cancel()
 			out.add(s.ctx, &s.goroutines, s.sendOrder(ctx, o))
 		})
--- a/services/runtime/connections.go
+++ b/services/runtime/connections.go
@@ -36,41 +36,41 @@
 // client returns a client for one sort of service.
 func (l *Loop) client(to string, c Connections, perHost int) *http.Client {
 	return httpclient.New(httpclient.Settings{
-		To: to, Dial: dialWithin, Unused: c.Unused, Answer: c.Answer, PerHost: perHost, Now: l.now, Reports: l.reports(),
+		To: to, DialTimeout: dialWithin, IdleTimeout: c.Unused, MinOverdue: c.Answer, MaxIdlePerHost: perHost, Now: l.now, Hooks: l.reports(),
 	})
 }
 
 // reports logs what happens to connections.
-func (l *Loop) reports() httpclient.Reports {
-	return httpclient.Reports{Unanswered: l.unanswered, GivenUp: l.givenUp, Again: l.again}
+func (l *Loop) reports() httpclient.Hooks {
+	return httpclient.Hooks{OnUnanswered: l.unanswered, OnDiscard: l.givenUp, OnRetry: l.again}
 }
 
 // unanswered logs a call that ran out of its time without an answer.
 func (l *Loop) unanswered(u conntrack.Unanswered) {
 	l.log.WithFields(logrus.Fields{
 		"to": u.To, "address": u.Address, "call": u.Call, "reused": u.Reused, "waited": u.Waited.String(),
-		"open_for": u.OpenFor.String(), "heard_ago": u.HeardAgo.String(),
+		"open_for": u.OpenFor.String(), "heard_ago": u.SilentFor.String(),
 	}).Debug("a call had no answer")
 }
 
 // givenUp logs that connections were given up because a call had no answer.
-func (l *Loop) givenUp(g conntrack.GivenUp) {
+func (l *Loop) givenUp(g conntrack.Discarded) {
 	l.log.WithFields(logrus.Fields{
-		"to": g.To, "address": g.Address, "count": g.Count, "heard_ago": g.HeardAgo.String(),
+		"to": g.To, "address": g.Address, "count": g.Count, "heard_ago": g.SilentFor.String(),
 	}).Info("connections were given up")
 }
 
 // again logs a call that was made again.
-func (l *Loop) again(a httpclient.Again) {
+func (l *Loop) again(a httpclient.RetriedCall) {
 	l.log.WithFields(logrus.Fields{
-		"to": a.To, "address": a.Address, "call": a.Call, "answered_on": string(a.Answered), "took": a.Took.String(),
+		"to": a.To, "address": a.Address, "call": a.Call, "answered_on": string(a.AnsweredOn), "took": a.Took.String(),
 	}).Debug("a call was made again")
 }
 
 // linkGivenUp logs a link to another entry box that was given up as silent.
-func (l *Loop) linkGivenUp(g peering.GivenUp) {
+func (l *Loop) linkGivenUp(g peering.Discarded) {
 	l.log.WithFields(logrus.Fields{
-		"address": g.Address, "reason": g.Reason, "open_for": g.OpenFor.String(), "heard_ago": g.HeardAgo.String(), "calls": g.Calls,
+		"address": g.Address, "reason": g.Reason, "open_for": g.OpenFor.String(), "heard_ago": g.SilentFor.String(), "calls": g.Calls,
 	}).Info("a link to an entry box was given up")
 }
 
--- a/services/runtime/log.go
+++ b/services/runtime/log.go
@@ -69,7 +69,7 @@
 	l.tasks.Go(func() {
 		ctx, cancel := context.WithTimeout(l.ctx, l.settings.Timeout)
 		defer cancel()
-		ctx = httpclient.Repeatable(ctx, httpclient.Repeat{Expected: l.settings.Wait, Change: waitNoMore})
+		ctx = httpclient.WithRetry(ctx, httpclient.Retry{Expected: l.settings.Wait, ModifyRetry: waitNoMore})
 		url := fmt.Sprintf("%s/v1/read?from=%d&limit=%d&wait_ms=%d", l.settings.Log, e.From, readBatch, l.settings.Wait.Milliseconds())
 		var answer platform.Read
 		if err := l.client.Get(ctx, url, &answer); err != nil {
@@ -118,7 +118,7 @@
 	ctx, cancel := context.WithTimeout(l.ctx, l.settings.Timeout)
 	defer cancel()
 	// Readers drop an envelope that they have read, so it may be appended again.
-	ctx = httpclient.Repeatable(ctx, httpclient.Repeat{})
+	ctx = httpclient.WithRetry(ctx, httpclient.Retry{})
 	var answer platform.Appended
 	err = l.client.Post(ctx, l.settings.Log+"/v1/append", platform.Append{ID: e.ID, Data: string(data)}, &answer)
 	return answer.Offset, err
@@ -140,7 +140,7 @@
 func (l *Log) readBoxesOnce() {
 	ctx, cancel := context.WithTimeout(l.ctx, l.settings.Timeout)
 	defer cancel()
-	ctx = httpclient.Repeatable(ctx, httpclient.Repeat{})
+	ctx = httpclient.WithRetry(ctx, httpclient.Retry{})
 	var list box.List
 	if err := l.client.Get(ctx, l.settings.Boxes+"/v1/boxes", &list); err != nil {
 		l.loop.log.WithError(err).Debug("the list of boxes could not be read")
--- a/services/runtime/peers.go
+++ b/services/runtime/peers.go
@@ -51,8 +51,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &Peers{loop: loop, requests: requests, ctx: ctx, cancel: cancel, greeting: map[string]bool{}}
 	p.links = peering.New(ctx, listener, peering.Settings{
-		Dial: peerDial, Probe: s.Probe, Answer: s.Answer, Now: loop.now, Unanswered: loop.unanswered,
-		GivenUp: loop.linkGivenUp, NotAccepted: loop.linkNotAccepted,
+		DialTimeout: peerDial, ProbeAfter: s.Probe, AnswerTimeout: s.Answer, Now: loop.now, OnUnanswered: loop.unanswered,
+		OnDiscard: loop.linkGivenUp, OnAcceptError: loop.linkNotAccepted,
 	}, p.handle)
 	p.links.Serve()
 	return p
--- a/services/runtime/target.go
+++ b/services/runtime/target.go
@@ -68,7 +68,7 @@
 // they keep their time.
 func newTargetClient(maxAnswer int64, c Connections, loop *Loop) *targetClient {
 	return &targetClient{maxAnswer: maxAnswer, pools: map[int]*httpclient.Transport{}, settings: httpclient.Settings{
-		To: "target", Dial: targetDial, Unused: c.Unused, GiveUp: conntrack.Idle, Now: loop.now, Reports: loop.reports(),
+		To: "target", DialTimeout: targetDial, IdleTimeout: c.Unused, Discard: conntrack.SilentAndIdle, Now: loop.now, Hooks: loop.reports(),
 	}}
 }
 
@@ -81,7 +81,7 @@
 	defer t.mu.Unlock()
 	if t.pools[connections] == nil {
 		s := t.settings
-		s.PerHost, s.Most = connections, connections
+		s.MaxIdlePerHost, s.MaxPerHost = connections, connections
 		t.pools[connections] = httpclient.NewTransport(s)
 	}
 	return t.pools[connections]
@@ -111,7 +111,7 @@
 	}
 	resp, err := t.transport(e.Connections).RoundTrip(req)
 	if err != nil {
-		if reused && (errors.Is(err, context.DeadlineExceeded) || errors.Is(err, conntrack.ErrGivenUp)) {
+		if reused && (errors.Is(err, context.DeadlineExceeded) || errors.Is(err, conntrack.ErrDiscarded)) {
 			err = &silentError{err}
 		}
 		if connected {
--- a/services/shard/failure.go
+++ b/services/shard/failure.go
@@ -88,7 +88,7 @@
 	if o.spec.Kind() != ledger.KindGang {
 		return
 	}
-	for _, t := range ordered.By(h.tasks, task.Key.Compare) {
+	for _, t := range ordered.MapFunc(h.tasks, task.Key.Compare) {
 		if t.object == o {
 			h.stopAttempt(t, true)
 		}
--- a/services/shard/inventory.go
+++ b/services/shard/inventory.go
@@ -30,7 +30,7 @@
 	for _, start := range w.starts {
 		unsent[start.Task] = true
 	}
-	for id, t := range ordered.By(w.tasks, task.ID.Compare) {
+	for id, t := range ordered.MapFunc(w.tasks, task.ID.Compare) {
 		if items[id] || unsent[id] || t.stage == stageAwaitingIntent {
 			continue
 		}
@@ -160,7 +160,7 @@
 	w.inventoryVersion = 0
 	w.starts, w.sentStarts, w.acks = nil, 0, nil
 	w.ended = map[task.ID]bool{}
-	for _, t := range ordered.By(w.tasks, task.ID.Compare) {
+	for _, t := range ordered.MapFunc(w.tasks, task.ID.Compare) {
 		if t.stage == stageAwaitingIntent {
 			h.outbox.withdrawIntent(t)
 			h.untrack(t)
--- a/services/shard/lease.go
+++ b/services/shard/lease.go
@@ -62,7 +62,7 @@
 		if w.adopted {
 			s.KnownVersion = w.inventoryVersion
 		}
-		for _, stop := range ordered.By(w.stops, task.ID.Compare) {
+		for _, stop := range ordered.MapFunc(w.stops, task.ID.Compare) {
 			s.Stops = append(s.Stops, stop)
 		}
 	case w.unanswered > 0 || (!h.isHolder() && !h.isCaretaker(now)):
--- a/services/shard/outcome.go
+++ b/services/shard/outcome.go
@@ -128,13 +128,13 @@
 	if h.journal.Full() {
 		return
 	}
-	for id, set := range ordered.By(o.intents, task.ObjectID.Compare) {
+	for id, set := range ordered.MapFunc(o.intents, task.ObjectID.Compare) {
 		o.lastEntry = h.journal.Add(record.Entry{Intents: &record.Tasks{Object: id, Ranges: ledger.Ranges(set)}})
 	}
-	for id, set := range ordered.By(o.done, task.ObjectID.Compare) {
+	for id, set := range ordered.MapFunc(o.done, task.ObjectID.Compare) {
 		o.lastEntry = h.journal.Add(record.Entry{Done: &record.Tasks{Object: id, Ranges: ledger.Ranges(set)}})
 	}
-	for id, set := range ordered.By(o.failed, task.ObjectID.Compare) {
+	for id, set := range ordered.MapFunc(o.failed, task.ObjectID.Compare) {
 		o.lastEntry = h.journal.Add(record.Entry{Failed: &record.Tasks{Object: id, Ranges: ledger.Ranges(set)}})
 	}
 	for _, t := range o.awaitingIntent {
--- a/services/shard/preempt.go
+++ b/services/shard/preempt.go
@@ -82,7 +82,7 @@
 func selectVictims(w *workerState, need resource.Vector) []*attempt {
 	free := w.node.Free()
 	var stopped []*attempt
-	for _, t := range ordered.By(w.tasks, task.ID.Compare) {
+	for _, t := range ordered.MapFunc(w.tasks, task.ID.Compare) {
 		if need.Fits(free) {
 			break
 		}
@@ -112,7 +112,7 @@
 	}
 	h.unwantedScanDue = false
 	checked := map[*object]bool{}
-	for _, t := range ordered.By(h.tasks, task.Key.Compare) {
+	for _, t := range ordered.MapFunc(h.tasks, task.Key.Compare) {
 		d := h.dispositionOf(t)
 		if d == keepRunning {
 			continue
