--- a/cmd/saddlevane-bench/load.go
+++ b/cmd/saddlevane-bench/load.go
@@ -83,7 +83,7 @@
 	}
 	begun := time.Now()
 	path := fmt.Sprintf("runners/%s?ms=%d", k.class, service.Milliseconds())
-	resp, _, err := cell.Ask(ctx, l.client, e, path, key, nonce, nonce)
+	resp, _, err := cell.SendRequest(ctx, l.client, e, path, key, nonce, nonce)
 	took := time.Since(begun)
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/cmd/saddlevane-bench/requests.go
+++ b/cmd/saddlevane-bench/requests.go
@@ -135,7 +135,7 @@
 			targets++
 		}
 		o.Domains = append(o.Domains, cell.Domain{
-			Name: name, Entries: 2, Racks: 1, PerRack: 1, Targets: targets, Slots: benchSlots,
+			Name: name, Entries: 2, Racks: 1, WorkersPerRack: 1, Targets: targets, Slots: benchSlots,
 			Capacity: resource.Vector{Processors: resource.Processor, Memory: resource.GiB},
 		})
 	}
@@ -151,10 +151,10 @@
 	if err := os.WriteFile(path, []byte(c.CellFile("cell")), 0o600); err != nil {
 		return err
 	}
-	if out, code := c.Tool(ctx, "publish", "-replaces", "0", path); code != 0 {
+	if out, code := c.RunTool(ctx, "publish", "-replaces", "0", path); code != 0 {
 		return fmt.Errorf("publish: %s", out)
 	}
-	return cell.Until(ctx, "the targets are known everywhere", func() bool {
+	return cell.WaitFor(ctx, "the targets are known everywhere", func() bool {
 		for _, e := range c.Entries() {
 			s, err := e.Status(ctx)
 			if err != nil || len(s.Pools) == 0 || s.Pools[0].Slots == 0 || len(s.Live) != 2 {
--- a/cmd/saddlevane-bench/takeover.go
+++ b/cmd/saddlevane-bench/takeover.go
@@ -38,7 +38,7 @@
 	}
 	defer os.RemoveAll(dir)
 	c, err := cell.Start(ctx, cell.Options{Binaries: cell.BinariesIn(bin), Dir: dir, Domains: []cell.Domain{{
-		Name: "a", Entries: 2, Racks: 5, PerRack: 8, Targets: 1, Slots: 8,
+		Name: "a", Entries: 2, Racks: 5, WorkersPerRack: 8, Targets: 1, Slots: 8,
 		Capacity: resource.Vector{Processors: 60 * resource.Processor, Memory: 260 * resource.GiB},
 	}}})
 	if err != nil {
@@ -79,7 +79,7 @@
 	} else {
 		holder.Process().Kill()
 	}
-	if err := cell.Until(ctx, "the other box holds the shard", func() bool { return isActive(ctx, other) }); err != nil {
+	if err := cell.WaitFor(ctx, "the other box holds the shard", func() bool { return isActive(ctx, other) }); err != nil {
 		return 0, 0, err
 	}
 	took := time.Since(begun)
@@ -96,7 +96,7 @@
 
 // awaitHolder waits for an active holder and returns it and the other box.
 func awaitHolder(ctx context.Context, c *cell.Cell) (holder, other *cell.Entry, err error) {
-	err = cell.Until(ctx, "the shard has a holder", func() bool {
+	err = cell.WaitFor(ctx, "the shard has a holder", func() bool {
 		for i, e := range c.Entries() {
 			if isActive(ctx, e) {
 				holder, other = e, c.Entries()[1-i]
--- a/cmd/saddlevane-bench/usage.go
+++ b/cmd/saddlevane-bench/usage.go
@@ -74,7 +74,7 @@
 
 // countDuplicates counts runs beyond the first of requests that may not be repeated.
 func countDuplicates(l *loadGenerator) int {
-	all, err := l.cell.Runs(context.Background())
+	all, err := l.cell.TargetStats(context.Background())
 	if err != nil {
 		return -1
 	}
--- a/cmd/saddlevane-demo/jobs.go
+++ b/cmd/saddlevane-demo/jobs.go
@@ -43,7 +43,7 @@
 	}
 	fmt.Println("\n== 3 entry boxes that serve submitted jobs, 6 workers, a log and an advice service are running")
 	d := &jobsDemo{ctx: ctx, rig: rig, bin: bin, dir: dir}
-	if err := rig.AwaitReady(ctx); err != nil {
+	if err := rig.WaitReady(ctx); err != nil {
 		return err
 	}
 	return d.run()
@@ -70,10 +70,10 @@
 	if err := d.runTool("job", string(s.ID)); err != nil {
 		return err
 	}
-	if err := cell.Until(d.ctx, "tasks run", func() bool { return d.rig.Starts() > 0 }); err != nil {
+	if err := cell.WaitFor(d.ctx, "tasks run", func() bool { return d.rig.StartCount() > 0 }); err != nil {
 		return err
 	}
-	fmt.Printf("\n%s start again under their names, with nothing of before\n", strings.Join(d.rig.StartWorkersAgain(), ", "))
+	fmt.Printf("\n%s start again under their names, with nothing of before\n", strings.Join(d.rig.RestartWorkers(), ", "))
 	holder, err := d.rig.KillHolder(d.ctx)
 	if err != nil {
 		return err
@@ -83,20 +83,20 @@
 	if err != nil {
 		return err
 	}
-	if broken := d.rig.Broken(); state != job.Succeeded || len(broken) > 0 {
+	if broken := d.rig.Violations(); state != job.Succeeded || len(broken) > 0 {
 		return fmt.Errorf("the job is %s; broken: %v", state, broken)
 	}
 	if err := d.runTool("cell"); err != nil {
 		return err
 	}
-	fmt.Printf("\n%s is %s after %d task starts; no task ran in two places, none beyond a worker's size\n", s.ID, state, d.rig.Starts())
+	fmt.Printf("\n%s is %s after %d task starts; no task ran in two places, none beyond a worker's size\n", s.ID, state, d.rig.StartCount())
 	return nil
 }
 
 // awaitEnd waits until a job has a final state and returns it.
 func (d *jobsDemo) awaitEnd(id job.ID) (job.State, error) {
 	state := job.State("")
-	err := cell.Until(d.ctx, "the job has ended", func() bool {
+	err := cell.WaitFor(d.ctx, "the job has ended", func() bool {
 		state = d.rig.State(d.ctx, id)
 		return state.IsFinal()
 	})
@@ -116,12 +116,12 @@
 	if err := os.WriteFile(path, data, 0o600); err != nil {
 		return err
 	}
-	return cell.Until(d.ctx, "the job is accepted", func() bool { return d.runTool("submit", path) == nil })
+	return cell.WaitFor(d.ctx, "the job is accepted", func() bool { return d.runTool("submit", path) == nil })
 }
 
 // runTool runs the command-line tool against the boxes that are up.
 func (d *jobsDemo) runTool(args ...string) error {
-	all := append([]string{"-address", strings.Join(d.rig.Operators(d.ctx), ",")}, args...)
+	all := append([]string{"-address", strings.Join(d.rig.OperatorAddresses(d.ctx), ",")}, args...)
 	out, err := exec.CommandContext(d.ctx, filepath.Join(d.bin, "saddlevanectl"), all...).CombinedOutput()
 	if err != nil {
 		return fmt.Errorf("saddlevanectl %v: %w: %s", args, err, out)
--- a/cmd/saddlevane-demo/main.go
+++ b/cmd/saddlevane-demo/main.go
@@ -54,7 +54,7 @@
 	o := cell.Options{Binaries: cell.BinariesIn(bin), Dir: dir, Settings: cell.QuickSettings()}
 	for _, name := range []string{"a", "b", "c"} {
 		o.Domains = append(o.Domains, cell.Domain{
-			Name: name, Entries: 2, Racks: 2, PerRack: 2, Capacity: capacity, Targets: 2, Slots: 8,
+			Name: name, Entries: 2, Racks: 2, WorkersPerRack: 2, Capacity: capacity, Targets: 2, Slots: 8,
 		})
 	}
 	return o
--- a/cmd/saddlevane-demo/steps.go
+++ b/cmd/saddlevane-demo/steps.go
@@ -72,7 +72,7 @@
 	if err := d.publish("cell.yaml", d.cell.CellFile("cell")); err != nil {
 		return err
 	}
-	return cell.Until(d.ctx, "the cell's file is in force everywhere", func() bool {
+	return cell.WaitFor(d.ctx, "the cell's file is in force everywhere", func() bool {
 		for _, e := range d.cell.Entries() {
 			if s, err := e.Status(d.ctx); err != nil || len(s.Files) != 1 {
 				return false
@@ -89,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	out, code := d.cell.Tool(d.ctx, "publish", "-replaces", "0", path)
+	out, code := d.cell.RunTool(d.ctx, "publish", "-replaces", "0", path)
 	fmt.Printf("\n$ saddlevanectl publish -replaces 0 %s\n%s", name, out)
 	if code != 0 {
 		return fmt.Errorf("publish %s: exit code %d", name, code)
@@ -98,12 +98,12 @@
 }
 
 func (d *demo) awaitWork() error {
-	err := cell.Until(d.ctx, "the service runs and the jobs and the gang are done", func() bool {
+	err := cell.WaitFor(d.ctx, "the service runs and the jobs and the gang are done", func() bool {
 		w := d.cell.Work(d.ctx)
 		return w["portal"].Running == 3 && w["renders"].Done == 60 && w["extracts"].Done == 12 &&
 			w["quarter-close"].Done == 6 && w["backlog"].Running > 0 && w["backlog"].Waiting > 0
 	})
-	out, _ := d.cell.Tool(d.ctx, "queue")
+	out, _ := d.cell.RunTool(d.ctx, "queue")
 	fmt.Printf("\n$ saddlevanectl queue\n%s", out)
 	if err != nil {
 		return err
@@ -122,8 +122,8 @@
 	if err != nil {
 		return err
 	}
-	if twice := h.Twice(); len(twice) > 0 || h.Excess > 0 {
-		return fmt.Errorf("tasks in two places: %v; starts beyond a worker's size: %d", twice, h.Excess)
+	if twice := h.Overlaps(); len(twice) > 0 || h.ExcessStarts > 0 {
+		return fmt.Errorf("tasks in two places: %v; starts beyond a worker's size: %d", twice, h.ExcessStarts)
 	}
 	for key, n := range h.Starts() {
 		if key.Object.Name == "extracts" && n > 1 {
@@ -139,7 +139,7 @@
 	if err != nil {
 		return err
 	}
-	out, code := d.cell.Tool(d.ctx, "publish", "-replaces", "0", path)
+	out, code := d.cell.RunTool(d.ctx, "publish", "-replaces", "0", path)
 	fmt.Printf("\n$ saddlevanectl publish -replaces 0 wrong.yaml\n%s", out)
 	if code != 1 {
 		return fmt.Errorf("a job that can never run: exit code %d, want 1", code)
@@ -169,7 +169,7 @@
 
 // sendKeyedRequest sends a request that may not be repeated twice, to two boxes.
 func (d *demo) sendKeyedRequest(first, second *cell.Entry) error {
-	resp, _, err := cell.Ask(d.ctx, http.DefaultClient, first, "runners/extract", "", "x", "filing")
+	resp, _, err := cell.SendRequest(d.ctx, http.DefaultClient, first, "runners/extract", "", "x", "filing")
 	if err != nil {
 		return err
 	}
@@ -184,7 +184,7 @@
 			return err
 		}
 	}
-	runs, err := d.cell.Runs(d.ctx)
+	runs, err := d.cell.TargetStats(d.ctx)
 	if err != nil {
 		return err
 	}
@@ -200,7 +200,7 @@
 }
 
 func (d *demo) sendRequest(e *cell.Entry, a requestCase) error {
-	resp, body, err := cell.Ask(d.ctx, http.DefaultClient, e, a.path, a.key, a.nonce, a.body)
+	resp, body, err := cell.SendRequest(d.ctx, http.DefaultClient, e, a.path, a.key, a.nonce, a.body)
 	if err != nil {
 		return err
 	}
@@ -214,7 +214,7 @@
 
 func (d *demo) showStatus() error {
 	for _, args := range [][]string{{"status"}, {"get"}, {"explain", "portal/0"}, {"explain", "backlog/39"}} {
-		out, code := d.cell.Tool(d.ctx, args...)
+		out, code := d.cell.RunTool(d.ctx, args...)
 		fmt.Printf("\n$ saddlevanectl %s\n%s", strings.Join(args, " "), out)
 		if code != 0 {
 			return fmt.Errorf("%v: exit code %d", args, code)
--- a/tests/cell/calls.go
+++ b/tests/cell/calls.go
@@ -21,26 +21,26 @@
 	"saddlevane/modules/httpjson"
 )
 
-var calls = httpjson.NewClient(&http.Client{Timeout: 5 * time.Second}, 64<<20)
+var apiClient = httpjson.NewClient(&http.Client{Timeout: 5 * time.Second}, 64<<20)
 
 // ports is where listeners are placed: below the range that the kernel takes the
 // local ends of connections from.
 const (
 	firstPort = 12000
-	ports     = 20000
+	portCount = 20000
 )
 
 // nextPort counts the ports that this process has given out, from a place that
 // differs between processes.
 var nextPort atomic.Int64
 
-func init() { nextPort.Store(rand.Int64N(ports)) }
+func init() { nextPort.Store(rand.Int64N(portCount)) }
 
 // FreeAddress returns a loopback address on which nothing listens, each time
 // another.
 func FreeAddress() string {
 	for {
-		address := fmt.Sprintf("127.0.0.1:%d", firstPort+nextPort.Add(1)%ports)
+		address := fmt.Sprintf("127.0.0.1:%d", firstPort+nextPort.Add(1)%portCount)
 		l, err := net.Listen("tcp", address)
 		if err != nil {
 			continue
@@ -50,8 +50,8 @@
 	}
 }
 
-// Until waits for a condition.
-func Until(ctx context.Context, what string, ok func() bool) error {
+// WaitFor waits for a condition.
+func WaitFor(ctx context.Context, what string, ok func() bool) error {
 	ticker := time.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
 	for !ok() {
@@ -78,13 +78,13 @@
 // SetFaults switches the faults of the stand-in at address.
 func SetFaults(ctx context.Context, address string, f Faults) error {
 	var out Faults
-	return calls.Post(ctx, "http://"+address+"/admin/faults", f, &out)
+	return apiClient.Post(ctx, "http://"+address+"/admin/faults", f, &out)
 }
 
 // TrimLog makes the log forget all records before an offset.
 func (c *Cell) TrimLog(ctx context.Context, before int64) error {
 	var out struct{}
-	return calls.Post(ctx, fmt.Sprintf("http://%s/admin/trim?before=%d", c.Log, before), struct{}{}, &out)
+	return apiClient.Post(ctx, fmt.Sprintf("http://%s/admin/trim?before=%d", c.LogAddress, before), struct{}{}, &out)
 }
 
 // LogCount is what the log holds.
@@ -97,18 +97,18 @@
 // CountLog returns what the log holds.
 func (c *Cell) CountLog(ctx context.Context) (LogCount, error) {
 	var n LogCount
-	err := calls.Get(ctx, "http://"+c.Log+"/admin/count", &n)
+	err := apiClient.Get(ctx, "http://"+c.LogAddress+"/admin/count", &n)
 	return n, err
 }
 
 // SetState changes what the platform's list says of a box.
 func (c *Cell) SetState(ctx context.Context, name string, s box.State) error {
 	c.states[name] = s
-	return c.List(ctx)
+	return c.PublishBoxList(ctx)
 }
 
-// List gives the platform's list the cell's boxes.
-func (c *Cell) List(ctx context.Context) error {
+// PublishBoxList gives the platform's list the cell's boxes.
+func (c *Cell) PublishBoxList(ctx context.Context) error {
 	var l box.List
 	add := func(b box.Box) {
 		if s, ok := c.states[b.Name]; ok {
@@ -119,7 +119,7 @@
 	for _, e := range c.entries {
 		add(box.Box{
 			Name: e.Name, Role: box.Entry, Domain: e.Domain, State: box.Live,
-			Address: c.options.Via(e.Name, e.Peers),
+			Address: c.options.ProxyAddress(e.Name, e.Peers),
 		})
 	}
 	for _, m := range c.workers {
@@ -129,39 +129,39 @@
 		add(m.Box)
 	}
 	var out struct{}
-	return calls.Post(ctx, "http://"+c.Boxes+"/admin/boxes", l, &out)
+	return apiClient.Post(ctx, "http://"+c.BoxesAddress+"/admin/boxes", l, &out)
 }
 
 // Status reads the state of an entry box in short.
 func (e *Entry) Status(ctx context.Context) (status.Process, error) {
 	var s status.Process
-	err := calls.Get(ctx, "http://"+e.Operators+"/v1/status", &s)
+	err := apiClient.Get(ctx, "http://"+e.Operators+"/v1/status", &s)
 	return s, err
 }
 
 // Queue reads what an entry box knows of objects.
 func (e *Entry) Queue(ctx context.Context) ([]status.Work, error) {
 	var w []status.Work
-	err := calls.Get(ctx, "http://"+e.Operators+"/v1/queue", &w)
+	err := apiClient.Get(ctx, "http://"+e.Operators+"/v1/queue", &w)
 	return w, err
 }
 
 // Places reads which tasks have places in the shards that an entry box holds.
 func (e *Entry) Places(ctx context.Context) ([]status.Place, error) {
 	var p []status.Place
-	err := calls.Get(ctx, "http://"+e.Operators+"/v1/places", &p)
+	err := apiClient.Get(ctx, "http://"+e.Operators+"/v1/places", &p)
 	return p, err
 }
 
 // Ready says whether an entry box takes callers' requests.
 func (e *Entry) Ready(ctx context.Context) bool {
 	var out struct{}
-	return calls.Get(ctx, "http://"+e.Callers+"/readyz", &out) == nil
+	return apiClient.Get(ctx, "http://"+e.Callers+"/readyz", &out) == nil
 }
 
 // WaitReady waits until every entry box takes callers' requests.
 func (c *Cell) WaitReady(ctx context.Context) error {
-	return Until(ctx, "every entry box is ready", func() bool {
+	return WaitFor(ctx, "every entry box is ready", func() bool {
 		for _, e := range c.entries {
 			if !e.Ready(ctx) {
 				return false
@@ -213,7 +213,7 @@
 type History struct {
 	Spans []Span
 	// Excess counts starts that would have given a worker more than it has.
-	Excess int64
+	ExcessStarts int64
 }
 
 // workerHistory is one worker's answer.
@@ -228,24 +228,24 @@
 func (c *Cell) History(ctx context.Context) (History, error) {
 	var h History
 	for _, m := range c.workers {
-		if m.process.ended() {
+		if m.process.hasEnded() {
 			continue
 		}
 		var one workerHistory
-		if err := calls.Get(ctx, "http://"+m.Real+"/admin/history", &one); err != nil {
+		if err := apiClient.Get(ctx, "http://"+m.DirectAddress+"/admin/history", &one); err != nil {
 			return h, err
 		}
 		for _, s := range one.Spans {
 			s.Worker = one.Worker
 			h.Spans = append(h.Spans, s)
 		}
-		h.Excess += one.Excess
+		h.ExcessStarts += one.Excess
 	}
 	return h, nil
 }
 
-// Twice returns the tasks that ran in two places at once, each told in a line.
-func (h History) Twice() []string {
+// Overlaps returns the tasks that ran in two places at once, each told in a line.
+func (h History) Overlaps() []string {
 	byKey := map[task.Key][]Span{}
 	for _, s := range h.Spans {
 		byKey[s.Task.Key()] = append(byKey[s.Task.Key()], s)
@@ -276,20 +276,20 @@
 	return n
 }
 
-// Runs is what a target saw.
-type Runs struct {
-	Target  string         `json:"target"`
-	Served  int64          `json:"served"`
-	Runs    map[string]int `json:"runs"`
-	Busiest int            `json:"busiest"`
+// TargetStats is what a target saw.
+type TargetStats struct {
+	Target        string         `json:"target"`
+	Served        int64          `json:"served"`
+	Runs          map[string]int `json:"runs"`
+	MaxConcurrent int            `json:"busiest"`
 }
 
-// Runs reads what the targets saw.
-func (c *Cell) Runs(ctx context.Context) ([]Runs, error) {
-	var all []Runs
+// TargetStats reads what the targets saw.
+func (c *Cell) TargetStats(ctx context.Context) ([]TargetStats, error) {
+	var all []TargetStats
 	for _, m := range c.targets {
-		var one Runs
-		if err := calls.Get(ctx, "http://"+m.Real+"/admin/runs", &one); err != nil {
+		var one TargetStats
+		if err := apiClient.Get(ctx, "http://"+m.DirectAddress+"/admin/runs", &one); err != nil {
 			return all, err
 		}
 		all = append(all, one)
@@ -297,17 +297,17 @@
 	return all, nil
 }
 
-// Tool runs the operators' tool and returns its output and exit code.
-func (c *Cell) Tool(ctx context.Context, args ...string) (string, int) {
+// RunTool runs the operators' tool and returns its output and exit code.
+func (c *Cell) RunTool(ctx context.Context, args ...string) (string, int) {
 	var addresses []string
 	for _, e := range c.entries {
 		addresses = append(addresses, e.Operators)
 	}
-	return c.ToolAt(ctx, strings.Join(addresses, ","), args...)
+	return c.RunToolAt(ctx, strings.Join(addresses, ","), args...)
 }
 
-// ToolAt runs the operators' tool against given addresses.
-func (c *Cell) ToolAt(ctx context.Context, addresses string, args ...string) (string, int) {
+// RunToolAt runs the operators' tool against given addresses.
+func (c *Cell) RunToolAt(ctx context.Context, addresses string, args ...string) (string, int) {
 	cmd := exec.CommandContext(ctx, c.options.Binaries.Tool, append([]string{"-address", addresses}, args...)...)
 	out, err := cmd.CombinedOutput()
 	if err != nil && cmd.ProcessState == nil {
@@ -316,8 +316,8 @@
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-// Ask sends a request to an entry box as a caller would.
-func Ask(ctx context.Context, client *http.Client, e *Entry, path, key, nonce, body string) (*http.Response, string, error) {
+// SendRequest sends a request to an entry box as a caller would.
+func SendRequest(ctx context.Context, client *http.Client, e *Entry, path, key, nonce, body string) (*http.Response, string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+e.Callers+"/v1/pools/"+path, strings.NewReader(body))
 	if err != nil {
 		return nil, "", err
--- a/tests/cell/cell.go
+++ b/tests/cell/cell.go
@@ -37,7 +37,7 @@
 	Domains []Domain
 	// Via may change the address under which daemons see a service, a box or a
 	// peer, to put a proxy between.
-	Via func(name, address string) string
+	ProxyAddress func(name, address string) string
 	// Settings is more YAML for each daemon, by section.
 	Settings map[string][]string
 	// Lag, Retention and TaskLease are the platform's.
@@ -49,16 +49,16 @@
 	Name    string
 	Entries int
 	Racks   int
-	// PerRack is how many workers a rack has, Capacity what each has.
-	PerRack  int
-	Capacity resource.Vector
+	// WorkersPerRack is how many workers a rack has, Capacity what each has.
+	WorkersPerRack int
+	Capacity       resource.Vector
 	// Shards is how many shards the racks are dealt to; 1 if 0.
 	Shards  int
 	Targets int
 	Slots   int
 	// Apart plays each worker and target in a process of its own, so that one can
 	// be frozen.
-	Apart bool
+	SeparateProcesses bool
 }
 
 // Entry is an entry box.
@@ -83,8 +83,8 @@
 	Slots       int             `json:"slots"`
 	Connections int             `json:"connections"`
 	// Real is where the member listens, without a proxy between.
-	Real    string `json:"-"`
-	process *Process
+	DirectAddress string `json:"-"`
+	process       *Process
 }
 
 // Process returns the process that plays the member.
@@ -92,12 +92,12 @@
 
 // Cell is a running cell.
 type Cell struct {
-	options Options
-	Log     string
-	Boxes   string
-	entries []*Entry
-	workers []*Member
-	targets []*Member
+	options      Options
+	LogAddress   string
+	BoxesAddress string
+	entries      []*Entry
+	workers      []*Member
+	targets      []*Member
 
 	mu        sync.Mutex
 	processes []*Process
@@ -106,8 +106,8 @@
 
 // Start starts a cell and waits until its stand-ins answer.
 func Start(ctx context.Context, o Options) (*Cell, error) {
-	if o.Via == nil {
-		o.Via = func(_, address string) string { return address }
+	if o.ProxyAddress == nil {
+		o.ProxyAddress = func(_, address string) string { return address }
 	}
 	c := &Cell{options: o, states: map[string]box.State{}}
 	if err := c.start(ctx); err != nil {
@@ -118,15 +118,15 @@
 }
 
 func (c *Cell) start(ctx context.Context) error {
-	c.Log, c.Boxes = FreeAddress(), FreeAddress()
-	c.layOut()
+	c.LogAddress, c.BoxesAddress = FreeAddress(), FreeAddress()
+	c.createBoxes()
 	if err := c.startStandins(); err != nil {
 		return err
 	}
-	if err := c.waitStandins(ctx); err != nil {
+	if err := c.waitForStandins(ctx); err != nil {
 		return err
 	}
-	if err := c.List(ctx); err != nil {
+	if err := c.PublishBoxList(ctx); err != nil {
 		return err
 	}
 	for _, e := range c.entries {
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// layOut gives every box its name and address.
-func (c *Cell) layOut() {
+// createBoxes gives every box its name and address.
+func (c *Cell) createBoxes() {
 	for _, d := range c.options.Domains {
 		for i := range d.Entries {
 			c.entries = append(c.entries, &Entry{
@@ -147,13 +147,13 @@
 			})
 		}
 		for r := range d.Racks {
-			for i := range d.PerRack {
+			for i := range d.WorkersPerRack {
 				name := fmt.Sprintf("worker-%s%d-%d", d.Name, r+1, i+1)
-				c.workers = append(c.workers, c.member(d, name, box.Worker, fmt.Sprintf("rack-%s%d", d.Name, r+1)))
+				c.workers = append(c.workers, c.newMember(d, name, box.Worker, fmt.Sprintf("rack-%s%d", d.Name, r+1)))
 			}
 		}
 		for i := range d.Targets {
-			c.targets = append(c.targets, c.member(d, fmt.Sprintf("target-%s%d", d.Name, i+1), box.Target, ""))
+			c.targets = append(c.targets, c.newMember(d, fmt.Sprintf("target-%s%d", d.Name, i+1), box.Target, ""))
 		}
 	}
 }
@@ -161,11 +161,11 @@
 // ConnectionsPerTarget is what each target accepts.
 const ConnectionsPerTarget = 60
 
-func (c *Cell) member(d Domain, name string, role box.Role, rack string) *Member {
+func (c *Cell) newMember(d Domain, name string, role box.Role, rack string) *Member {
 	address := FreeAddress()
 	m := &Member{
-		Box:      box.Box{Name: name, Role: role, Domain: d.Name, Rack: rack, Address: c.options.Via(name, address), State: box.Live},
-		Capacity: d.Capacity, Listen: address, Real: address, Slots: d.Slots, Connections: ConnectionsPerTarget,
+		Box:      box.Box{Name: name, Role: role, Domain: d.Name, Rack: rack, Address: c.options.ProxyAddress(name, address), State: box.Live},
+		Capacity: d.Capacity, Listen: address, DirectAddress: address, Slots: d.Slots, Connections: ConnectionsPerTarget,
 	}
 	if role == box.Target {
 		m.Pool = "runners"
@@ -175,10 +175,10 @@
 
 func (c *Cell) startStandins() error {
 	o := c.options
-	if _, err := c.standin("log", "-role", "log", "-listen", c.Log, "-retention", or(o.Retention, 24*time.Hour).String()); err != nil {
+	if _, err := c.startStandin("log", "-role", "log", "-listen", c.LogAddress, "-retention", orDefault(o.Retention, 24*time.Hour).String()); err != nil {
 		return err
 	}
-	if _, err := c.standin("boxes", "-role", "boxes", "-listen", c.Boxes, "-lag", or(o.Lag, 100*time.Millisecond).String()); err != nil {
+	if _, err := c.startStandin("boxes", "-role", "boxes", "-listen", c.BoxesAddress, "-lag", orDefault(o.Lag, 100*time.Millisecond).String()); err != nil {
 		return err
 	}
 	for _, d := range o.Domains {
@@ -201,7 +201,7 @@
 		}
 	}
 	groups := [][]*Member{own}
-	if d.Apart {
+	if d.SeparateProcesses {
 		groups = groups[:0]
 		for _, m := range own {
 			groups = append(groups, []*Member{m})
@@ -227,35 +227,35 @@
 	if err := os.WriteFile(path, data, 0o644); err != nil {
 		return err
 	}
-	p, err := c.standin(name, "-role", role, "-members", path, "-task-lease", or(c.options.TaskLease, 30*time.Second).String())
+	p, err := c.startStandin(name, "-role", role, "-members", path, "-task-lease", orDefault(c.options.TaskLease, 30*time.Second).String())
 	for _, m := range group {
 		m.process = p
 	}
 	return err
 }
 
-func (c *Cell) standin(name string, args ...string) (*Process, error) {
+func (c *Cell) startStandin(name string, args ...string) (*Process, error) {
 	p, err := StartProcess(c.options.Dir, name, c.options.Binaries.Standin, args...)
 	if err != nil {
 		return nil, err
 	}
-	c.remember(p)
+	c.addProcess(p)
 	return p, nil
 }
 
-func (c *Cell) remember(p *Process) {
+func (c *Cell) addProcess(p *Process) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.processes = append(c.processes, p)
 }
 
-func (c *Cell) waitStandins(ctx context.Context) error {
-	addresses := []string{c.Log, c.Boxes}
+func (c *Cell) waitForStandins(ctx context.Context) error {
+	addresses := []string{c.LogAddress, c.BoxesAddress}
 	for _, m := range append(append([]*Member{}, c.workers...), c.targets...) {
-		addresses = append(addresses, m.Real)
+		addresses = append(addresses, m.DirectAddress)
 	}
 	for _, a := range addresses {
-		err := Until(ctx, a+" answers", func() bool {
+		err := WaitFor(ctx, a+" answers", func() bool {
 			conn, err := net.DialTimeout("tcp", a, time.Second)
 			if err != nil {
 				return false
@@ -281,7 +281,7 @@
 		return err
 	}
 	e.process = p
-	c.remember(p)
+	c.addProcess(p)
 	return nil
 }
 
@@ -291,7 +291,7 @@
 		"box":    {"name: " + e.Name, "domain: " + e.Domain},
 		"listen": {"callers: " + e.Callers, "operators: " + e.Operators, "peers: " + e.Peers},
 		"platform": {
-			"log: http://" + c.options.Via("log-"+e.Domain, c.Log), "boxes: http://" + c.options.Via("boxes-"+e.Domain, c.Boxes),
+			"log: http://" + c.options.ProxyAddress("log-"+e.Domain, c.LogAddress), "boxes: http://" + c.options.ProxyAddress("boxes-"+e.Domain, c.BoxesAddress),
 		},
 	}
 	for name, lines := range c.options.Settings {
@@ -338,7 +338,7 @@
 // Targets returns the targets.
 func (c *Cell) Targets() []*Member { return c.targets }
 
-func or(d, other time.Duration) time.Duration {
+func orDefault(d, other time.Duration) time.Duration {
 	if d == 0 {
 		return other
 	}
--- a/tests/cell/file.go
+++ b/tests/cell/file.go
@@ -16,7 +16,7 @@
 	for _, d := range c.options.Domains {
 		for r := range d.Racks {
 			var workers []string
-			for i := range d.PerRack {
+			for i := range d.WorkersPerRack {
 				workers = append(workers, fmt.Sprintf("worker-%s%d-%d", d.Name, r+1, i+1))
 			}
 			fmt.Fprintf(&b, "  - name: rack-%s%d\n    domain: %s\n    shard: %d\n    workers: [%s]\n",
--- a/tests/cell/process.go
+++ b/tests/cell/process.go
@@ -93,7 +93,7 @@
 // Done is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-func (p *Process) ended() bool {
+func (p *Process) hasEnded() bool {
 	select {
 	case <-p.done:
 		return true
--- a/tests/cell/proxy.go
+++ b/tests/cell/proxy.go
@@ -20,7 +20,7 @@
 type Proxies struct {
 	server *toxiproxy.ApiServer
 	mu     sync.Mutex
-	all    map[string]*toxiproxy.Proxy
+	byName map[string]*toxiproxy.Proxy
 }
 
 // NewProxies returns proxies for nothing yet.
@@ -28,20 +28,20 @@
 	logger := zerolog.Nop()
 	return &Proxies{
 		server: toxiproxy.NewServer(toxiproxy.NewMetricsContainer(prometheus.NewRegistry()), logger),
-		all:    map[string]*toxiproxy.Proxy{},
+		byName: map[string]*toxiproxy.Proxy{},
 	}
 }
 
-// Via returns the address of the proxy of that name, and starts it before
+// GetOrStart returns the address of the proxy of that name, and starts it before
 // address if there is none yet.
-func (p *Proxies) Via(name, address string) string {
+func (p *Proxies) GetOrStart(name, address string) string {
 	if proxy, err := p.get(name); err == nil {
 		return proxy.Listen
 	}
 	proxy := p.start(name, address)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.all[name] = proxy
+	p.byName[name] = proxy
 	return proxy.Listen
 }
 
@@ -60,7 +60,7 @@
 func (p *Proxies) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, proxy := range p.all {
+	for _, proxy := range p.byName {
 		proxy.Stop()
 	}
 }
@@ -119,17 +119,17 @@
 		return err
 	}
 	for proxy.Start() != nil {
-		time.Sleep(acceptAgain)
+		time.Sleep(acceptRetryDelay)
 	}
 	return nil
 }
 
-const acceptAgain = time.Millisecond
+const acceptRetryDelay = time.Millisecond
 
 func (p *Proxies) get(name string) (*toxiproxy.Proxy, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	proxy, ok := p.all[name]
+	proxy, ok := p.byName[name]
 	if !ok {
 		return nil, fmt.Errorf("no proxy %q", name)
 	}
--- a/tests/cell/sockets.go
+++ b/tests/cell/sockets.go
@@ -12,9 +12,9 @@
 	"strings"
 )
 
-// Sockets returns how many sockets the process has open, listening ones too, but for
+// SocketCount returns how many sockets the process has open, listening ones too, but for
 // those that it took at an address.
-func (p *Process) Sockets(but string) (int, error) {
+func (p *Process) SocketCount(but string) (int, error) {
 	taken, err := socketsAt(but)
 	if err != nil {
 		return 0, err
@@ -37,8 +37,8 @@
 
 // The fields of a line of /proc/net/tcp.
 const (
-	fieldLocal = 1
-	fieldInode = 9
+	localAddressField = 1
+	inodeField        = 9
 )
 
 // socketsAt returns the inodes of the sockets whose local end is an address.
@@ -58,8 +58,8 @@
 	inodes := map[string]bool{}
 	for line := range strings.Lines(string(table)) {
 		fields := strings.Fields(line)
-		if len(fields) > fieldInode && strings.HasSuffix(fields[fieldLocal], fmt.Sprintf(":%04X", port)) {
-			inodes[fields[fieldInode]] = true
+		if len(fields) > inodeField && strings.HasSuffix(fields[localAddressField], fmt.Sprintf(":%04X", port)) {
+			inodes[fields[inodeField]] = true
 		}
 	}
 	return inodes, nil
--- a/tests/integration/callers_test.go
+++ b/tests/integration/callers_test.go
@@ -18,44 +18,46 @@
 	"github.com/sourcegraph/conc"
 )
 
-// asked is a request and what its caller got.
-type asked struct {
-	nonce   string
-	began   time.Time
-	ms      int
-	class   string
-	body    string
-	status  int
-	verdict verdict.Verdict
-	answer  string
-	err     error
+// callResult is a request and what its caller got.
+type callResult struct {
+	nonce     string
+	startedAt time.Time
+	delayMs   int
+	class     string
+	body      string
+	status    int
+	verdict   verdict.Verdict
+	answer    string
+	err       error
 }
 
-// whole says whether the caller got the whole answer to its own request.
-func (a asked) whole() bool { return a.err == nil && a.verdict == verdict.Ran && a.answer == a.body }
+// isComplete says whether the caller got the whole answer to its own request.
+func (a callResult) isComplete() bool {
+	return a.err == nil && a.verdict == verdict.Ran && a.answer == a.body
+}
 
 // callers are clients that send requests until they are stopped.
 type callers struct {
 	f      *fixture
 	client *http.Client
 	// pick chooses the entry box for the next request.
-	pick func() *cell.Entry
+	pickEntry func() *cell.Entry
 	// leave makes some callers leave early.
-	leave   bool
-	ms      int
-	size    int
-	stop    chan struct{}
-	tasks   conc.WaitGroup
-	mu      sync.Mutex
-	results []asked
+	cancelSome      bool
+	maxDelayMs      int
+	maxPaddingBytes int
+	stop            chan struct{}
+	tasks           conc.WaitGroup
+	mu              sync.Mutex
+	results         []callResult
 }
 
 func newCallers(f *fixture) *callers {
 	entries := f.Entries()
 	return &callers{
-		f: f, stop: make(chan struct{}), ms: 5, size: 100,
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}, Timeout: 30 * time.Second},
-		pick:   func() *cell.Entry { return entries[rand.IntN(len(entries))] },
+		f: f, stop: make(chan struct{}), maxDelayMs: 5, maxPaddingBytes: 100,
+		client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}, Timeout: 30 * time.Second},
+		pickEntry: func() *cell.Entry { return entries[rand.IntN(len(entries))] },
 	}
 }
 
@@ -69,19 +71,19 @@
 					return
 				default:
 				}
-				c.add(c.ask(classes[(i+j)%len(classes)], fmt.Sprintf("%d-%d-%d", i, j, rand.Int64())))
+				c.addResult(c.sendNew(classes[(i+j)%len(classes)], fmt.Sprintf("%d-%d-%d", i, j, rand.Int64())))
 			}
 		})
 	}
 }
 
-func (c *callers) add(a asked) {
+func (c *callers) addResult(a callResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.results = append(c.results, a)
 }
 
-func (c *callers) count(ok func(asked) bool) int {
+func (c *callers) count(ok func(callResult) bool) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
@@ -93,20 +95,20 @@
 	return n
 }
 
-// end stops the callers and returns what they got.
-func (c *callers) end() []asked {
+// stopAndCollect stops the callers and returns what they got.
+func (c *callers) stopAndCollect() []callResult {
 	close(c.stop)
 	c.tasks.Wait()
 	return c.results
 }
 
-// ask sends one request, with a key if its class needs one.
-func (c *callers) ask(class, nonce string) asked {
-	a := asked{nonce: nonce, began: time.Now(), ms: rand.IntN(c.ms + 1), class: class, body: nonce + strings.Repeat("x", rand.IntN(c.size+1))}
-	e := c.pick()
+// sendNew sends one request, with a key if its class needs one.
+func (c *callers) sendNew(class, nonce string) callResult {
+	a := callResult{nonce: nonce, startedAt: time.Now(), delayMs: rand.IntN(c.maxDelayMs + 1), class: class, body: nonce + strings.Repeat("x", rand.IntN(c.maxPaddingBytes+1))}
+	e := c.pickEntry()
 	key := ""
 	if class == "extract" {
-		if key = c.key(e); key == "" {
+		if key = c.issueKey(e); key == "" {
 			a.status, a.verdict = http.StatusServiceUnavailable, verdict.NotRun
 			return a
 		}
@@ -114,15 +116,15 @@
 	return c.send(e, a, key)
 }
 
-func (c *callers) send(e *cell.Entry, a asked, key string) asked {
+func (c *callers) send(e *cell.Entry, a callResult, key string) callResult {
 	ctx, cancel := context.WithCancel(c.f.ctx)
 	defer cancel()
-	if c.leave && rand.IntN(4) == 0 {
+	if c.cancelSome && rand.IntN(4) == 0 {
 		timer := time.AfterFunc(time.Duration(rand.IntN(10))*time.Millisecond, cancel)
 		defer timer.Stop()
 	}
-	path := fmt.Sprintf("runners/%s?ms=%d", a.class, a.ms)
-	resp, answer, err := cell.Ask(ctx, c.client, e, path, key, a.nonce, a.body)
+	path := fmt.Sprintf("runners/%s?ms=%d", a.class, a.delayMs)
+	resp, answer, err := cell.SendRequest(ctx, c.client, e, path, key, a.nonce, a.body)
 	a.err = err
 	if err == nil {
 		a.status, a.answer = resp.StatusCode, answer
@@ -131,8 +133,8 @@
 	return a
 }
 
-// key asks an entry box for a key.
-func (c *callers) key(e *cell.Entry) string {
+// issueKey asks an entry box for a key.
+func (c *callers) issueKey(e *cell.Entry) string {
 	key, err := cell.IssueKey(c.f.ctx, c.client, e)
 	if err != nil {
 		return ""
@@ -140,13 +142,13 @@
 	return key
 }
 
-// runs adds up how often each request ran at any target.
-func (f *fixture) runs() map[string]int {
+// runCounts adds up how often each request ran at any target.
+func (f *fixture) runCounts() map[string]int {
 	f.t.Helper()
 	sum := map[string]int{}
-	f.until("every target tells what it ran", func() bool {
+	f.waitFor("every target tells what it ran", func() bool {
 		clear(sum)
-		all, err := f.Runs(f.ctx)
+		all, err := f.TargetStats(f.ctx)
 		for _, r := range all {
 			for nonce, n := range r.Runs {
 				sum[nonce] += n
@@ -157,10 +159,10 @@
 	return sum
 }
 
-// checkTruth holds what callers were told against what targets ran.
-func (f *fixture) checkTruth(results []asked) {
+// checkVerdicts holds what callers were told against what targets ran.
+func (f *fixture) checkVerdicts(results []callResult) {
 	f.t.Helper()
-	runs := f.runs()
+	runs := f.runCounts()
 	for _, a := range results {
 		n := runs[a.nonce]
 		switch {
--- a/tests/integration/config_test.go
+++ b/tests/integration/config_test.go
@@ -15,16 +15,16 @@
 	"gotest.tools/v3/assert"
 )
 
-const waitStop = 30 * time.Second
+const stopTimeout = 30 * time.Second
 
-func TestOfRacingOperatorsOneWinsAndTheOthersAreToldSo(t *testing.T) {
+func TestConcurrentPublishesHaveOneWinner(t *testing.T) {
 	f := newFixture(t, nil, domain("a"), domain("b"))
 	var wg sync.WaitGroup
 	codes := make([]int, 8)
 	for i := range codes {
-		path := f.file(fmt.Sprint("race", i), fmt.Sprintf("name: race\nteams:\n  - {name: team%d, quota: {processors: 1}}\n", i))
+		path := f.writeFile(fmt.Sprint("race", i), fmt.Sprintf("name: race\nteams:\n  - {name: team%d, quota: {processors: 1}}\n", i))
 		wg.Go(func() {
-			_, codes[i] = f.ToolAt(f.ctx, f.Entries()[i%4].Operators, "publish", "-replaces", "0", path)
+			_, codes[i] = f.RunToolAt(f.ctx, f.Entries()[i%4].Operators, "publish", "-replaces", "0", path)
 		})
 	}
 	wg.Wait()
@@ -36,34 +36,34 @@
 		}
 	}
 	assert.Equal(t, won, 1)
-	f.inForce("race", f.Entries()...)
+	f.waitInForce("race", f.Entries()...)
 }
 
-func TestAPublicationWhoseAnswerWasLostCanBeRepeatedSafely(t *testing.T) {
+func TestRetriedPublishIsAppliedOnce(t *testing.T) {
 	f := newFixture(t, nil, domain("a"))
-	assert.NilError(t, cell.SetFaults(f.ctx, f.Log, cell.Faults{LoseAnswers: true}))
-	path := f.file("lost", "name: lost\n")
-	_, code := f.Tool(f.ctx, "publish", "-within", "2s", "-id", "the-one", "-replaces", "0", path)
+	assert.NilError(t, cell.SetFaults(f.ctx, f.LogAddress, cell.Faults{LoseAnswers: true}))
+	path := f.writeFile("lost", "name: lost\n")
+	_, code := f.RunTool(f.ctx, "publish", "-within", "2s", "-id", "the-one", "-replaces", "0", path)
 	assert.Equal(t, code, 3)
-	assert.NilError(t, cell.SetFaults(f.ctx, f.Log, cell.Faults{}))
-	out, code := f.Tool(f.ctx, "publish", "-id", "the-one", "-replaces", "0", path)
+	assert.NilError(t, cell.SetFaults(f.ctx, f.LogAddress, cell.Faults{}))
+	out, code := f.RunTool(f.ctx, "publish", "-id", "the-one", "-replaces", "0", path)
 	assert.Equal(t, code, 0, out)
-	f.inForce("lost", f.Entries()...)
+	f.waitInForce("lost", f.Entries()...)
 	revision := f.revision("lost")
-	out, code = f.Tool(f.ctx, "publish", "-id", "the-one", "-replaces", "0", path)
+	out, code = f.RunTool(f.ctx, "publish", "-id", "the-one", "-replaces", "0", path)
 	assert.Equal(t, code, 0, out)
 	assert.Equal(t, f.revision("lost"), revision, "it was applied twice")
 }
 
-func TestFilesOutliveTheRecordsThatPublishedThem(t *testing.T) {
+func TestFilesSurviveLogRetention(t *testing.T) {
 	f := newFixture(t, func(o *cell.Options) {
 		o.Retention = 6 * time.Second
 		o.Settings["platform"] = append(o.Settings["platform"], "retention: 6s")
 	}, domain("a"))
 	f.publish("kept", "0", "name: kept\n")
-	f.inForce("kept", f.Entries()...)
+	f.waitInForce("kept", f.Entries()...)
 	revision := f.revision("kept")
-	f.until("the log has forgotten the record", func() bool {
+	f.waitFor("the log has forgotten the record", func() bool {
 		n, err := f.CountLog(f.ctx)
 		assert.NilError(t, err)
 		return n.First > revision
@@ -80,17 +80,17 @@
 		assert.Equal(t, revisionOn(f.ctx, e, "kept"), revision)
 	}
 	f.republish("kept", "name: kept\nteams:\n  - {name: more, quota: {processors: 1}}\n")
-	f.inForce("kept", f.Entries()...)
+	f.waitInForce("kept", f.Entries()...)
 }
 
-func TestABoxThatStartsCutOffNeverActsOnSomethingOlder(t *testing.T) {
+func TestPartitionedStartNeverUsesStaleFiles(t *testing.T) {
 	f := newFixture(t, nil, domain("a"))
 	f.publish("x", "0", "name: x\n")
-	f.inForce("x", f.Entries()...)
+	f.waitInForce("x", f.Entries()...)
 	first, second := f.Entries()[0], f.Entries()[1]
 	first.Process().Kill()
-	f.until("the new revision is in force on the other box", func() bool {
-		out, code := f.ToolAt(f.ctx, second.Operators, "publish", "-replaces", fmt.Sprint(revisionOn(f.ctx, second, "x")), f.file("x", "name: x\nteams:\n  - {name: new, quota: {processors: 1}}\n"))
+	f.waitFor("the new revision is in force on the other box", func() bool {
+		out, code := f.RunToolAt(f.ctx, second.Operators, "publish", "-replaces", fmt.Sprint(revisionOn(f.ctx, second, "x")), f.writeFile("x", "name: x\nteams:\n  - {name: new, quota: {processors: 1}}\n"))
 		return code == 0 && strings.Contains(out, "accepted")
 	})
 	newest := revisionOn(f.ctx, second, "x")
@@ -99,7 +99,7 @@
 	assert.NilError(t, f.proxies.Cut(second.Name, cell.Requests, cell.Answers))
 	assert.NilError(t, f.proxies.Cut(first.Name, cell.Requests, cell.Answers))
 	assert.NilError(t, f.StartEntry(first))
-	f.until("the box answers", func() bool { _, err := first.Status(f.ctx); return err == nil })
+	f.waitFor("the box answers", func() bool { _, err := first.Status(f.ctx); return err == nil })
 	s, err := first.Status(f.ctx)
 	assert.NilError(t, err)
 	assert.Check(t, !s.InForce)
@@ -107,6 +107,6 @@
 	// With its peer it knows the newest.
 	assert.NilError(t, f.proxies.Heal(second.Name))
 	assert.NilError(t, f.proxies.Heal(first.Name))
-	f.until("the box is ready", func() bool { return first.Ready(f.ctx) })
+	f.waitFor("the box is ready", func() bool { return first.Ready(f.ctx) })
 	assert.Equal(t, revisionOn(f.ctx, first, "x"), newest)
 }
--- a/tests/integration/frame_test.go
+++ b/tests/integration/frame_test.go
@@ -22,7 +22,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestBadSettingsAreAllReportedAndNoPortIsOpened(t *testing.T) {
+func TestInvalidSettingsAreAllReportedBeforePortsOpen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.yaml")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -43,37 +43,37 @@
 	}
 }
 
-func TestTheToolsExitCodesTellWhatHappened(t *testing.T) {
+func TestToolExitCodes(t *testing.T) {
 	f := newFixture(t, nil, domain("a"))
-	bad := f.file("bad", "name: bad\njobs:\n  - {name: j}\n")
-	out, code := f.Tool(f.ctx, "validate", bad)
+	bad := f.writeFile("bad", "name: bad\njobs:\n  - {name: j}\n")
+	out, code := f.RunTool(f.ctx, "validate", bad)
 	assert.Equal(t, code, 2, out)
 	assert.Check(t, strings.Contains(out, ":3:"), out)
-	_, code = f.Tool(f.ctx, "publish", bad)
+	_, code = f.RunTool(f.ctx, "publish", bad)
 	assert.Equal(t, code, 2)
-	_, code = f.Tool(f.ctx, "publish", "-replaces", "0", f.file("cell", f.CellFile("cell")))
+	_, code = f.RunTool(f.ctx, "publish", "-replaces", "0", f.writeFile("cell", f.CellFile("cell")))
 	assert.Equal(t, code, 1, "a file that replaces an older revision")
 
 	// Nobody is there: nothing was sent.
-	_, code = f.ToolAt(f.ctx, "127.0.0.1:1", "publish", "-within", "300ms", "-replaces", "0", f.file("other", "name: other\n"))
+	_, code = f.RunToolAt(f.ctx, "127.0.0.1:1", "publish", "-within", "300ms", "-replaces", "0", f.writeFile("other", "name: other\n"))
 	assert.Equal(t, code, 1)
 
 	// The log takes records in, and each answer is lost: the reader still sees them.
 	assert.NilError(t, f.proxies.Cut("log-a", cell.Answers))
-	_, code = f.Tool(f.ctx, "publish", "-within", "4s", "-replaces", "0", f.file("lost", "name: lost\n"))
+	_, code = f.RunTool(f.ctx, "publish", "-within", "4s", "-replaces", "0", f.writeFile("lost", "name: lost\n"))
 	assert.Equal(t, code, 3, "neither reads nor answers come back from the log")
 	assert.NilError(t, f.proxies.Heal("log-a"))
-	f.inForce("lost", f.Entries()...)
+	f.waitInForce("lost", f.Entries()...)
 
 	for _, args := range [][]string{{"status"}, {"get"}, {"get", "cell"}, {"queue"}, {"dump"}, {"version"}} {
 		for _, format := range []string{"table", "json", "yaml"} {
-			out, code := f.Tool(f.ctx, append([]string{args[0], "-o", format}, args[1:]...)...)
+			out, code := f.RunTool(f.ctx, append([]string{args[0], "-o", format}, args[1:]...)...)
 			assert.Equal(t, code, 0, "%v -o %s: %s", args, format, out)
 		}
 	}
 }
 
-func TestBadInputEndsNoProcess(t *testing.T) {
+func TestInvalidInputTerminatesNoProcess(t *testing.T) {
 	f := newFixture(t, nil, domain("a"))
 	e := f.Entries()[0]
 
@@ -101,12 +101,12 @@
 		append(binary.BigEndian.AppendUint32(nil, 60), `{"jsonrpc":"2.0","id":1,"method":"peer.hello","params":{"b":1}}`...),
 		append(binary.BigEndian.AppendUint32(nil, 2), "{}"...),
 	} {
-		send(t, e.Peers, frame)
+		sendFrame(t, e.Peers, frame)
 	}
 	appendToLog(t, f, "{", `{"id":"x"}`, strings.Repeat("[", 10_000), `{"id":"a","from":"b","entries":[{"publish":{"file":"f","data":"{{{"}}]}`)
 
 	f.publish("after", "0", "name: after\n")
-	f.inForce("after", f.Entries()...)
+	f.waitInForce("after", f.Entries()...)
 	for _, e := range f.Entries() {
 		select {
 		case <-e.Process().Done():
@@ -124,7 +124,7 @@
 	return len(p), nil
 }
 
-func send(t *testing.T, address string, frame []byte) {
+func sendFrame(t *testing.T, address string, frame []byte) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
@@ -138,7 +138,7 @@
 	for _, r := range records {
 		body, err := json.Marshal(map[string]string{"id": "test", "data": r})
 		assert.NilError(t, err)
-		req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+f.Log+"/v1/append", bytes.NewReader(body))
+		req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+f.LogAddress+"/v1/append", bytes.NewReader(body))
 		assert.NilError(t, err)
 		resp, err := http.DefaultClient.Do(req)
 		assert.NilError(t, err)
--- a/tests/integration/main_test.go
+++ b/tests/integration/main_test.go
@@ -46,8 +46,8 @@
 	return m.Run()
 }
 
-// within bounds each test; a condition that has not come true by then fails it.
-const within = 60 * time.Second
+// testTimeout bounds each test; a condition that has not come true by then fails it.
+const testTimeout = 60 * time.Second
 
 // fixture is a cell under test.
 type fixture struct {
@@ -61,7 +61,7 @@
 // domain returns a failure domain of a size that most tests use.
 func domain(name string) cell.Domain {
 	return cell.Domain{
-		Name: name, Entries: 2, Racks: 2, PerRack: 2, Targets: 2, Slots: 8,
+		Name: name, Entries: 2, Racks: 2, WorkersPerRack: 2, Targets: 2, Slots: 8,
 		Capacity: resource.Vector{Processors: 8 * resource.Processor, Memory: 16 * resource.GiB},
 	}
 }
@@ -71,11 +71,11 @@
 func newFixture(t *testing.T, change func(*cell.Options), domains ...cell.Domain) *fixture {
 	t.Helper()
 	t.Parallel()
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	f := &fixture{t: t, ctx: ctx, dir: t.TempDir(), proxies: cell.NewProxies()}
 	o := cell.Options{
 		Binaries: binaries, Dir: f.dir, Domains: domains, Settings: cell.QuickSettings(),
-		Via: f.proxies.Via, TaskLease: 3 * time.Second,
+		ProxyAddress: f.proxies.GetOrStart, TaskLease: 3 * time.Second,
 	}
 	if change != nil {
 		change(&o)
@@ -93,7 +93,7 @@
 	})
 	assert.NilError(t, c.WaitReady(ctx))
 	f.publish("cell", "0", c.CellFile("cell"))
-	f.inForce("cell", c.Entries()...)
+	f.waitInForce("cell", c.Entries()...)
 	return f
 }
 
@@ -103,14 +103,14 @@
 		data, _ := os.ReadFile(p)
 		f.t.Logf("%s:\n%s", filepath.Base(p), data[max(0, len(data)-4000):])
 	}
-	out, _ := f.Tool(context.Background(), "queue")
+	out, _ := f.RunTool(context.Background(), "queue")
 	f.t.Logf("queue:\n%s", out)
-	out, _ = f.Tool(context.Background(), "status")
+	out, _ = f.RunTool(context.Background(), "status")
 	f.t.Logf("status:\n%s", out)
 }
 
-// file writes a file and returns its path.
-func (f *fixture) file(name, text string) string {
+// writeFile writes a file and returns its path.
+func (f *fixture) writeFile(name, text string) string {
 	f.t.Helper()
 	path := filepath.Join(f.dir, name+".yaml")
 	assert.NilError(f.t, os.WriteFile(path, []byte(text), 0o600))
@@ -120,7 +120,7 @@
 // publish puts a file in force through the operators' tool.
 func (f *fixture) publish(name, replaces, text string) {
 	f.t.Helper()
-	out, code := f.Tool(f.ctx, "publish", "-replaces", replaces, f.file(name, text))
+	out, code := f.RunTool(f.ctx, "publish", "-replaces", replaces, f.writeFile(name, text))
 	assert.Equal(f.t, code, 0, out)
 }
 
@@ -148,11 +148,11 @@
 	f.publish(name, fmt.Sprint(f.revision(name)), text)
 }
 
-// inForce waits until a file is in force at its highest revision on the given
+// waitInForce waits until a file is in force at its highest revision on the given
 // boxes.
-func (f *fixture) inForce(name string, entries ...*cell.Entry) {
+func (f *fixture) waitInForce(name string, entries ...*cell.Entry) {
 	f.t.Helper()
-	f.until(name+" is in force", func() bool {
+	f.waitFor(name+" is in force", func() bool {
 		want := f.revision(name)
 		for _, e := range entries {
 			if revisionOn(f.ctx, e, name) != want {
@@ -176,28 +176,28 @@
 	return 0
 }
 
-// until waits for a condition.
-func (f *fixture) until(what string, ok func() bool) {
+// waitFor waits for a condition.
+func (f *fixture) waitFor(what string, ok func() bool) {
 	f.t.Helper()
-	assert.NilError(f.t, cell.Until(f.ctx, what, ok))
+	assert.NilError(f.t, cell.WaitFor(f.ctx, what, ok))
 }
 
-// noHarm checks what must always hold at the workers: no task in two places at
+// checkWorkerInvariants checks what must always hold at the workers: no task in two places at
 // once, and no worker given more than it has.
-func (f *fixture) noHarm() cell.History {
+func (f *fixture) checkWorkerInvariants() cell.History {
 	f.t.Helper()
 	h, err := f.History(f.ctx)
 	assert.NilError(f.t, err)
-	assert.Equal(f.t, len(h.Twice()), 0, "%v", h.Twice())
-	assert.Equal(f.t, h.Excess, int64(0))
+	assert.Equal(f.t, len(h.Overlaps()), 0, "%v", h.Overlaps())
+	assert.Equal(f.t, h.ExcessStarts, int64(0))
 	return h
 }
 
-// holder returns the entry box that holds a shard and is active.
-func (f *fixture) holder(shard string, among ...*cell.Entry) *cell.Entry {
+// activeHolder returns the entry box that holds a shard and is active.
+func (f *fixture) activeHolder(shard string, among ...*cell.Entry) *cell.Entry {
 	f.t.Helper()
 	var found *cell.Entry
-	f.until("shard "+shard+" has an active holder", func() bool {
+	f.waitFor("shard "+shard+" has an active holder", func() bool {
 		for _, e := range among {
 			s, err := e.Status(f.ctx)
 			if err != nil {
--- a/tests/integration/shard_test.go
+++ b/tests/integration/shard_test.go
@@ -17,9 +17,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// work returns a file with a service, a job that may be repeated, one that may
+// workFile returns a file with a service, a job that may be repeated, one that may
 // not, and a gang.
-func work(ms int) string {
+func workFile(ms int) string {
 	return fmt.Sprintf(`name: work
 services:
   - {name: serve, team: archive, priority: urgent, count: 4, resources: {processors: 1, memory: 1GiB}, command: [serve]}
@@ -31,26 +31,26 @@
 `, ms, ms, ms)
 }
 
-// started waits until some of the work has ended.
-func (f *fixture) started() {
+// waitStarted waits until some of the work has ended.
+func (f *fixture) waitStarted() {
 	f.t.Helper()
-	f.until("work is under way", func() bool {
+	f.waitFor("work is under way", func() bool {
 		w := f.Work(f.ctx)
 		return w["serve"].Running == 4 && w["many"].Done > 5 && w["once"].Done > 2
 	})
 }
 
-// completed waits until all work has come to its end, and checks that nothing
+// waitCompleted waits until all work has come to its end, and checks that nothing
 // ran in two places, and nothing twice that may not.
-func (f *fixture) completed() map[string]status.Work {
+func (f *fixture) waitCompleted() map[string]status.Work {
 	f.t.Helper()
 	var w map[string]status.Work
-	f.until("all work has come to its end", func() bool {
+	f.waitFor("all work has come to its end", func() bool {
 		w = f.Work(f.ctx)
 		ended := w["once"].Done + w["once"].Failed + w["once"].Unknown
 		return w["serve"].Running == 4 && w["many"].Done == 80 && w["gang"].Done == 6 && ended == 40 && w["once"].Running == 0
 	})
-	h := f.noHarm()
+	h := f.checkWorkerInvariants()
 	for key, n := range h.Starts() {
 		if key.Object.Name == "once" {
 			assert.Check(f.t, n <= 1, "%s may not be repeated and was started %d times", key, n)
@@ -59,20 +59,20 @@
 	return w
 }
 
-func TestAHolderThatDiesIsReplacedAndNothingRunsTwice(t *testing.T) {
+func TestCrashedHolderIsReplacedWithoutDuplicateRuns(t *testing.T) {
 	f := newFixture(t, nil, domain("a"))
-	f.publish("work", "0", work(300))
-	f.started()
-	f.holder("a.0", f.Entries()...).Process().Kill()
-	w := f.completed()
+	f.publish("work", "0", workFile(300))
+	f.waitStarted()
+	f.activeHolder("a.0", f.Entries()...).Process().Kill()
+	w := f.waitCompleted()
 	assert.Equal(t, w["once"].Done+w["once"].Unknown, 40)
 }
 
-func TestAHolderPausedPastItsLeasesIsFenced(t *testing.T) {
+func TestHolderPausedPastItsLeasesIsFenced(t *testing.T) {
 	f := newFixture(t, nil, domain("a"))
-	f.publish("work", "0", work(400))
-	f.started()
-	holder := f.holder("a.0", f.Entries()...)
+	f.publish("work", "0", workFile(400))
+	f.waitStarted()
+	holder := f.activeHolder("a.0", f.Entries()...)
 	assert.NilError(t, holder.Process().Pause())
 	var others []*cell.Entry
 	for _, e := range f.Entries() {
@@ -80,67 +80,67 @@
 			others = append(others, e)
 		}
 	}
-	f.holder("a.0", others...)
+	f.activeHolder("a.0", others...)
 	assert.NilError(t, holder.Process().Continue())
-	f.completed()
+	f.waitCompleted()
 }
 
-func TestLostAnswersOfWorkersDoubleNothing(t *testing.T) {
+func TestLostWorkerResponsesCauseNoDuplicateRuns(t *testing.T) {
 	f := newFixture(t, nil, domain("a"))
 	for i, m := range f.Workers() {
 		if i%2 == 0 {
-			assert.NilError(t, cell.SetFaults(f.ctx, m.Real, cell.Faults{LoseAnswers: true}))
+			assert.NilError(t, cell.SetFaults(f.ctx, m.DirectAddress, cell.Faults{LoseAnswers: true}))
 		}
 	}
-	f.publish("work", "0", work(100))
-	f.until("the sound workers do work", func() bool { return f.Work(f.ctx)["many"].Running > 0 || f.Work(f.ctx)["many"].Done > 0 })
+	f.publish("work", "0", workFile(100))
+	f.waitFor("the sound workers do work", func() bool { return f.Work(f.ctx)["many"].Running > 0 || f.Work(f.ctx)["many"].Done > 0 })
 	for _, m := range f.Workers() {
-		assert.NilError(t, cell.SetFaults(f.ctx, m.Real, cell.Faults{}))
+		assert.NilError(t, cell.SetFaults(f.ctx, m.DirectAddress, cell.Faults{}))
 	}
-	w := f.completed()
+	w := f.waitCompleted()
 	assert.Equal(t, w["once"].Done, 40)
 }
 
-func TestAWorkerCutOffInOneDirectionRunsNothingTwice(t *testing.T) {
+func TestOneWayPartitionOfWorkerCausesNoDuplicateRuns(t *testing.T) {
 	for _, d := range []cell.Direction{cell.Requests, cell.Answers} {
 		t.Run(string(d), func(t *testing.T) {
 			f := newFixture(t, nil, domain("a"))
-			f.publish("work", "0", work(300))
-			f.started()
+			f.publish("work", "0", workFile(300))
+			f.waitStarted()
 			cut := f.Workers()[0].Name
 			assert.NilError(t, f.proxies.Cut(cut, d))
-			f.until("what ran there is started elsewhere", func() bool {
+			f.waitFor("what ran there is started elsewhere", func() bool {
 				w := f.Work(f.ctx)
 				return w["serve"].Running == 4 && w["many"].Done == 80
 			})
-			f.noHarm()
+			f.checkWorkerInvariants()
 			assert.NilError(t, f.proxies.Heal(cut))
-			f.completed()
+			f.waitCompleted()
 		})
 	}
 }
 
-func TestADeadWorkersTasksAreStartedElsewhere(t *testing.T) {
+func TestTasksOfDeadWorkerAreStartedElsewhere(t *testing.T) {
 	d := domain("a")
-	d.Apart = true
+	d.SeparateProcesses = true
 	f := newFixture(t, nil, d)
-	f.publish("work", "0", work(300))
-	f.started()
+	f.publish("work", "0", workFile(300))
+	f.waitStarted()
 	victim := f.Workers()[0]
 	assert.NilError(t, f.SetState(f.ctx, victim.Name, box.Dead))
 	victim.Process().Kill()
-	f.until("the rest is done", func() bool {
+	f.waitFor("the rest is done", func() bool {
 		w := f.Work(f.ctx)
 		return w["serve"].Running == 4 && w["many"].Done == 80 && w["gang"].Done == 6
 	})
 }
 
-func TestWhileTheLogIsDownServicesAndStartedJobsRunOn(t *testing.T) {
+func TestServicesAndStartedJobsRunWhileLogIsDown(t *testing.T) {
 	f := newFixture(t, nil, domain("a"))
-	f.publish("work", "0", work(300))
-	f.started()
-	assert.NilError(t, cell.SetFaults(f.ctx, f.Log, cell.Faults{Down: true}))
-	f.until("queued tasks that may be repeated still start", func() bool {
+	f.publish("work", "0", workFile(300))
+	f.waitStarted()
+	assert.NilError(t, cell.SetFaults(f.ctx, f.LogAddress, cell.Faults{Down: true}))
+	f.waitFor("queued tasks that may be repeated still start", func() bool {
 		h, err := f.History(f.ctx)
 		assert.NilError(t, err)
 		started := 0
@@ -152,49 +152,49 @@
 		return started == 80
 	})
 	assert.Equal(t, f.Work(f.ctx)["serve"].Running, 4)
-	f.noHarm()
-	assert.NilError(t, cell.SetFaults(f.ctx, f.Log, cell.Faults{}))
-	w := f.completed()
+	f.checkWorkerInvariants()
+	assert.NilError(t, cell.SetFaults(f.ctx, f.LogAddress, cell.Faults{}))
+	w := f.waitCompleted()
 	assert.Equal(t, w["once"].Done, 40)
 }
 
-func TestAnUnknownTaskIsListedAndSettledOnlyByAFile(t *testing.T) {
+func TestUnknownTaskIsListedAndSettledOnlyByFile(t *testing.T) {
 	d := domain("a")
-	d.Racks, d.PerRack, d.Entries, d.Apart = 1, 2, 1, true
+	d.Racks, d.WorkersPerRack, d.Entries, d.SeparateProcesses = 1, 2, 1, true
 	f := newFixture(t, nil, d)
 	only := strings.Join([]string{
 		"name: only", "jobs:",
 		"  - {name: once, team: archive, count: 2, resources: {processors: 8, memory: 1GiB}, command: [sleep, 60s]}", "",
 	}, "\n")
 	f.publish("only", "0", only)
-	f.until("both tasks run", func() bool { return f.Work(f.ctx)["once"].Running == 2 })
+	f.waitFor("both tasks run", func() bool { return f.Work(f.ctx)["once"].Running == 2 })
 	victim := f.Workers()[0]
 	assert.NilError(t, f.SetState(f.ctx, victim.Name, box.Dead))
 	victim.Process().Kill()
-	f.until("one task is unknown", func() bool { return f.Work(f.ctx)["once"].Unknown == 1 })
+	f.waitFor("one task is unknown", func() bool { return f.Work(f.ctx)["once"].Unknown == 1 })
 	unknown := f.Work(f.ctx)["once"].UnknownTasks[0]
-	out, code := f.Tool(f.ctx, "explain", unknown)
+	out, code := f.RunTool(f.ctx, "explain", unknown)
 	assert.Equal(t, code, 0, out)
 	assert.Check(t, strings.Contains(out, "unknown") && strings.Contains(out, "settle"), out)
 	f.republish("only", only+fmt.Sprintf("settled:\n  - {task: '%s', as: done}\n", unknown))
-	f.until("it is settled", func() bool {
+	f.waitFor("it is settled", func() bool {
 		w := f.Work(f.ctx)["once"]
 		return w.Unknown == 0 && w.Done == 1
 	})
-	for key, n := range f.noHarm().Starts() {
+	for key, n := range f.checkWorkerInvariants().Starts() {
 		assert.Equal(t, n, 1, "%s", key)
 	}
 }
 
-func TestACancelledJobStopsAndADrainedWorkerEmpties(t *testing.T) {
+func TestCancelledJobStopsAndDrainedWorkerEmpties(t *testing.T) {
 	f := newFixture(t, nil, domain("a"))
 	long := "name: long\njobs:\n  - {name: long, team: archive, priority: batch, count: 500, resources: {processors: 1, memory: 1GiB}, command: [sleep, 60s], repeatable: true%s}\n"
 	f.publish("long", "0", fmt.Sprintf(long, ""))
-	f.until("the cell is full", func() bool { return f.Work(f.ctx)["long"].Running == 32 })
+	f.waitFor("the cell is full", func() bool { return f.Work(f.ctx)["long"].Running == 32 })
 
 	drained := f.Workers()[0].Name
 	f.republish("cell", f.CellFile("cell")+"drain: ["+drained+"]\n")
-	f.until("the drained worker is empty", func() bool {
+	f.waitFor("the drained worker is empty", func() bool {
 		h, err := f.History(f.ctx)
 		assert.NilError(t, err)
 		for _, s := range h.Spans {
@@ -205,7 +205,7 @@
 		return f.Work(f.ctx)["long"].Running == 24
 	})
 	f.republish("long", fmt.Sprintf(long, ", cancelled: true"))
-	f.until("nothing of the job runs", func() bool {
+	f.waitFor("nothing of the job runs", func() bool {
 		h, err := f.History(f.ctx)
 		assert.NilError(t, err)
 		for _, s := range h.Spans {
@@ -215,26 +215,26 @@
 		}
 		return true
 	})
-	f.noHarm()
+	f.checkWorkerInvariants()
 }
 
-func TestUrgentWorkTakesThePlaceOfWorkThatCanBeRepeated(t *testing.T) {
+func TestUrgentWorkPreemptsRepeatableWork(t *testing.T) {
 	f := newFixture(t, nil, domain("a"))
 	f.publish("bulk", "0", "name: bulk\njobs:\n  - {name: bulk, team: archive, priority: batch, count: 64, resources: {processors: 1, memory: 1GiB}, command: [sleep, 60s], repeatable: true}\n")
-	f.until("the cell is full", func() bool { return f.Work(f.ctx)["bulk"].Running == 32 })
+	f.waitFor("the cell is full", func() bool { return f.Work(f.ctx)["bulk"].Running == 32 })
 	f.publish("rush", "0", "name: rush\njobs:\n  - {name: rush, team: archive, priority: urgent, count: 2, resources: {processors: 4, memory: 1GiB}, command: [sleep, 100ms], repeatable: true}\n")
-	f.until("the urgent work is done", func() bool { return f.Work(f.ctx)["rush"].Done == 2 })
-	f.until("the rest goes on", func() bool { return f.Work(f.ctx)["bulk"].Running == 32 })
-	f.noHarm()
+	f.waitFor("the urgent work is done", func() bool { return f.Work(f.ctx)["rush"].Done == 2 })
+	f.waitFor("the rest goes on", func() bool { return f.Work(f.ctx)["bulk"].Running == 32 })
+	f.checkWorkerInvariants()
 }
 
-func TestAServiceIsReplacedOneByOne(t *testing.T) {
+func TestServiceIsReplacedTaskByTask(t *testing.T) {
 	f := newFixture(t, nil, domain("a"))
 	file := "name: s\nservices:\n  - {name: s, team: archive, count: 4, resources: {processors: %d, memory: 1GiB}, command: [serve]}\n"
 	f.publish("s", "0", fmt.Sprintf(file, 1))
-	f.until("it runs", func() bool { return f.Work(f.ctx)["s"].Running == 4 })
+	f.waitFor("it runs", func() bool { return f.Work(f.ctx)["s"].Running == 4 })
 	f.republish("s", fmt.Sprintf(file, 2))
-	f.until("every task has been replaced", func() bool {
+	f.waitFor("every task has been replaced", func() bool {
 		h, err := f.History(f.ctx)
 		assert.NilError(t, err)
 		running := 0
@@ -245,13 +245,13 @@
 		}
 		return running == 4
 	})
-	h := f.noHarm()
-	assert.Check(t, fewest(h) >= 3, "only %d of 4 tasks ran at some moment of the replacement", fewest(h))
+	h := f.checkWorkerInvariants()
+	assert.Check(t, minRunning(h) >= 3, "only %d of 4 tasks ran at some moment of the replacement", minRunning(h))
 }
 
-// fewest returns the least number of tasks that ran at any moment after all of
+// minRunning returns the least number of tasks that ran at any moment after all of
 // them had started.
-func fewest(h cell.History) int {
+func minRunning(h cell.History) int {
 	least, full := 1<<30, false
 	slices.SortFunc(h.Spans, func(a, b cell.Span) int { return int(a.Start - b.Start) })
 	for _, at := range h.Spans {
@@ -269,16 +269,16 @@
 	return least
 }
 
-func TestAWorkerThatFailsEverythingIsLeftAloneAndTheWorkIsDone(t *testing.T) {
+func TestFailingWorkerIsAvoidedAndWorkCompletes(t *testing.T) {
 	f := newFixture(t, nil, domain("a"))
-	assert.NilError(t, cell.SetFaults(f.ctx, f.Workers()[0].Real, cell.Faults{FailAll: true}))
+	assert.NilError(t, cell.SetFaults(f.ctx, f.Workers()[0].DirectAddress, cell.Faults{FailAll: true}))
 	var b strings.Builder
 	b.WriteString("name: jobs\njobs:\n")
 	for i := range 6 {
 		fmt.Fprintf(&b, "  - {name: job%d, team: archive, count: 20, resources: {processors: 1, memory: 1GiB}, command: [sleep, 100ms], repeatable: true, retries: 20}\n", i)
 	}
 	f.publish("jobs", "0", b.String())
-	f.until("all jobs are done", func() bool {
+	f.waitFor("all jobs are done", func() bool {
 		w := f.Work(f.ctx)
 		for i := range 6 {
 			if w[fmt.Sprint("job", i)].Done != 20 {
@@ -287,7 +287,7 @@
 		}
 		return true
 	})
-	h := f.noHarm()
+	h := f.checkWorkerInvariants()
 	failed := 0
 	for _, s := range h.Spans {
 		if s.State == task.Failed {
@@ -297,13 +297,13 @@
 	assert.Check(t, failed < 60, "%d attempts failed on the one bad worker", failed)
 }
 
-func TestAPlannedStopOfTheHolderHandsTheShardOver(t *testing.T) {
+func TestPlannedStopOfHolderHandsOverShard(t *testing.T) {
 	f := newFixture(t, nil, domain("a"))
-	f.publish("work", "0", work(200))
-	f.started()
-	holder := f.holder("a.0", f.Entries()...)
-	assert.NilError(t, holder.Process().Stop(waitStop))
+	f.publish("work", "0", workFile(200))
+	f.waitStarted()
+	holder := f.activeHolder("a.0", f.Entries()...)
+	assert.NilError(t, holder.Process().Stop(stopTimeout))
 	assert.Equal(t, holder.Process().ExitCode(), 0)
-	w := f.completed()
+	w := f.waitCompleted()
 	assert.Equal(t, w["once"].Done, 40, "a planned stop left tasks unknown")
 }
--- a/tests/integration/silent_test.go
+++ b/tests/integration/silent_test.go
@@ -19,54 +19,54 @@
 
 // What the daemons of the fixture are told, besides defaults.
 const (
-	// probeAfter and answerWithin are connections.probe and connections.answer.
+	// probeAfter and probeTimeout are connections.probe and connections.answer.
 	probeAfter   = time.Second
-	answerWithin = 250 * time.Millisecond
-	// readWithin is what a waiting read of the log takes that has no answer
-	// (platform.wait and platform.timeout), appendWithin an append.
-	readWithin   = 1500 * time.Millisecond
-	appendWithin = time.Second
+	probeTimeout = 250 * time.Millisecond
+	// readTimeout is what a waiting read of the log takes that has no answer
+	// (platform.wait and platform.timeout), appendTimeout an append.
+	readTimeout   = 1500 * time.Millisecond
+	appendTimeout = time.Second
 	// deadAfter is peers.dead_after.
 	deadAfter = 700 * time.Millisecond
 )
 
 const (
-	// filesWithin is when a file that is published after open connections went silent
+	// filesTimeout is when a file that is published after open connections went silent
 	// is in force everywhere: the silent ones are found one after the other.
-	filesWithin = probeAfter + answerWithin + appendWithin + 2*readWithin
-	// liveWithin is when all boxes hear each other's heartbeats again.
-	liveWithin = probeAfter + answerWithin + deadAfter + readWithin
-	// answersWithin is when requests are answered as before: those that went out on
+	filesTimeout = probeAfter + probeTimeout + appendTimeout + 2*readTimeout
+	// liveTimeout is when all boxes hear each other's heartbeats again.
+	liveTimeout = probeAfter + probeTimeout + deadAfter + readTimeout
+	// responsesTimeout is when requests are answered as before: those that went out on
 	// silent connections take up their deadline, and their targets may be left alone
 	// for twice requests.eject_for.
-	answersWithin = requestDeadline + 2*ejectFor + probeAfter + answerWithin
+	responsesTimeout = requestDeadline + 2*ejectFor + probeAfter + probeTimeout
 	// requestDeadline is that of the classes here, ejectFor requests.eject_for.
 	requestDeadline = 2 * time.Second
 	ejectFor        = time.Second
-	// servedFor is a stretch of time in which requests and their whole answers are counted,
-	// and servedShare the least part of the usual share: the users ask for it of jobs. How
+	// measureDuration is a stretch of time in which requests and their whole answers are counted,
+	// and minServedShare the least part of the usual share: the users ask for it of jobs. How
 	// many requests there are in that time is not compared, since it differs with what else
 	// the machine does; that all targets are used tells that there can be as many as before.
-	servedFor   = 2 * time.Second
-	servedShare = 0.85
+	measureDuration = 2 * time.Second
+	minServedShare  = 0.85
 )
 
-// deadlines finds those of the classes in the cell's file.
-var deadlines = regexp.MustCompile(`deadline: \d+s`)
+// deadlinePattern finds those of the classes in the cell's file.
+var deadlinePattern = regexp.MustCompile(`deadline: \d+s`)
 
-// silences is how often all that is open goes silent.
-const silences = 3
+// stallRounds is how often all that is open goes silent.
+const stallRounds = 3
 
-// forwards are the forwarders of a cell, one before each address.
-type forwards struct {
+// forwarders are the forwarders of a cell, one before each address.
+type forwarders struct {
 	mu  sync.Mutex
 	all map[string]*forward.Proxy
 	// at has where each listens.
-	at map[string]string
+	addresses map[string]string
 }
 
-// via returns a function that puts a forwarder before what next returns.
-func (f *forwards) via(t *testing.T, next func(name, address string) string) func(name, address string) string {
+// proxyAddress returns a function that puts a forwarder before what next returns.
+func (f *forwarders) proxyAddress(t *testing.T, next func(name, address string) string) func(name, address string) string {
 	return func(name, address string) string {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -74,15 +74,15 @@
 			w := forward.New()
 			at, err := w.Forward(next(name, address))
 			assert.Check(t, err == nil, "%v", err)
-			f.all[name], f.at[name] = w, at
+			f.all[name], f.addresses[name] = w, at
 			t.Cleanup(w.Close)
 		}
-		return f.at[name]
+		return f.addresses[name]
 	}
 }
 
-// silence silences all open connections.
-func (f *forwards) silence() int {
+// stallAll silences all open connections.
+func (f *forwarders) stallAll() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -105,62 +105,62 @@
 //
 // What settled it: with all unused connections closed after the first request that
 // failed, the same number of requests has whole answers as before.
-func TestABoxServesOnAfterItsOpenConnectionsWentSilent(t *testing.T) {
-	ways := &forwards{all: map[string]*forward.Proxy{}, at: map[string]string{}}
-	f := newFixture(t, func(o *cell.Options) { o.Via = ways.via(t, o.Via) }, domain("a"), domain("b"))
-	f.republish("cell", deadlines.ReplaceAllString(f.CellFile("cell"), "deadline: "+requestDeadline.String()))
-	f.inForce("cell", f.Entries()...)
+func TestBoxServesAfterOpenConnectionsStall(t *testing.T) {
+	ways := &forwarders{all: map[string]*forward.Proxy{}, addresses: map[string]string{}}
+	f := newFixture(t, func(o *cell.Options) { o.ProxyAddress = ways.proxyAddress(t, o.ProxyAddress) }, domain("a"), domain("b"))
+	f.republish("cell", deadlinePattern.ReplaceAllString(f.CellFile("cell"), "deadline: "+requestDeadline.String()))
+	f.waitInForce("cell", f.Entries()...)
 	c := newCallers(f)
-	c.ms = 100
+	c.maxDelayMs = 100
 	c.run(40, "preview", "render", "extract")
-	f.until("all boxes are live", f.allLive)
-	f.until("answers come", func() bool { return c.count(asked.whole) >= 200 })
-	usual := f.served(c, time.Now())
-	for round := range silences {
-		f.serveThrough(c, ways, fmt.Sprint("after", round), usual)
+	f.waitFor("all boxes are live", f.allLive)
+	f.waitFor("answers come", func() bool { return c.count(callResult.isComplete) >= 200 })
+	usual := f.completeShare(c, time.Now())
+	for round := range stallRounds {
+		f.checkServedAfterStall(c, ways, fmt.Sprint("after", round), usual)
 	}
-	all := c.end()
-	f.checkTruth(all)
+	all := c.stopAndCollect()
+	f.checkVerdicts(all)
 	for _, a := range all {
 		assert.Check(t, a.err == nil, "%s had no answer: %v", a.nonce, a.err)
 	}
-	f.noHarm()
+	f.checkWorkerInvariants()
 }
 
-// serveThrough silences all that is open, publishes a file of some name, and checks that
+// checkServedAfterStall silences all that is open, publishes a file of some name, and checks that
 // as large a share of requests has whole answers as usual.
-func (f *fixture) serveThrough(c *callers, ways *forwards, name string, usual float64) {
+func (f *fixture) checkServedAfterStall(c *callers, ways *forwarders, name string, usual float64) {
 	f.t.Helper()
-	assert.Check(f.t, ways.silence() > 0, "nothing was open")
+	assert.Check(f.t, ways.stallAll() > 0, "nothing was open")
 	silent := time.Now()
 	f.publish(name, "0", "name: "+name+"\n")
 	// By then only heartbeats that came after the silence count.
-	f.by(silent.Add(liveWithin), "all boxes are live", func() bool { return time.Since(silent) > deadAfter && f.allLive() })
-	f.by(silent.Add(filesWithin), name+" is in force", func() bool { return f.isInForce(name) })
-	f.by(silent.Add(answersWithin), "all targets are used", f.allUsed)
-	served := f.served(c, silent.Add(answersWithin))
-	assert.Check(f.t, f.allUsed(), "%s: a target is left alone again", name)
+	f.waitUntil(silent.Add(liveTimeout), "all boxes are live", func() bool { return time.Since(silent) > deadAfter && f.allLive() })
+	f.waitUntil(silent.Add(filesTimeout), name+" is in force", func() bool { return f.isInForce(name) })
+	f.waitUntil(silent.Add(responsesTimeout), "all targets are used", f.noneEjected)
+	served := f.completeShare(c, silent.Add(responsesTimeout))
+	assert.Check(f.t, f.noneEjected(), "%s: a target is left alone again", name)
 	f.t.Logf("%s: %.3f of the requests have whole answers, usually %.3f", name, served, usual)
-	assert.Check(f.t, served >= servedShare*usual, "%s: %.3f of the requests have whole answers, usually %.3f", name, served, usual)
+	assert.Check(f.t, served >= minServedShare*usual, "%s: %.3f of the requests have whole answers, usually %.3f", name, served, usual)
 }
 
-// served returns the share of the requests that callers send in a while from some time
+// completeShare returns the share of the requests that callers send in a while from some time
 // on which have whole answers.
-func (f *fixture) served(c *callers, from time.Time) float64 {
+func (f *fixture) completeShare(c *callers, from time.Time) float64 {
 	f.t.Helper()
-	to := from.Add(servedFor)
-	f.until("the requests of a while were answered", func() bool { return time.Since(to) > requestDeadline })
-	sent := func(a asked) bool { return !a.began.Before(from) && a.began.Before(to) }
-	whole := c.count(func(a asked) bool { return sent(a) && a.whole() })
+	to := from.Add(measureDuration)
+	f.waitFor("the requests of a while were answered", func() bool { return time.Since(to) > requestDeadline })
+	sent := func(a callResult) bool { return !a.startedAt.Before(from) && a.startedAt.Before(to) }
+	whole := c.count(func(a callResult) bool { return sent(a) && a.isComplete() })
 	return float64(whole) / float64(max(1, c.count(sent)))
 }
 
-// by waits for a condition until some time.
-func (f *fixture) by(end time.Time, what string, ok func() bool) {
+// waitUntil waits for a condition until some time.
+func (f *fixture) waitUntil(end time.Time, what string, ok func() bool) {
 	f.t.Helper()
 	ctx, cancel := context.WithDeadline(f.ctx, end)
 	defer cancel()
-	assert.NilError(f.t, cell.Until(ctx, what, ok))
+	assert.NilError(f.t, cell.WaitFor(ctx, what, ok))
 }
 
 // allLive says whether each box hears the heartbeats of all of its domain.
@@ -173,8 +173,8 @@
 	return true
 }
 
-// allUsed says whether no box has ejected a target.
-func (f *fixture) allUsed() bool {
+// noneEjected says whether no box has ejected a target.
+func (f *fixture) noneEjected() bool {
 	for _, e := range f.Entries() {
 		s, err := e.Status(f.ctx)
 		if err != nil {
--- a/tests/soak/callers.go
+++ b/tests/soak/callers.go
@@ -30,27 +30,27 @@
 }
 
 const (
-	// CallWithin bounds one call; a box answers or refuses well before.
-	CallWithin = 3 * time.Second
-	// triesMost is how often a caller hands a job in.
-	triesMost = 8
-	// tryAgain is the pause between two tries, stateEvery that between two questions
+	// CallTimeout bounds one call; a box answers or refuses well before.
+	CallTimeout = 3 * time.Second
+	// maxSubmitTries is how often a caller hands a job in.
+	maxSubmitTries = 8
+	// retryDelay is the pause between two tries, statePollInterval that between two questions
 	// about a job.
-	tryAgain   = 250 * time.Millisecond
-	stateEvery = 200 * time.Millisecond
-	// visibleAfter is how long after its acceptance a job is known at every box.
-	visibleAfter = 3 * time.Second
-	// keptOpen is how many connections callers keep open to a box that carry no call.
-	keptOpen = 8
-	// crashingWork is how long the tasks would work that crash their workers, crashingEvery
+	retryDelay        = 250 * time.Millisecond
+	statePollInterval = 200 * time.Millisecond
+	// maxVisibilityDelay is how long after its acceptance a job is known at every box.
+	maxVisibilityDelay = 3 * time.Second
+	// maxIdleConns is how many connections callers keep open to a box that carry no call.
+	maxIdleConns = 8
+	// crashingTaskDuration is how long the tasks would work that crash their workers, crashingJobInterval
 	// the time between the end of one and the next.
-	crashingWork  = time.Second
-	crashingEvery = time.Second
-	// wideLeast to wideMost tasks have the jobs whose tasks are many; they work for wideWork,
-	// and wideEvery is the time from one to the next.
-	wideLeast, wideMost = 20, 40
-	wideWork            = 400 * time.Millisecond
-	wideEvery           = 2 * time.Second
+	crashingTaskDuration = time.Second
+	crashingJobInterval  = time.Second
+	// minWideTasks to maxWideTasks tasks have the jobs whose tasks are many; they work for wideTaskDuration,
+	// and wideJobInterval is the time from one to the next.
+	minWideTasks, maxWideTasks = 20, 40
+	wideTaskDuration           = 400 * time.Millisecond
+	wideJobInterval            = 2 * time.Second
 	// cancelShare of the jobs are cancelled.
 	cancelShare = 0.1
 )
@@ -65,16 +65,16 @@
 	mu  sync.Mutex
 	rng *rand.Rand
 	// made counts the jobs made up.
-	made int
+	created int
 	// broken lists the promises that were broken, the others count jobs by what
 	// became of them.
-	broken   []string
-	accepted int
-	refused  int
-	unsure   int
-	ended    map[job.State]int
+	violations []string
+	accepted   int
+	refused    int
+	uncertain  int
+	ended      map[job.State]int
 	// times tells of each job handed in how it was served.
-	times []*times
+	times []*jobTimes
 }
 
 // NewCallers returns callers of a rig. They keep connections open.
@@ -83,7 +83,7 @@
 		rig: r, clients: map[*box]*http.Client{}, rng: rand.New(rand.NewSource(seed)), ended: map[job.State]int{},
 	}
 	for _, b := range r.boxes {
-		c.clients[b] = &http.Client{Timeout: CallWithin, Transport: &http.Transport{MaxIdleConnsPerHost: keptOpen}}
+		c.clients[b] = &http.Client{Timeout: CallTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}}
 	}
 	return c
 }
@@ -91,107 +91,109 @@
 // Run hands jobs in at some rate until leave ends, and watches them until ctx does.
 func (c *Callers) Run(ctx, leave context.Context, perSecond float64) {
 	for leave.Err() == nil {
-		s, q, work := c.draw()
+		s, q, work := c.newJob()
 		c.rig.platform.Expect(s, q, work)
-		c.tasks.Go(func() { c.follow(ctx, s, work) })
-		sleep(leave, time.Duration(c.exp()/perSecond*float64(time.Second)))
+		c.tasks.Go(func() { c.submitAndWatch(ctx, s, work) })
+		sleep(leave, time.Duration(c.expFloat()/perSecond*float64(time.Second)))
 	}
 }
 
-// RunCrashing hands in some jobs, one after the other, that have a task which crashes each
+// RunCrashingJobs hands in some jobs, one after the other, that have a task which crashes each
 // worker that starts it. Jobs beside them must not be given up for it.
-func (c *Callers) RunCrashing(ctx context.Context, jobs int) {
+func (c *Callers) RunCrashingJobs(ctx context.Context, jobs int) {
 	c.tasks.Go(func() {
 		for i := range jobs {
 			s := job.Submission{ID: job.ID(fmt.Sprintf("crashing%d", i)), Queue: queues[0].Name, Spec: standin.CrashSpec}
 			need := resource.Vector{Processors: 2 * resource.Processor, Memory: resource.GiB}
-			s.Steps = []job.Step{{Tasks: 1, Need: need, Estimate: job.Milliseconds(crashingWork.Milliseconds())}}
-			c.rig.platform.Expect(s, queues[0], crashingWork)
+			s.Steps = []job.Step{{Tasks: 1, Need: need, Estimate: job.Milliseconds(crashingTaskDuration.Milliseconds())}}
+			c.rig.platform.Expect(s, queues[0], crashingTaskDuration)
 			if c.submit(ctx, s) {
-				c.watch(ctx, s, time.Now())
+				c.pollUntilFinal(ctx, s, time.Now())
 			}
-			sleep(ctx, crashingEvery)
+			sleep(ctx, crashingJobInterval)
 		}
 	})
 }
 
-// RunWide hands in some jobs, one after the other, with many tasks that start together or
+// RunWideJobs hands in some jobs, one after the other, with many tasks that start together or
 // each for itself.
-func (c *Callers) RunWide(ctx context.Context, jobs int) {
+func (c *Callers) RunWideJobs(ctx context.Context, jobs int) {
 	c.tasks.Go(func() {
 		for i := range jobs {
 			s := job.Submission{ID: job.ID(fmt.Sprintf("wide%d", i)), Queue: queues[1+i%2].Name, Spec: fmt.Sprintf("spec of wide %d", i)}
 			need := resource.Vector{Processors: 500, Memory: 256 * resource.MiB}
 			s.Steps = []job.Step{{
-				Tasks: wideLeast + c.number(wideMost-wideLeast+1), Need: need, Gang: i%2 == 0, Estimate: job.Milliseconds(wideWork.Milliseconds()),
+				Tasks: minWideTasks + c.intn(maxWideTasks-minWideTasks+1), Need: need, Gang: i%2 == 0, Estimate: job.Milliseconds(wideTaskDuration.Milliseconds()),
 			}}
-			c.rig.platform.Expect(s, queues[1+i%2], wideWork)
+			c.rig.platform.Expect(s, queues[1+i%2], wideTaskDuration)
 			if c.submit(ctx, s) {
 				at := time.Now()
 				c.tasks.Go(func() {
-					if state := c.watch(ctx, s, at); state.IsFinal() {
-						c.ends(ctx, s, state)
+					if state := c.pollUntilFinal(ctx, s, at); state.IsFinal() {
+						c.checkFinalState(ctx, s, state)
 					}
 				})
 			}
-			sleep(ctx, wideEvery)
+			sleep(ctx, wideJobInterval)
 		}
 	})
 }
 
-// HandIn hands in a job of which the stand-in was told, and says whether it was
+// Submit hands in a job of which the stand-in was told, and says whether it was
 // accepted.
-func (c *Callers) HandIn(ctx context.Context, s job.Submission) bool { return c.submit(ctx, s) }
+func (c *Callers) Submit(ctx context.Context, s job.Submission) bool { return c.submit(ctx, s) }
 
-// AwaitEnd waits until a job that was accepted has ended.
-func (c *Callers) AwaitEnd(ctx context.Context, s job.Submission) { c.watch(ctx, s, time.Now()) }
+// WaitForEnd waits until a job that was accepted has ended.
+func (c *Callers) WaitForEnd(ctx context.Context, s job.Submission) {
+	c.pollUntilFinal(ctx, s, time.Now())
+}
 
 // Wait waits until every job has ended or was refused, or ctx has ended.
 func (c *Callers) Wait() { c.tasks.Wait() }
 
-// Broken returns the promises that were broken.
-func (c *Callers) Broken() []string {
+// Violations returns the promises that were broken.
+func (c *Callers) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.broken
+	return c.violations
 }
 
 // String sums up what became of the jobs.
 func (c *Callers) String() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return fmt.Sprintf("%d jobs accepted, %d refused, %d unsure; ended %v", c.accepted, c.refused, c.unsure, c.ended)
+	return fmt.Sprintf("%d jobs accepted, %d refused, %d unsure; ended %v", c.accepted, c.refused, c.uncertain, c.ended)
 }
 
-// breaks notes a promise that was broken.
-func (c *Callers) breaks(format string, args ...any) {
+// recordViolation notes a promise that was broken.
+func (c *Callers) recordViolation(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.broken = append(c.broken, fmt.Sprintf(format, args...))
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// exp draws a number with the mean 1, as the times between callers have.
-func (c *Callers) exp() float64 {
+// expFloat draws a number with the mean 1, as the times between callers have.
+func (c *Callers) expFloat() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rng.ExpFloat64()
 }
 
-// number draws a number below n.
-func (c *Callers) number(n int) int {
+// intn draws a number below n.
+func (c *Callers) intn(n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rng.Intn(n)
 }
 
-// draw makes a job up.
-func (c *Callers) draw() (job.Submission, standin.Queue, time.Duration) {
+// newJob makes a job up.
+func (c *Callers) newJob() (job.Submission, standin.Queue, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.made++
+	c.created++
 	q := queues[c.rng.Intn(len(queues))]
 	work := time.Duration(50+c.rng.Intn(600)) * time.Millisecond
-	s := job.Submission{ID: job.ID(fmt.Sprintf("job%d", c.made)), Queue: q.Name, Spec: fmt.Sprintf("spec of %d", c.made)}
+	s := job.Submission{ID: job.ID(fmt.Sprintf("job%d", c.created)), Queue: q.Name, Spec: fmt.Sprintf("spec of %d", c.created)}
 	for i := range 1 + c.rng.Intn(3) {
 		step := job.Step{
 			Tasks: 1 + c.rng.Intn(4), Estimate: job.Milliseconds(work.Milliseconds()),
@@ -215,7 +217,7 @@
 
 // call makes one call at some box; status 0 means that there was no whole answer.
 func (c *Callers) call(ctx context.Context, method, path string, body any) (int, exchange.Answer) {
-	b := c.rig.boxes[c.number(len(c.rig.boxes))]
+	b := c.rig.boxes[c.intn(len(c.rig.boxes))]
 	data, err := json.Marshal(body)
 	if err != nil {
 		panic(err)
@@ -239,21 +241,21 @@
 	return resp.StatusCode, a
 }
 
-// follow hands a job in and watches it until it has ended.
-func (c *Callers) follow(ctx context.Context, s job.Submission, work time.Duration) {
-	t := c.handsIn(s, work)
+// submitAndWatch hands a job in and watches it until it has ended.
+func (c *Callers) submitAndWatch(ctx context.Context, s job.Submission, work time.Duration) {
+	t := c.recordSubmitted(s, work)
 	if !c.submit(ctx, s) {
 		return
 	}
 	acceptedAt := time.Now()
-	c.isAccepted(t)
-	if c.number(100) < 100*cancelShare {
-		sleep(ctx, time.Duration(c.number(1500))*time.Millisecond)
+	c.recordAccepted(t)
+	if c.intn(100) < 100*cancelShare {
+		sleep(ctx, time.Duration(c.intn(1500))*time.Millisecond)
 		c.cancel(ctx, s.ID)
 	}
-	if state := c.watch(ctx, s, acceptedAt); state.IsFinal() {
-		c.hasEnded(t)
-		c.ends(ctx, s, state)
+	if state := c.pollUntilFinal(ctx, s, acceptedAt); state.IsFinal() {
+		c.recordEnded(t)
+		c.checkFinalState(ctx, s, state)
 	}
 }
 
@@ -261,7 +263,7 @@
 // of which every try was refused must never run.
 func (c *Callers) submit(ctx context.Context, s job.Submission) bool {
 	sure := true
-	for range triesMost {
+	for range maxSubmitTries {
 		status, _ := c.call(ctx, http.MethodPost, "/v1/jobs", s)
 		switch status {
 		case http.StatusOK:
@@ -271,10 +273,10 @@
 		default:
 			sure = false
 		}
-		sleep(ctx, tryAgain)
+		sleep(ctx, retryDelay)
 	}
 	if !sure {
-		c.count(&c.unsure)
+		c.count(&c.uncertain)
 		return false
 	}
 	c.count(&c.refused)
@@ -296,41 +298,41 @@
 			c.rig.platform.Cancelled(id, time.Now())
 			return
 		}
-		sleep(ctx, tryAgain)
+		sleep(ctx, retryDelay)
 	}
 }
 
-// watch asks for a job's state until it is a final one, and returns that. Another one
+// pollUntilFinal asks for a job's state until it is a final one, and returns that. Another one
 // means that a promise was broken.
-func (c *Callers) watch(ctx context.Context, s job.Submission, acceptedAt time.Time) job.State {
+func (c *Callers) pollUntilFinal(ctx context.Context, s job.Submission, acceptedAt time.Time) job.State {
 	for ctx.Err() == nil {
 		status, a := c.call(ctx, http.MethodGet, "/v1/jobs/"+string(s.ID), nil)
 		switch {
-		case status == http.StatusGone && time.Since(acceptedAt) > visibleAfter:
-			c.breaks("%s was accepted and is not known %v later", s.ID, time.Since(acceptedAt))
+		case status == http.StatusGone && time.Since(acceptedAt) > maxVisibilityDelay:
+			c.recordViolation("%s was accepted and is not known %v later", s.ID, time.Since(acceptedAt))
 			return a.State
 		case status == http.StatusOK && a.State.IsFinal():
 			return a.State
 		}
-		sleep(ctx, stateEvery)
+		sleep(ctx, statePollInterval)
 	}
-	c.breaks("%s has not ended", s.ID)
+	c.recordViolation("%s has not ended", s.ID)
 	return ""
 }
 
-// ends checks a final state, once more after a while.
-func (c *Callers) ends(ctx context.Context, s job.Submission, state job.State) {
+// checkFinalState checks a final state, once more after a while.
+func (c *Callers) checkFinalState(ctx context.Context, s job.Submission, state job.State) {
 	c.mu.Lock()
 	c.ended[state]++
 	c.mu.Unlock()
 	switch {
 	case state == job.Succeeded && !c.rig.platform.Done(s):
-		c.breaks("%s is shown as succeeded before all its tasks are done", s.ID)
+		c.recordViolation("%s is shown as succeeded before all its tasks are done", s.ID)
 	case state == job.Failed && !c.rig.platform.FailedOften(s.ID):
-		c.breaks("%s is shown as failed, and no task failed often enough", s.ID)
+		c.recordViolation("%s is shown as failed, and no task failed often enough", s.ID)
 	}
-	sleep(ctx, time.Duration(c.number(1000))*time.Millisecond)
+	sleep(ctx, time.Duration(c.intn(1000))*time.Millisecond)
 	if status, a := c.call(ctx, http.MethodGet, "/v1/jobs/"+string(s.ID), nil); status == http.StatusOK && a.State != state {
-		c.breaks("%s was shown as %s and then as %s", s.ID, state, a.State)
+		c.recordViolation("%s was shown as %s and then as %s", s.ID, state, a.State)
 	}
 }
--- a/tests/soak/faults.go
+++ b/tests/soak/faults.go
@@ -20,20 +20,20 @@
 
 // The times and sizes of faults.
 const (
-	// faultGap is the mean time from one fault to the next; faults overlap.
-	faultGap = 350 * time.Millisecond
-	// faultMost is how long a fault lasts at most.
-	faultMost = 2500 * time.Millisecond
-	// stopWithin bounds a planned stop.
-	stopWithin = 6 * time.Second
+	// meanFaultInterval is the mean time from one fault to the next; faults overlap.
+	meanFaultInterval = 350 * time.Millisecond
+	// maxFaultDuration is how long a fault lasts at most.
+	maxFaultDuration = 2500 * time.Millisecond
+	// stopTimeout bounds a planned stop.
+	stopTimeout = 6 * time.Second
 	// faultyShare is the share of answers that a log loses, and of orders that a
 	// worker carries out late.
 	faultyShare = 0.3
 	// logDelay is how much later a slow log answers.
 	logDelay = 200 * time.Millisecond
-	// kinds is the number of kinds of faults that are drawn with the same weight.
+	// faultKinds is the number of kinds of faults that are drawn with the same weight.
 	// Those without a case of their own are faults of the log.
-	kinds = 14
+	faultKinds = 14
 )
 
 // Faults injects faults into a rig.
@@ -41,49 +41,49 @@
 	rig *Rig
 	rng *rand.Rand
 	// silences are drawn apart, so that the other faults of a seed stay the same.
-	silences *rand.Rand
+	stallRNG *rand.Rand
 	// lives are the starts of workers, drawn apart too.
-	lives *rand.Rand
-	tasks conc.WaitGroup
+	restartRNG *rand.Rand
+	tasks      conc.WaitGroup
 	// busy is until when no other fault may act on a thing.
-	busy  map[string]time.Time
-	began time.Time
+	busyUntil map[string]time.Time
+	startedAt time.Time
 
 	mu sync.Mutex
 	// told lists what was done and when.
-	told []string
+	events []string
 }
 
 // NewFaults returns the faults that follow from a seed.
 func NewFaults(r *Rig, seed int64) *Faults {
 	return &Faults{
-		rig: r, rng: rand.New(rand.NewSource(seed)), silences: rand.New(rand.NewSource(^seed)), lives: newLives(seed),
-		busy: map[string]time.Time{}, began: time.Now(),
+		rig: r, rng: rand.New(rand.NewSource(seed)), stallRNG: rand.New(rand.NewSource(^seed)), restartRNG: newRestartRNG(seed),
+		busyUntil: map[string]time.Time{}, startedAt: time.Now(),
 	}
 }
 
-// Told returns what was done and when.
-func (f *Faults) Told() []string {
+// Events returns what was done and when.
+func (f *Faults) Events() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.told)
+	return slices.Clone(f.events)
 }
 
-// tell notes what is done now.
-func (f *Faults) tell(format string, args ...any) {
+// recordEvent notes what is done now.
+func (f *Faults) recordEvent(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.told = append(f.told, fmt.Sprintf("%6.2fs ", time.Since(f.began).Seconds())+fmt.Sprintf(format, args...))
+	f.events = append(f.events, fmt.Sprintf("%6.2fs ", time.Since(f.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
 // Run injects faults for a while, and returns once all have ended.
 func (f *Faults) Run(ctx context.Context, most time.Duration) {
-	f.silenceWithin(ctx, most)
-	f.livesWithin(ctx, most)
+	f.scheduleStalls(ctx, most)
+	f.scheduleRestarts(ctx, most)
 	for end := time.Now().Add(most); time.Now().Before(end) && ctx.Err() == nil; {
 		f.inject()
 		select {
-		case <-time.After(time.Duration(f.rng.ExpFloat64() * float64(faultGap))):
+		case <-time.After(time.Duration(f.rng.ExpFloat64() * float64(meanFaultInterval))):
 		case <-ctx.Done():
 		}
 	}
@@ -93,7 +93,7 @@
 // inject begins one fault. All that may be drawn is drawn for each, so that the faults
 // after it follow from the seed alone.
 func (f *Faults) inject() {
-	lasts := time.Duration(f.rng.Int63n(int64(faultMost)))
+	lasts := time.Duration(f.rng.Int63n(int64(maxFaultDuration)))
 	i, j := f.rng.Intn(len(f.rig.boxes)), f.rng.Intn(len(f.rig.workers))
 	directions := []cell.Direction{cell.Requests, cell.Answers}
 	chosen, both := f.rng.Intn(len(directions)), f.rng.Intn(2) == 0
@@ -102,36 +102,36 @@
 	}
 	b, w, worker := f.rig.boxes[i], f.rig.workers[j], workerName(j)
 	heal := func() { w.SetFaults(standin.WorkerFaults{}) }
-	switch f.rng.Intn(kinds) {
+	switch f.rng.Intn(faultKinds) {
 	case 0:
-		f.on(b.name, "killed", lasts/4, func() { b.running().Kill() }, func() { f.restart(b) })
+		f.apply(b.name, "killed", lasts/4, func() { b.currentProcess().Kill() }, func() { f.restart(b) })
 	case 1:
-		f.on(b.name, "paused", lasts, func() { _ = b.running().Pause() }, func() { _ = b.running().Continue() })
+		f.apply(b.name, "paused", lasts, func() { _ = b.currentProcess().Pause() }, func() { _ = b.currentProcess().Continue() })
 	case 2:
-		f.on(b.name, "stopped as planned", lasts/4, func() { _ = b.running().Stop(stopWithin) }, func() { f.restart(b) })
+		f.apply(b.name, "stopped as planned", lasts/4, func() { _ = b.currentProcess().Stop(stopTimeout) }, func() { f.restart(b) })
 	case 3:
-		f.on(b.name+"/hup", "asked to reload", 0, func() { _ = b.running().Signal(syscall.SIGHUP) }, func() {})
+		f.apply(b.name+"/hup", "asked to reload", 0, func() { _ = b.currentProcess().Signal(syscall.SIGHUP) }, func() {})
 	case 4, 5:
-		f.cut(logWay(i), lasts, directions)
+		f.cut(logProxyName(i), lasts, directions)
 	case 6:
-		f.cut(peerWay(i), lasts, directions)
+		f.cut(peerProxyName(i), lasts, directions)
 	case 7:
-		f.refuse(logWay(i), lasts)
+		f.refuse(logProxyName(i), lasts)
 	case 8:
 		f.cut(worker, lasts, directions)
 	case 9:
-		f.on(worker+"/life", "begins another life", 0, w.Restart, func() {})
+		f.apply(worker+"/life", "begins another life", 0, w.Restart, func() {})
 	case 10:
-		f.on(worker+"/faults", "fails all tasks", lasts, func() { w.SetFaults(standin.WorkerFaults{FailsAll: true}) }, heal)
+		f.apply(worker+"/faults", "fails all tasks", lasts, func() { w.SetFaults(standin.WorkerFaults{FailsAll: true}) }, heal)
 	case 11:
-		f.on(worker+"/faults", "carries orders out late", lasts, func() { w.SetFaults(standin.WorkerFaults{Late: faultyShare}) }, heal)
+		f.apply(worker+"/faults", "carries orders out late", lasts, func() { w.SetFaults(standin.WorkerFaults{Late: faultyShare}) }, heal)
 	default:
-		f.logFault(lasts)
+		f.injectLogFault(lasts)
 	}
 }
 
-// logFault does something to the log as a whole.
-func (f *Faults) logFault(lasts time.Duration) {
+// injectLogFault does something to the log as a whole.
+func (f *Faults) injectLogFault(lasts time.Duration) {
 	all := []struct {
 		what  string
 		fault standin.LogFaults
@@ -142,7 +142,7 @@
 		{"is slow", standin.LogFaults{Delay: logDelay}},
 	}
 	chosen := all[f.rng.Intn(len(all))]
-	f.on("log", chosen.what, lasts, func() { f.rig.platform.SetLog(chosen.fault) }, func() { f.rig.platform.SetLog(standin.LogFaults{}) })
+	f.apply("log", chosen.what, lasts, func() { f.rig.platform.SetLog(chosen.fault) }, func() { f.rig.platform.SetLog(standin.LogFaults{}) })
 }
 
 // restart starts the daemon of a box again.
@@ -154,22 +154,22 @@
 
 // cut lets nothing through a proxy in some directions.
 func (f *Faults) cut(name string, lasts time.Duration, directions []cell.Direction) {
-	f.on(name, fmt.Sprintf("cut %v", directions), lasts, func() { _ = f.rig.proxies.Cut(name, directions...) }, func() { _ = f.rig.proxies.Heal(name) })
+	f.apply(name, fmt.Sprintf("cut %v", directions), lasts, func() { _ = f.rig.proxies.Cut(name, directions...) }, func() { _ = f.rig.proxies.Heal(name) })
 }
 
 // refuse has a proxy take no connections.
 func (f *Faults) refuse(name string, lasts time.Duration) {
-	f.on(name, "refuses connections", lasts, func() { _ = f.rig.proxies.Refuse(name) }, func() { _ = f.rig.proxies.Accept(name) })
+	f.apply(name, "refuses connections", lasts, func() { _ = f.rig.proxies.Refuse(name) }, func() { _ = f.rig.proxies.Accept(name) })
 }
 
-// on lets a fault act on something for a while, unless another does.
-func (f *Faults) on(name, what string, lasts time.Duration, begin, end func()) {
+// apply lets a fault act on something for a while, unless another does.
+func (f *Faults) apply(name, what string, lasts time.Duration, begin, end func()) {
 	now := time.Now()
-	if now.Before(f.busy[name]) {
+	if now.Before(f.busyUntil[name]) {
 		return
 	}
-	f.busy[name] = now.Add(lasts + stopWithin/2)
-	f.tell("%s %s for %v", name, what, lasts.Round(time.Millisecond))
+	f.busyUntil[name] = now.Add(lasts + stopTimeout/2)
+	f.recordEvent("%s %s for %v", name, what, lasts.Round(time.Millisecond))
 	f.tasks.Go(func() {
 		begin()
 		time.Sleep(lasts)
--- a/tests/soak/lives.go
+++ b/tests/soak/lives.go
@@ -11,43 +11,43 @@
 
 // How often workers start again under their names in a run, besides what other faults do.
 const (
-	// livesOfMany is how often a third of them do, within livesApart of each other.
-	livesOfMany = 1
-	livesApart  = 500 * time.Millisecond
-	// livesMore is how often one does, and once more soon after.
-	livesMore = 3
-	livesSoon = 300 * time.Millisecond
+	// groupRestarts is how often a third of them do, within groupRestartSpread of each other.
+	groupRestarts      = 1
+	groupRestartSpread = 500 * time.Millisecond
+	// doubleRestarts is how often one does, and once more soon after.
+	doubleRestarts      = 3
+	maxDoubleRestartGap = 300 * time.Millisecond
 )
 
-// livesWithin draws starts of workers for a while and has them happen.
-func (f *Faults) livesWithin(ctx context.Context, most time.Duration) {
-	for range livesOfMany {
-		at := f.lives.Int63n(int64(most))
+// scheduleRestarts draws starts of workers for a while and has them happen.
+func (f *Faults) scheduleRestarts(ctx context.Context, most time.Duration) {
+	for range groupRestarts {
+		at := f.restartRNG.Int63n(int64(most))
 		for i := range f.rig.workers {
-			if apart := f.lives.Int63n(int64(livesApart)); f.lives.Intn(3) == 0 {
-				f.startsAgain(ctx, i, time.Duration(at+apart))
+			if apart := f.restartRNG.Int63n(int64(groupRestartSpread)); f.restartRNG.Intn(3) == 0 {
+				f.scheduleRestart(ctx, i, time.Duration(at+apart))
 			}
 		}
 	}
-	for range livesMore {
-		at, i := f.lives.Int63n(int64(most)), f.lives.Intn(len(f.rig.workers))
-		f.startsAgain(ctx, i, time.Duration(at))
-		f.startsAgain(ctx, i, time.Duration(at+f.lives.Int63n(int64(livesSoon))))
+	for range doubleRestarts {
+		at, i := f.restartRNG.Int63n(int64(most)), f.restartRNG.Intn(len(f.rig.workers))
+		f.scheduleRestart(ctx, i, time.Duration(at))
+		f.scheduleRestart(ctx, i, time.Duration(at+f.restartRNG.Int63n(int64(maxDoubleRestartGap))))
 	}
 }
 
-// startsAgain has a worker start again after some time.
-func (f *Faults) startsAgain(ctx context.Context, worker int, after time.Duration) {
+// scheduleRestart has a worker start again after some time.
+func (f *Faults) scheduleRestart(ctx context.Context, worker int, after time.Duration) {
 	f.tasks.Go(func() {
 		sleep(ctx, after)
-		f.tell("%s starts again under its name", workerName(worker))
+		f.recordEvent("%s starts again under its name", workerName(worker))
 		f.rig.workers[worker].Restart()
 	})
 }
 
-// newLives returns a generator of their own for the starts of workers, so that the other
+// newRestartRNG returns a generator of their own for the starts of workers, so that the other
 // faults of a seed stay the same.
-func newLives(seed int64) *rand.Rand { return rand.New(rand.NewSource(seed ^ livesSalt)) }
+func newRestartRNG(seed int64) *rand.Rand { return rand.New(rand.NewSource(seed ^ restartSeedSalt)) }
 
-// livesSalt tells that generator from the others.
-const livesSalt = 0x6c69766573
+// restartSeedSalt tells that generator from the others.
+const restartSeedSalt = 0x6c69766573
--- a/tests/soak/rig.go
+++ b/tests/soak/rig.go
@@ -31,33 +31,33 @@
 	platform *standin.Platform
 	proxies  *cell.Proxies
 	// ways has what silences open connections, by name.
-	ways    map[string]*forward.Proxy
-	boxes   []*box
-	workers []*standin.Worker
+	forwarders map[string]*forward.Proxy
+	boxes      []*box
+	workers    []*standin.Worker
 	// holdFor and claimAfter are times of the claim on the cell.
 	holdFor, claimAfter time.Duration
 	// more is added to the settings of each box.
-	more string
+	extraSettings string
 }
 
 // Option changes a rig from the usual.
 type Option func(*Rig)
 
-// LastingClaims has a box hold the cell although the log does not answer for a while.
-func LastingClaims(holdFor, claimAfter time.Duration) Option {
+// WithClaimTimes has a box hold the cell although the log does not answer for a while.
+func WithClaimTimes(holdFor, claimAfter time.Duration) Option {
 	return func(r *Rig) { r.holdFor, r.claimAfter = holdFor, claimAfter }
 }
 
-// UnusedFor has boxes close unused connections to the platform and the workers earlier.
-func UnusedFor(most time.Duration) Option {
-	return func(r *Rig) { r.more += fmt.Sprintf("connections:\n  unused: %v\n", most) }
+// WithUnusedTimeout has boxes close unused connections to the platform and the workers earlier.
+func WithUnusedTimeout(most time.Duration) Option {
+	return func(r *Rig) { r.extraSettings += fmt.Sprintf("connections:\n  unused: %v\n", most) }
 }
 
 // The times of the claim on the cell, where no option says otherwise: one call to the
 // log that runs out of its time ends it.
 const (
-	shortHold  = 700 * time.Millisecond
-	shortClaim = 800 * time.Millisecond
+	defaultHoldFor    = 700 * time.Millisecond
+	defaultClaimAfter = 800 * time.Millisecond
 )
 
 // box is one entry box.
@@ -71,15 +71,15 @@
 	advice  *standin.Advice
 
 	// starting is held while the daemon is started again.
-	starting sync.Mutex
+	startMu sync.Mutex
 
 	mu      sync.Mutex
 	process *cell.Process
 }
 
-// settingsText is what a daemon is told. Times are shorter than usual, so that
+// settingsTemplate is what a daemon is told. Times are shorter than usual, so that
 // more happens in a run.
-const settingsText = `box:
+const settingsTemplate = `box:
   name: %s
   domain: a
 listen:
@@ -111,8 +111,8 @@
 		return nil, err
 	}
 	r := &Rig{
-		dir: dir, daemon: daemon, platform: p, proxies: cell.NewProxies(), ways: map[string]*forward.Proxy{},
-		holdFor: shortHold, claimAfter: shortClaim,
+		dir: dir, daemon: daemon, platform: p, proxies: cell.NewProxies(), forwarders: map[string]*forward.Proxy{},
+		holdFor: defaultHoldFor, claimAfter: defaultClaimAfter,
 	}
 	for _, o := range options {
 		o(r)
@@ -123,7 +123,7 @@
 	for i := range workers {
 		name := workerName(i)
 		w, err := p.AddWorker(name, func(address string) (string, error) {
-			return r.via(name, r.proxies.Via(name, address))
+			return r.addForwarder(name, r.proxies.GetOrStart(name, address))
 		})
 		if err != nil {
 			return r, err
@@ -153,46 +153,46 @@
 		return nil, err
 	}
 	listen := cell.FreeAddress()
-	peers, errPeers := r.via(peerWay(i), r.proxies.Via(peerWay(i), listen))
-	log, errLog := r.via(logWay(i), r.proxies.Via(logWay(i), r.platform.Log()))
-	advice, errAdvice := r.via(adviceWay(i), b.advice.Address())
-	callers, errCallers := r.via(callersWay(i), b.operators)
+	peers, errPeers := r.addForwarder(peerProxyName(i), r.proxies.GetOrStart(peerProxyName(i), listen))
+	log, errLog := r.addForwarder(logProxyName(i), r.proxies.GetOrStart(logProxyName(i), r.platform.Log()))
+	advice, errAdvice := r.addForwarder(adviceProxyName(i), b.advice.Address())
+	callers, errCallers := r.addForwarder(callersProxyName(i), b.operators)
 	if err := errors.Join(errPeers, errLog, errAdvice, errCallers); err != nil {
 		return nil, fmt.Errorf("forward to and from %s: %w", b.name, err)
 	}
 	b.callers = callers
-	text := fmt.Sprintf(settingsText, b.name, cell.FreeAddress(), b.operators, listen, peers,
+	text := fmt.Sprintf(settingsTemplate, b.name, cell.FreeAddress(), b.operators, listen, peers,
 		cell.FreeAddress(), log, advice, r.holdFor, r.claimAfter)
-	return b, os.WriteFile(b.settings, []byte(text+r.more), 0o600)
+	return b, os.WriteFile(b.settings, []byte(text+r.extraSettings), 0o600)
 }
 
-// via returns the address of a new forwarder to an address.
-func (r *Rig) via(name, address string) (string, error) {
+// addForwarder returns the address of a new forwarder to an address.
+func (r *Rig) addForwarder(name, address string) (string, error) {
 	f := forward.New()
-	r.ways[name] = f
+	r.forwarders[name] = f
 	return f.Forward(address)
 }
 
-// Silence silences all connections that are open now, for good, in some directions or
+// StallConnections silences all connections that are open now, for good, in some directions or
 // in both if none is named. New ones work. It returns how many there were.
-func (r *Rig) Silence(directions ...forward.Direction) int {
+func (r *Rig) StallConnections(directions ...forward.Direction) int {
 	n := 0
-	for _, f := range r.ways {
+	for _, f := range r.forwarders {
 		n += f.Stall(directions...)
 	}
 	return n
 }
 
-// logWay and peerWay name what stands before the log and the peers' address of a box,
-// adviceWay and callersWay the forwarders before its advice service and its callers'
+// logProxyName and peerProxyName name what stands before the log and the peers' address of a box,
+// adviceProxyName and callersProxyName the forwarders before its advice service and its callers'
 // address, workerName a worker and what stands before it.
-func logWay(i int) string { return fmt.Sprintf("log-%d", i) }
+func logProxyName(i int) string { return fmt.Sprintf("log-%d", i) }
 
-func peerWay(i int) string { return fmt.Sprintf("peer-%d", i) }
+func peerProxyName(i int) string { return fmt.Sprintf("peer-%d", i) }
 
-func adviceWay(i int) string { return fmt.Sprintf("advice-%d", i) }
+func adviceProxyName(i int) string { return fmt.Sprintf("advice-%d", i) }
 
-func callersWay(i int) string { return fmt.Sprintf("callers-%d", i) }
+func callersProxyName(i int) string { return fmt.Sprintf("callers-%d", i) }
 
 func workerName(i int) string { return fmt.Sprintf("worker-%d", i) }
 
@@ -212,66 +212,66 @@
 // process, a planned stop and a kill during it: the second start would be of a second process
 // of the same box, of which the rig loses sight.
 func (r *Rig) restart(b *box) error {
-	b.starting.Lock()
-	defer b.starting.Unlock()
+	b.startMu.Lock()
+	defer b.startMu.Unlock()
 	select {
-	case <-b.running().Done():
+	case <-b.currentProcess().Done():
 		return r.start(b)
 	default:
 		return nil
 	}
 }
 
-// running returns the process of a box.
-func (b *box) running() *cell.Process {
+// currentProcess returns the process of a box.
+func (b *box) currentProcess() *cell.Process {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.process
 }
 
-// AwaitReady waits until all boxes take callers.
-func (r *Rig) AwaitReady(ctx context.Context) error {
+// WaitReady waits until all boxes take callers.
+func (r *Rig) WaitReady(ctx context.Context) error {
 	for _, b := range r.boxes {
-		for !b.ready(ctx) {
+		for !b.isReady(ctx) {
 			select {
 			case <-ctx.Done():
 				return fmt.Errorf("%s is not ready: %w", b.name, ctx.Err())
-			case <-time.After(readyEvery):
+			case <-time.After(readyPollInterval):
 			}
 		}
 	}
 	return nil
 }
 
-// readyEvery is the pause between two questions whether a box is ready, or holds the
+// readyPollInterval is the pause between two questions whether a box is ready, or holds the
 // cell.
-const readyEvery = 20 * time.Millisecond
+const readyPollInterval = 20 * time.Millisecond
 
-// ready says whether a box takes callers.
-func (b *box) ready(ctx context.Context) bool { return b.get(ctx, "/readyz", nil) }
+// isReady says whether a box takes callers.
+func (b *box) isReady(ctx context.Context) bool { return b.get(ctx, "/readyz", nil) }
 
 // Close ends all processes and servers.
 func (r *Rig) Close() {
 	for _, b := range r.boxes {
-		if p := b.running(); p != nil {
+		if p := b.currentProcess(); p != nil {
 			_ = p.Signal(syscall.SIGCONT)
 			p.Kill()
 		}
 	}
-	for _, f := range r.ways {
+	for _, f := range r.forwarders {
 		f.Close()
 	}
 	r.proxies.Close()
 	r.platform.Close()
 }
 
-// Sockets returns how many sockets the process of each box has open, by box. Those of
+// SocketCounts returns how many sockets the process of each box has open, by box. Those of
 // callers are left out: the kernel finds silent callers, and can't here, where that of
 // the forwarder answers for them.
-func (r *Rig) Sockets() (map[string]int, error) {
+func (r *Rig) SocketCounts() (map[string]int, error) {
 	all := map[string]int{}
 	for _, b := range r.boxes {
-		n, err := b.running().Sockets(b.operators)
+		n, err := b.currentProcess().SocketCount(b.operators)
 		if err != nil {
 			return nil, err
 		}
@@ -280,14 +280,14 @@
 	return all, nil
 }
 
-// Starts returns how many tasks were started.
-func (r *Rig) Starts() int { return r.platform.Starts() }
+// StartCount returns how many tasks were started.
+func (r *Rig) StartCount() int { return r.platform.Starts() }
 
 // Unreached returns how many tasks late orders started on lives that no holder had reached.
 func (r *Rig) Unreached() int { return r.platform.Unreached() }
 
-// Broken returns the promises that workers have seen broken.
-func (r *Rig) Broken() []string { return r.platform.Broken() }
+// Violations returns the promises that workers have seen broken.
+func (r *Rig) Violations() []string { return r.platform.Broken() }
 
 // Expect tells the stand-in of a job before it is handed in, and how long its tasks
 // work.
@@ -301,11 +301,11 @@
 	return fmt.Errorf("no queue %q", s.Queue)
 }
 
-// Operators returns the addresses of the boxes that answer.
-func (r *Rig) Operators(ctx context.Context) []string {
+// OperatorAddresses returns the addresses of the boxes that answer.
+func (r *Rig) OperatorAddresses(ctx context.Context) []string {
 	var all []string
 	for _, b := range r.boxes {
-		if b.ready(ctx) {
+		if b.isReady(ctx) {
 			all = append(all, b.operators)
 		}
 	}
@@ -332,12 +332,12 @@
 	if err != nil {
 		return "", err
 	}
-	b.running().Kill()
+	b.currentProcess().Kill()
 	return b.name, nil
 }
 
-// StartWorkersAgain has half of the workers start again under their names, and returns those.
-func (r *Rig) StartWorkersAgain() []string {
+// RestartWorkers has half of the workers start again under their names, and returns those.
+func (r *Rig) RestartWorkers() []string {
 	var again []string
 	for i := 0; i < len(r.workers); i += 2 {
 		r.workers[i].Restart()
@@ -366,7 +366,7 @@
 				return b, nil
 			}
 		}
-		time.Sleep(readyEvery)
+		time.Sleep(readyPollInterval)
 	}
 	return nil, fmt.Errorf("no box holds the cell: %w", ctx.Err())
 }
--- a/tests/soak/silences.go
+++ b/tests/soak/silences.go
@@ -12,63 +12,63 @@
 
 // How often open connections go silent in a run, for good, while new ones work.
 const (
-	// silencesOfAll is how often all of them do.
-	silencesOfAll = 2
-	// silencesMore is how often those of one thing do, besides once of each sort.
-	silencesMore = 3
+	// fullStalls is how often all of them do.
+	fullStalls = 2
+	// extraStalls is how often those of one thing do, besides once of each sort.
+	extraStalls = 3
 )
 
-// directions are those that go silent: both, so that neither end hears the other, or
+// stallDirections are those that go silent: both, so that neither end hears the other, or
 // one of them.
-var directions = [][]forward.Direction{
+var stallDirections = [][]forward.Direction{
 	{forward.Requests, forward.Answers}, {forward.Requests}, {forward.Answers},
 }
 
-// silenceWithin draws silences for a while and has them happen.
-func (f *Faults) silenceWithin(ctx context.Context, most time.Duration) {
-	for range silencesOfAll {
-		f.later(ctx, most, f.silenceAll())
+// scheduleStalls draws silences for a while and has them happen.
+func (f *Faults) scheduleStalls(ctx context.Context, most time.Duration) {
+	for range fullStalls {
+		f.schedule(ctx, most, f.drawFullStall())
 	}
-	for sort := range f.sorts() {
-		f.later(ctx, most, f.silenceOne(sort))
+	for sort := range f.forwarderGroups() {
+		f.schedule(ctx, most, f.drawStall(sort))
 	}
-	for range silencesMore {
-		f.later(ctx, most, f.silenceOne(f.silences.Intn(len(f.sorts()))))
+	for range extraStalls {
+		f.schedule(ctx, most, f.drawStall(f.stallRNG.Intn(len(f.forwarderGroups()))))
 	}
 }
 
-// later has something happen within a while.
-func (f *Faults) later(ctx context.Context, most time.Duration, do func() int) {
-	at := time.Duration(f.silences.Int63n(int64(most)))
+// schedule has something happen within a while.
+func (f *Faults) schedule(ctx context.Context, most time.Duration, do func() int) {
+	at := time.Duration(f.stallRNG.Int63n(int64(most)))
 	f.tasks.Go(func() {
 		sleep(ctx, at)
 		do()
 	})
 }
 
-// SilenceAll silences all open connections now, and returns how many there were.
-func (f *Faults) SilenceAll() int { return f.silenceAll()() }
+// StallAll silences all open connections now, and returns how many there were.
+func (f *Faults) StallAll() int { return f.drawFullStall()() }
 
-// silenceAll draws a silence of all open connections.
-func (f *Faults) silenceAll() func() int {
-	ways := directions[f.silences.Intn(len(directions))]
+// drawFullStall draws a silence of all open connections.
+func (f *Faults) drawFullStall() func() int {
+	ways := stallDirections[f.stallRNG.Intn(len(stallDirections))]
 	return func() int {
-		n := f.rig.Silence(ways...)
-		f.tell("all %d open connections silent: %v", n, ways)
+		n := f.rig.StallConnections(ways...)
+		f.recordEvent("all %d open connections silent: %v", n, ways)
 		return n
 	}
 }
 
-// sorts returns the names of what can go silent alone, by sort.
-func (f *Faults) sorts() [][]string {
+// forwarderGroups returns the names of what can go silent alone, by sort.
+func (f *Faults) forwarderGroups() [][]string {
 	boxes, workers := len(f.rig.boxes), len(f.rig.workers)
 	return [][]string{
-		names(boxes, logWay), names(boxes, peerWay), names(boxes, adviceWay), names(boxes, callersWay), names(workers, workerName),
+		indexedNames(boxes, logProxyName), indexedNames(boxes, peerProxyName), indexedNames(boxes, adviceProxyName), indexedNames(boxes, callersProxyName), indexedNames(workers, workerName),
 	}
 }
 
-// names returns the names of some number of things.
-func names(n int, name func(int) string) []string {
+// indexedNames returns the names of some number of things.
+func indexedNames(n int, name func(int) string) []string {
 	all := make([]string, n)
 	for i := range all {
 		all[i] = name(i)
@@ -76,16 +76,16 @@
 	return all
 }
 
-// silenceOne draws a silence of the open connections of one thing of a sort. The order
+// drawStall draws a silence of the open connections of one thing of a sort. The order
 // is drawn; the first that has some is taken.
-func (f *Faults) silenceOne(sort int) func() int {
-	all := f.sorts()[sort]
-	order := f.silences.Perm(len(all))
-	ways := directions[f.silences.Intn(len(directions))]
+func (f *Faults) drawStall(sort int) func() int {
+	all := f.forwarderGroups()[sort]
+	order := f.stallRNG.Perm(len(all))
+	ways := stallDirections[f.stallRNG.Intn(len(stallDirections))]
 	return func() int {
 		for _, i := range order {
-			if n := f.rig.ways[all[i]].Stall(ways...); n > 0 {
-				f.tell("%s: %d open connections silent: %v", all[i], n, ways)
+			if n := f.rig.forwarders[all[i]].Stall(ways...); n > 0 {
+				f.recordEvent("%s: %d open connections silent: %v", all[i], n, ways)
 				return n
 			}
 		}
--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -20,17 +20,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// The times and sizes of a run: nothing fails for calmFor, and for endingFor more so
-// that the jobs of that time end; then faults for faultsFor. All that was accepted has
-// to end within settleWithin.
+// The times and sizes of a run: nothing fails for calmDuration, and for calmDrainDuration more so
+// that the jobs of that time end; then faults for faultsDuration. All that was accepted has
+// to end within settleTimeout.
 const (
-	endingFor    = 3 * time.Second
-	calmFor      = 3 * time.Second
-	faultsFor    = 12 * time.Second
-	settleWithin = 60 * time.Second
-	jobsASecond  = 12
-	boxes        = 3
-	workers      = 6
+	calmDrainDuration = 3 * time.Second
+	calmDuration      = 3 * time.Second
+	faultsDuration    = 12 * time.Second
+	settleTimeout     = 60 * time.Second
+	jobsPerSecond     = 12
+	boxCount          = 3
+	workerCount       = 6
 )
 
 // seedsEnv names the seeds of a longer run by hand, such as 100-149; keepEnv a
@@ -40,8 +40,8 @@
 	keepEnv  = "SADDLEVANE_SOAK_KEEP"
 )
 
-// daemon is the program that the boxes run, with the race detector.
-var daemon string
+// daemonPath is the program that the boxes run, with the race detector.
+var daemonPath string
 
 func TestMain(m *testing.M) { os.Exit(run(m)) }
 
@@ -53,8 +53,8 @@
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	daemon = filepath.Join(dir, "saddlevaned")
-	if out, err := exec.Command("go", "build", "-race", "-o", daemon, "saddlevane/cmd/saddlevaned").CombinedOutput(); err != nil {
+	daemonPath = filepath.Join(dir, "saddlevaned")
+	if out, err := exec.Command("go", "build", "-race", "-o", daemonPath, "saddlevane/cmd/saddlevaned").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "%s", out)
 		return 1
 	}
@@ -67,7 +67,7 @@
 	for _, seed := range seeds(t) {
 		t.Run(strconv.FormatInt(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			play(t, seed)
+			runSeed(t, seed)
 		})
 	}
 }
@@ -76,13 +76,13 @@
 func seeds(t *testing.T) []int64 {
 	t.Helper()
 	if text := os.Getenv(seedsEnv); text != "" {
-		return seedRange(t, text)
+		return parseSeedRange(t, text)
 	}
-	return keptSeeds(t)
+	return readSeedFile(t)
 }
 
-// seedRange reads a seed, or the first and the last of several with a dash between.
-func seedRange(t *testing.T, text string) []int64 {
+// parseSeedRange reads a seed, or the first and the last of several with a dash between.
+func parseSeedRange(t *testing.T, text string) []int64 {
 	t.Helper()
 	first, last, _ := strings.Cut(text, "-")
 	from := parseSeed(t, first)
@@ -97,8 +97,8 @@
 	return all
 }
 
-// keptSeeds reads the seeds that every run plays, one a line with a comment.
-func keptSeeds(t *testing.T) []int64 {
+// readSeedFile reads the seeds that every run plays, one a line with a comment.
+func readSeedFile(t *testing.T) []int64 {
 	t.Helper()
 	f, err := os.Open("seeds.txt")
 	assert.NilError(t, err)
@@ -120,40 +120,40 @@
 	return seed
 }
 
-// play runs one seed and reports each promise that was broken.
-func play(t *testing.T, seed int64) {
+// runSeed runs one seed and reports each promise that was broken.
+func runSeed(t *testing.T, seed int64) {
 	t.Helper()
 	dir := t.TempDir()
 	if keep := os.Getenv(keepEnv); keep != "" {
 		dir = filepath.Join(keep, strconv.FormatInt(seed, 10))
 		assert.NilError(t, os.MkdirAll(dir, 0o755))
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), calmFor+endingFor+faultsFor+settleWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), calmDuration+calmDrainDuration+faultsDuration+settleTimeout)
 	defer cancel()
-	r, err := soak.NewRig(seed, daemon, dir, boxes, workers, options(seed)...)
+	r, err := soak.NewRig(seed, daemonPath, dir, boxCount, workerCount, rigOptions(seed)...)
 	if r != nil {
 		defer r.Close()
 	}
 	assert.NilError(t, err)
-	assert.NilError(t, r.AwaitReady(ctx))
-	p := &played{t: t, ctx: ctx, rig: r, callers: soak.NewCallers(r, seed), faults: soak.NewFaults(r, seed)}
+	assert.NilError(t, r.WaitReady(ctx))
+	p := &seedRun{t: t, ctx: ctx, rig: r, callers: soak.NewCallers(r, seed), faults: soak.NewFaults(r, seed)}
 	p.run()
-	t.Logf("seed %d: %v, %d starts (%d by late orders on lives not reached yet), %d faults", seed, p.callers, r.Starts(), r.Unreached(), len(p.faults.Told()))
-	for _, line := range append(p.callers.Broken(), r.Broken()...) {
+	t.Logf("seed %d: %v, %d starts (%d by late orders on lives not reached yet), %d faults", seed, p.callers, r.StartCount(), r.Unreached(), len(p.faults.Events()))
+	for _, line := range append(p.callers.Violations(), r.Violations()...) {
 		t.Errorf("seed %d: %s", seed, line)
 	}
 	if t.Failed() {
-		t.Logf("faults:\n%s", strings.Join(p.faults.Told(), "\n"))
+		t.Logf("faults:\n%s", strings.Join(p.faults.Events(), "\n"))
 	}
-	assert.Check(t, r.Starts() > 0, "nothing was started")
+	assert.Check(t, r.StartCount() > 0, "nothing was started")
 }
 
-// options returns the claims of daemons outside of tests for even seeds, so that the
+// rigOptions returns the claims of daemons outside of tests for even seeds, so that the
 // same box goes on after a call to the log that ran out of its time.
-func options(seed int64) []soak.Option {
-	all := []soak.Option{soak.UnusedFor(unusedFor)}
+func rigOptions(seed int64) []soak.Option {
+	all := []soak.Option{soak.WithUnusedTimeout(unusedTimeout)}
 	if seed%2 == 0 {
-		all = append(all, soak.LastingClaims(1400*time.Millisecond, 1550*time.Millisecond))
+		all = append(all, soak.WithClaimTimes(1400*time.Millisecond, 1550*time.Millisecond))
 	}
 	return all
 }
