--- a/cmd/saddlevaned/daemon.go
+++ b/cmd/saddlevaned/daemon.go
@@ -114,9 +114,9 @@
 		serveErrors: make(chan error, 2),
 	}
 	d.loop = runtime.NewLoop(core.New(now, coreSettings(s), policies(s.Policy), self, newKey), d.log, c.Now)
-	connections := runtime.Connections{Probe: s.Connections.ProbeAfter, Answer: s.Connections.AnswerTimeout, Unused: s.Connections.IdleTimeout}
+	connections := runtime.Connections{ProbeAfter: s.Connections.ProbeAfter, AnswerTimeout: s.Connections.AnswerTimeout, IdleTimeout: s.Connections.IdleTimeout}
 	requests := runtime.NewRequests(runtime.RequestSettings{
-		MaxAnswer: s.Requests.MaxAnswer, MaxPending: s.Requests.MaxPending, MaxKept: s.Requests.MaxKept,
+		MaxAnswerBytes: s.Requests.MaxAnswer, MaxPending: s.Requests.MaxPending, MaxRetainedBytes: s.Requests.MaxKept,
 		Connections: connections,
 	}, d.loop)
 	d.adapters = runtime.Adapters{
@@ -124,8 +124,8 @@
 		Workers:  runtime.NewWorkers(s.Workers.Timeout, connections, d.loop),
 		Peers:    runtime.NewPeers(l.peers, connections, d.loop, requests),
 		Log: runtime.NewLog(runtime.PlatformSettings{
-			Log: s.Platform.LogURL, Boxes: s.Platform.BoxesURL, Timeout: s.Platform.Timeout,
-			Wait: s.Platform.ReadWait, BoxesEvery: s.Platform.BoxesInterval, Connections: connections,
+			LogURL: s.Platform.LogURL, BoxesURL: s.Platform.BoxesURL, Timeout: s.Platform.Timeout,
+			ReadWait: s.Platform.ReadWait, BoxesInterval: s.Platform.BoxesInterval, Connections: connections,
 		}, d.loop),
 	}
 	d.loop.Run(d.adapters)
--- a/cmd/saddlevaned/jobs.go
+++ b/cmd/saddlevaned/jobs.go
@@ -132,7 +132,7 @@
 	d.peers.Serve()
 	ready := func() bool { return !d.stopping.Load() && d.loop.Ready() }
 	for address, handler := range map[string]http.Handler{
-		s.Listen.Callers: platform.NewCallers(d.loop), s.Jobs.ReadyAddress: platform.Ready(ready),
+		s.Listen.Callers: platform.NewCallers(d.loop), s.Jobs.ReadyAddress: platform.ReadinessHandler(ready),
 		s.Listen.Operators: routers.NewJobs(d.loop),
 	} {
 		if err := d.listenAndServe(address, handler); err != nil {
--- a/routers/callers.go
+++ b/routers/callers.go
@@ -98,7 +98,7 @@
 
 // stopping reports whether the box is stopping, so that callers should send their
 // next requests to another box.
-func (c *Callers) stopping() bool { return c.loop.Stopping() }
+func (c *Callers) stopping() bool { return c.loop.IsStopping() }
 
 // issuedKey is the response body of a request for a key.
 type issuedKey struct {
--- a/services/jobrun/reborn_test.go
+++ b/services/jobrun/reborn_test.go
@@ -51,7 +51,7 @@
 		for i := range jobsPerRound {
 			s := submission(fmt.Sprint("round", round, "-", i))
 			tasks += 4
-			on.Expect(*s, queue, taskDuration)
+			on.ExpectJob(*s, queue, taskDuration)
 			waitServed(t, p, jobrun.Request{Submit: s}, "")
 			waitServed(t, p, jobrun.Request{State: s.ID}, job.Succeeded)
 		}
@@ -59,6 +59,6 @@
 			w.Restart()
 		}
 	}
-	assert.Equal(t, len(on.Broken()), 0, "%q", on.Broken())
-	assert.Equal(t, on.Starts(), tasks)
+	assert.Equal(t, len(on.Violations()), 0, "%q", on.Violations())
+	assert.Equal(t, on.StartCount(), tasks)
 }
--- a/services/runtime/connections.go
+++ b/services/runtime/connections.go
@@ -18,63 +18,63 @@
 type Connections struct {
 	// Probe is how long nothing may have come over a link to another entry box before it
 	// is probed.
-	Probe time.Duration
+	ProbeAfter time.Duration
 	// Answer is how long the answer to a probe may take, and how long that to a call that
 	// may be made again may be overdue.
-	Answer time.Duration
+	AnswerTimeout time.Duration
 	// Unused is how long a connection to a service is kept that carries no call.
-	Unused time.Duration
+	IdleTimeout time.Duration
 }
 
 const (
-	// dialWithin bounds the opening of a connection.
-	dialWithin = time.Second
-	// connsPerHost bounds the unused connections kept to one service.
-	connsPerHost = 4
+	// dialTimeout bounds the opening of a connection.
+	dialTimeout = time.Second
+	// maxIdleConnsPerHost bounds the unused connections kept to one service.
+	maxIdleConnsPerHost = 4
 )
 
-// client returns a client for one sort of service.
-func (l *Loop) client(to string, c Connections, perHost int) *http.Client {
+// newClient returns a client for one sort of service.
+func (l *Loop) newClient(to string, c Connections, perHost int) *http.Client {
 	return httpclient.New(httpclient.Settings{
-		To: to, DialTimeout: dialWithin, IdleTimeout: c.Unused, MinOverdue: c.Answer, MaxIdlePerHost: perHost, Now: l.now, Hooks: l.reports(),
+		To: to, DialTimeout: dialTimeout, IdleTimeout: c.IdleTimeout, MinOverdue: c.AnswerTimeout, MaxIdlePerHost: perHost, Now: l.now, Hooks: l.reports(),
 	})
 }
 
 // reports logs what happens to connections.
 func (l *Loop) reports() httpclient.Hooks {
-	return httpclient.Hooks{OnUnanswered: l.unanswered, OnDiscard: l.givenUp, OnRetry: l.again}
+	return httpclient.Hooks{OnUnanswered: l.logUnanswered, OnDiscard: l.logConnectionsGivenUp, OnRetry: l.logRepeatedCall}
 }
 
-// unanswered logs a call that ran out of its time without an answer.
-func (l *Loop) unanswered(u conntrack.Unanswered) {
+// logUnanswered logs a call that ran out of its time without an answer.
+func (l *Loop) logUnanswered(u conntrack.Unanswered) {
 	l.log.WithFields(logrus.Fields{
 		"to": u.To, "address": u.Address, "call": u.Call, "reused": u.Reused, "waited": u.Waited.String(),
 		"open_for": u.OpenFor.String(), "heard_ago": u.SilentFor.String(),
 	}).Debug("a call had no answer")
 }
 
-// givenUp logs that connections were given up because a call had no answer.
-func (l *Loop) givenUp(g conntrack.Discarded) {
+// logConnectionsGivenUp logs that connections were given up because a call had no answer.
+func (l *Loop) logConnectionsGivenUp(g conntrack.Discarded) {
 	l.log.WithFields(logrus.Fields{
 		"to": g.To, "address": g.Address, "count": g.Count, "heard_ago": g.SilentFor.String(),
 	}).Info("connections were given up")
 }
 
-// again logs a call that was made again.
-func (l *Loop) again(a httpclient.RetriedCall) {
+// logRepeatedCall logs a call that was made again.
+func (l *Loop) logRepeatedCall(a httpclient.RetriedCall) {
 	l.log.WithFields(logrus.Fields{
 		"to": a.To, "address": a.Address, "call": a.Call, "answered_on": string(a.AnsweredOn), "took": a.Took.String(),
 	}).Debug("a call was made again")
 }
 
-// linkGivenUp logs a link to another entry box that was given up as silent.
-func (l *Loop) linkGivenUp(g peering.Discarded) {
+// logLinkGivenUp logs a link to another entry box that was given up as silent.
+func (l *Loop) logLinkGivenUp(g peering.Discarded) {
 	l.log.WithFields(logrus.Fields{
 		"address": g.Address, "reason": g.Reason, "open_for": g.OpenFor.String(), "heard_ago": g.SilentFor.String(), "calls": g.Calls,
 	}).Info("a link to an entry box was given up")
 }
 
-// linkNotAccepted logs why a connection of another entry box could not be accepted.
-func (l *Loop) linkNotAccepted(err error) {
+// logAcceptFailure logs why a connection of another entry box could not be accepted.
+func (l *Loop) logAcceptFailure(err error) {
 	l.log.WithError(err).Warning("a link could not be accepted")
 }
--- a/services/runtime/log.go
+++ b/services/runtime/log.go
@@ -21,31 +21,31 @@
 	"github.com/sourcegraph/conc"
 )
 
-// maxPlatformAnswer bounds one answer of the platform, in bytes.
-const maxPlatformAnswer = 64 << 20
+// maxPlatformAnswerBytes bounds one answer of the platform, in bytes.
+const maxPlatformAnswerBytes = 64 << 20
 
-// readBatch is how many records one read asks for.
-const readBatch = 500
+// readLimit is how many records one read asks for.
+const readLimit = 500
 
 // PlatformSettings say how to reach the platform.
 type PlatformSettings struct {
-	Log        string
-	Boxes      string
-	Timeout    time.Duration
-	Wait       time.Duration
-	BoxesEvery time.Duration
+	LogURL        string
+	BoxesURL      string
+	Timeout       time.Duration
+	ReadWait      time.Duration
+	BoxesInterval time.Duration
 	// Connections bounds the open connections.
 	Connections Connections
 }
 
 // Log is the adapter for the platform's log and list of boxes.
 type Log struct {
-	settings PlatformSettings
-	client   *httpjson.Client
-	loop     *Loop
-	ctx      context.Context
-	cancel   context.CancelFunc
-	tasks    conc.WaitGroup
+	settings   PlatformSettings
+	client     *httpjson.Client
+	loop       *Loop
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines conc.WaitGroup
 }
 
 // NewLog returns the adapter and starts to read the list of boxes.
@@ -53,41 +53,41 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Log{
 		settings: s, loop: loop, ctx: ctx, cancel: cancel,
-		client: httpjson.NewClient(loop.client("log", s.Connections, connsPerHost), maxPlatformAnswer),
+		client: httpjson.NewClient(loop.newClient("log", s.Connections, maxIdleConnsPerHost), maxPlatformAnswerBytes),
 	}
-	l.tasks.Go(l.readBoxes)
+	l.goroutines.Go(l.readBoxes)
 	return l
 }
 
 // Close ends what is under way and waits for it.
 func (l *Log) Close() {
 	l.cancel()
-	l.tasks.Wait()
+	l.goroutines.Wait()
 }
 
 func (l *Log) read(e effect.ReadLog) {
-	l.tasks.Go(func() {
+	l.goroutines.Go(func() {
 		ctx, cancel := context.WithTimeout(l.ctx, l.settings.Timeout)
 		defer cancel()
-		ctx = httpclient.WithRetry(ctx, httpclient.Retry{Expected: l.settings.Wait, ModifyRetry: waitNoMore})
-		url := fmt.Sprintf("%s/v1/read?from=%d&limit=%d&wait_ms=%d", l.settings.Log, e.From, readBatch, l.settings.Wait.Milliseconds())
+		ctx = httpclient.WithRetry(ctx, httpclient.Retry{Expected: l.settings.ReadWait, ModifyRetry: disableWait})
+		url := fmt.Sprintf("%s/v1/read?from=%d&limit=%d&wait_ms=%d", l.settings.LogURL, e.From, readLimit, l.settings.ReadWait.Milliseconds())
 		var answer platform.Read
 		if err := l.client.Get(ctx, url, &answer); err != nil {
 			l.loop.Post(event.LogFailed{Reason: err.Error()})
 			return
 		}
-		l.loop.Post(logRead(e.From, answer))
+		l.loop.Post(readEvent(e.From, answer))
 	})
 }
 
-// waitNoMore has a read that is made again answer at once.
-func waitNoMore(req *http.Request) {
+// disableWait has a read that is made again answer at once.
+func disableWait(req *http.Request) {
 	query := req.URL.Query()
 	query.Set("wait_ms", "0")
 	req.URL.RawQuery = query.Encode()
 }
 
-func logRead(from int64, r platform.Read) event.LogRead {
+func readEvent(from int64, r platform.Read) event.LogRead {
 	e := event.LogRead{First: r.First, AtEnd: r.Next <= from}
 	for _, rec := range r.Records {
 		// A record that cannot be decoded is skipped by every process alike.
@@ -100,7 +100,7 @@
 }
 
 func (l *Log) append(e effect.Append) {
-	l.tasks.Go(func() {
+	l.goroutines.Go(func() {
 		offset, err := l.appendOnce(e.Envelope)
 		ended := event.AppendEnded{ID: e.Envelope.ID, Offset: offset}
 		if err != nil {
@@ -120,12 +120,12 @@
 	// Readers drop an envelope that they have read, so it may be appended again.
 	ctx = httpclient.WithRetry(ctx, httpclient.Retry{})
 	var answer platform.Appended
-	err = l.client.Post(ctx, l.settings.Log+"/v1/append", platform.Append{ID: e.ID, Data: string(data)}, &answer)
+	err = l.client.Post(ctx, l.settings.LogURL+"/v1/append", platform.Append{ID: e.ID, Data: string(data)}, &answer)
 	return answer.Offset, err
 }
 
 func (l *Log) readBoxes() {
-	ticker := time.NewTicker(l.settings.BoxesEvery)
+	ticker := time.NewTicker(l.settings.BoxesInterval)
 	defer ticker.Stop()
 	for {
 		l.readBoxesOnce()
@@ -142,7 +142,7 @@
 	defer cancel()
 	ctx = httpclient.WithRetry(ctx, httpclient.Retry{})
 	var list box.List
-	if err := l.client.Get(ctx, l.settings.Boxes+"/v1/boxes", &list); err != nil {
+	if err := l.client.Get(ctx, l.settings.BoxesURL+"/v1/boxes", &list); err != nil {
 		l.loop.log.WithError(err).Debug("the list of boxes could not be read")
 		return
 	}
--- a/services/runtime/loop.go
+++ b/services/runtime/loop.go
@@ -19,12 +19,12 @@
 	"github.com/sourcegraph/conc"
 )
 
-// tickEvery is the time between two ticks of the reducer: the most that a
+// tickInterval is the time between two ticks of the reducer: the most that a
 // decision which no event sets off waits.
-const tickEvery = 25 * time.Millisecond
+const tickInterval = 25 * time.Millisecond
 
-// eventBuffer is how many events may wait for the loop.
-const eventBuffer = 1024
+// eventBufferSize is how many events may wait for the loop.
+const eventBufferSize = 1024
 
 // Adapters carry out effects. Each must return at once; what takes time goes on
 // in goroutines of the adapter's own.
@@ -39,35 +39,35 @@
 type Loop struct {
 	core *core.Core
 	// now tells the present time to the reducer and the adapters.
-	now      func() time.Time
-	log      logrus.FieldLogger
-	adapters Adapters
-	publish  publishers
-	events   chan event.Event
-	queries  chan func(time.Time, *core.Core)
-	ctx      context.Context
-	cancel   context.CancelFunc
-	tasks    conc.WaitGroup
-	stopping atomic.Bool
-	stopped  chan struct{}
-	stopOnce sync.Once
+	now        func() time.Time
+	log        logrus.FieldLogger
+	adapters   Adapters
+	publishers publishWaiters
+	events     chan event.Event
+	queries    chan func(time.Time, *core.Core)
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines conc.WaitGroup
+	stopping   atomic.Bool
+	stopped    chan struct{}
+	stopOnce   sync.Once
 }
 
 // NewLoop returns a loop that does not run yet. now tells the present time.
 func NewLoop(c *core.Core, log logrus.FieldLogger, now func() time.Time) *Loop {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Loop{
-		core: c, log: log, now: now, events: make(chan event.Event, eventBuffer),
+		core: c, log: log, now: now, events: make(chan event.Event, eventBufferSize),
 		queries: make(chan func(time.Time, *core.Core)),
 		ctx:     ctx, cancel: cancel, stopped: make(chan struct{}),
-		publish: newPublishers(),
+		publishers: newPublishers(),
 	}
 }
 
 // Run starts the loop with its adapters.
 func (l *Loop) Run(a Adapters) {
 	l.adapters = a
-	l.tasks.Go(l.run)
+	l.goroutines.Go(l.run)
 }
 
 // Post hands an event to the reducer. It waits while the loop is behind, and
@@ -101,8 +101,8 @@
 	l.Post(event.Stop{})
 }
 
-// Stopping says whether a planned stop has begun.
-func (l *Loop) Stopping() bool { return l.stopping.Load() }
+// IsStopping says whether a planned stop has begun.
+func (l *Loop) IsStopping() bool { return l.stopping.Load() }
 
 // Stopped is closed when a planned stop is complete.
 func (l *Loop) Stopped() <-chan struct{} { return l.stopped }
@@ -110,11 +110,11 @@
 // Close ends the loop and waits for it.
 func (l *Loop) Close() {
 	l.cancel()
-	l.tasks.Wait()
+	l.goroutines.Wait()
 }
 
 func (l *Loop) run() {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -132,11 +132,11 @@
 
 func (l *Loop) handle(e event.Event) {
 	for _, eff := range l.core.Handle(l.now(), e) {
-		l.do(eff)
+		l.apply(eff)
 	}
 }
 
-func (l *Loop) do(e effect.Effect) {
+func (l *Loop) apply(e effect.Effect) {
 	switch e := e.(type) {
 	case effect.SendRequest:
 		l.adapters.Requests.send(e)
@@ -155,11 +155,11 @@
 	case effect.SyncWorker:
 		l.adapters.Workers.sync(e)
 	case effect.SendHello:
-		l.adapters.Peers.hello(e)
+		l.adapters.Peers.sendHello(e)
 	case effect.FetchSnapshot:
-		l.adapters.Peers.fetch(e)
+		l.adapters.Peers.fetchSnapshot(e)
 	case effect.AnswerPublish:
-		l.publish.answer(e)
+		l.publishers.answer(e)
 	case effect.Stopped:
 		l.stopOnce.Do(func() { close(l.stopped) })
 	}
--- a/services/runtime/peers.go
+++ b/services/runtime/peers.go
@@ -27,32 +27,32 @@
 
 // The times of the peers' protocol.
 const (
-	peerDial    = time.Second
-	helloWithin = time.Second
-	fetchWithin = 5 * time.Second
+	peerDialTimeout = time.Second
+	helloTimeout    = time.Second
+	fetchTimeout    = 5 * time.Second
 )
 
 // Peers is the adapter for other entry boxes: it serves them and calls them.
 type Peers struct {
-	loop     *Loop
-	requests *Requests
-	links    *peering.Links
-	ctx      context.Context
-	cancel   context.CancelFunc
-	tasks    conc.WaitGroup
+	loop       *Loop
+	requests   *Requests
+	links      *peering.Links
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines conc.WaitGroup
 
 	mu sync.Mutex
 	// greeting holds the peers to which a heartbeat is under way.
-	greeting map[string]bool
+	hellosInFlight map[string]bool
 }
 
 // NewPeers returns the adapter and starts to serve peers on listener.
 func NewPeers(listener net.Listener, s Connections, loop *Loop, requests *Requests) *Peers {
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &Peers{loop: loop, requests: requests, ctx: ctx, cancel: cancel, greeting: map[string]bool{}}
+	p := &Peers{loop: loop, requests: requests, ctx: ctx, cancel: cancel, hellosInFlight: map[string]bool{}}
 	p.links = peering.New(ctx, listener, peering.Settings{
-		DialTimeout: peerDial, ProbeAfter: s.Probe, AnswerTimeout: s.Answer, Now: loop.now, OnUnanswered: loop.unanswered,
-		OnDiscard: loop.linkGivenUp, OnAcceptError: loop.linkNotAccepted,
+		DialTimeout: peerDialTimeout, ProbeAfter: s.ProbeAfter, AnswerTimeout: s.AnswerTimeout, Now: loop.now, OnUnanswered: loop.logUnanswered,
+		OnDiscard: loop.logLinkGivenUp, OnAcceptError: loop.logAcceptFailure,
 	}, p.handle)
 	p.links.Serve()
 	return p
@@ -62,14 +62,14 @@
 func (p *Peers) Close() {
 	p.cancel()
 	p.links.Close()
-	p.tasks.Wait()
+	p.goroutines.Wait()
 }
 
 // handle serves one call of a peer.
 func (p *Peers) handle(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
 	switch req.Method {
 	case peer.MethodHello:
-		hello, err := params[peer.Hello](req)
+		hello, err := decodeParams[peer.Hello](req)
 		if err != nil {
 			return nil, err
 		}
@@ -80,17 +80,17 @@
 		p.loop.Query(func(_ time.Time, c *core.Core) { s = c.Snapshot() })
 		return s, nil
 	case peer.MethodForward:
-		forward, err := params[peer.Forward](req)
+		forward, err := decodeParams[peer.Forward](req)
 		if err != nil {
 			return nil, err
 		}
-		return p.serve(ctx, forward)
+		return p.serveForwarded(ctx, forward)
 	default:
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "unknown method " + req.Method}
 	}
 }
 
-func params[T any](req *jsonrpc2.Request) (T, error) {
+func decodeParams[T any](req *jsonrpc2.Request) (T, error) {
 	var v T
 	if req.Params == nil {
 		return v, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: "no parameters"}
@@ -101,15 +101,15 @@
 	return v, nil
 }
 
-// serve runs a request that a peer passed on.
-func (p *Peers) serve(ctx context.Context, f peer.Forward) (*peer.Answer, error) {
+// serveForwarded runs a request that a peer passed on.
+func (p *Peers) serveForwarded(ctx context.Context, f peer.Forward) (*peer.Answer, error) {
 	key, err := request.ParseKey(f.Key)
 	if err != nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: err.Error()}
 	}
 	result, ok := p.requests.Serve(ctx, Incoming{
 		Pool: f.Pool, Class: f.Class, Key: key, Method: f.Method, Path: f.Path, Header: f.Header, Body: f.Body,
-		Peer: true, Delegated: f.Delegated, Budget: time.Duration(f.Budget) * time.Millisecond,
+		Forwarded: true, Delegated: f.Delegated, Budget: time.Duration(f.Budget) * time.Millisecond,
 	})
 	if !ok {
 		return nil, context.Canceled
@@ -128,16 +128,16 @@
 	return err
 }
 
-func (p *Peers) hello(e effect.SendHello) {
+func (p *Peers) sendHello(e effect.SendHello) {
 	p.mu.Lock()
-	busy := p.greeting[e.Address]
-	p.greeting[e.Address] = true
+	busy := p.hellosInFlight[e.Address]
+	p.hellosInFlight[e.Address] = true
 	p.mu.Unlock()
 	if busy {
 		return
 	}
-	p.tasks.Go(func() {
-		ctx, cancel := context.WithTimeout(p.ctx, helloWithin)
+	p.goroutines.Go(func() {
+		ctx, cancel := context.WithTimeout(p.ctx, helloTimeout)
 		defer cancel()
 		var none struct{}
 		hello := peering.Call{Method: peer.MethodHello, Params: e.Hello, Result: &none, Idempotent: true}
@@ -145,14 +145,14 @@
 			p.loop.log.WithError(err).Debug("a heartbeat was not answered")
 		}
 		p.mu.Lock()
-		delete(p.greeting, e.Address)
+		delete(p.hellosInFlight, e.Address)
 		p.mu.Unlock()
 	})
 }
 
-func (p *Peers) fetch(e effect.FetchSnapshot) {
-	p.tasks.Go(func() {
-		ctx, cancel := context.WithTimeout(p.ctx, fetchWithin)
+func (p *Peers) fetchSnapshot(e effect.FetchSnapshot) {
+	p.goroutines.Go(func() {
+		ctx, cancel := context.WithTimeout(p.ctx, fetchTimeout)
 		defer cancel()
 		var s record.Snapshot
 		fetch := peering.Call{Method: peer.MethodSnapshot, Params: struct{}{}, Result: &s, Idempotent: true}
@@ -169,7 +169,7 @@
 	if k == nil {
 		return
 	}
-	p.tasks.Go(func() {
+	p.goroutines.Go(func() {
 		ctx, cancel := context.WithTimeout(p.ctx, e.Timeout)
 		defer cancel()
 		in := &k.incoming
@@ -183,13 +183,13 @@
 		if err != nil {
 			ended.Failure, ended.Verdict = err.Error(), verdict.Of(err)
 		} else {
-			p.requests.keep(e.ID, 0, forwarded(answer))
+			p.requests.recordAnswer(e.ID, 0, forwardedResult(answer))
 		}
 		p.loop.Post(ended)
 	})
 }
 
-func forwarded(a peer.Answer) Result {
+func forwardedResult(a peer.Answer) Result {
 	header := a.Header
 	if header == nil {
 		header = http.Header{}
--- a/services/runtime/publish.go
+++ b/services/runtime/publish.go
@@ -13,18 +13,18 @@
 	"saddlevane/models/record"
 )
 
-// publishers are operators who wait for the log's decision.
-type publishers struct {
+// publishWaiters are operators who wait for the log's decision.
+type publishWaiters struct {
 	mu      *sync.Mutex
 	next    *uint64
 	waiting map[uint64]chan effect.PublishResult
 }
 
-func newPublishers() publishers {
-	return publishers{mu: &sync.Mutex{}, next: new(uint64), waiting: map[uint64]chan effect.PublishResult{}}
+func newPublishers() publishWaiters {
+	return publishWaiters{mu: &sync.Mutex{}, next: new(uint64), waiting: map[uint64]chan effect.PublishResult{}}
 }
 
-func (p publishers) add() (uint64, chan effect.PublishResult) {
+func (p publishWaiters) add() (uint64, chan effect.PublishResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	*p.next++
@@ -33,13 +33,13 @@
 	return *p.next, result
 }
 
-func (p publishers) remove(id uint64) {
+func (p publishWaiters) remove(id uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.waiting, id)
 }
 
-func (p publishers) answer(e effect.AnswerPublish) {
+func (p publishWaiters) answer(e effect.AnswerPublish) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if result, ok := p.waiting[e.Waiter]; ok {
@@ -52,8 +52,8 @@
 // at most for patience.
 func (l *Loop) Publish(ctx context.Context, p record.Publish, patience time.Duration) effect.PublishResult {
 	p.Parse()
-	id, result := l.publish.add()
-	defer l.publish.remove(id)
+	id, result := l.publishers.add()
+	defer l.publishers.remove(id)
 	l.Post(event.PublishAsked{Waiter: id, Publish: p, Timeout: patience})
 	select {
 	case r := <-result:
--- a/services/runtime/requests.go
+++ b/services/runtime/requests.go
@@ -21,9 +21,9 @@
 
 // RequestSettings bound callers' requests.
 type RequestSettings struct {
-	MaxAnswer  int64
-	MaxPending int
-	MaxKept    int64
+	MaxAnswerBytes   int64
+	MaxPending       int
+	MaxRetainedBytes int64
 	// Connections bounds the open connections to targets.
 	Connections Connections
 }
@@ -40,7 +40,7 @@
 	Body   []byte
 	// Peer says that another entry box passed the request on, Delegated that it
 	// only wants it sent to a target here.
-	Peer, Delegated bool
+	Forwarded, Delegated bool
 	// Budget is how long the caller still waits, or 0 for the class's deadline.
 	Budget time.Duration
 }
@@ -73,42 +73,42 @@
 // Requests is the adapter that keeps callers' requests and exchanges them with
 // targets.
 type Requests struct {
-	settings RequestSettings
-	loop     *Loop
-	targets  *targetClient
-	ctx      context.Context
-	cancel   context.CancelFunc
-	tasks    conc.WaitGroup
+	settings   RequestSettings
+	loop       *Loop
+	targets    *targetClient
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines conc.WaitGroup
 
 	mu      sync.Mutex
 	lastID  request.ID
-	pending map[request.ID]*kept
+	pending map[request.ID]*pendingRequest
 	// order holds the requests whose answers are kept, oldest first.
-	order     []request.ID
-	keptBytes int64
+	retained      []request.ID
+	retainedBytes int64
 }
 
-// kept is what the adapter has of one request.
-type kept struct {
-	incoming Incoming
-	done     chan Result
-	answers  map[int]Result
-	counted  int64
+// pendingRequest is what the adapter has of one request.
+type pendingRequest struct {
+	incoming      Incoming
+	done          chan Result
+	answers       map[int]Result
+	retainedBytes int64
 }
 
 // NewRequests returns the adapter.
 func NewRequests(s RequestSettings, loop *Loop) *Requests {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Requests{
-		settings: s, loop: loop, targets: newTargetClient(s.MaxAnswer, s.Connections, loop), ctx: ctx, cancel: cancel,
-		pending: map[request.ID]*kept{},
+		settings: s, loop: loop, targets: newTargetClient(s.MaxAnswerBytes, s.Connections, loop), ctx: ctx, cancel: cancel,
+		pending: map[request.ID]*pendingRequest{},
 	}
 }
 
 // Close ends what is under way and waits for it.
 func (r *Requests) Close() {
 	r.cancel()
-	r.tasks.Wait()
+	r.goroutines.Wait()
 	r.targets.close()
 }
 
@@ -117,10 +117,10 @@
 func (r *Requests) Serve(ctx context.Context, in Incoming) (Result, bool) {
 	id, k, ok := r.add(in)
 	if !ok {
-		return refused(0, tooMany()), true
+		return refusalResult(0, tooManyRefusal()), true
 	}
 	r.loop.Post(event.RequestArrived{Arrival: request.Arrival{
-		ID: id, Pool: in.Pool, Class: in.Class, Key: in.Key, Digest: in.digest(), Forwarded: in.Peer, Delegated: in.Delegated, Budget: in.Budget,
+		ID: id, Pool: in.Pool, Class: in.Class, Key: in.Key, Digest: in.digest(), Forwarded: in.Forwarded, Delegated: in.Delegated, Budget: in.Budget,
 	}})
 	select {
 	case result := <-k.done:
@@ -129,36 +129,36 @@
 		r.loop.Post(event.RequestAbandoned{ID: id})
 		return Result{}, false
 	case <-r.loop.ctx.Done():
-		return refused(id, request.Refusal{
+		return refusalResult(id, request.Refusal{
 			Status: http.StatusServiceUnavailable, Verdict: verdict.MayHaveRun, Reason: "this entry box has stopped",
 		}), true
 	}
 }
 
-func tooMany() request.Refusal {
+func tooManyRefusal() request.Refusal {
 	return request.Refusal{
 		Status: http.StatusServiceUnavailable, Verdict: verdict.NotRun,
 		Reason: "too many requests are unanswered at this entry box", RetryAfter: time.Second,
 	}
 }
 
-func refused(id request.ID, f request.Refusal) Result {
+func refusalResult(id request.ID, f request.Refusal) Result {
 	return Result{ID: id, Status: f.Status, Verdict: f.Verdict, Refusal: &f}
 }
 
-func (r *Requests) add(in Incoming) (request.ID, *kept, bool) {
+func (r *Requests) add(in Incoming) (request.ID, *pendingRequest, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.pending)-len(r.order) >= r.settings.MaxPending {
+	if len(r.pending)-len(r.retained) >= r.settings.MaxPending {
 		return 0, nil, false
 	}
 	r.lastID++
-	k := &kept{incoming: in, done: make(chan Result, 1), answers: map[int]Result{}}
+	k := &pendingRequest{incoming: in, done: make(chan Result, 1), answers: map[int]Result{}}
 	r.pending[r.lastID] = k
 	return r.lastID, k, true
 }
 
-func (r *Requests) get(id request.ID) *kept {
+func (r *Requests) get(id request.ID) *pendingRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.pending[id]
@@ -169,22 +169,22 @@
 	if k == nil {
 		return
 	}
-	r.tasks.Go(func() {
+	r.goroutines.Go(func() {
 		result, err := r.targets.exchange(r.ctx, e, &k.incoming)
 		ended := event.TargetAnswered{ID: e.ID, Attempt: e.Attempt, Target: e.Target, Verdict: verdict.Of(err)}
 		if err != nil {
 			ended.Reason = err.Error()
-			ended.Leaving, ended.Busy = targetWords(err)
-			_, ended.Silent = errors.AsType[*silentError](err)
+			ended.Leaving, ended.Busy = refusalCause(err)
+			_, ended.Silent = errors.AsType[*unresponsiveConnError](err)
 		} else {
 			ended.Leaving = result.Header.Get(request.HeaderLeaving) != ""
-			r.keep(e.ID, e.Attempt, result)
+			r.recordAnswer(e.ID, e.Attempt, result)
 		}
 		r.loop.Post(ended)
 	})
 }
 
-func (r *Requests) keep(id request.ID, attempt int, result Result) {
+func (r *Requests) recordAnswer(id request.ID, attempt int, result Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if k := r.pending[id]; k != nil {
@@ -200,9 +200,9 @@
 	if to == nil {
 		return
 	}
-	result, ok := r.answer(e)
+	result, ok := r.answerOf(e)
 	if !ok {
-		result = refused(e.To, request.Refusal{
+		result = refusalResult(e.To, request.Refusal{
 			Status: http.StatusConflict, Verdict: verdict.Ran, Reason: "the request has run, but its answer is no longer kept",
 		})
 	}
@@ -212,11 +212,11 @@
 		delete(r.pending, e.To)
 	}
 	if e.Retain {
-		r.keepAnswer(e.From)
+		r.retainAnswer(e.From)
 	}
 }
 
-func (r *Requests) answer(e effect.Deliver) (Result, bool) {
+func (r *Requests) answerOf(e effect.Deliver) (Result, bool) {
 	from := r.pending[e.From]
 	if from == nil {
 		return Result{}, false
@@ -225,32 +225,32 @@
 	return result, ok
 }
 
-// keepAnswer counts a kept answer once, and drops the oldest ones if all
+// retainAnswer counts a kept answer once, and drops the oldest ones if all
 // together exceed their bound.
-func (r *Requests) keepAnswer(id request.ID) {
+func (r *Requests) retainAnswer(id request.ID) {
 	k := r.pending[id]
-	if k == nil || k.counted > 0 {
+	if k == nil || k.retainedBytes > 0 {
 		return
 	}
 	k.incoming = Incoming{}
-	k.counted = 1
+	k.retainedBytes = 1
 	for _, a := range k.answers {
-		k.counted += int64(len(a.Body))
+		k.retainedBytes += int64(len(a.Body))
 	}
-	r.keptBytes += k.counted
-	r.order = append(r.order, id)
-	for r.keptBytes > r.settings.MaxKept && len(r.order) > 1 {
-		r.drop(r.order[0])
+	r.retainedBytes += k.retainedBytes
+	r.retained = append(r.retained, id)
+	for r.retainedBytes > r.settings.MaxRetainedBytes && len(r.retained) > 1 {
+		r.drop(r.retained[0])
 	}
 }
 
 func (r *Requests) drop(id request.ID) {
 	if k := r.pending[id]; k != nil {
-		r.keptBytes -= k.counted
+		r.retainedBytes -= k.retainedBytes
 		delete(r.pending, id)
 	}
-	if len(r.order) > 0 && r.order[0] == id {
-		r.order = r.order[1:]
+	if len(r.retained) > 0 && r.retained[0] == id {
+		r.retained = r.retained[1:]
 	}
 }
 
@@ -258,7 +258,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if k := r.pending[e.To]; k != nil {
-		k.done <- refused(e.To, e.Refusal)
+		k.done <- refusalResult(e.To, e.Refusal)
 		delete(r.pending, e.To)
 	}
 }
--- a/services/runtime/result.go
+++ b/services/runtime/result.go
@@ -20,7 +20,7 @@
 	for name, values := range r.Header {
 		header[name] = values
 	}
-	for _, name := range notPassedOn {
+	for _, name := range droppedHeaders {
 		header.Del(name)
 	}
 	header.Del(request.HeaderLeaving)
--- a/services/runtime/silent_test.go
+++ b/services/runtime/silent_test.go
@@ -36,15 +36,15 @@
 )
 
 const (
-	// deadline is that of requests of the tests; a target answers at once.
-	deadline = 600 * time.Millisecond
-	// callWithin bounds calls to the log of the tests, readWait how long a read waits.
-	callWithin = 3 * time.Second
-	readWait   = 300 * time.Millisecond
-	// overdue is how late an answer of the log may be.
-	overdue = 100 * time.Millisecond
-	// soon is well below what runs out of its time.
-	soon = callWithin / 2
+	// requestDeadline is that of requests of the tests; a target answers at once.
+	requestDeadline = 600 * time.Millisecond
+	// callTimeout bounds calls to the log of the tests, readWait how long a read waits.
+	callTimeout = 3 * time.Second
+	readWait    = 300 * time.Millisecond
+	// overdueAfter is how late an answer of the log may be.
+	overdueAfter = 100 * time.Millisecond
+	// maxPublishTime is well below what runs out of its time.
+	maxPublishTime = callTimeout / 2
 )
 
 const poolFile = `name: cell
@@ -74,8 +74,8 @@
 	return offset
 }
 
-// from returns the records from an offset on, and what is closed once there are more.
-func (l *platformLog) from(offset int64) (platform.Read, <-chan struct{}) {
+// recordsFrom returns the records from an offset on, and what is closed once there are more.
+func (l *platformLog) recordsFrom(offset int64) (platform.Read, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	next := int64(len(l.records))
@@ -86,7 +86,7 @@
 func (l *platformLog) read(w http.ResponseWriter, r *http.Request) {
 	offset, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	answer, more := l.from(offset)
+	answer, more := l.recordsFrom(offset)
 	if len(answer.Records) == 0 {
 		select {
 		case <-more:
@@ -94,29 +94,29 @@
 		case <-r.Context().Done():
 			return
 		}
-		answer, _ = l.from(offset)
+		answer, _ = l.recordsFrom(offset)
 	}
 	httpjson.Write(w, http.StatusOK, answer)
 }
 
-// rig is one entry box, its platform and one target.
-type rig struct {
+// boxHarness is one entry box, its platform and one target.
+type boxHarness struct {
 	t        *testing.T
 	loop     *runtime.Loop
 	requests *runtime.Requests
 	log      *platformLog
-	// toLog and toTarget stand before the log and the target.
-	toLog, toTarget *forward.Proxy
+	// logProxy and targetProxy stand before the log and the target.
+	logProxy, targetProxy *forward.Proxy
 	// gate, if set, is what requests at the target wait for.
 	mu   sync.Mutex
 	gate *sync.WaitGroup
 }
 
-// newRig starts a box that has a target in a pool.
-func newRig(t *testing.T) *rig {
+// newBoxHarness starts a box that has a target in a pool.
+func newBoxHarness(t *testing.T) *boxHarness {
 	t.Helper()
-	r := &rig{t: t, log: &platformLog{changed: make(chan struct{})}, toLog: forward.New(), toTarget: forward.New()}
-	target := r.serve(r.toTarget, http.HandlerFunc(r.answer))
+	r := &boxHarness{t: t, log: &platformLog{changed: make(chan struct{})}, logProxy: forward.New(), targetProxy: forward.New()}
+	target := r.serve(r.targetProxy, http.HandlerFunc(r.serveTarget))
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/read", r.log.read)
 	mux.HandleFunc("POST /v1/append", func(w http.ResponseWriter, req *http.Request) {
@@ -130,10 +130,10 @@
 			{Name: "t1", Role: box.Target, Domain: "a", Pool: "p", Address: target, State: box.Live},
 		}})
 	})
-	r.start("http://" + r.serve(r.toLog, mux))
-	r.published("cell", poolFile)
+	r.start("http://" + r.serve(r.logProxy, mux))
+	r.publish("cell", poolFile)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if result := r.ask(); result.Verdict != verdict.Ran {
+		if result := r.sendRequest(); result.Verdict != verdict.Ran {
 			return poll.Continue("%+v", result)
 		}
 		return poll.Success()
@@ -142,7 +142,7 @@
 }
 
 // serve has a handler answer behind a forwarder and returns its address.
-func (r *rig) serve(f *forward.Proxy, h http.Handler) string {
+func (r *boxHarness) serve(f *forward.Proxy, h http.Handler) string {
 	r.t.Helper()
 	server := httptest.NewServer(h)
 	address, err := f.Forward(server.Listener.Addr().String())
@@ -156,7 +156,7 @@
 }
 
 // start starts the box.
-func (r *rig) start(url string) {
+func (r *boxHarness) start(url string) {
 	r.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(r.t, err)
@@ -166,15 +166,15 @@
 	self := peer.Hello{Box: "a", Incarnation: "1", Domain: "a", Address: listener.Addr().String()}
 	newKey := func(now time.Time) ulid.ULID { return ulid.MustNew(ulid.Timestamp(now), ulid.DefaultEntropy()) }
 	policies := core.Policies{Routing: routing.DefaultPolicy(), Shard: shard.DefaultPolicy()}
-	connections := runtime.Connections{Probe: time.Second, Answer: overdue, Unused: time.Minute}
+	connections := runtime.Connections{ProbeAfter: time.Second, AnswerTimeout: overdueAfter, IdleTimeout: time.Minute}
 	r.loop = runtime.NewLoop(core.New(now, settings(), policies, self, newKey), log, time.Now)
 	r.requests = runtime.NewRequests(runtime.RequestSettings{
-		MaxAnswer: 1 << 20, MaxPending: 100, MaxKept: 1 << 20, Connections: connections,
+		MaxAnswerBytes: 1 << 20, MaxPending: 100, MaxRetainedBytes: 1 << 20, Connections: connections,
 	}, r.loop)
 	adapters := runtime.Adapters{
 		Requests: r.requests, Workers: runtime.NewWorkers(time.Second, connections, r.loop), Peers: runtime.NewPeers(listener, connections, r.loop, r.requests),
 		Log: runtime.NewLog(runtime.PlatformSettings{
-			Log: url, Boxes: url, Timeout: callWithin, Wait: readWait, BoxesEvery: 100 * time.Millisecond, Connections: connections,
+			LogURL: url, BoxesURL: url, Timeout: callTimeout, ReadWait: readWait, BoxesInterval: 100 * time.Millisecond, Connections: connections,
 		}, r.loop),
 	}
 	r.loop.Run(adapters)
@@ -204,8 +204,8 @@
 	}
 }
 
-// published has a file come into force.
-func (r *rig) published(name, data string) {
+// publish has a file come into force.
+func (r *boxHarness) publish(name, data string) {
 	r.t.Helper()
 	poll.WaitOn(r.t, func(poll.LogT) poll.Result {
 		p := record.Publish{ID: name, File: name, Data: data}
@@ -217,8 +217,8 @@
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(10*time.Millisecond))
 }
 
-// answer is how the target answers.
-func (r *rig) answer(w http.ResponseWriter, req *http.Request) {
+// serveTarget is how the target answers.
+func (r *boxHarness) serveTarget(w http.ResponseWriter, req *http.Request) {
 	_, _ = io.Copy(io.Discard, req.Body)
 	r.mu.Lock()
 	gate := r.gate
@@ -230,11 +230,11 @@
 	httpjson.Write(w, http.StatusOK, struct{}{})
 }
 
-// ask makes one request, which may not be repeated: it is refused with the key that it
+// sendRequest makes one request, which may not be repeated: it is refused with the key that it
 // then bears.
-func (r *rig) ask() runtime.Result {
+func (r *boxHarness) sendRequest() runtime.Result {
 	in := runtime.Incoming{
-		Pool: "p", Class: "c", Method: http.MethodPost, Path: "/x", Header: http.Header{}, Body: []byte("x"), Budget: deadline,
+		Pool: "p", Class: "c", Method: http.MethodPost, Path: "/x", Header: http.Header{}, Body: []byte("x"), Budget: requestDeadline,
 	}
 	result, _ := r.requests.Serve(context.Background(), in)
 	if result.Refusal != nil && !result.Refusal.Key.IsZero() {
@@ -244,15 +244,15 @@
 	return result
 }
 
-// fill opens some connections to the target.
-func (r *rig) fill(count int) {
+// openTargetConnections opens some connections to the target.
+func (r *boxHarness) openTargetConnections(count int) {
 	r.t.Helper()
 	gate := &sync.WaitGroup{}
 	gate.Add(count)
 	r.mu.Lock()
 	r.gate = gate
 	r.mu.Unlock()
-	for _, result := range r.together(count) {
+	for _, result := range r.sendRequests(count) {
 		assert.Equal(r.t, result.Verdict, verdict.Ran, "%+v", result.Refusal)
 	}
 	r.mu.Lock()
@@ -260,12 +260,12 @@
 	r.mu.Unlock()
 }
 
-// together makes some requests at once.
-func (r *rig) together(count int) []runtime.Result {
+// sendRequests makes some requests at once.
+func (r *boxHarness) sendRequests(count int) []runtime.Result {
 	results := make([]runtime.Result, count)
 	var calls sync.WaitGroup
 	for i := range count {
-		calls.Go(func() { results[i] = r.ask() })
+		calls.Go(func() { results[i] = r.sendRequest() })
 	}
 	calls.Wait()
 	return results
@@ -282,42 +282,42 @@
 // to silent connections too. Reads of the log and appends waited out their time.
 //
 // What settled it: reading the code of the older mode beside the record of the other.
-func TestConnectionsOfTheOlderModeGoSilent(t *testing.T) {
-	t.Run("a pool of them to a target costs one request", testATargetsPoolCostsOneRequest)
-	t.Run("requests under way on them do not take the target out", testRequestsUnderWayDoNotEject)
-	t.Run("the log is read and written", testTheLogIsReadAndWritten)
+func TestUnresponsiveConnectionsOfRequestMode(t *testing.T) {
+	t.Run("a pool of them to a target costs one request", testUnresponsivePoolCostsOneRequest)
+	t.Run("requests under way on them do not take the target out", testRequestsInFlightDoNotEjectTarget)
+	t.Run("the log is read and written", testLogIsReadAndWritten)
 }
 
-func testATargetsPoolCostsOneRequest(t *testing.T) {
-	r := newRig(t)
-	r.fill(6)
-	assert.Check(t, r.toTarget.Stall() >= 6)
-	assert.Equal(t, r.ask().Verdict, verdict.MayHaveRun)
+func testUnresponsivePoolCostsOneRequest(t *testing.T) {
+	r := newBoxHarness(t)
+	r.openTargetConnections(6)
+	assert.Check(t, r.targetProxy.Stall() >= 6)
+	assert.Equal(t, r.sendRequest().Verdict, verdict.MayHaveRun)
 	for i := range 6 {
-		result := r.ask()
+		result := r.sendRequest()
 		assert.Equal(t, result.Verdict, verdict.Ran, "request %d: %+v", i, result.Refusal)
 	}
 }
 
-func testRequestsUnderWayDoNotEject(t *testing.T) {
-	r := newRig(t)
-	r.fill(6)
-	r.toTarget.Stall()
-	for _, result := range r.together(4) {
+func testRequestsInFlightDoNotEjectTarget(t *testing.T) {
+	r := newBoxHarness(t)
+	r.openTargetConnections(6)
+	r.targetProxy.Stall()
+	for _, result := range r.sendRequests(4) {
 		assert.Equal(t, result.Verdict, verdict.MayHaveRun)
 	}
-	result := r.ask()
+	result := r.sendRequest()
 	assert.Equal(t, result.Verdict, verdict.Ran, "%+v", result.Refusal)
 }
 
-func testTheLogIsReadAndWritten(t *testing.T) {
-	r := newRig(t)
+func testLogIsReadAndWritten(t *testing.T) {
+	r := newBoxHarness(t)
 	for round := range 3 {
-		assert.Check(t, r.toLog.Stall() > 0)
+		assert.Check(t, r.logProxy.Stall() > 0)
 		began := time.Now()
 		name := "f" + strconv.Itoa(round)
-		r.published(name, "name: "+name+"\n")
+		r.publish(name, "name: "+name+"\n")
 		took := time.Since(began)
-		assert.Check(t, took < soon, "a file came into force after %v in round %d", took, round)
+		assert.Check(t, took < maxPublishTime, "a file came into force after %v in round %d", took, round)
 	}
 }
--- a/services/runtime/target.go
+++ b/services/runtime/target.go
@@ -23,32 +23,32 @@
 	"saddlevane/modules/httpjson"
 )
 
-// errNotWhole says that an answer may lack its end.
-var errNotWhole = errors.New("the answer's end cannot be told")
+// errUnterminatedAnswer says that an answer may lack its end.
+var errUnterminatedAnswer = errors.New("the answer's end cannot be told")
 
-// saidError is a target's own word that it did not run a request.
-type saidError struct{ leaving bool }
+// targetRefusedError is a target's own word that it did not run a request.
+type targetRefusedError struct{ leaving bool }
 
-func (e *saidError) Error() string {
+func (e *targetRefusedError) Error() string {
 	if e.leaving {
 		return "the target is leaving"
 	}
 	return "the target refused the request"
 }
 
-// silentError says that a request had no answer on a connection that had carried others:
+// unresponsiveConnError says that a request had no answer on a connection that had carried others:
 // that may be silent, and the target well.
-type silentError struct{ err error }
+type unresponsiveConnError struct{ err error }
 
 // Error returns what went wrong.
-func (e *silentError) Error() string { return e.err.Error() }
+func (e *unresponsiveConnError) Error() string { return e.err.Error() }
 
 // Unwrap returns what went wrong.
-func (e *silentError) Unwrap() error { return e.err }
+func (e *unresponsiveConnError) Unwrap() error { return e.err }
 
-// targetWords returns what a target said of itself.
-func targetWords(err error) (leaving, busy bool) {
-	if said, ok := errors.AsType[*saidError](err); ok {
+// refusalCause returns what a target said of itself.
+func refusalCause(err error) (leaving, busy bool) {
+	if said, ok := errors.AsType[*targetRefusedError](err); ok {
 		return said.leaving, !said.leaving
 	}
 	return false, false
@@ -57,24 +57,24 @@
 // targetClient exchanges requests with targets over HTTP. It keeps one pool of
 // connections for each bound on connections to a target.
 type targetClient struct {
-	maxAnswer int64
-	settings  httpclient.Settings
-	mu        sync.Mutex
-	pools     map[int]*httpclient.Transport
+	maxAnswerBytes int64
+	settings       httpclient.Settings
+	mu             sync.Mutex
+	pools          map[int]*httpclient.Transport
 }
 
 // newTargetClient returns a client of targets. A request that has no answer gives up only
 // connections that carry none: those under way may have run and are not sent again, so
 // they keep their time.
 func newTargetClient(maxAnswer int64, c Connections, loop *Loop) *targetClient {
-	return &targetClient{maxAnswer: maxAnswer, pools: map[int]*httpclient.Transport{}, settings: httpclient.Settings{
-		To: "target", DialTimeout: targetDial, IdleTimeout: c.Unused, Discard: conntrack.SilentAndIdle, Now: loop.now, Hooks: loop.reports(),
+	return &targetClient{maxAnswerBytes: maxAnswer, pools: map[int]*httpclient.Transport{}, settings: httpclient.Settings{
+		To: "target", DialTimeout: targetDialTimeout, IdleTimeout: c.IdleTimeout, Discard: conntrack.SilentAndIdle, Now: loop.now, Hooks: loop.reports(),
 	}}
 }
 
-// targetDial bounds the opening of a connection to a target: a packet that is lost is
+// targetDialTimeout bounds the opening of a connection to a target: a packet that is lost is
 // sent again after 1 s and 3 s.
-const targetDial = 5 * time.Second
+const targetDialTimeout = 5 * time.Second
 
 func (t *targetClient) transport(connections int) *httpclient.Transport {
 	t.mu.Lock()
@@ -105,14 +105,14 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) {
 		connected, reused = true, i.Reused
 	}})
-	req, err := targetRequest(ctx, e, in)
+	req, err := newTargetRequest(ctx, e, in)
 	if err != nil {
 		return Result{}, verdict.Wrap(verdict.NotRun, err)
 	}
 	resp, err := t.transport(e.Connections).RoundTrip(req)
 	if err != nil {
 		if reused && (errors.Is(err, context.DeadlineExceeded) || errors.Is(err, conntrack.ErrDiscarded)) {
-			err = &silentError{err}
+			err = &unresponsiveConnError{err}
 		}
 		if connected {
 			return Result{}, verdict.Wrap(verdict.MayHaveRun, fmt.Errorf("target %s: %w", e.Target, err))
@@ -120,16 +120,16 @@
 		return Result{}, verdict.Wrap(verdict.NotRun, fmt.Errorf("target %s: %w", e.Target, err))
 	}
 	defer resp.Body.Close()
-	return t.answer(e, resp)
+	return t.readAnswer(e, resp)
 }
 
-func (t *targetClient) answer(e effect.SendRequest, resp *http.Response) (Result, error) {
+func (t *targetClient) readAnswer(e effect.SendRequest, resp *http.Response) (Result, error) {
 	if resp.Header.Get(request.HeaderVerdict) == string(verdict.NotRun) {
-		return Result{}, verdict.Wrap(verdict.NotRun, &saidError{leaving: resp.Header.Get(request.HeaderLeaving) != ""})
+		return Result{}, verdict.Wrap(verdict.NotRun, &targetRefusedError{leaving: resp.Header.Get(request.HeaderLeaving) != ""})
 	}
-	body, err := httpjson.ReadAll(resp.Body, t.maxAnswer)
-	if err == nil && !delimited(resp) {
-		err = errNotWhole
+	body, err := httpjson.ReadAll(resp.Body, t.maxAnswerBytes)
+	if err == nil && !isDelimited(resp) {
+		err = errUnterminatedAnswer
 	}
 	if err != nil {
 		return Result{}, verdict.Wrap(verdict.MayHaveRun, fmt.Errorf("target %s: answer: %w", e.Target, err))
@@ -139,13 +139,13 @@
 	}, nil
 }
 
-// delimited says whether the answer's end was marked, so that a connection that
+// isDelimited says whether the answer's end was marked, so that a connection that
 // broke off would have been noticed.
-func delimited(resp *http.Response) bool {
+func isDelimited(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
 
-func targetRequest(ctx context.Context, e effect.SendRequest, in *Incoming) (*http.Request, error) {
+func newTargetRequest(ctx context.Context, e effect.SendRequest, in *Incoming) (*http.Request, error) {
 	url := "http://" + e.Address + "/" + in.Class + in.Path
 	req, err := http.NewRequestWithContext(ctx, in.Method, url, nil)
 	if err != nil {
@@ -155,7 +155,7 @@
 	for name, values := range in.Header {
 		req.Header[name] = values
 	}
-	for _, name := range notPassedOn {
+	for _, name := range droppedHeaders {
 		req.Header.Del(name)
 	}
 	req.Header.Set(request.HeaderID, strconv.FormatUint(uint64(e.ID), 10)+"."+strconv.Itoa(e.Attempt))
@@ -179,9 +179,9 @@
 	}
 }
 
-// notPassedOn are headers that concern one connection only, or that would let
+// droppedHeaders are headers that concern one connection only, or that would let
 // the transport send a request twice.
-var notPassedOn = []string{
+var droppedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te",
 	"Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 	"Idempotency-Key", "X-Idempotency-Key",
--- a/services/runtime/workers.go
+++ b/services/runtime/workers.go
@@ -16,17 +16,17 @@
 	"github.com/sourcegraph/conc"
 )
 
-// maxReport bounds a worker's report, in bytes.
-const maxReport = 4 << 20
+// maxReportBytes bounds a worker's report, in bytes.
+const maxReportBytes = 4 << 20
 
 // Workers is the adapter for the platform's workers.
 type Workers struct {
-	timeout time.Duration
-	client  *httpjson.Client
-	loop    *Loop
-	ctx     context.Context
-	cancel  context.CancelFunc
-	tasks   conc.WaitGroup
+	timeout    time.Duration
+	client     *httpjson.Client
+	loop       *Loop
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines conc.WaitGroup
 }
 
 // NewWorkers returns the adapter. One exchange takes at most timeout. An exchange is not
@@ -36,19 +36,19 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Workers{
 		timeout: timeout, loop: loop, ctx: ctx, cancel: cancel,
-		client: httpjson.NewClient(loop.client("worker", c, 1), maxReport),
+		client: httpjson.NewClient(loop.newClient("worker", c, 1), maxReportBytes),
 	}
 }
 
 // Close ends what is under way and waits for it.
 func (w *Workers) Close() {
 	w.cancel()
-	w.tasks.Wait()
+	w.goroutines.Wait()
 }
 
 func (w *Workers) sync(e effect.SyncWorker) {
 	sentAt := w.loop.now()
-	w.tasks.Go(func() {
+	w.goroutines.Go(func() {
 		ctx, cancel := context.WithTimeout(w.ctx, w.timeout)
 		defer cancel()
 		answered := event.WorkerAnswered{Worker: e.Worker, Seq: e.Sync.Seq, SentAt: sentAt}
--- a/tests/soak/callers.go
+++ b/tests/soak/callers.go
@@ -92,7 +92,7 @@
 func (c *Callers) Run(ctx, leave context.Context, perSecond float64) {
 	for leave.Err() == nil {
 		s, q, work := c.newJob()
-		c.rig.platform.Expect(s, q, work)
+		c.rig.platform.ExpectJob(s, q, work)
 		c.tasks.Go(func() { c.submitAndWatch(ctx, s, work) })
 		sleep(leave, time.Duration(c.expFloat()/perSecond*float64(time.Second)))
 	}
@@ -103,10 +103,10 @@
 func (c *Callers) RunCrashingJobs(ctx context.Context, jobs int) {
 	c.tasks.Go(func() {
 		for i := range jobs {
-			s := job.Submission{ID: job.ID(fmt.Sprintf("crashing%d", i)), Queue: queues[0].Name, Spec: standin.CrashSpec}
+			s := job.Submission{ID: job.ID(fmt.Sprintf("crashing%d", i)), Queue: queues[0].Name, Spec: standin.CrashSpecPrefix}
 			need := resource.Vector{Processors: 2 * resource.Processor, Memory: resource.GiB}
 			s.Steps = []job.Step{{Tasks: 1, Need: need, Estimate: job.Milliseconds(crashingTaskDuration.Milliseconds())}}
-			c.rig.platform.Expect(s, queues[0], crashingTaskDuration)
+			c.rig.platform.ExpectJob(s, queues[0], crashingTaskDuration)
 			if c.submit(ctx, s) {
 				c.pollUntilFinal(ctx, s, time.Now())
 			}
@@ -125,7 +125,7 @@
 			s.Steps = []job.Step{{
 				Tasks: minWideTasks + c.intn(maxWideTasks-minWideTasks+1), Need: need, Gang: i%2 == 0, Estimate: job.Milliseconds(wideTaskDuration.Milliseconds()),
 			}}
-			c.rig.platform.Expect(s, queues[1+i%2], wideTaskDuration)
+			c.rig.platform.ExpectJob(s, queues[1+i%2], wideTaskDuration)
 			if c.submit(ctx, s) {
 				at := time.Now()
 				c.tasks.Go(func() {
@@ -280,7 +280,7 @@
 		return false
 	}
 	c.count(&c.refused)
-	c.rig.platform.Refused(s.ID)
+	c.rig.platform.RecordRefusal(s.ID)
 	return false
 }
 
@@ -295,7 +295,7 @@
 func (c *Callers) cancel(ctx context.Context, id job.ID) {
 	for ctx.Err() == nil {
 		if status, _ := c.call(ctx, http.MethodDelete, "/v1/jobs/"+string(id), nil); status == http.StatusOK {
-			c.rig.platform.Cancelled(id, time.Now())
+			c.rig.platform.RecordCancellation(id, time.Now())
 			return
 		}
 		sleep(ctx, retryDelay)
@@ -326,9 +326,9 @@
 	c.ended[state]++
 	c.mu.Unlock()
 	switch {
-	case state == job.Succeeded && !c.rig.platform.Done(s):
+	case state == job.Succeeded && !c.rig.platform.AllTasksDone(s):
 		c.recordViolation("%s is shown as succeeded before all its tasks are done", s.ID)
-	case state == job.Failed && !c.rig.platform.FailedOften(s.ID):
+	case state == job.Failed && !c.rig.platform.MayEndFailed(s.ID):
 		c.recordViolation("%s is shown as failed, and no task failed often enough", s.ID)
 	}
 	sleep(ctx, time.Duration(c.intn(1000))*time.Millisecond)
--- a/tests/soak/faults.go
+++ b/tests/soak/faults.go
@@ -122,9 +122,9 @@
 	case 9:
 		f.apply(worker+"/life", "begins another life", 0, w.Restart, func() {})
 	case 10:
-		f.apply(worker+"/faults", "fails all tasks", lasts, func() { w.SetFaults(standin.WorkerFaults{FailsAll: true}) }, heal)
+		f.apply(worker+"/faults", "fails all tasks", lasts, func() { w.SetFaults(standin.WorkerFaults{FailAllTasks: true}) }, heal)
 	case 11:
-		f.apply(worker+"/faults", "carries orders out late", lasts, func() { w.SetFaults(standin.WorkerFaults{Late: faultyShare}) }, heal)
+		f.apply(worker+"/faults", "carries orders out late", lasts, func() { w.SetFaults(standin.WorkerFaults{LateOrderShare: faultyShare}) }, heal)
 	default:
 		f.injectLogFault(lasts)
 	}
@@ -137,8 +137,8 @@
 		fault standin.LogFaults
 	}{
 		{"refuses all calls", standin.LogFaults{Busy: true}},
-		{"is silent", standin.LogFaults{Silent: true}},
-		{"loses answers", standin.LogFaults{Loses: faultyShare}},
+		{"is silent", standin.LogFaults{Unresponsive: true}},
+		{"loses answers", standin.LogFaults{LostAnswerShare: faultyShare}},
 		{"is slow", standin.LogFaults{Delay: logDelay}},
 	}
 	chosen := all[f.rng.Intn(len(all))]
--- a/tests/soak/rig.go
+++ b/tests/soak/rig.go
@@ -281,20 +281,20 @@
 }
 
 // StartCount returns how many tasks were started.
-func (r *Rig) StartCount() int { return r.platform.Starts() }
+func (r *Rig) StartCount() int { return r.platform.StartCount() }
 
 // Unreached returns how many tasks late orders started on lives that no holder had reached.
-func (r *Rig) Unreached() int { return r.platform.Unreached() }
+func (r *Rig) Unreached() int { return r.platform.UnreachedStarts() }
 
 // Violations returns the promises that workers have seen broken.
-func (r *Rig) Violations() []string { return r.platform.Broken() }
+func (r *Rig) Violations() []string { return r.platform.Violations() }
 
 // Expect tells the stand-in of a job before it is handed in, and how long its tasks
 // work.
 func (r *Rig) Expect(s job.Submission, work time.Duration) error {
 	for _, q := range queues {
 		if q.Name == s.Queue {
-			r.platform.Expect(s, q, work)
+			r.platform.ExpectJob(s, q, work)
 			return nil
 		}
 	}
