--- a/services/blame/background.go
+++ b/services/blame/background.go
@@ -46,8 +46,8 @@
 	workers    map[string]int
 	total      int
 	observedAt time.Time
-	// silentWorkers holds the workers that stopped answering recently, the earliest first.
-	silentWorkers []silentWorker
+	// unresponsiveWorkers holds the workers that stopped answering recently, the earliest first.
+	unresponsiveWorkers []unresponsiveWorker
 }
 
 // exposure is a number of crashes within a number of worker-seconds. Both decay over time.
@@ -95,11 +95,11 @@
 	return nil
 }
 
-// silentWorker is a worker that stopped answering.
-type silentWorker struct {
-	at   time.Time
-	life order.Incarnation
-	rack string
+// unresponsiveWorker is a worker that stopped answering.
+type unresponsiveWorker struct {
+	at          time.Time
+	incarnation order.Incarnation
+	rack        string
 	// weight is the probability that none of its tasks caused the silence.
 	weight float64
 }
@@ -117,8 +117,8 @@
 	for _, n := range workers {
 		b.total += n
 	}
-	for len(b.silentWorkers) > 0 && now.Sub(b.silentWorkers[0].at) > 2*commonCauseWindow {
-		b.silentWorkers = b.silentWorkers[1:]
+	for len(b.unresponsiveWorkers) > 0 && now.Sub(b.unresponsiveWorkers[0].at) > 2*commonCauseWindow {
+		b.unresponsiveWorkers = b.unresponsiveWorkers[1:]
 	}
 }
 
@@ -168,15 +168,15 @@
 	}
 }
 
-// RecordSilence records that a worker has stopped answering. risk is the probability that its
+// RecordUnresponsive records that a worker has stopped answering. risk is the probability that its
 // suspects caused that.
-func (b *Background) RecordSilence(now time.Time, life order.Incarnation, rack string, risk float64) {
-	b.silentWorkers = append(b.silentWorkers, silentWorker{at: now, life: life, rack: rack, weight: 1 - risk})
+func (b *Background) RecordUnresponsive(now time.Time, life order.Incarnation, rack string, risk float64) {
+	b.unresponsiveWorkers = append(b.unresponsiveWorkers, unresponsiveWorker{at: now, incarnation: life, rack: rack, weight: 1 - risk})
 }
 
 // RecordAnswer records that a worker has answered again, so it had not crashed.
 func (b *Background) RecordAnswer(life order.Incarnation) {
-	b.silentWorkers = slices.DeleteFunc(b.silentWorkers, func(s silentWorker) bool { return s.life == life })
+	b.unresponsiveWorkers = slices.DeleteFunc(b.unresponsiveWorkers, func(s unresponsiveWorker) bool { return s.incarnation == life })
 }
 
 // rate returns the overall rate at which a worker crashes for reasons other than its tasks, per
@@ -211,7 +211,7 @@
 	all := b.rate()
 	r := b.rackExposure(rack)
 	alone = (r.Crashes + all*rackPriorSeconds) / (r.Seconds + rackPriorSeconds)
-	ofAll, ofRack := peerGroup{life: life, workers: b.total, rate: all}, peerGroup{life: life, rack: rack, workers: b.workers[rack], rate: alone}
+	ofAll, ofRack := peerGroup{incarnation: life, workers: b.total, rate: all}, peerGroup{incarnation: life, rack: rack, workers: b.workers[rack], rate: alone}
 	simultaneous = simultaneousShare * max(b.commonCauseHazard(at, simultaneousWindow, ofAll),
 		b.commonCauseHazard(at, simultaneousWindow, ofRack))
 	nearby = (1 - simultaneousShare) * max(b.commonCauseHazard(at, commonCauseWindow, ofAll),
@@ -222,10 +222,10 @@
 // peerGroup describes the workers of a rack, or all workers if rack is empty, to which a worker
 // belongs. rate is how often each crashes, per second.
 type peerGroup struct {
-	life    order.Incarnation
-	rack    string
-	workers int
-	rate    float64
+	incarnation order.Incarnation
+	rack        string
+	workers     int
+	rate        float64
 }
 
 // commonCauseHazard returns the additional hazard, per second, of a crash of a worker because
@@ -233,8 +233,8 @@
 // common cause, and neither are as many as the rate explains.
 func (b *Background) commonCauseHazard(at time.Time, within time.Duration, of peerGroup) float64 {
 	n := 0.0
-	for _, s := range b.silentWorkers {
-		if s.life != of.life && s.at.Sub(at).Abs() <= within && (of.rack == "" || s.rack == of.rack) {
+	for _, s := range b.unresponsiveWorkers {
+		if s.incarnation != of.incarnation && s.at.Sub(at).Abs() <= within && (of.rack == "" || s.rack == of.rack) {
 			n += s.weight
 		}
 	}
--- a/services/blame/blame.go
+++ b/services/blame/blame.go
@@ -132,10 +132,10 @@
 	// Prior is the blame of the task before this crash.
 	Prior job.Blame
 	// Worked is how long the task had been running, and Time says how exactly that is known.
-	Worked time.Duration
-	Time   job.TimeBound
+	Worked    time.Duration
+	TimeBound job.TimeBound
 	// Late is the longest time by which the crash may have been detected too late.
-	Late time.Duration
+	DetectionDelay time.Duration
 	// Alone is set if no other task had started on the worker shortly before.
 	Alone bool
 	// Workers is the number of workers on which the task ran, more than one for a gang. A guilty
@@ -147,7 +147,7 @@
 // crash returns the crash as recorded for this suspect.
 func (s Suspect) crash() job.Crash {
 	return job.Crash{
-		Worked: job.Milliseconds(s.Worked.Milliseconds()), Bound: s.Time, DetectionDelay: job.Milliseconds(min(s.Worked, s.Late).Milliseconds()), Workers: s.Workers,
+		Worked: job.Milliseconds(s.Worked.Milliseconds()), Bound: s.TimeBound, DetectionDelay: job.Milliseconds(min(s.Worked, s.DetectionDelay).Milliseconds()), Workers: s.Workers,
 	}
 }
 
@@ -177,7 +177,7 @@
 	if s.Alone {
 		b.Alone++
 	}
-	if s.Time == job.Exact {
+	if s.TimeBound == job.Exact {
 		if b.MaxWorkTime == 0 || c.Worked < b.MinWorkTime {
 			b.MinWorkTime = c.Worked
 		}
--- a/services/blame/blame_test.go
+++ b/services/blame/blame_test.go
@@ -123,10 +123,10 @@
 	var b blame.Background
 	b.ObserveWorkers(now, map[string]int{"r1": 4, "r2": 20})
 	calm := b.Hazard(now, life("a"), "r1")
-	b.RecordSilence(now, life("b"), "r2", 0)
+	b.RecordUnresponsive(now, life("b"), "r2", 0)
 	assert.Equal(t, b.Hazard(now, life("a"), "r1"), calm, "a single other crash is no sign of a common cause")
-	b.RecordSilence(now, life("c"), "r1", 0)
-	b.RecordSilence(now, life("d"), "r1", 0)
+	b.RecordUnresponsive(now, life("c"), "r1", 0)
+	b.RecordUnresponsive(now, life("d"), "r1", 0)
 	together := b.Hazard(now, life("a"), "r1")
 	assert.Check(t, together > 100*calm, "%v, %v", together, calm)
 	assert.Check(t, b.Hazard(now, life("e"), "r2") < together, "the common cause affects one rack")
@@ -174,7 +174,7 @@
 		exact = blame.Assess([]blame.Suspect{suspect}, 0.03)[0]
 		suspect.Prior = late
 		if worked == time.Second {
-			suspect.Late = 400 * time.Millisecond
+			suspect.DetectionDelay = 400 * time.Millisecond
 		}
 		late = blame.Assess([]blame.Suspect{suspect}, 0.03)[0]
 	}
@@ -205,7 +205,7 @@
 	for n := range 3 {
 		now = now.Add(5 * time.Second)
 		tr.ObserveWorkers(now, map[string]int{"r": 24})
-		tr.RecordCrash(now, blame.Crash{Life: life("w"), Rack: "r", At: now, TasksKnown: true, Tasks: []blame.RunningTask{{Task: task, Run: int64(n), Worked: 12 * time.Millisecond, Alone: true}}})
+		tr.RecordCrash(now, blame.Crash{Incarnation: life("w"), Rack: "r", At: now, TasksKnown: true, Tasks: []blame.RunningTask{{Task: task, Run: int64(n), Worked: 12 * time.Millisecond, Alone: true}}})
 	}
 	assert.Check(t, blame.IsGuilty(tr.Blame(task)), "%+v", tr.Blame(task))
 	assert.Equal(t, tr.LearnedRate().All.Crashes, 0.0, "all three crashes are attributed to the task")
@@ -238,7 +238,7 @@
 		before.LastStartWorkers, before.LastStartUnixMilli = []string{"w"}, 1_000
 		tr.Restore(task, before)
 		tr.RecordReport(life("w"), func(job.TaskID) bool { return runs })
-		findings := tr.RecordCrash(time.Unix(5, 0), blame.Crash{Life: life("w"), At: time.Unix(5, 0), UnixMilli: 5_000, TasksKnown: true})
+		findings := tr.RecordCrash(time.Unix(5, 0), blame.Crash{Incarnation: life("w"), At: time.Unix(5, 0), UnixMilli: 5_000, TasksKnown: true})
 		assert.Equal(t, len(findings) == 1, runs)
 	}
 }
--- a/services/blame/docket.go
+++ b/services/blame/docket.go
@@ -161,17 +161,17 @@
 	// further crashes under the same run have the same cause and do not count.
 	Gang bool
 	// Worked, Time, Late, Alone and Workers are as in Suspect.
-	Worked  time.Duration
-	Time    job.TimeBound
-	Late    time.Duration
-	Alone   bool
-	Workers int
+	Worked         time.Duration
+	TimeBound      job.TimeBound
+	DetectionDelay time.Duration
+	Alone          bool
+	Workers        int
 }
 
 // Crash is the crash of a worker as the holder has detected it.
 type Crash struct {
-	Life order.Incarnation
-	Rack string
+	Incarnation order.Incarnation
+	Rack        string
 	// At is when the worker stopped answering, and UnixMilli the same time as milliseconds since
 	// 1970.
 	At        time.Time
@@ -202,7 +202,7 @@
 // backgroundHazard returns the hazard, per second, of a crash that none of the tasks caused, from
 // what is now known of other workers.
 func (a *assessment) backgroundHazard(b *Background) float64 {
-	hazard := b.Hazard(a.crash.At, a.crash.Life, a.crash.Rack)
+	hazard := b.Hazard(a.crash.At, a.crash.Incarnation, a.crash.Rack)
 	if !a.crash.TasksKnown {
 		hazard += unreportedTasksHazard
 	}
@@ -220,12 +220,12 @@
 	a := &assessment{crash: c}
 	a.crash.Tasks = tr.tasksOn(c)
 	for _, t := range a.crash.Tasks {
-		a.suspects = append(a.suspects, Suspect{Prior: tr.Blame(t.Task), Worked: t.Worked, Time: t.Time, Late: t.Late, Alone: t.Alone, Workers: t.Workers})
+		a.suspects = append(a.suspects, Suspect{Prior: tr.Blame(t.Task), Worked: t.Worked, TimeBound: t.TimeBound, DetectionDelay: t.DetectionDelay, Alone: t.Alone, Workers: t.Workers})
 	}
 	background := a.backgroundHazard(&tr.Background)
 	assessed := Assess(a.suspects, background)
 	if UnexplainedProbability(assessed) > 1-attributionThreshold {
-		a.backgroundWeight = tr.Background.IndependentProbability(c.At, c.Life, c.Rack)
+		a.backgroundWeight = tr.Background.IndependentProbability(c.At, c.Incarnation, c.Rack)
 	}
 	tr.Background.AddCrash(c.Rack, a.backgroundWeight)
 	findings := make([]Finding, len(assessed))
@@ -287,7 +287,7 @@
 	for _, t := range c.Tasks {
 		add(t)
 	}
-	life := c.Life.String()
+	life := c.Incarnation.String()
 	for _, t := range tr.earlierStarts[life] {
 		if b := tr.Blame(t); slices.Contains(b.LastStartWorkers, life) {
 			add(StartedByEarlierHolder(t, b.LastStartUnixMilli, c.UnixMilli, len(b.LastStartWorkers)))
@@ -305,9 +305,9 @@
 // that crashed at crashedAt, both in milliseconds since 1970. workers is the number of workers on
 // which it was started, more than one for a gang.
 func StartedByEarlierHolder(t job.TaskID, startedAt, crashedAt int64, workers int) RunningTask {
-	r := RunningTask{Task: t, Worked: time.Duration(crashedAt-startedAt) * time.Millisecond, Time: job.AtMost, Workers: workers}
+	r := RunningTask{Task: t, Worked: time.Duration(crashedAt-startedAt) * time.Millisecond, TimeBound: job.AtMost, Workers: workers}
 	if r.Worked < 0 {
-		r.Worked, r.Time = elapsedAfterClockStep, job.AtLeast
+		r.Worked, r.TimeBound = elapsedAfterClockStep, job.AtLeast
 	}
 	return r
 }
@@ -315,12 +315,12 @@
 // merge adds what next says of the same task on the same worker: next is another member of the
 // gang, or the start of a run in the log that the worker is known to have had.
 func (o *RunningTask) merge(next RunningTask) {
-	o.Alone = o.Alone && (next.Alone || next.Time == job.AtMost)
-	if o.Time == job.AtLeast {
-		o.Worked, o.Time = next.Worked, next.Time
+	o.Alone = o.Alone && (next.Alone || next.TimeBound == job.AtMost)
+	if o.TimeBound == job.AtLeast {
+		o.Worked, o.TimeBound = next.Worked, next.TimeBound
 		return
 	}
-	if next.Time == o.Time {
+	if next.TimeBound == o.TimeBound {
 		o.Worked = max(o.Worked, next.Worked)
 	}
 }
--- a/services/core/reader.go
+++ b/services/core/reader.go
@@ -27,12 +27,12 @@
 	caughtUp bool
 	// seek is set while the records that follow the ledger's position have been deleted
 	// from the log: it reads from the oldest remaining record until it finds a checkpoint.
-	seek        *ledger.Ledger
-	reading     bool
-	lastFailure string
-	failures    int
-	retryAt     time.Time
-	fetchAt     time.Time
+	checkpointSearch *ledger.Ledger
+	reading          bool
+	lastFailure      string
+	failures         int
+	retryAt          time.Time
+	fetchAt          time.Time
 	// readStartedAt is when the current read was requested.
 	readStartedAt time.Time
 }
@@ -62,7 +62,7 @@
 		r.reading, r.readStartedAt = true, now
 		effects = append(effects, effect.ReadLog{From: c.readOffset()})
 	}
-	if (r.lastFailure != "" || r.seek != nil) && !now.Before(r.fetchAt) {
+	if (r.lastFailure != "" || r.checkpointSearch != nil) && !now.Before(r.fetchAt) {
 		r.fetchAt = now.Add(fetchInterval)
 		effects = append(effects, c.fetchSnapshot(now)...)
 	}
@@ -71,8 +71,8 @@
 
 // readOffset returns the offset from which to read next.
 func (c *Core) readOffset() int64 {
-	if c.reader.seek != nil {
-		return c.reader.seek.NextOffset()
+	if c.reader.checkpointSearch != nil {
+		return c.reader.checkpointSearch.NextOffset()
 	}
 	return c.ledger.NextOffset()
 }
@@ -110,11 +110,11 @@
 	r := &c.reader
 	r.reading, r.lastFailure, r.failures = false, "", 0
 	if e.First > c.readOffset() {
-		r.seek, r.caughtUp = ledger.NewCheckpointSearch(e.First), false
+		r.checkpointSearch, r.caughtUp = ledger.NewCheckpointSearch(e.First), false
 		return c.dueReads(now)
 	}
-	if r.seek != nil {
-		return c.continueSeek(now, e)
+	if r.checkpointSearch != nil {
+		return c.continueCheckpointSearch(now, e)
 	}
 	effects := c.applyRecords(now, e.Records)
 	if e.AtEnd {
@@ -127,14 +127,14 @@
 	return append(effects, c.dueReads(now)...)
 }
 
-// continueSeek looks for a checkpoint in the records and, once it is complete, continues
+// continueCheckpointSearch looks for a checkpoint in the records and, once it is complete, continues
 // from it.
-func (c *Core) continueSeek(now time.Time, e event.LogRead) []effect.Effect {
+func (c *Core) continueCheckpointSearch(now time.Time, e event.LogRead) []effect.Effect {
 	r := &c.reader
 	for _, rec := range e.Records {
-		r.seek.Apply(rec.Offset, rec.At, rec.Envelope)
+		r.checkpointSearch.Apply(rec.Offset, rec.At, rec.Envelope)
 	}
-	s, ok := r.seek.FoundCheckpoint(e.First)
+	s, ok := r.checkpointSearch.FoundCheckpoint(e.First)
 	if !ok || s.Next < c.ledger.NextOffset() {
 		return c.dueReads(now)
 	}
@@ -149,7 +149,7 @@
 		return nil
 	}
 	c.ledger.ReplaceWith(restored)
-	c.reader.seek = nil
+	c.reader.checkpointSearch = nil
 	if !c.reader.inForce {
 		return nil
 	}
@@ -160,7 +160,7 @@
 // records are missing from it, and only if it is newer than the ledger.
 func (c *Core) snapshotRead(now time.Time, e event.SnapshotRead) []effect.Effect {
 	r := &c.reader
-	if (r.lastFailure == "" && r.seek == nil) || e.Snapshot.Next <= c.ledger.NextOffset() {
+	if (r.lastFailure == "" && r.checkpointSearch == nil) || e.Snapshot.Next <= c.ledger.NextOffset() {
 		return nil
 	}
 	effects := c.restore(now, e.Snapshot)
--- a/services/dispatch/gone.go
+++ b/services/dispatch/gone.go
@@ -12,16 +12,16 @@
 
 // handleWorkerUnresponsive records that a worker stopped answering at now.
 func (h *holderState) handleWorkerUnresponsive(now time.Time, w *worker) {
-	w.presence.RecordSilence(now, h.core.settings.RenewWait+renewMargin)
+	w.presence.RecordUnresponsive(now, h.core.settings.RenewWait+renewMargin)
 	if w.isolatedAttempts == 0 {
-		h.blame.RecordSilence(now, w.Incarnation, w.Rack, w.crashRisk())
+		h.blame.RecordUnresponsive(now, w.Incarnation, w.Rack, w.crashRisk())
 	}
 }
 
 // endingOf returns how the incarnation of an unresponsive worker ended. Over says that the
 // incarnation itself has ended, not only its lease.
 func (h *holderState) endingOf(now time.Time, w *worker, over bool) exchange.Ending {
-	if w.presence.SilentSince().IsZero() {
+	if w.presence.UnresponsiveSince().IsZero() {
 		h.handleWorkerUnresponsive(now, w)
 	}
 	return w.presence.Ending(over)
@@ -31,7 +31,7 @@
 // incarnation that has replaced it, or nil: attempts that it may still start are moved to it.
 func (h *holderState) loseAttempts(now time.Time, w, later *worker, ending exchange.Ending, reason string) {
 	lost := exchange.TasksLost{Ending: ending, Tasks: len(w.attempts)}
-	silentAt := w.presence.SilentSince()
+	silentAt := w.presence.UnresponsiveSince()
 	var suspects []blame.RunningTask
 	if ending == exchange.Crashed {
 		suspects = h.tasksAtCrash(w, silentAt)
@@ -66,7 +66,7 @@
 	if w.unresponsive.detectionDelay > 0 || w.aliveAt.IsZero() {
 		return w.unresponsive.detectionDelay
 	}
-	return max(0, w.presence.SilentSince().Sub(w.aliveAt))
+	return max(0, w.presence.UnresponsiveSince().Sub(w.aliveAt))
 }
 
 // maxWorkTime returns how long the attempt had been running at a time at most, or 0 if an earlier
--- a/services/dispatch/reports.go
+++ b/services/dispatch/reports.go
@@ -135,7 +135,7 @@
 	a.task().runs.RecordInterruption(delays.RunLost)
 	h.core.logEvent("task lost", logField("job", string(a.step.job.id)), logField("task", a.runID().Task.String()), logField("run", a.run),
 		logField("worker", a.worker.Incarnation.String()), logField("state", string(a.state)), logField("reason", reason),
-		logField("worked_most", a.maxWorkTime(a.worker.presence.SilentSince()).String()), logField("times_lost", a.task().lostRuns))
+		logField("worked_most", a.maxWorkTime(a.worker.presence.UnresponsiveSince()).String()), logField("times_lost", a.task().lostRuns))
 	if !a.step.job.state.IsFinal() {
 		h.restartGang(now, a.step)
 	}
--- a/services/dispatch/silence.go
+++ b/services/dispatch/silence.go
@@ -62,7 +62,7 @@
 	state := kept.UnresponsiveState{DetectionDelay: job.Milliseconds(delay.Milliseconds()), LeaseLeft: job.Milliseconds(max(0, w.leaseExpiresBy.Sub(now)).Milliseconds())}
 	for _, a := range w.sortedAttempts() {
 		state.Runs = append(state.Runs, a.runID())
-		state.WorkTimes = append(state.WorkTimes, a.recordedWorkTime(w.presence.SilentSince()))
+		state.WorkTimes = append(state.WorkTimes, a.recordedWorkTime(w.presence.UnresponsiveSince()))
 	}
 	for run := range ordered.MapFunc(w.orphans, order.Run.Compare) {
 		state.Runs = append(state.Runs, run)
--- a/services/dispatch/suspects.go
+++ b/services/dispatch/suspects.go
@@ -78,8 +78,8 @@
 			Task: a.step.blameUnit(a.index), Run: a.run, Gang: a.step.spec.Gang, Alone: a.ranAlone(at), Workers: a.step.workerCount(),
 		}
 		worked, known := a.workTime(at)
-		if t.Worked, t.Late = worked, w.detectionDelay(); !known {
-			t.Worked, t.Time, t.Late = h.minRunTime(a, at), job.AtLeast, 0
+		if t.Worked, t.DetectionDelay = worked, w.detectionDelay(); !known {
+			t.Worked, t.TimeBound, t.DetectionDelay = h.minRunTime(a, at), job.AtLeast, 0
 		}
 		all = append(all, t)
 	}
@@ -133,9 +133,9 @@
 // recordCrash updates the blame records of the tasks that ran on a worker when it crashed, and the
 // learned crash rate.
 func (h *holderState) recordCrash(now time.Time, w *worker, tasks []blame.RunningTask) {
-	at := w.presence.SilentSince()
+	at := w.presence.UnresponsiveSince()
 	c := blame.Crash{
-		Life: w.Incarnation, Rack: w.Rack, At: at, UnixMilli: h.core.unixMilli(at),
+		Incarnation: w.Incarnation, Rack: w.Rack, At: at, UnixMilli: h.core.unixMilli(at),
 		TasksKnown: w.reported || w.unresponsive.written, Tasks: tasks,
 	}
 	for _, f := range h.blame.RecordCrash(now, c) {
@@ -143,7 +143,7 @@
 			logField("worker", w.Incarnation.String()),
 			logField("crashes", f.Blame.Crashes), logField("guilty", fmt.Sprintf("%.3g", blame.Probability(f.Blame))),
 			logField("worked_most", f.Worked.String()),
-			logField("time", string(f.Time)), logField("late", f.Late.String()), logField("alone", f.Alone),
+			logField("time", string(f.TimeBound)), logField("late", f.DetectionDelay.String()), logField("alone", f.Alone),
 			logField("odds", fmt.Sprintf("%.3g", f.Blame.Odds)),
 			logField("crashes_otherwise_every", fmt.Sprintf("%.3gs", 1/f.BackgroundHazard)))
 		h.markDirty(h.jobs[f.Task.Job])
--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -24,7 +24,7 @@
 	order.Worker
 	// incarnations tracks all incarnations under the worker's name. fencePending is true for an
 	// incarnation that replaced an earlier one and has not answered a renewal of its own yet.
-	incarnations *presence.Lives
+	incarnations *presence.Incarnations
 	fencePending bool
 	// presence records whether the platform lists the worker and whether it answers.
 	presence presence.Presence
--- a/services/presence/former.go
+++ b/services/presence/former.go
@@ -15,27 +15,27 @@
 
 // formerWorker holds the lives of a worker that has been gone since some time.
 type formerWorker struct {
-	lives *Lives
-	since time.Time
+	incarnations *Incarnations
+	since        time.Time
 }
 
 // Take removes and returns the lives kept under the name of a worker that is listed, or returns new
 // ones if there are none.
-func (f *FormerWorkers) Take(name string) *Lives {
+func (f *FormerWorkers) Take(name string) *Incarnations {
 	known, ok := f.workers[name]
 	if !ok {
-		return &Lives{}
+		return &Incarnations{}
 	}
 	delete(f.workers, name)
-	return known.lives
+	return known.incarnations
 }
 
 // Add keeps the lives of a worker that is gone.
-func (f *FormerWorkers) Add(now time.Time, name string, lives *Lives) {
+func (f *FormerWorkers) Add(now time.Time, name string, lives *Incarnations) {
 	if f.workers == nil {
 		f.workers = map[string]formerWorker{}
 	}
-	f.workers[name] = formerWorker{lives: lives, since: now}
+	f.workers[name] = formerWorker{incarnations: lives, since: now}
 }
 
 // Expire drops the workers that have been gone for more than formerRetention.
--- a/services/presence/lives.go
+++ b/services/presence/lives.go
@@ -9,18 +9,18 @@
 	"saddlevane/models/order"
 )
 
-// maxPastLives bounds the ended lives that are kept of a worker. They are needed because the worker
+// maxPastIncarnations bounds the ended lives that are kept of a worker. They are needed because the worker
 // list may be read late, or again.
-const maxPastLives = 16
+const maxPastIncarnations = 16
 
-// Lives determines which of the lives (incarnations) that a worker has had under its name is the
+// Incarnations determines which of the lives (incarnations) that a worker has had under its name is the
 // current one. The answers of the worker decide: a life that answers a call began after all lives
 // that were known when the call was made. A list entry of another life may be older or newer than
 // the known one. It only makes that life a candidate, so the worker is called, and nothing is
 // started on it until it has answered.
 //
 // Calls are numbered by the caller in the order in which they are made.
-type Lives struct {
+type Incarnations struct {
 	// candidate is the entry of another life that has not been confirmed or refuted by an answer,
 	// or nil. candidateReadAfter is the number of the last call made before it was read.
 	candidate          *order.Worker
@@ -35,7 +35,7 @@
 
 // HasCandidate reports whether an entry of another life was read that no answer has confirmed or
 // refuted yet.
-func (l *Lives) HasCandidate() bool { return l.candidate != nil }
+func (l *Incarnations) HasCandidate() bool { return l.candidate != nil }
 
 // fencesPerClaim bounds how often the fence number of a worker is raised under one claim, so that
 // the numbers of a later claim are higher.
@@ -44,11 +44,11 @@
 // Fence returns the fence number of orders to the worker under a claim. Once a worker has received
 // a higher number, it refuses orders with a lower one, such as those still in transit to an earlier
 // life.
-func (l *Lives) Fence(claim int64) int64 { return claim*fencesPerClaim + l.fenceRaises }
+func (l *Incarnations) Fence(claim int64) int64 { return claim*fencesPerClaim + l.fenceRaises }
 
 // RaiseFence raises the fence number of the worker. Once the worker has received a call with a
 // number above calls, it refuses the orders that were in transit to it.
-func (l *Lives) RaiseFence(calls int64) {
+func (l *Incarnations) RaiseFence(calls int64) {
 	l.fenceRaises++
 	l.fenceRaisedAfter = calls
 }
@@ -57,12 +57,12 @@
 // because this holder has raised the fence number since. call is the number of the call, or 0 if it
 // has none; if the fence was raised for the current life, such a refusal is inconclusive, the
 // result is false, and the next numbered call decides.
-func (l *Lives) IsFencedByLaterHolder(a order.Answer, call int64) bool {
+func (l *Incarnations) IsFencedByLaterHolder(a order.Answer, call int64) bool {
 	return a.Outcome == order.Refused && a.Reason == order.Fenced && (l.fenceRaisedAfter == 0 || call > l.fenceRaisedAfter)
 }
 
 // Candidate returns the entry of another life, if there is one.
-func (l *Lives) Candidate() (order.Worker, bool) {
+func (l *Incarnations) Candidate() (order.Worker, bool) {
 	if l.candidate == nil {
 		return order.Worker{}, false
 	}
@@ -71,7 +71,7 @@
 
 // RecordEntry records a list entry of the worker that was read after the given number of calls. It
 // reports whether the entry is that of the known life.
-func (l *Lives) RecordEntry(known order.Incarnation, entry order.Worker, calls int64) bool {
+func (l *Incarnations) RecordEntry(known order.Incarnation, entry order.Worker, calls int64) bool {
 	switch {
 	case !known.DiffersFrom(entry.Incarnation):
 		l.candidate = nil
@@ -87,17 +87,17 @@
 }
 
 // RecordEntryRemoved records that no list entry has the worker's name any more.
-func (l *Lives) RecordEntryRemoved() { l.candidate = nil }
+func (l *Incarnations) RecordEntryRemoved() { l.candidate = nil }
 
 // PrecedesCandidate reports whether a call was made before the entry of another life was read, so
 // that a life that has ended since may have answered it.
-func (l *Lives) PrecedesCandidate(call int64) bool {
+func (l *Incarnations) PrecedesCandidate(call int64) bool {
 	return l.candidate != nil && call <= l.candidateReadAfter
 }
 
 // RecordAnswer records that the life by has answered a call. The call was made after the known life
 // became known. It reports whether the known life has ended.
-func (l *Lives) RecordAnswer(known, by order.Incarnation, call int64) bool {
+func (l *Incarnations) RecordAnswer(known, by order.Incarnation, call int64) bool {
 	if known.DiffersFrom(by) {
 		l.End(known)
 		return true
@@ -111,7 +111,7 @@
 
 // Successor returns the worker whose life by has replaced that of former, and whether its own list
 // entry was read. Otherwise the result has the address and resources of former.
-func (l *Lives) Successor(former order.Worker, by order.Incarnation) (o order.Worker, listed bool) {
+func (l *Incarnations) Successor(former order.Worker, by order.Incarnation) (o order.Worker, listed bool) {
 	if l.candidate == nil {
 		former.Incarnation = by
 		return former, false
@@ -123,16 +123,16 @@
 }
 
 // End records that the known life has ended, and raises the fence number for the next one.
-func (l *Lives) End(known order.Incarnation) {
+func (l *Incarnations) End(known order.Incarnation) {
 	l.addPast(known)
 	l.fenceRaises++
 	l.fenceRaisedAfter = 0
 }
 
 // addPast adds a life to those that are not the current one.
-func (l *Lives) addPast(life order.Incarnation) {
+func (l *Incarnations) addPast(life order.Incarnation) {
 	l.past = append(l.past, life)
-	if len(l.past) > maxPastLives {
+	if len(l.past) > maxPastIncarnations {
 		l.past = l.past[1:]
 	}
 }
--- a/services/presence/lives_test.go
+++ b/services/presence/lives_test.go
@@ -17,8 +17,8 @@
 
 func entry(born int64) order.Worker { return order.Worker{Incarnation: life(born), Address: "a"} }
 
-func TestOnlyAnswersDetermineCurrentLife(t *testing.T) {
-	var l presence.Lives
+func TestOnlyAnswersDetermineCurrentIncarnation(t *testing.T) {
+	var l presence.Incarnations
 	known := life(500)
 	assert.Check(t, l.RecordEntry(known, entry(500), 1))
 	assert.Check(t, !l.RecordEntry(known, entry(900), 7), "the entry may be of an earlier life")
@@ -35,7 +35,7 @@
 }
 
 func TestSuccessorUsesEntryIfRead(t *testing.T) {
-	var l presence.Lives
+	var l presence.Incarnations
 	o, listed := l.Successor(entry(1), life(2))
 	assert.Check(t, !listed && o.Incarnation == life(2) && o.Address == "a")
 	next := entry(3)
@@ -49,15 +49,15 @@
 	assert.Check(t, !l.HasCandidate())
 }
 
-func TestNameIsOneLifeWithoutBirthTimes(t *testing.T) {
-	var l presence.Lives
+func TestNameIsOneIncarnationWithoutBirthTimes(t *testing.T) {
+	var l presence.Incarnations
 	assert.Check(t, l.RecordEntry(life(0), entry(5), 0) && l.RecordEntry(life(5), entry(0), 0))
 	assert.Check(t, !l.RecordAnswer(life(0), life(5), 1) && !l.RecordAnswer(life(5), life(0), 2))
 	assert.Equal(t, l.Fence(3), int64(3_000_000))
 }
 
-func TestPastLivesAreBounded(t *testing.T) {
-	var l presence.Lives
+func TestPastIncarnationsAreBounded(t *testing.T) {
+	var l presence.Incarnations
 	for i := int64(1); i < 1000; i++ {
 		assert.Check(t, l.RecordAnswer(life(i), life(i+1), i))
 	}
--- a/services/presence/presence.go
+++ b/services/presence/presence.go
@@ -19,10 +19,10 @@
 	listed       bool
 	missingSince time.Time
 	leaving      bool
-	// silentSince is when the first call without an answer since the last answer failed. wasHealthy
+	// unresponsiveSince is when the first call without an answer since the last answer failed. wasHealthy
 	// is set if the worker was listed then and not leaving.
-	silentSince time.Time
-	wasHealthy  bool
+	unresponsiveSince time.Time
+	wasHealthy        bool
 }
 
 // IsListed reports whether the platform lists the worker, or may list it again.
@@ -54,25 +54,25 @@
 	return unlisted
 }
 
-// RecordSilence records that the worker stopped answering at now. A crash is detected by the next
+// RecordUnresponsive records that the worker stopped answering at now. A crash is detected by the next
 // call, within detectionTime, and the entry of a crashed worker is removed only after the crash. An
 // entry that has been missing for longer belongs to a worker that left: its entry is removed long
 // before it stops answering.
-func (p *Presence) RecordSilence(now time.Time, detectionTime time.Duration) {
+func (p *Presence) RecordUnresponsive(now time.Time, detectionTime time.Duration) {
 	gone := !p.missingSince.IsZero() && now.Sub(p.missingSince) > detectionTime
-	p.silentSince, p.wasHealthy = now, !gone && !p.leaving
+	p.unresponsiveSince, p.wasHealthy = now, !gone && !p.leaving
 }
 
 // RecordAnswer records an answer and reports whether the worker had been silent.
 func (p *Presence) RecordAnswer() bool {
-	silent := !p.silentSince.IsZero()
-	p.silentSince = time.Time{}
+	silent := !p.unresponsiveSince.IsZero()
+	p.unresponsiveSince = time.Time{}
 	return silent
 }
 
-// SilentSince returns the time since which the worker has not answered, or the zero time if it
+// UnresponsiveSince returns the time since which the worker has not answered, or the zero time if it
 // answers.
-func (p *Presence) SilentSince() time.Time { return p.silentSince }
+func (p *Presence) UnresponsiveSince() time.Time { return p.unresponsiveSince }
 
 // Ending returns how the life of a silent worker ended. over is set if the life is known to have
 // ended; otherwise only its lease is known to have run out.
--- a/services/presence/presence_test.go
+++ b/services/presence/presence_test.go
@@ -16,7 +16,7 @@
 // detectionTime is the time within which a crash is detected.
 const detectionTime = time.Second
 
-func TestEndingOfLife(t *testing.T) {
+func TestEndingOfIncarnation(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for _, c := range []struct {
 		name string
@@ -24,28 +24,28 @@
 		over bool
 		want exchange.Ending
 	}{
-		{"another life answers at its address", func(p *presence.Presence) { p.RecordSilence(now, detectionTime) }, true, exchange.Crashed},
+		{"another life answers at its address", func(p *presence.Presence) { p.RecordUnresponsive(now, detectionTime) }, true, exchange.Crashed},
 		{"its entry is removed after it fell silent", func(p *presence.Presence) {
-			p.RecordSilence(now, detectionTime)
+			p.RecordUnresponsive(now, detectionTime)
 			p.RecordMissing(now.Add(time.Second), false)
 		}, false, exchange.Crashed},
 		{"its entry is removed just before its silence is detected", func(p *presence.Presence) {
 			p.RecordMissing(now, false)
-			p.RecordSilence(now.Add(detectionTime/2), detectionTime)
+			p.RecordUnresponsive(now.Add(detectionTime/2), detectionTime)
 		}, false, exchange.Crashed},
-		{"it is silent and still listed", func(p *presence.Presence) { p.RecordSilence(now, detectionTime) }, false, exchange.CutOff},
+		{"it is silent and still listed", func(p *presence.Presence) { p.RecordUnresponsive(now, detectionTime) }, false, exchange.CutOff},
 		{"it was leaving", func(p *presence.Presence) {
 			p.RecordEntry(true)
-			p.RecordSilence(now, detectionTime)
+			p.RecordUnresponsive(now, detectionTime)
 		}, true, exchange.Left},
 		{"its entry was removed while it answered", func(p *presence.Presence) {
 			p.RecordMissing(now, false)
-			p.RecordSilence(now.Add(3*time.Second), detectionTime)
+			p.RecordUnresponsive(now.Add(3*time.Second), detectionTime)
 		}, true, exchange.Left},
 		{"its entry was missing but came back before the silence", func(p *presence.Presence) {
 			p.RecordMissing(now, true)
 			p.RecordEntry(false)
-			p.RecordSilence(now.Add(3*time.Second), detectionTime)
+			p.RecordUnresponsive(now.Add(3*time.Second), detectionTime)
 		}, true, exchange.Crashed},
 	} {
 		var p presence.Presence
@@ -69,8 +69,8 @@
 func TestAnswerEndsSilence(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	var p presence.Presence
-	p.RecordSilence(now, detectionTime)
-	assert.Equal(t, p.SilentSince(), now)
+	p.RecordUnresponsive(now, detectionTime)
+	assert.Equal(t, p.UnresponsiveSince(), now)
 	assert.Check(t, p.RecordAnswer() && !p.RecordAnswer())
-	assert.Check(t, p.SilentSince().IsZero())
+	assert.Check(t, p.UnresponsiveSince().IsZero())
 }
--- a/services/recent/recent.go
+++ b/services/recent/recent.go
@@ -48,8 +48,8 @@
 	UnixMilli int64 `json:"m"`
 }
 
-// life returns the life of the worker on which the task was started.
-func (s Start) life() order.Incarnation {
+// incarnation returns the life of the worker on which the task was started.
+func (s Start) incarnation() order.Incarnation {
 	return order.Incarnation{Name: s.Worker, BornUnixMilli: s.Born}
 }
 
@@ -106,7 +106,7 @@
 }
 
 // LoggedStarts holds the starts that were recorded in the log, by the worker's life.
-type LoggedStarts struct{ byLife map[order.Incarnation][]Start }
+type LoggedStarts struct{ byIncarnation map[order.Incarnation][]Start }
 
 // Read returns the last start of each task in the records, and an error for each record that could
 // not be decoded.
@@ -125,9 +125,9 @@
 			}
 		}
 	}
-	logged := LoggedStarts{byLife: map[order.Incarnation][]Start{}}
+	logged := LoggedStarts{byIncarnation: map[order.Incarnation][]Start{}}
 	for _, s := range slices.SortedFunc(maps.Values(last), Start.compare) {
-		logged.byLife[s.life()] = append(logged.byLife[s.life()], s)
+		logged.byIncarnation[s.incarnation()] = append(logged.byIncarnation[s.incarnation()], s)
 	}
 	return logged, errs
 }
@@ -153,10 +153,10 @@
 // StartedOn returns the last starts of the tasks that were started last on a life of a worker.
 func (l LoggedStarts) StartedOn(life order.Incarnation) []Start {
 	if life.BornUnixMilli == 0 {
-		return l.byLife[life]
+		return l.byIncarnation[life]
 	}
 	// Records of an earlier release have the worker's name only.
-	return slices.Concat(l.byLife[life], l.byLife[order.Incarnation{Name: life.Name}])
+	return slices.Concat(l.byIncarnation[life], l.byIncarnation[order.Incarnation{Name: life.Name}])
 }
 
 // WorkerCount returns the number of workers on which a gang was started, given its step, and 1 for
@@ -166,7 +166,7 @@
 		return 1
 	}
 	n := 0
-	for _, starts := range l.byLife {
+	for _, starts := range l.byIncarnation {
 		if slices.ContainsFunc(starts, func(s Start) bool { return s.Task.StepID == step }) {
 			n++
 		}
@@ -176,6 +176,6 @@
 
 // Forget drops the starts on a life of a worker, once the worker itself has reported what it runs.
 func (l LoggedStarts) Forget(life order.Incarnation) {
-	delete(l.byLife, life)
-	delete(l.byLife, order.Incarnation{Name: life.Name})
+	delete(l.byIncarnation, life)
+	delete(l.byIncarnation, order.Incarnation{Name: life.Name})
 }
