--- a/tests/integration/silent_test.go
+++ b/tests/integration/silent_test.go
@@ -19,9 +19,9 @@
 
 // What the daemons of the fixture are told, besides defaults.
 const (
-	// probeAfter and probeTimeout are connections.probe and connections.answer.
-	probeAfter   = time.Second
-	probeTimeout = 250 * time.Millisecond
+	// probeAfter and answerTimeout are connections.probe and connections.answer.
+	probeAfter    = time.Second
+	answerTimeout = 250 * time.Millisecond
 	// readTimeout is what a waiting read of the log takes that has no answer
 	// (platform.wait and platform.timeout), appendTimeout an append.
 	readTimeout   = 1500 * time.Millisecond
@@ -33,13 +33,13 @@
 const (
 	// filesTimeout is when a file that is published after open connections went silent
 	// is in force everywhere: the silent ones are found one after the other.
-	filesTimeout = probeAfter + probeTimeout + appendTimeout + 2*readTimeout
+	filesTimeout = probeAfter + answerTimeout + appendTimeout + 2*readTimeout
 	// liveTimeout is when all boxes hear each other's heartbeats again.
-	liveTimeout = probeAfter + probeTimeout + deadAfter + readTimeout
+	liveTimeout = probeAfter + answerTimeout + deadAfter + readTimeout
 	// responsesTimeout is when requests are answered as before: those that went out on
 	// silent connections take up their deadline, and their targets may be left alone
 	// for twice requests.eject_for.
-	responsesTimeout = requestDeadline + 2*ejectFor + probeAfter + probeTimeout
+	responsesTimeout = requestDeadline + 2*ejectFor + probeAfter + answerTimeout
 	// requestDeadline is that of the classes here, ejectFor requests.eject_for.
 	requestDeadline = 2 * time.Second
 	ejectFor        = time.Second
--- a/tests/soak/played_test.go
+++ b/tests/soak/played_test.go
@@ -29,10 +29,10 @@
 	endTimeout    = serveTimeout + leaseDuration
 	leaseDuration = 2500 * time.Millisecond
 	// closeTimeout is how long after its last job a box may have connections open that
-	// carry no call or went silent: unusedTimeout is connections.unused. The rest is the
+	// carry no call or went silent: idleTimeout is connections.unused. The rest is the
 	// tests' own time.
-	closeTimeout  = unusedTimeout + probeAfter + probeTimeout + 2*time.Second
-	unusedTimeout = 3 * time.Second
+	closeTimeout = idleTimeout + probeAfter + answerTimeout + 2*time.Second
+	idleTimeout  = 3 * time.Second
 	// maxOpenSockets is how many sockets a box may have open then, but for callers': three that
 	// listen, the four reads of the log that wait and two appends, a call for advice, and
 	// a link from and to each other box. The holder of the cell has two orders for each
--- a/tests/soak/rig.go
+++ b/tests/soak/rig.go
@@ -48,8 +48,8 @@
 	return func(r *Rig) { r.holdFor, r.claimAfter = holdFor, claimAfter }
 }
 
-// WithUnusedTimeout has boxes close unused connections to the platform and the workers earlier.
-func WithUnusedTimeout(most time.Duration) Option {
+// WithIdleTimeout has boxes close unused connections to the platform and the workers earlier.
+func WithIdleTimeout(most time.Duration) Option {
 	return func(r *Rig) { r.extraSettings += fmt.Sprintf("connections:\n  unused: %v\n", most) }
 }
 
--- a/tests/soak/silent_test.go
+++ b/tests/soak/silent_test.go
@@ -20,10 +20,10 @@
 // What the daemons are told or have for bounds; the stand-in answers in a few
 // milliseconds.
 const (
-	// probeAfter and probeTimeout are connections.probe and connections.answer: within
+	// probeAfter and answerTimeout are connections.probe and connections.answer: within
 	// both together a silent connection between boxes is given up.
-	probeAfter   = time.Second
-	probeTimeout = 250 * time.Millisecond
+	probeAfter    = time.Second
+	answerTimeout = 250 * time.Millisecond
 	// logTimeout bounds a call to the log, peerTimeout a wish that is passed on,
 	// adviceTimeout a call for advice, orderTimeout an order to a worker.
 	logTimeout    = 900 * time.Millisecond
@@ -37,7 +37,7 @@
 // serveTimeout is the time from handing a job in to its end, although each connection
 // on the job's way is found silent by a call that runs out of its time, one after the
 // other: the caller's, then those for the job.
-const serveTimeout = soak.CallTimeout + probeAfter + probeTimeout + peerTimeout + logTimeout + adviceTimeout + orderTimeout + taskDuration
+const serveTimeout = soak.CallTimeout + probeAfter + answerTimeout + peerTimeout + logTimeout + adviceTimeout + orderTimeout + taskDuration
 
 const (
 	// stallRounds is how often all that is open goes silent.
--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -151,7 +151,7 @@
 // rigOptions returns the claims of daemons outside of tests for even seeds, so that the
 // same box goes on after a call to the log that ran out of its time.
 func rigOptions(seed int64) []soak.Option {
-	all := []soak.Option{soak.WithUnusedTimeout(unusedTimeout)}
+	all := []soak.Option{soak.WithIdleTimeout(idleTimeout)}
 	if seed%2 == 0 {
 		all = append(all, soak.WithClaimTimes(1400*time.Millisecond, 1550*time.Millisecond))
 	}
