--- a/services/dispatch/advice.go
+++ b/services/dispatch/advice.go
@@ -199,5 +199,5 @@
 			a.SetTicket(w, t.Ticket, now.Add(validity))
 		}
 	}
-	h.history.ObserveAdvice(s.job.queue, len(firstAsked), suitable)
+	h.estimates.ObserveAdvice(s.job.queue, len(firstAsked), suitable)
 }
--- a/services/dispatch/ask.go
+++ b/services/dispatch/ask.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	// maxAskedForRoom is the most workers with room that advice for one step is requested on at a
+	// maxWorkersAsked is the most workers with room that advice for one step is requested on at a
 	// time.
-	maxAskedForRoom = 60
+	maxWorkersAsked = 60
 	// askFactor is the number of suitable slots to expect on the named workers for each unplaced
 	// task.
 	askFactor = 1.5
-	// minRoomPerWorker is the number of slots that a named worker without any room counts for.
-	minRoomPerWorker = 0.3
+	// minSlotsPerWorker is the number of slots that a named worker without any room counts for.
+	minSlotsPerWorker = 0.3
 )
 
 // requestAdvice calls the advice service for a step and some workers. It returns nil if the boxes
@@ -101,7 +101,7 @@
 		h.widenCandidates(now, r, candidates, false)
 		return
 	}
-	h.requestAdviceForRoom(now, r, candidates)
+	h.requestAdviceForUnplacedTasks(now, r, candidates)
 }
 
 // earlyPassLifetime is how long the pass for newly submitted jobs is reused.
@@ -115,9 +115,9 @@
 	return h.submitPass
 }
 
-// unaskedByRoom returns the candidates whose suitability for the step is neither known nor
+// unaskedByFreeCapacity returns the candidates whose suitability for the step is neither known nor
 // requested, those with the most room first.
-func (s *step) unaskedByRoom(candidates []*worker) []*worker {
+func (s *step) unaskedByFreeCapacity(candidates []*worker) []*worker {
 	var all []*worker
 	for _, w := range candidates {
 		if !s.advice.IsKnownOrPending(w) {
@@ -178,38 +178,38 @@
 	return requested
 }
 
-// requestAdviceForRoom requests advice on as many unknown workers as should have room for the
+// requestAdviceForUnplacedTasks requests advice on as many unknown workers as should have room for the
 // step's unplaced tasks, on those with room first. If few have room it names some more, which may
 // have room soon. It returns false if no call was made.
-func (h *holderState) requestAdviceForRoom(now time.Time, r rankedStep, candidates []*worker) bool {
+func (h *holderState) requestAdviceForUnplacedTasks(now time.Time, r rankedStep, candidates []*worker) bool {
 	s := r.step
 	if !h.advisers.HasFreeBox(now, maps.Keys(h.core.members), r.queue.Advice.BaseTime, advisers.MaxQueueTime) {
 		h.advisers.FairShare.RecordDeferral(now, h.callClass(now, s))
 		return false
 	}
-	missing := askFactor * float64(s.unplacedTasks) / h.history.SuitableShare(r.queue.Name)
+	missing := askFactor * float64(s.unplacedTasks) / h.estimates.SuitableShare(r.queue.Name)
 	least := advisers.MinWorkersPerCall(r.queue.Advice)
 	var named []*worker
 	for w, room := range s.unaskedRotated(candidates) {
-		if len(named) == maxAskedForRoom || len(named) >= least && missing <= 0 {
+		if len(named) == maxWorkersAsked || len(named) >= least && missing <= 0 {
 			break
 		}
 		named = append(named, w)
-		missing -= max(minRoomPerWorker, float64(room))
+		missing -= max(minSlotsPerWorker, float64(room))
 	}
 	return h.requestAdviceOn(now, r, named)
 }
 
-// requestMoreAdvice requests advice on those of some workers that have room now. It returns false
+// requestAdviceOnFreeWorkers requests advice on those of some workers that have room now. It returns false
 // if no call was made.
-func (h *holderState) requestMoreAdvice(now time.Time, r rankedStep, workers []*worker) bool {
+func (h *holderState) requestAdviceOnFreeWorkers(now time.Time, r rankedStep, workers []*worker) bool {
 	var withRoom []*worker
 	for _, w := range workers {
 		if w.slots(r.step, w.available()) > 0 {
 			withRoom = append(withRoom, w)
 		}
 	}
-	return h.requestAdviceForRoom(now, r, withRoom)
+	return h.requestAdviceForUnplacedTasks(now, r, withRoom)
 }
 
 // refreshTickets requests tickets for allocations and holds their capacity until the answer.
--- a/services/dispatch/attempts.go
+++ b/services/dispatch/attempts.go
@@ -34,7 +34,7 @@
 	orderCount         int
 	// figure is the load that the worker last reported, see order.Running: for a serving task
 	// its tail latency in milliseconds, else the processors in use in thousandths of one.
-	figure int64
+	measurement int64
 	// pace is the percentage of full speed at which the run works, or unknownPace;
 	// paceOrdered is set while the order of another pace is unanswered.
 	pace        int
@@ -63,10 +63,10 @@
 	// fromEarlierIncarnation is set if the start was ordered from an earlier incarnation of
 	// the worker: if the present one does not report the run, it never begins.
 	fromEarlierIncarnation bool
-	// workedUntilSilence is how long the run had been at work when its worker became
-	// unresponsive under an earlier holder; it is valid if workedUntilSilenceKnown is set.
-	workedUntilSilence      time.Duration
-	workedUntilSilenceKnown bool
+	// workedUntilUnresponsive is how long the run had been at work when its worker became
+	// unresponsive under an earlier holder; it is valid if workedUntilUnresponsiveKnown is set.
+	workedUntilUnresponsive      time.Duration
+	workedUntilUnresponsiveKnown bool
 }
 
 // markStateChange records the time at which an attempt enters its state, and the number of
--- a/services/dispatch/caps.go
+++ b/services/dispatch/caps.go
@@ -34,7 +34,7 @@
 	if h.workspaceShares.TakeToken(now, ws) {
 		return true, nil
 	}
-	if !h.hasAmpleRoom && h.isEnabled(mechanism.RefusedShares) {
+	if !h.hasAmpleFreeCapacity && h.isEnabled(mechanism.RefusedShares) {
 		return false, &exchange.Answer{
 			Outcome: exchange.OverLimit, Reason: "the workspace exceeds its share while the workers have little free capacity",
 			RetryAfter: job.Milliseconds(h.workspaceShares.TimeToToken(now, ws).Milliseconds()),
--- a/services/dispatch/choice.go
+++ b/services/dispatch/choice.go
@@ -18,10 +18,10 @@
 	// gangCandidateGrowth for each second that the gang has waited.
 	gangCandidateFactor = 2
 	gangCandidateGrowth = 0.5
-	// maxGangCandidateFactor limits the grown factor, and maxAmpleRoomCandidateFactor does so while
+	// maxGangCandidateFactor limits the grown factor, and maxAmpleCapacityCandidateFactor does so while
 	// much of the workers' capacity is free: no other step needs the advice calls then.
-	maxGangCandidateFactor      = 3.5
-	maxAmpleRoomCandidateFactor = 12
+	maxGangCandidateFactor          = 3.5
+	maxAmpleCapacityCandidateFactor = 12
 	// widenInterval is the minimum time between two checks whether a gang knows enough workers.
 	widenInterval = 200 * time.Millisecond
 )
@@ -54,7 +54,7 @@
 	}
 	maxFactor := maxGangCandidateFactor
 	if ampleRoom {
-		maxFactor = maxAmpleRoomCandidateFactor
+		maxFactor = maxAmpleCapacityCandidateFactor
 	}
 	return min(factor, maxFactor) * float64(len(s.tasks))
 }
@@ -84,17 +84,17 @@
 		return
 	}
 	s.nextWidenAt = now.Add(widenInterval)
-	suitableShare := h.history.SuitableShare(r.queue.Name)
+	suitableShare := h.estimates.SuitableShare(r.queue.Name)
 	missing := s.missingSlots(s.wantedSlots(now, ampleRoom), candidates, suitableShare)
 	if missing <= 0 {
 		return
 	}
 	if r.queue.Advice.BaseTime <= advisers.ShortCall {
-		h.requestAdviceForRoom(now, r, candidates)
+		h.requestAdviceForUnplacedTasks(now, r, candidates)
 		return
 	}
 	slotsPerWorker := float64(max(1, s.slotsWhenEmpty(h.largestCapacity()))) * suitableShare
-	unasked := s.unaskedByRoom(candidates)
+	unasked := s.unaskedByFreeCapacity(candidates)
 	wanted := max(advisers.MinWorkersPerCall(r.queue.Advice), int(math.Ceil(missing/slotsPerWorker)))
 	h.requestAdviceOn(now, r, unasked[:min(len(unasked), wanted)])
 }
--- a/services/dispatch/ends.go
+++ b/services/dispatch/ends.go
@@ -30,7 +30,7 @@
 		s = a.step
 		h.unassign(a)
 		if end.Status == order.Stopped && !a.stopRequestedAt.IsZero() {
-			h.history.ObserveStop(now.Sub(a.stopRequestedAt))
+			h.estimates.ObserveStop(now.Sub(a.stopRequestedAt))
 		}
 	}
 	if s == nil || end.Task.Index >= len(s.tasks) {
--- a/services/dispatch/gone.go
+++ b/services/dispatch/gone.go
@@ -55,7 +55,7 @@
 // silentAt, and whether that is known.
 func (a *attempt) workTime(silentAt time.Time) (time.Duration, bool) {
 	if a.firstOrderedAt.IsZero() {
-		return a.workedUntilSilence, a.workedUntilSilenceKnown
+		return a.workedUntilUnresponsive, a.workedUntilUnresponsiveKnown
 	}
 	return a.maxWorkTime(silentAt), true
 }
--- a/services/dispatch/hidden.go
+++ b/services/dispatch/hidden.go
@@ -29,10 +29,10 @@
 	h.inheritedStarts = starts
 }
 
-// startedOn returns the tasks that earlier holders had started on a worker which has not reported
+// takeInheritedStarts returns the tasks that earlier holders had started on a worker which has not reported
 // to this holder, as far as they may have been running there when it crashed. It then forgets these
 // starts.
-func (h *holderState) startedOn(w *worker, crashedAt time.Time) []blame.RunningTask {
+func (h *holderState) takeInheritedStarts(w *worker, crashedAt time.Time) []blame.RunningTask {
 	var all []blame.RunningTask
 	for _, s := range h.inheritedStarts.StartedOn(w.Incarnation) {
 		if st := h.possiblyLostStep(s); st != nil {
--- a/services/dispatch/holding.go
+++ b/services/dispatch/holding.go
@@ -80,8 +80,8 @@
 	unreportedWorkers map[string]bool
 
 	// advisers distributes calls to the advice service among the boxes.
-	advisers *advisers.Balancer[*adviceCall]
-	history  *learned.Estimates
+	advisers  *advisers.Balancer[*adviceCall]
+	estimates *learned.Estimates
 	// usage sums up what the tasks of each workspace take, workspaceShares limits the rate of
 	// new jobs of each workspace, and leftoverUsage is what may still run of jobs that ended
 	// under earlier holders, by workspace.
@@ -104,8 +104,8 @@
 	// from the measured times.
 	planBudget planning.Budget
 	planTimes  planning.OutlierFilter
-	// hasAmpleRoom is set if a large share of the workers' capacity was free at the last sweep.
-	hasAmpleRoom bool
+	// hasAmpleFreeCapacity is set if a large share of the workers' capacity was free at the last sweep.
+	hasAmpleFreeCapacity bool
 	// hasUnplacedTasks is set if some step found no room for all its tasks in the last plan.
 	hasUnplacedTasks bool
 	// capacity is the total capacity of the workers that accepted tasks at the last sweep.
@@ -126,7 +126,7 @@
 		core: c, epoch: epoch, phase: phaseFencing, startedAt: now,
 		journal: journal{epoch: epoch}, jobs: map[job.ID]*trackedJob{},
 		workers: map[string]*worker{}, unreportedWorkers: map[string]bool{}, blame: blame.NewTracker(),
-		advisers: advisers.New[*adviceCall](c.self.Box), history: learned.NewEstimates(), planBudget: planning.New(),
+		advisers: advisers.New[*adviceCall](c.self.Box), estimates: learned.NewEstimates(), planBudget: planning.New(),
 		reservations: reservations.New(),
 		usage:        workspaces.NewUsage(), workspaceShares: workspaces.NewShareLimiter(c.settings.ShareWindow),
 		leftoverUsage: map[string]resource.Vector{},
@@ -193,7 +193,7 @@
 	h.nextSweepAt = now.Add(sweepInterval)
 	h.planDue = true
 	h.createAllDueInstances(now)
-	h.hasAmpleRoom = h.updateCapacity(now)
+	h.hasAmpleFreeCapacity = h.updateCapacity(now)
 	h.sweepWorkers(now)
 	h.giveUpGuiltyJobs(now)
 	h.expireAdvice(now)
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -279,7 +279,7 @@
 	if !w.reported {
 		w.reported = true
 		h.inheritedStarts.Forget(w.Incarnation)
-		h.blame.RecordReport(w.Incarnation, w.runsUnit)
+		h.blame.RecordReport(w.Incarnation, w.runsBlameUnit)
 		inherited := h.unreportedWorkers[w.Name]
 		delete(h.unreportedWorkers, w.Name)
 		h.recordWorker(w)
--- a/services/dispatch/load.go
+++ b/services/dispatch/load.go
@@ -39,7 +39,7 @@
 	for _, u := range state.Unread {
 		h.core.logEvent("a kept record could not be read", logField("key", u.Key), logField("error", u.Reason))
 	}
-	if err := h.history.Restore(state.RunTimes); err != nil {
+	if err := h.estimates.Restore(state.RunTimes); err != nil {
 		h.core.logEvent("kept run times could not be read", logField("error", err.Error()))
 	}
 	if err := h.blame.RestoreRate(state.CrashRate); err != nil {
--- a/services/dispatch/overview.go
+++ b/services/dispatch/overview.go
@@ -71,7 +71,7 @@
 		logField("promised", committed.Processors.String()), logField("stopping", stopping.Processors.String()),
 		logField("workers_kept", held), logField("steps_on_time", tiers[ranking.OnTime]), logField("steps_late", tiers[ranking.Late]),
 		logField("steps_hopeless", tiers[ranking.Hopeless]), logField("unsettled", len(h.unreportedWorkers)), logField("plans", h.planCount),
-		logField("advice_time", fmt.Sprint(h.advisers.CallTimeByQueue)), logField("stop_time", h.history.StopTime().String()),
+		logField("advice_time", fmt.Sprint(h.advisers.CallTimeByQueue)), logField("stop_time", h.estimates.StopTime().String()),
 		logField("answers_take", h.answerDelays.UpperQuartile(now).String()), logField("gangs_reserving", h.reservations.Len()),
 		logField("reserved", h.reservations.Processors().String()), logField("reservations_ended", fmt.Sprint(h.reservations.TakeTotals())))
 	clear(h.advisers.CallTimeByQueue)
--- a/services/dispatch/placement.go
+++ b/services/dispatch/placement.go
@@ -31,7 +31,7 @@
 			return true
 		}
 	}
-	if s.advice.hasCalls() || r.queue.Advice != nil && set.isLarge(s) && h.requestAdviceForRoom(p.now, r, set.workers) {
+	if s.advice.hasCalls() || r.queue.Advice != nil && set.isLarge(s) && h.requestAdviceForUnplacedTasks(p.now, r, set.workers) {
 		// The workers that are eligible for large tasks must be known before one of them is empty,
 		// so that it can be drained for such a task.
 		return true
@@ -41,7 +41,7 @@
 	}
 	allocations, placed := h.fit(p.now, s, r.eligible(set))
 	if r.queue.Advice != nil {
-		if placed == 0 && h.requestMoreAdvice(p.now, r, set.workers) {
+		if placed == 0 && h.requestAdviceOnFreeWorkers(p.now, r, set.workers) {
 			return true
 		}
 		var stale []allocation
@@ -69,7 +69,7 @@
 		return true
 	}
 	if r.queue.Advice != nil {
-		h.widenCandidates(p.now, r, set.workers, p.ampleRoom)
+		h.widenCandidates(p.now, r, set.workers, p.ampleFreeCapacity)
 	}
 	if !s.spec.Reserved().Fits(set.maxAvailable) {
 		return false
--- a/services/dispatch/plan.go
+++ b/services/dispatch/plan.go
@@ -16,9 +16,9 @@
 	sets map[workerSetKey]*workerSet
 	// misses counts the steps whose tasks could not all be placed for lack of capacity.
 	misses int
-	// ampleRoom is set if much of the workers' capacity is free, so that preempted tasks are placed
+	// ampleFreeCapacity is set if much of the workers' capacity is free, so that preempted tasks are placed
 	// again at once.
-	ampleRoom bool
+	ampleFreeCapacity bool
 	// drained counts the workers that are being drained, that is kept free of other tasks until
 	// they are empty.
 	drained int
@@ -63,7 +63,7 @@
 	}
 	h.setUnreportedUsage()
 	p := newPass(now)
-	p.ampleRoom = h.hasAmpleRoom
+	p.ampleFreeCapacity = h.hasAmpleFreeCapacity
 	defer func() { h.hasUnplacedTasks = p.misses > 0 }()
 	for _, r := range ranked {
 		if p.misses >= h.planBudget.MissLimit() && !h.planBudget.IsFullPlan(h.planCount) {
@@ -79,12 +79,12 @@
 	}
 }
 
-// ampleRoomShare is the share of the schedulable workers' processors that must be free for
-// h.hasAmpleRoom to be set.
-const ampleRoomShare = 0.4
+// ampleFreeCapacityShare is the share of the schedulable workers' processors that must be free for
+// h.hasAmpleFreeCapacity to be set.
+const ampleFreeCapacityShare = 0.4
 
 // updateCapacity recomputes the total capacity of the schedulable workers and reports whether more
-// than ampleRoomShare of their processors is free.
+// than ampleFreeCapacityShare of their processors is free.
 func (h *holderState) updateCapacity(now time.Time) bool {
 	var free resource.Vector
 	h.capacity = resource.Vector{}
@@ -94,7 +94,7 @@
 			h.capacity = h.capacity.Plus(w.Capacity)
 		}
 	}
-	return float64(free.Processors) > ampleRoomShare*float64(h.capacity.Processors)
+	return float64(free.Processors) > ampleFreeCapacityShare*float64(h.capacity.Processors)
 }
 
 // handleUnplaced makes room for a step whose tasks could not all be placed. A gang reserves
--- a/services/dispatch/preempt.go
+++ b/services/dispatch/preempt.go
@@ -48,7 +48,7 @@
 // waiting tasks then.
 func (h *holderState) preemptFor(p *pass, r rankedStep) bool {
 	s := r.step
-	if r.Tier != ranking.OnTime || h.slack(p.now, s) < h.history.StopTime() {
+	if r.Tier != ranking.OnTime || h.slack(p.now, s) < h.estimates.StopTime() {
 		return false
 	}
 	workers := h.usableWorkers(p, r)
@@ -176,7 +176,7 @@
 		return false
 	}
 	v := h.victimRankOf(p, s)
-	return v.Tier > r.Tier || v.queue.Priority > r.queue.Priority && (v.slack > minVictimSlack || p.ampleRoom)
+	return v.Tier > r.Tier || v.queue.Priority > r.queue.Priority && (v.slack > minVictimSlack || p.ampleFreeCapacity)
 }
 
 // isSpared reports whether an attempt is not preempted because a stop would gain little. This does
@@ -186,5 +186,5 @@
 	if r.step.spec.Gang || !h.isEnabled(mechanism.SparedTasks) {
 		return false
 	}
-	return a.resumed && now.Sub(a.stateSince) < minResumedTime || h.remainingRunTime(now, a) < h.history.StopTime()+endsSoonMargin
+	return a.resumed && now.Sub(a.stateSince) < minResumedTime || h.remainingRunTime(now, a) < h.estimates.StopTime()+endsSoonMargin
 }
--- a/services/dispatch/reports.go
+++ b/services/dispatch/reports.go
@@ -50,7 +50,7 @@
 			return
 		}
 	}
-	a.workedUntilSilenceKnown, a.fromEarlierIncarnation = false, false
+	a.workedUntilUnresponsiveKnown, a.fromEarlierIncarnation = false, false
 	a.observe(now, r)
 	h.confirmRunning(now, a)
 	if a.step.spec.Checkpoints && r.Checkpoint != "" {
--- a/services/dispatch/reserve.go
+++ b/services/dispatch/reserve.go
@@ -62,7 +62,7 @@
 		return
 	}
 	workers := h.usableWorkers(p, r)
-	preemptions := h.preemptionsFor(p, r, workers, len(s.tasks), r.Tier != ranking.Hopeless || p.ampleRoom)
+	preemptions := h.preemptionsFor(p, r, workers, len(s.tasks), r.Tier != ranking.Hopeless || p.ampleFreeCapacity)
 	if slots.TotalTasks(preemptions) < len(s.tasks) {
 		s.nextReserveAt = p.now.Add(reserveSearchDelay)
 		h.drainForGang(p, s, workers)
@@ -136,7 +136,7 @@
 		return
 	}
 	ready, due := h.requestTickets(p.now, r)
-	if ready || due.Sub(p.now) <= h.history.StopTime()+stopLead {
+	if ready || due.Sub(p.now) <= h.estimates.StopTime()+stopLead {
 		h.stopVictims(p, s)
 	}
 	if ready && len(res.victims) == 0 && h.isReservationFree(s) {
--- a/services/dispatch/runtimes.go
+++ b/services/dispatch/runtimes.go
@@ -15,11 +15,11 @@
 
 // saveRunTimes appends the learned run times to the log if they have changed since the last record.
 func (h *holderState) saveRunTimes(now time.Time) {
-	if now.Before(h.nextRunTimesAt) || h.phase != phaseActive || !h.history.HasChanged() || h.journal.isFailing(now) {
+	if now.Before(h.nextRunTimesAt) || h.phase != phaseActive || !h.estimates.HasChanged() || h.journal.isFailing(now) {
 		return
 	}
 	h.nextRunTimesAt = now.Add(saveRunTimesInterval)
-	h.journal.addRecord(kept.RunTimesRecord(h.history.TakeRunTimes()))
+	h.journal.addRecord(kept.RunTimesRecord(h.estimates.TakeRunTimes()))
 }
 
 // expectedTime returns the run time of a step: the actual one if the step is done, otherwise the
@@ -37,7 +37,7 @@
 	if !h.isEnabled(mechanism.LearnedTimes) {
 		return s.spec.Estimate.Duration()
 	}
-	return h.history.ExpectedRunTime(s.job.queue, s.spec.Estimate.Duration())
+	return h.estimates.ExpectedRunTime(s.job.queue, s.spec.Estimate.Duration())
 }
 
 // recordRunTime records that a task of a step succeeds at now. Only uninterrupted runs that this
@@ -56,7 +56,7 @@
 	if s.interrupted || s.longestRun == 0 {
 		s.longestRun = 0
 	} else {
-		h.history.ObserveRunTime(s.job.queue, s.spec.Estimate.Duration(), s.longestRun)
+		h.estimates.ObserveRunTime(s.job.queue, s.spec.Estimate.Duration(), s.longestRun)
 	}
 	h.updateCriticalPaths(s.instance.steps)
 }
--- a/services/dispatch/settings.go
+++ b/services/dispatch/settings.go
@@ -36,9 +36,9 @@
 }
 
 const (
-	// silentWorkerTimeout is for how long, beyond RenewWait, a worker may leave renewals
+	// unresponsiveTimeout is for how long, beyond RenewWait, a worker may leave renewals
 	// unanswered before no tasks are started on it.
-	silentWorkerTimeout = 1500 * time.Millisecond
+	unresponsiveTimeout = 1500 * time.Millisecond
 	// startAnswerTimeout is how long a worker may take to answer a start before it gets no
 	// more starts. Answers usually take a few milliseconds.
 	startAnswerTimeout = 100 * time.Millisecond
--- a/services/dispatch/silence.go
+++ b/services/dispatch/silence.go
@@ -98,7 +98,7 @@
 	for i, run := range state.Runs {
 		a := h.restoreRun(now, w, run)
 		if worked, known := state.WorkTime(i); a != nil && known {
-			a.workedUntilSilence, a.workedUntilSilenceKnown = worked, true
+			a.workedUntilUnresponsive, a.workedUntilUnresponsiveKnown = worked, true
 		}
 	}
 }
--- a/services/dispatch/speed.go
+++ b/services/dispatch/speed.go
@@ -15,7 +15,7 @@
 	if !h.isEnabled(mechanism.SlowWorkers) {
 		return learned.Normal
 	}
-	return w.speed.Slowness(now, h.history.FleetSpeed())
+	return w.speed.Slowness(now, h.estimates.FleetSpeed())
 }
 
 // learnSpeed updates the learned speed of a worker with the run time of a task that ended there.
@@ -27,5 +27,5 @@
 	}
 	ratio := max(now.Sub(a.stateSince), learned.MinTime).Seconds() / max(h.expectedTime(s), learned.MinTime).Seconds()
 	a.worker.speed.Observe(now, ratio)
-	h.history.ObserveSpeed(ratio)
+	h.estimates.ObserveSpeed(ratio)
 }
--- a/services/dispatch/stall.go
+++ b/services/dispatch/stall.go
@@ -21,7 +21,7 @@
 
 // observe records a worker's report of a running attempt.
 func (a *attempt) observe(now time.Time, r order.Running) {
-	a.figure, a.reportedAt = r.Measurement, now
+	a.measurement, a.reportedAt = r.Measurement, now
 	if r.Progress > a.progress {
 		a.progress, a.progressAt = r.Progress, now
 	}
--- a/services/dispatch/suspects.go
+++ b/services/dispatch/suspects.go
@@ -83,12 +83,12 @@
 		}
 		all = append(all, t)
 	}
-	return append(all, h.startedOn(w, at)...)
+	return append(all, h.takeInheritedStarts(w, at)...)
 }
 
-// runsUnit reports whether a worker runs the task with the given blame unit, or a member of the
+// runsBlameUnit reports whether a worker runs the task with the given blame unit, or a member of the
 // gang that it stands for.
-func (w *worker) runsUnit(unit job.TaskID) bool {
+func (w *worker) runsBlameUnit(unit job.TaskID) bool {
 	return slices.ContainsFunc(w.sortedAttempts(), func(a *attempt) bool { return a.step.blameUnit(a.index) == unit })
 }
 
@@ -234,11 +234,11 @@
 		a.crashRisk /= float64(len(a.step.tasks))
 	}
 	a.worker.suspectAttempts++
-	if blame.MustBeAlone(b) || a.worker.prepared.matches(a) {
+	if blame.MustBeAlone(b) || a.worker.trialPreparation.matches(a) {
 		a.isolated = true
 		a.worker.isolatedAttempts++
 	}
-	a.worker.prepared = nil
+	a.worker.trialPreparation = nil
 }
 
 // untrackSuspect reverts the changes that trackSuspect made to the worker's counters.
@@ -278,7 +278,7 @@
 		w := h.trialWorker(p, r, set, i, alone)
 		if w == nil {
 			if r.queue.Advice != nil && !s.advice.hasCalls() {
-				h.requestMoreAdvice(p.now, r, set.workers)
+				h.requestAdviceOnFreeWorkers(p.now, r, set.workers)
 			}
 			return
 		}
@@ -306,11 +306,11 @@
 func (h *holderState) canPrepareTrial(s *step, index int) bool {
 	dedicated := 0
 	for _, w := range h.workersByName() {
-		if w.prepared != nil || w.isolatedAttempts > 0 {
+		if w.trialPreparation != nil || w.isolatedAttempts > 0 {
 			dedicated++
 		}
 	}
-	return blame.MayDedicateWorker(dedicated, len(h.workers), h.hasAmpleRoom && !h.hasUnplacedTasks) || h.preparedWorker(s, index) != nil
+	return blame.MayDedicateWorker(dedicated, len(h.workers), h.hasAmpleFreeCapacity && !h.hasUnplacedTasks) || h.preparedWorker(s, index) != nil
 }
 
 // trialWorker returns a worker without another suspect for the trial of a task, or nil. If the
@@ -323,11 +323,11 @@
 			return w
 		}
 		// The worker's capacity has shrunk, or is used by a task that started late.
-		w.prepared = nil
+		w.trialPreparation = nil
 	}
 	var best *candidate
 	for _, c := range h.candidates(p.now, s, r.eligible(set)) {
-		if c.Worker.suspectAttempts == 0 && c.Worker.prepared == nil && (best == nil || c.isBetterForTrial(*best, alone)) {
+		if c.Worker.suspectAttempts == 0 && c.Worker.trialPreparation == nil && (best == nil || c.isBetterForTrial(*best, alone)) {
 			best = &c
 		}
 	}
@@ -335,7 +335,7 @@
 		return nil
 	}
 	if alone {
-		best.Worker.prepared = &trialPreparation{step: s, index: index, since: p.now}
+		best.Worker.trialPreparation = &trialPreparation{step: s, index: index, since: p.now}
 		h.recordTrial(p.now, s, index, best.Worker)
 	}
 	return best.Worker
@@ -356,7 +356,7 @@
 // preparedWorker returns the worker that is kept free for a suspect, or nil.
 func (h *holderState) preparedWorker(s *step, index int) *worker {
 	for _, w := range h.workersByName() {
-		if w.prepared != nil && w.prepared.step == s && w.prepared.index == index {
+		if w.trialPreparation != nil && w.trialPreparation.step == s && w.trialPreparation.index == index {
 			return w
 		}
 	}
@@ -366,9 +366,9 @@
 // expireTrialPreparation lets a worker take other tasks again if its suspect has not started in
 // time, no longer waits, or can no longer start there.
 func (h *holderState) expireTrialPreparation(now time.Time, w *worker) {
-	if pr := w.prepared; pr != nil && (now.Sub(pr.since) > maxTrialPreparation || !pr.step.open ||
+	if pr := w.trialPreparation; pr != nil && (now.Sub(pr.since) > maxTrialPreparation || !pr.step.open ||
 		!h.isWaitingSuspect(pr.step, pr.index) || !h.isHealthy(now, w)) {
-		w.prepared = nil
+		w.trialPreparation = nil
 		h.planDue = true
 	}
 }
--- a/services/dispatch/throttle.go
+++ b/services/dispatch/throttle.go
@@ -39,7 +39,7 @@
 		fillers = fillers || spec.Filler
 		if spec.TailTarget > 0 {
 			shared = true
-			worstTail = max(worstTail, float64(a.figure)/float64(spec.TailTarget))
+			worstTail = max(worstTail, float64(a.measurement)/float64(spec.TailTarget))
 		}
 	}
 	return worstTail, shared && fillers
--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -103,7 +103,7 @@
 	// them beside which nothing may be started.
 	suspectAttempts, isolatedAttempts int
 	// prepared is the trial of a likely suspect for which the worker is kept idle, or nil.
-	prepared *trialPreparation
+	trialPreparation *trialPreparation
 	// excludedUntil is when the worker may get starts again.
 	excludedUntil time.Time
 }
@@ -150,14 +150,14 @@
 
 // isSchedulable reports whether new tasks may be started on the worker.
 func (h *holderState) isSchedulable(now time.Time, w *worker) bool {
-	return w.isolatedAttempts == 0 && w.prepared == nil && h.isHealthy(now, w)
+	return w.isolatedAttempts == 0 && w.trialPreparation == nil && h.isHealthy(now, w)
 }
 
 // isHealthy reports whether new tasks could be started on the worker if it were not kept for a
 // suspect.
 func (h *holderState) isHealthy(now time.Time, w *worker) bool {
 	return w.reported && w.presence.IsListed() && w.recorded && !w.Leaving && !w.incarnations.HasCandidate() && w.failures == 0 && len(w.orphans) == 0 &&
-		now.Sub(w.answeredAt) < h.core.settings.RenewWait+h.adaptiveTimeout(now, silentWorkerTimeout) && !now.Before(w.excludedUntil) && !(h.isEnabled(mechanism.OverdueAnswers) && h.hasOverdueStart(now, w))
+		now.Sub(w.answeredAt) < h.core.settings.RenewWait+h.adaptiveTimeout(now, unresponsiveTimeout) && !now.Before(w.excludedUntil) && !(h.isEnabled(mechanism.OverdueAnswers) && h.hasOverdueStart(now, w))
 }
 
 // hasOverdueStart reports whether the worker is overdue with the answers to its start orders.
