--- a/cmd/saddlevaned/jobs.go
+++ b/cmd/saddlevaned/jobs.go
@@ -170,7 +170,7 @@
 			ConfigPropagation: j.ConfigPropagation, ShareWindow: j.ShareWindow, Disabled: without,
 		},
 		Tick: jobTick, ReadWait: claimsReadWait, WorkersInterval: workersReadInterval, CallTimeout: logTimeout,
-		Relays: relay.Limits{MinWorkers: j.MinRelayedWorkers, WorkersPerRelay: j.WorkersPerRelay}, PeerTimeout: j.PeerTimeout, Probe: c.ProbeAfter, Answer: c.AnswerTimeout,
+		Relays: relay.Limits{MinWorkers: j.MinRelayedWorkers, WorkersPerRelay: j.WorkersPerRelay}, PeerTimeout: j.PeerTimeout, ProbeAfter: c.ProbeAfter, AnswerTimeout: c.AnswerTimeout,
 	}, err
 }
 
--- a/services/blame/background.go
+++ b/services/blame/background.go
@@ -174,8 +174,8 @@
 	b.unresponsiveWorkers = append(b.unresponsiveWorkers, unresponsiveWorker{at: now, incarnation: life, rack: rack, weight: 1 - risk})
 }
 
-// RecordAnswer records that a worker has answered again, so it had not crashed.
-func (b *Background) RecordAnswer(life order.Incarnation) {
+// RecordResponsive records that a worker has answered again, so it had not crashed.
+func (b *Background) RecordResponsive(life order.Incarnation) {
 	b.unresponsiveWorkers = slices.DeleteFunc(b.unresponsiveWorkers, func(s unresponsiveWorker) bool { return s.incarnation == life })
 }
 
--- a/services/blame/blame_test.go
+++ b/services/blame/blame_test.go
@@ -130,8 +130,8 @@
 	together := b.Hazard(now, life("a"), "r1")
 	assert.Check(t, together > 100*calm, "%v, %v", together, calm)
 	assert.Check(t, b.Hazard(now, life("e"), "r2") < together, "the common cause affects one rack")
-	b.RecordAnswer(life("c"))
-	b.RecordAnswer(life("d"))
+	b.RecordResponsive(life("c"))
+	b.RecordResponsive(life("d"))
 	assert.Equal(t, b.Hazard(now, life("a"), "r1"), calm, "the other workers had not crashed")
 }
 
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -267,7 +267,7 @@
 	h.setBirthTime(w, e.Report.Incarnation)
 	h.recordResponsive(w)
 	if w.presence.RecordAnswer() {
-		h.blame.RecordAnswer(w.Incarnation)
+		h.blame.RecordResponsive(w.Incarnation)
 	}
 	clear(w.overdue)
 	w.answeredAt, w.aliveAt = now, now
--- a/services/dispatch/speed.go
+++ b/services/dispatch/speed.go
@@ -15,7 +15,7 @@
 	if !h.isEnabled(mechanism.SlowWorkers) {
 		return learned.Normal
 	}
-	return w.speed.Slowness(now, h.estimates.FleetSpeed())
+	return w.speed.Slowness(now, h.estimates.FleetLogRatio())
 }
 
 // learnSpeed updates the learned speed of a worker with the run time of a task that ended there.
--- a/services/jobrun/jobrun_test.go
+++ b/services/jobrun/jobrun_test.go
@@ -50,7 +50,7 @@
 		},
 		Tick: 10 * time.Millisecond, ReadWait: 200 * time.Millisecond, WorkersInterval: 50 * time.Millisecond,
 		CallTimeout: 300 * time.Millisecond, PeerTimeout: 300 * time.Millisecond,
-		Probe: time.Second, Answer: 250 * time.Millisecond,
+		ProbeAfter: time.Second, AnswerTimeout: 250 * time.Millisecond,
 	}
 }
 
--- a/services/jobrun/loop.go
+++ b/services/jobrun/loop.go
@@ -63,7 +63,7 @@
 	Relays relay.Limits
 	// Probe is how long a link to another entry box may be silent before it is probed, Answer
 	// how long it may stay silent after that before it is closed.
-	Probe, Answer time.Duration
+	ProbeAfter, AnswerTimeout time.Duration
 }
 
 // eventQueueSize is how many events may wait for the loop. It also bounds the events that are
--- a/services/jobrun/peers.go
+++ b/services/jobrun/peers.go
@@ -50,7 +50,7 @@
 	p := &Peers{loop: loop, ctx: ctx, cancel: cancel, unresponsiveUntil: map[string]time.Time{}, notHolder: map[string]bool{}}
 	p.relayServer = relay.NewServer(loop.now, loop.platform.Workers, loop.batchSender(methodCarried))
 	p.links = peering.New(ctx, listener, peering.Settings{
-		DialTimeout: loop.settings.PeerTimeout, ProbeAfter: loop.settings.Probe, AnswerTimeout: loop.settings.Answer, Now: loop.now,
+		DialTimeout: loop.settings.PeerTimeout, ProbeAfter: loop.settings.ProbeAfter, AnswerTimeout: loop.settings.AnswerTimeout, Now: loop.now,
 		OnUnanswered: loop.CallUnanswered, OnDiscard: loop.linkGivenUp, OnAcceptError: loop.linkNotAccepted,
 		OnOpen:  func(delta int) { loop.ConnectionsChanged(peering.PeerName, delta) },
 		OnBytes: loop.ByteCounter(peering.PeerName),
--- a/services/learned/lessons.go
+++ b/services/learned/lessons.go
@@ -26,8 +26,8 @@
 	suitableShares map[string]float64
 	// stopTime is the average time from the order to stop a task until its end is reported.
 	stopTime time.Duration
-	// fleetSpeed is the mean over all workers of what Speed.meanLogRatio is for one.
-	fleetSpeed float64
+	// fleetLogRatio is the mean over all workers of what Speed.meanLogRatio is for one.
+	fleetLogRatio float64
 	// runTimes holds what is known of the run times of the steps, by queue.
 	runTimes map[string]*RunTimes
 	// changed is set if run times were observed that have not been logged.
@@ -64,11 +64,13 @@
 // StopTime returns the average time from the order to stop a task until its end is reported.
 func (e *Estimates) StopTime() time.Duration { return e.stopTime }
 
-// FleetSpeed returns the mean over all workers of the logarithm of actual by expected run time.
-func (e *Estimates) FleetSpeed() float64 { return e.fleetSpeed }
+// FleetLogRatio returns the mean over all workers of the logarithm of actual by expected run time.
+func (e *Estimates) FleetLogRatio() float64 { return e.fleetLogRatio }
 
 // ObserveSpeed records the ratio of actual to expected run time of a task on any worker.
-func (e *Estimates) ObserveSpeed(ratio float64) { e.fleetSpeed = UpdateFleetMean(e.fleetSpeed, ratio) }
+func (e *Estimates) ObserveSpeed(ratio float64) {
+	e.fleetLogRatio = UpdateFleetMean(e.fleetLogRatio, ratio)
+}
 
 // ExpectedRunTime returns how long a step of a queue with the given estimate is expected to take.
 func (e *Estimates) ExpectedRunTime(queue string, estimate time.Duration) time.Duration {
