--- a/cmd/saddlevaned/jobs.go
+++ b/cmd/saddlevaned/jobs.go
@@ -49,8 +49,8 @@
 	workersReadInterval = 300 * time.Millisecond
 	// dialTimeout bounds the opening of a connection.
 	dialTimeout = 500 * time.Millisecond
-	// maxConnsPerHost bounds the connections kept to one worker.
-	maxConnsPerHost = 16
+	// maxIdleConnsPerHost bounds the connections kept to one worker.
+	maxIdleConnsPerHost = 16
 	// shutdownTimeout bounds the wait for answers under way.
 	shutdownTimeout = 2 * time.Second
 )
@@ -126,7 +126,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	d.loop = jobrun.NewLoop(settings, self, newPlatform(s, c, d.connectionReports), log, c)
+	d.loop = jobrun.NewLoop(settings, self, newPlatform(s, c, d.connectionHooks), log, c)
 	d.peers = jobrun.NewPeers(listener, d.loop)
 	d.loop.Run(d.peers)
 	d.peers.Serve()
@@ -181,7 +181,7 @@
 	client := func(to string) *http.Client {
 		return httpclient.New(httpclient.Settings{
 			To: to, DialTimeout: dialTimeout, IdleTimeout: s.Connections.IdleTimeout, MinOverdue: s.Connections.AnswerTimeout,
-			MaxIdlePerHost: maxConnsPerHost, Now: c.Now, Hooks: reports(to),
+			MaxIdlePerHost: maxIdleConnsPerHost, Now: c.Now, Hooks: reports(to),
 		})
 	}
 	log := platform.NewLog(s.Jobs.LogAddress, client("log"))
@@ -194,9 +194,9 @@
 	}
 }
 
-// connectionReports has the loop told of the connections to a service. There is a loop by the time
+// connectionHooks has the loop told of the connections to a service. There is a loop by the time
 // that the first is opened.
-func (d *jobDaemon) connectionReports(to string) httpclient.Hooks {
+func (d *jobDaemon) connectionHooks(to string) httpclient.Hooks {
 	bytes := sync.OnceValue(func() func(in, out int) { return d.loop.ByteCounter(to) })
 	return httpclient.Hooks{
 		OnUnanswered: func(u conntrack.Unanswered) { d.loop.CallUnanswered(u) },
