--- a/modules/httpclient/calls_test.go
+++ b/modules/httpclient/calls_test.go
@@ -34,7 +34,7 @@
 	r.proxy.Stall()
 	var calls sync.WaitGroup
 	calls.Go(func() {
-		_, err := r.call(repeatable(0), "beside it")
+		_, err := r.call(retryContext(0), "beside it")
 		assert.Check(t, err)
 	})
 	began := time.Now()
@@ -141,7 +141,7 @@
 	r.openConnections(1)
 	isSlow.Store(true)
 	for range 6 {
-		_, err := r.call(repeatable(0), "text")
+		_, err := r.call(retryContext(0), "text")
 		assert.NilError(t, err)
 	}
 	assert.Equal(t, len(r.retried), 1)
@@ -151,7 +151,7 @@
 
 	// That it was slow is forgotten.
 	later.Store(int64(time.Minute))
-	_, err := r.call(repeatable(0), "text")
+	_, err := r.call(retryContext(0), "text")
 	assert.NilError(t, err)
 	assert.Equal(t, len(r.retried), 2)
 }
@@ -167,7 +167,7 @@
 	}, nil)
 	r.openConnections(1)
 	resets.Store(true)
-	got, err := r.call(repeatable(time.Minute), "text")
+	got, err := r.call(retryContext(time.Minute), "text")
 	assert.NilError(t, err)
 	assert.Equal(t, got, "text")
 	assert.Equal(t, r.served.Load(), int64(3))
@@ -176,7 +176,7 @@
 
 func TestCallOnNewConnectionIsNotRetried(t *testing.T) {
 	r := newRig(t, func(_ http.ResponseWriter, req *http.Request) { hang(req) }, nil)
-	_, err := r.call(repeatable(0), "text")
+	_, err := r.call(retryContext(0), "text")
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 	assert.Equal(t, r.served.Load(), int64(1))
 	assert.Equal(t, len(r.retried), 0)
@@ -193,7 +193,7 @@
 	}, nil)
 	r.openConnections(1)
 	away.Store(true)
-	_, err := r.call(repeatable(0), "text")
+	_, err := r.call(retryContext(0), "text")
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 	assert.Equal(t, r.served.Load(), int64(3))
 	assert.Equal(t, r.retried[0].AnsweredOn, httpclient.OnNeither)
@@ -211,7 +211,7 @@
 		}
 	}, nil)
 	for range 2 {
-		_, err := r.call(repeatable(0), "")
+		_, err := r.call(retryContext(0), "")
 		assert.NilError(t, err)
 	}
 	assert.Equal(t, len(r.retried), 0)
@@ -221,7 +221,7 @@
 func TestLargeAnswerIsComplete(t *testing.T) {
 	const size = 20 << 20
 	r := newRig(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, size)) }, nil)
-	got, err := r.call(repeatable(0), "")
+	got, err := r.call(retryContext(0), "")
 	assert.NilError(t, err)
 	assert.Equal(t, len(got), size)
 }
@@ -247,7 +247,7 @@
 		echo(w, req)
 	}, nil)
 	r.openConnections(2)
-	for _, ctx := range []context.Context{context.Background(), repeatable(time.Minute)} {
+	for _, ctx := range []context.Context{context.Background(), retryContext(time.Minute)} {
 		ctx, cancel := context.WithCancel(ctx)
 		time.AfterFunc(overdueAfter, cancel)
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, r.url+"/?hold", nil)
--- a/modules/httpclient/httpclient_test.go
+++ b/modules/httpclient/httpclient_test.go
@@ -126,8 +126,8 @@
 	return string(body), err
 }
 
-// repeatable marks calls of the tests that may be made again.
-func repeatable(expected time.Duration) context.Context {
+// retryContext marks calls of the tests that may be made again.
+func retryContext(expected time.Duration) context.Context {
 	return httpclient.WithRetry(context.Background(), httpclient.Retry{Expected: expected})
 }
 
@@ -240,7 +240,7 @@
 	r.proxy.Stall()
 	for i := range 8 {
 		began := time.Now()
-		got, err := r.call(repeatable(0), fmt.Sprint(i))
+		got, err := r.call(retryContext(0), fmt.Sprint(i))
 		assert.NilError(t, err)
 		assert.Equal(t, got, fmt.Sprint(i))
 		r.checkFast(began)
@@ -290,12 +290,12 @@
 		}
 		_, _ = io.WriteString(w, "whole")
 	}, nil)
-	_, err := r.call(repeatable(0), "")
+	_, err := r.call(retryContext(0), "")
 	assert.NilError(t, err)
 
 	stops.Store(true)
 	began := time.Now()
-	got, err := r.call(repeatable(0), "")
+	got, err := r.call(retryContext(0), "")
 	assert.NilError(t, err)
 	assert.Equal(t, got, "half whole")
 	r.checkFast(began)
@@ -317,7 +317,7 @@
 	for _, expected := range []time.Duration{0, time.Minute, time.Minute, time.Minute} {
 		calls.Go(func() {
 			began := time.Now()
-			got, err := r.call(repeatable(expected), "text")
+			got, err := r.call(retryContext(expected), "text")
 			if assert.Check(t, err) {
 				assert.Check(t, got == "text")
 			}
--- a/modules/httpclient/race.go
+++ b/modules/httpclient/race.go
@@ -15,11 +15,11 @@
 // retryableCall is a call that may be made again: two tries at most, of which the first answer
 // counts.
 type retryableCall struct {
-	t     *Transport
-	req   *http.Request
-	retry Retry
-	began time.Time
-	wg    conc.WaitGroup
+	t         *Transport
+	req       *http.Request
+	retry     Retry
+	startedAt time.Time
+	wg        conc.WaitGroup
 	// ended has the tries that are over.
 	finished chan *try
 	first    *try
@@ -29,7 +29,7 @@
 
 // doRetryable makes a call, and makes it again when its answer is overdue.
 func (t *Transport) doRetryable(req *http.Request, r Retry) (*http.Response, error) {
-	c := &retryableCall{t: t, req: req, retry: r, began: t.settings.Now(), finished: make(chan *try, 2)}
+	c := &retryableCall{t: t, req: req, retry: r, startedAt: t.settings.Now(), finished: make(chan *try, 2)}
 	defer c.wg.Wait()
 	c.first = c.startTry(t.pooled, withoutTransportRetry(req))
 	timer := time.NewTimer(r.Expected + c.allowedLateness())
@@ -154,7 +154,7 @@
 	if report := c.t.settings.Hooks.OnRetry; report != nil {
 		report(RetriedCall{
 			To: c.t.settings.To, Address: c.req.URL.Host, Call: c.req.URL.Path, AnsweredOn: answered,
-			Took: c.t.settings.Now().Sub(c.began),
+			Took: c.t.settings.Now().Sub(c.startedAt),
 		})
 	}
 }
