--- a/tests/soak/rig.go
+++ b/tests/soak/rig.go
@@ -283,8 +283,8 @@
 // StartCount returns how many tasks were started.
 func (r *Rig) StartCount() int { return r.platform.StartCount() }
 
-// Unreached returns how many tasks late orders started on lives that no holder had reached.
-func (r *Rig) Unreached() int { return r.platform.UnreachedStarts() }
+// UnreachedStarts returns how many tasks late orders started on lives that no holder had reached.
+func (r *Rig) UnreachedStarts() int { return r.platform.UnreachedStarts() }
 
 // Violations returns the promises that workers have seen broken.
 func (r *Rig) Violations() []string { return r.platform.Violations() }
