--- a/services/runtime/connections.go
+++ b/services/runtime/connections.go
@@ -36,12 +36,12 @@
 // newClient returns a client for one sort of service.
 func (l *Loop) newClient(to string, c Connections, perHost int) *http.Client {
 	return httpclient.New(httpclient.Settings{
-		To: to, DialTimeout: dialTimeout, IdleTimeout: c.IdleTimeout, MinOverdue: c.AnswerTimeout, MaxIdlePerHost: perHost, Now: l.now, Hooks: l.reports(),
+		To: to, DialTimeout: dialTimeout, IdleTimeout: c.IdleTimeout, MinOverdue: c.AnswerTimeout, MaxIdlePerHost: perHost, Now: l.now, Hooks: l.connectionHooks(),
 	})
 }
 
-// reports logs what happens to connections.
-func (l *Loop) reports() httpclient.Hooks {
+// connectionHooks logs what happens to connections.
+func (l *Loop) connectionHooks() httpclient.Hooks {
 	return httpclient.Hooks{OnUnanswered: l.logUnanswered, OnDiscard: l.logConnectionsGivenUp, OnRetry: l.logRepeatedCall}
 }
 
--- a/services/runtime/target.go
+++ b/services/runtime/target.go
@@ -68,7 +68,7 @@
 // they keep their time.
 func newTargetClient(maxAnswer int64, c Connections, loop *Loop) *targetClient {
 	return &targetClient{maxAnswerBytes: maxAnswer, pools: map[int]*httpclient.Transport{}, settings: httpclient.Settings{
-		To: "target", DialTimeout: targetDialTimeout, IdleTimeout: c.IdleTimeout, Discard: conntrack.SilentAndIdle, Now: loop.now, Hooks: loop.reports(),
+		To: "target", DialTimeout: targetDialTimeout, IdleTimeout: c.IdleTimeout, Discard: conntrack.SilentAndIdle, Now: loop.now, Hooks: loop.connectionHooks(),
 	}}
 }
 
