--- a/services/dispatch/caps.go
+++ b/services/dispatch/caps.go
@@ -82,9 +82,9 @@
 	return all
 }
 
-// recordLeftover counts the tasks that may still be running of a job that ended under an earlier
+// recordLeftoverUsage counts the tasks that may still be running of a job that ended under an earlier
 // holder.
-func (h *holderState) recordLeftover(now time.Time, p job.Progress) {
+func (h *holderState) recordLeftoverUsage(now time.Time, p job.Progress) {
 	if p.Workspace != "" && h.core.unixMilli(now)-p.EndedUnixMilli < leftoverLifetime.Milliseconds() {
 		h.leftoverUsage[p.Workspace] = h.leftoverUsage[p.Workspace].Plus(p.LeftoverUsage)
 	}
--- a/services/dispatch/dispatch_test.go
+++ b/services/dispatch/dispatch_test.go
@@ -114,7 +114,7 @@
 	w.requireNoViolations()
 }
 
-func TestCallersAreAnsweredWhileLogIsSilent(t *testing.T) {
+func TestCallersAreAnsweredWhileLogDoesNotAnswer(t *testing.T) {
 	w := newServingWorld(t, 8, 1, 2)
 	w.dropsJournalAppends = true
 	for i := range 20 {
--- a/services/dispatch/keep.go
+++ b/services/dispatch/keep.go
@@ -28,7 +28,7 @@
 func (h *holderState) usableWorkers(p *pass, r rankedStep) []*worker {
 	short := h.expectedTime(r.step) <= maxShortStep
 	var workers []*worker
-	for _, w := range r.eligible(h.workersFor(p, r.step, r.queue.Pool)) {
+	for _, w := range r.eligibleWorkers(h.workersFor(p, r.step, r.queue.Pool)) {
 		if h.canUse(w, r.step, short) && (!r.step.spec.Gang || h.slownessOf(p.now, w) != learned.Avoided) {
 			workers = append(workers, w)
 		}
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -46,7 +46,7 @@
 
 // renewSoon schedules the worker's next renewal for when it may have reported some more ends.
 func (h *holderState) renewSoon(now time.Time, w *worker) {
-	if at := now.Add(minRenewIntervalAfterEnds); at.Before(w.renewAt) && w.failures == 0 {
+	if at := now.Add(minRenewIntervalAfterEnds); at.Before(w.renewAt) && w.failedRenewals == 0 {
 		w.renewAt = at
 	}
 }
@@ -64,13 +64,13 @@
 	h.renewalsSent++
 	w.pendingRenewal = h.renewalsSent
 	r := order.Renew{Fence: h.fence(w), Acknowledged: w.reportedEnds.Acknowledge(h.canAcknowledgeEnds(now, w))}
-	if w.failures == 0 {
+	if w.failedRenewals == 0 {
 		// The lease of a worker that does not answer must expire at some point, so it is not
 		// extended.
 		r.LeaseEnd = h.extendLease(now, w)
 	}
 	mayWait := w.reported && !w.incarnations.HasCandidate()
-	if mayWait && (w.failures == 0 && !w.reportedEnds.HasPending() || len(w.attempts) == 0) {
+	if mayWait && (w.failedRenewals == 0 && !w.reportedEnds.HasPending() || len(w.attempts) == 0) {
 		r.MaxWait = job.Milliseconds(h.renewWait(w).Milliseconds())
 	}
 	w.answerDue = now.Add(r.MaxWait.Duration())
@@ -85,7 +85,7 @@
 // ended a task: the worker answered the last renewal, and has reported every task started on it
 // that may have ended.
 func (h *holderState) canAcknowledgeEnds(now time.Time, w *worker) bool {
-	if w.failures > 0 || w.incarnations.HasCandidate() {
+	if w.failedRenewals > 0 || w.incarnations.HasCandidate() {
 		return false
 	}
 	for _, a := range w.attempts {
@@ -217,7 +217,7 @@
 func (h *holderState) handleSuperseded(now time.Time, w *worker, a order.Answer, renewal int64) bool {
 	switch {
 	case a.Outcome == order.WrongIncarnation:
-		h.handleIncarnationGone(now, w)
+		h.handleWrongIncarnation(now, w)
 		return true
 	case w.incarnations.IsFencedByLaterHolder(a, renewal):
 		h.core.stepDown(reasonLaterHolder)
@@ -230,11 +230,11 @@
 // handleRenewFailed schedules another renewal after a failed one: soon, and ever less often for a
 // worker that runs nothing.
 func (h *holderState) handleRenewFailed(now time.Time, w *worker, e exchange.RenewEnded) {
-	w.failures++
+	w.failedRenewals++
 	if len(w.overdue) < maxOverdueRenewals {
 		w.overdue[e.Renewal] = w.answerDue
 	}
-	if w.failures == 1 {
+	if w.failedRenewals == 1 {
 		if e.Answer.Reason == order.ConnectionClosed {
 			// The worker was alive until it closed the connection, even if the renewal's wait had
 			// just ended: the crash then prevented the answer.
@@ -244,7 +244,7 @@
 		h.core.logEvent("worker does not answer", logField("worker", w.Incarnation.String()), logField("problem", e.Answer.Problem), logField("tasks", len(w.attempts)))
 	}
 	w.renewAt = now.Add(renewRetryDelay)
-	if w.failures == 1 {
+	if w.failedRenewals == 1 {
 		// In most cases a single answer was lost, so the next renewal is sent at once.
 		w.renewAt = now
 		if e.Answer.Reason == order.ConnectionClosed || e.Answer.Outcome == order.NotDone {
@@ -253,16 +253,16 @@
 		h.renew(now, w)
 	}
 	if len(w.attempts) == 0 {
-		w.renewAt = now.Add(min(renewRetryDelay*time.Duration(w.failures), maxIdleRenewRetryDelay))
+		w.renewAt = now.Add(min(renewRetryDelay*time.Duration(w.failedRenewals), maxIdleRenewRetryDelay))
 	}
 }
 
 // handleRenewed applies the worker's report and schedules the next renewal.
 func (h *holderState) handleRenewed(now time.Time, w *worker, e exchange.RenewEnded) {
-	if w.failures > 0 {
-		h.core.logEvent("worker answers again", logField("worker", w.Incarnation.String()), logField("failures", w.failures))
+	if w.failedRenewals > 0 {
+		h.core.logEvent("worker answers again", logField("worker", w.Incarnation.String()), logField("failures", w.failedRenewals))
 	}
-	w.failures = 0
+	w.failedRenewals = 0
 	w.reportedEnds.ConfirmAck()
 	h.setBirthTime(w, e.Report.Incarnation)
 	h.recordResponsive(w)
@@ -305,7 +305,7 @@
 	h.dropMissing(now)
 	h.formerWorkers.Expire(now)
 	for _, w := range h.workersByName() {
-		if w.failures > 0 && now.After(w.leaseExpiresBy) {
+		if w.failedRenewals > 0 && now.After(w.leaseExpiresBy) {
 			h.handleLeaseExpired(now, w)
 		} else {
 			h.resendStops(now, w)
--- a/services/dispatch/lives.go
+++ b/services/dispatch/lives.go
@@ -132,9 +132,9 @@
 	}
 }
 
-// handleIncarnationGone handles an answer saying that the incarnation meant is not at the worker's
+// handleWrongIncarnation handles an answer saying that the incarnation meant is not at the worker's
 // address.
-func (h *holderState) handleIncarnationGone(now time.Time, w *worker) {
+func (h *holderState) handleWrongIncarnation(now time.Time, w *worker) {
 	next, listed := w.incarnations.Candidate()
 	h.handleWorkerTerminated(now, w, reasonOtherIncarnation)
 	if listed {
--- a/services/dispatch/load.go
+++ b/services/dispatch/load.go
@@ -60,7 +60,7 @@
 		}
 		h.jobs[e.ID] = j
 		h.endedJobs = append(h.endedJobs, j)
-		h.recordLeftover(now, p)
+		h.recordLeftoverUsage(now, p)
 	}
 	for _, k := range state.Workers {
 		h.restoreRecordedWorker(now, k)
--- a/services/dispatch/overview.go
+++ b/services/dispatch/overview.go
@@ -20,7 +20,7 @@
 func (h *holderState) answeringByRack() map[string]int {
 	n := map[string]int{}
 	for _, w := range h.workersByName() {
-		if w.failures == 0 {
+		if w.failedRenewals == 0 {
 			n[w.Rack]++
 		}
 	}
--- a/services/dispatch/placement.go
+++ b/services/dispatch/placement.go
@@ -39,7 +39,7 @@
 	if !s.spec.Reserved().Fits(set.maxAvailable) {
 		return false
 	}
-	allocations, placed := h.fit(p.now, s, r.eligible(set))
+	allocations, placed := h.fit(p.now, s, r.eligibleWorkers(set))
 	if r.queue.Advice != nil {
 		if placed == 0 && h.requestAdviceOnFreeWorkers(p.now, r, set.workers) {
 			return true
@@ -58,7 +58,7 @@
 // start for lack of capacity or valid tickets.
 func (h *holderState) placeGang(p *pass, r rankedStep, set *workerSet) bool {
 	s := r.step
-	if h.isSuspectedGang(s) && !h.canTry(p.now, s, 0) {
+	if h.isSuspectedGang(s) && !h.canStartTrial(p.now, s, 0) {
 		return true
 	}
 	if s.reservation != nil {
@@ -74,7 +74,7 @@
 	if !s.spec.Reserved().Fits(set.maxAvailable) {
 		return false
 	}
-	allocations, placed := h.fit(p.now, s, r.eligible(set))
+	allocations, placed := h.fit(p.now, s, r.eligibleWorkers(set))
 	if placed < len(s.tasks) {
 		return false
 	}
@@ -87,9 +87,9 @@
 	return true
 }
 
-// eligible returns the workers of a set that may run the step: all of them if its queue needs no
+// eligibleWorkers returns the workers of a set that may run the step: all of them if its queue needs no
 // advice, otherwise those that the advice service named.
-func (r rankedStep) eligible(set *workerSet) []*worker {
+func (r rankedStep) eligibleWorkers(set *workerSet) []*worker {
 	if r.queue.Advice == nil {
 		return set.workers
 	}
--- a/services/dispatch/plan.go
+++ b/services/dispatch/plan.go
@@ -129,7 +129,7 @@
 		return
 	}
 	s.explainedAt = p.now
-	eligible := r.eligible(h.workersFor(p, s, r.queue.Pool))
+	eligible := r.eligibleWorkers(h.workersFor(p, s, r.queue.Pool))
 	_, placed := h.fit(p.now, s, eligible)
 	h.core.logEvent("gang waits for room", logField("job", string(s.job.id)), logField("step", s.id.String()), logField("tasks", len(s.tasks)),
 		logField("need", s.spec.Need.Processors.String()), logField("room_for", placed), logField("workers_asked", s.advice.knownCount()),
--- a/services/dispatch/silence.go
+++ b/services/dispatch/silence.go
@@ -31,9 +31,9 @@
 }
 
 const (
-	// failuresBeforeRecord is the number of consecutive failed renewals after which the record is
+	// failedRenewalsBeforeRecord is the number of consecutive failed renewals after which the record is
 	// written: a single answer may have been lost.
-	failuresBeforeRecord = 2
+	failedRenewalsBeforeRecord = 2
 	// unresponsiveRecordInterval is how often the record is written again, with the time that the
 	// lease can still last.
 	unresponsiveRecordInterval = 2 * time.Second
@@ -44,7 +44,7 @@
 func (h *holderState) refreshUnresponsiveRecord(now time.Time, w *worker) {
 	again := w.unresponsive.written
 	switch {
-	case w.failures < failuresBeforeRecord, !again && !w.reported:
+	case w.failedRenewals < failedRenewalsBeforeRecord, !again && !w.reported:
 		return
 	case again && (now.Sub(w.unresponsive.writtenAt) < unresponsiveRecordInterval || h.journal.isFailing(now)):
 		return
--- a/services/dispatch/starts.go
+++ b/services/dispatch/starts.go
@@ -82,7 +82,7 @@
 		return
 	}
 	if e.Answer.Outcome == order.WrongIncarnation {
-		h.handleIncarnationGone(now, w)
+		h.handleWrongIncarnation(now, w)
 		return
 	}
 	if e.Answer.Outcome != order.Unknown {
--- a/services/dispatch/status.go
+++ b/services/dispatch/status.go
@@ -42,7 +42,7 @@
 	for id, w := range ordered.Map(h.workers) {
 		s.Workers = append(s.Workers, job.WorkerStatus{
 			ID: id, Domain: w.Domain, AcceptsTasks: h.isSchedulable(now, w), Tasks: len(w.attempts), FreeProcessors: w.free.Processors.String(),
-			Failures: w.failures, Leaving: w.Leaving,
+			Failures: w.failedRenewals, Leaving: w.Leaving,
 		})
 		capacity = capacity.Plus(w.Capacity)
 		used = used.Plus(w.Capacity.Minus(w.free))
@@ -109,10 +109,10 @@
 		return "the advice service has not answered yet"
 	case q.Advice != nil && s.advice.knownCount() == 0:
 		return "the advice service has not been asked about any worker yet"
-	case len(rankedStep{step: s, queue: q}.eligible(set)) == 0:
+	case len(rankedStep{step: s, queue: q}.eligibleWorkers(set)) == 0:
 		return fmt.Sprintf("the advice service allows none of the %d workers it was asked about", s.advice.knownCount())
 	default:
-		_, placed := h.fit(now, s, rankedStep{step: s, queue: q}.eligible(set))
+		_, placed := h.fit(now, s, rankedStep{step: s, queue: q}.eligibleWorkers(set))
 		return fmt.Sprintf("%d tasks need %v each, and the workers have room for %d", s.unplacedTasks, s.spec.Need, placed)
 	}
 }
--- a/services/dispatch/stops.go
+++ b/services/dispatch/stops.go
@@ -42,7 +42,7 @@
 
 // resendStops sends the unanswered stops of a responding worker again.
 func (h *holderState) resendStops(now time.Time, w *worker) {
-	if w.failures > 0 || !w.hasUnconfirmedStop() {
+	if w.failedRenewals > 0 || !w.hasUnconfirmedStop() {
 		return
 	}
 	for _, a := range w.sortedAttempts() {
--- a/services/dispatch/suspects.go
+++ b/services/dispatch/suspects.go
@@ -265,7 +265,7 @@
 func (h *holderState) startSuspects(p *pass, r rankedStep, set *workerSet) {
 	s := r.step
 	for i := range s.tasks {
-		if !h.isWaitingSuspect(s, i) || !h.canTry(p.now, s, i) || h.slotsUnderCap(s) == 0 {
+		if !h.isWaitingSuspect(s, i) || !h.canStartTrial(p.now, s, i) || h.slotsUnderCap(s) == 0 {
 			continue
 		}
 		alone := blame.IsLikely(h.blameOf(s, i))
@@ -326,7 +326,7 @@
 		w.trialPreparation = nil
 	}
 	var best *candidate
-	for _, c := range h.candidates(p.now, s, r.eligible(set)) {
+	for _, c := range h.candidates(p.now, s, r.eligibleWorkers(set)) {
 		if c.Worker.suspectAttempts == 0 && c.Worker.trialPreparation == nil && (best == nil || c.isBetterForTrial(*best, alone)) {
 			best = &c
 		}
@@ -378,9 +378,9 @@
 	return !slices.ContainsFunc(w.sortedAttempts(), func(a *attempt) bool { return now.Sub(a.firstOrderedAt) < trialQuietTime })
 }
 
-// canTry reports whether a suspect may be started now: its retry delay is over, the blame record of
+// canStartTrial reports whether a suspect may be started now: its retry delay is over, the blame record of
 // a likely suspect is in the log, and not too many workers are at risk.
-func (h *holderState) canTry(now time.Time, s *step, index int) bool {
+func (h *holderState) canStartTrial(now time.Time, s *step, index int) bool {
 	b := h.blameOf(s, index)
 	if h.blame.MustWait(now, s.blameUnit(index)) || blame.IsLikely(b) && h.journal.hasPendingProgress(s.job) {
 		return false
--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -71,8 +71,8 @@
 	overdue   map[int64]time.Time
 	// answeredAt is when a renewal was last answered, failures the number of failed renewals since
 	// then.
-	answeredAt time.Time
-	failures   int
+	answeredAt     time.Time
+	failedRenewals int
 	// aliveAt is the last time at which the worker was certainly alive.
 	aliveAt time.Time
 	// unansweredSince is when the oldest start order was sent since the worker last answered a
@@ -156,7 +156,7 @@
 // isHealthy reports whether new tasks could be started on the worker if it were not kept for a
 // suspect.
 func (h *holderState) isHealthy(now time.Time, w *worker) bool {
-	return w.reported && w.presence.IsListed() && w.recorded && !w.Leaving && !w.incarnations.HasCandidate() && w.failures == 0 && len(w.orphans) == 0 &&
+	return w.reported && w.presence.IsListed() && w.recorded && !w.Leaving && !w.incarnations.HasCandidate() && w.failedRenewals == 0 && len(w.orphans) == 0 &&
 		now.Sub(w.answeredAt) < h.core.settings.RenewWait+h.adaptiveTimeout(now, unresponsiveTimeout) && !now.Before(w.excludedUntil) && !(h.isEnabled(mechanism.OverdueAnswers) && h.hasOverdueStart(now, w))
 }
 
