--- a/services/delays/delays.go
+++ b/services/delays/delays.go
@@ -22,8 +22,8 @@
 	Takeover Cause = "takeover"
 	// Advice means that the job waited for an answer of the advice service.
 	Advice Cause = "advice"
-	// NoRoom means that no worker had room.
-	NoRoom Cause = "room"
+	// NoCapacity means that no worker had room.
+	NoCapacity Cause = "room"
 	// Cap means that the job's workspace had reached its cap.
 	Cap Cause = "cap"
 	// RunFailed means that a task was started again because its run failed. RunStopped means
--- a/services/delays/runs.go
+++ b/services/delays/runs.go
@@ -42,7 +42,7 @@
 		totals.Add(Takeover, now.Sub(openedAt)-expected)
 		return totals
 	}
-	totals.Add(cmp.Or(waits.Largest(), NoRoom), s.firstAt.Sub(openedAt))
+	totals.Add(cmp.Or(waits.Largest(), NoCapacity), s.firstAt.Sub(openedAt))
 	totals.Add(cmp.Or(s.restartCause, RunLost), s.lastAt.Sub(s.firstAt))
 	totals.Add(SlowRun, now.Sub(s.lastAt)-expected)
 	return totals
--- a/services/dispatch/delay.go
+++ b/services/dispatch/delay.go
@@ -34,7 +34,7 @@
 	if s.capReached {
 		return delays.Cap
 	}
-	return delays.NoRoom
+	return delays.NoCapacity
 }
 
 // delaysOf returns what delayed an instance, by cause. It adds the time until the instance was
--- a/services/jobrun/keys_test.go
+++ b/services/jobrun/keys_test.go
@@ -188,7 +188,7 @@
 // A box that could not read the log went on to judge keys by its last configuration: it accepted
 // keys that had been revoked and rejected keys that had just been issued as unknown. It cannot
 // decide either case, so it must answer 503.
-func TestBoxWithStaleConfigJudgesNoKeys(t *testing.T) {
+func TestBoxWithStaleConfigAuthorizesNoKeys(t *testing.T) {
 	on := newKeyedPlatform(t, 1, map[string]string{"k1": "a"})
 	b := startBoxVia(t, on.Platform, "a", io.Discard, func(address string) string { return address })
 	waitServed(t, b, jobrun.Request{Submit: submission("first")}, "")
--- a/services/ledger/homes.go
+++ b/services/ledger/homes.go
@@ -19,7 +19,7 @@
 		if len(o.work.Domains) > 0 && !slices.Contains(o.work.Domains, id.Domain) {
 			continue
 		}
-		if c.hasRoom(id, sc, o) {
+		if c.canFit(id, sc, o) {
 			all = append(all, id)
 		}
 	}
@@ -27,9 +27,9 @@
 	return all
 }
 
-// hasRoom reports whether a shard, if it were empty, would have room for one task of o,
+// canFit reports whether a shard, if it were empty, would have room for one task of o,
 // or for all of them if o is a gang, within the team's quota in that shard.
-func (c *cell) hasRoom(id spec.ShardID, sc *shardCell, o *Object) bool {
+func (c *cell) canFit(id spec.ShardID, sc *shardCell, o *Object) bool {
 	need, count := o.work.Resources, 1
 	if o.kind == KindGang {
 		need, count = need.Times(o.work.Count), o.work.Count
