--- a/services/core/core_test.go
+++ b/services/core/core_test.go
@@ -86,8 +86,8 @@
 func (w *world) healAndFinish(t rapid.TB) {
 	w.loss, w.logDown = 0, false
 	for _, n := range w.nodes {
-		n.cutLog, n.cutPeers = false, false
-		n.cutWorkers = map[string]bool{}
+		n.dropsLogCalls, n.dropsPeerCalls = false, false
+		n.unreachableWorkers = map[string]bool{}
 		if n.paused {
 			w.resume(n)
 		}
@@ -321,11 +321,11 @@
 		old := w.nodes[2]
 		r := w.publish(w.nodes[seed%2], "work", "work", 0, workFile)
 		assert.Equal(t, r.Outcome, effect.Accepted, "%v", r)
-		old.paused, old.cutLog, old.cutPeers = true, true, true
+		old.paused, old.dropsLogCalls, old.dropsPeerCalls = true, true, true
 		w.run(5 * time.Second)
 		// The later holders are paused, and the old one is resumed and reaches only
 		// some of the workers.
-		old.cutWorkers["w2"], old.cutWorkers["w4"] = true, true
+		old.unreachableWorkers["w2"], old.unreachableWorkers["w4"] = true, true
 		for _, n := range w.nodes {
 			n.paused = n != old
 		}
@@ -380,12 +380,12 @@
 	case "log":
 		w.logDown = !w.logDown
 	case "log of one":
-		n.cutLog = !n.cutLog
+		n.dropsLogCalls = !n.dropsLogCalls
 	case "peers":
-		n.cutPeers = !n.cutPeers
+		n.dropsPeerCalls = !n.dropsPeerCalls
 	case "worker":
 		name := fmt.Sprintf("w%d", rapid.IntRange(1, 4).Draw(t, "worker"))
-		n.cutWorkers[name] = !n.cutWorkers[name]
+		n.unreachableWorkers[name] = !n.unreachableWorkers[name]
 	case "publish":
 		w.replace(n, fmt.Sprintf("p%d", i), "work", strings.Replace(workFile, "retries: 3", fmt.Sprintf("retries: %d", 4+i), 2))
 	case "stop":
--- a/services/core/world_test.go
+++ b/services/core/world_test.go
@@ -60,12 +60,12 @@
 	paused      bool
 	// delayed holds the events that arrived during a pause.
 	delayed []event.Event
-	// cutLog and cutPeers drop the calls of this node to the log and to its peers.
-	cutLog, cutPeers bool
-	// cutWorkers names the workers that this node cannot reach.
-	cutWorkers map[string]bool
+	// dropsLogCalls and dropsPeerCalls drop the calls of this node to the log and to its peers.
+	dropsLogCalls, dropsPeerCalls bool
+	// unreachableWorkers names the workers that this node cannot reach.
+	unreachableWorkers map[string]bool
 	// highest is the highest revision of each file seen in force.
-	highest map[string]int64
+	highestRevision map[string]int64
 }
 
 // message is a call or answer in transit.
@@ -125,7 +125,7 @@
 		w.workers[name] = fake.NewWorker(name, resource.Vector{Processors: 4000, Memory: 8 * resource.GiB}, taskLease)
 	}
 	for i := range nodes {
-		n := &node{name: fmt.Sprintf("e%d", i+1), highest: map[string]int64{}, cutWorkers: map[string]bool{}}
+		n := &node{name: fmt.Sprintf("e%d", i+1), highestRevision: map[string]int64{}, unreachableWorkers: map[string]bool{}}
 		w.nodes = append(w.nodes, n)
 		w.boot(n)
 	}
@@ -135,7 +135,7 @@
 // boot restarts a node without any of its state.
 func (w *world) boot(n *node) {
 	n.incarnation++
-	n.paused, n.delayed, n.highest = false, nil, map[string]int64{}
+	n.paused, n.delayed, n.highestRevision = false, nil, map[string]int64{}
 	delete(w.stopped, n)
 	self := peer.Hello{Box: n.name, Incarnation: fmt.Sprintf("i%d", n.incarnation), Domain: "a", Address: n.name}
 	n.core = core.New(w.now, settings(), policies(), self, func(now time.Time) ulid.ULID { return ulid.ULID{} })
@@ -237,7 +237,7 @@
 }
 
 func (w *world) readLog(n *node, incarnation int, from int64) {
-	if n.cutLog || w.logDown || w.isLost() {
+	if n.dropsLogCalls || w.logDown || w.isLost() {
 		w.schedule(callTimeout, func() { w.deliver(n, incarnation, event.LogFailed{Reason: "cut"}) })
 		return
 	}
@@ -252,7 +252,7 @@
 
 func (w *world) append(n *node, incarnation int, e record.Envelope) {
 	ended := event.AppendEnded{ID: e.ID}
-	if n.cutLog || w.logDown || w.isLost() {
+	if n.dropsLogCalls || w.logDown || w.isLost() {
 		ended.Failure = "cut"
 		w.schedule(callTimeout, func() { w.deliver(n, incarnation, ended) })
 		return
@@ -269,7 +269,7 @@
 func (w *world) sync(n *node, incarnation int, e effect.SyncWorker) {
 	sentAt := w.now
 	failed := event.WorkerAnswered{Worker: e.Worker, Seq: e.Sync.Seq, SentAt: sentAt, Failure: "cut"}
-	if n.cutWorkers[e.Worker] || w.isLost() || w.dead[e.Worker] {
+	if n.unreachableWorkers[e.Worker] || w.isLost() || w.dead[e.Worker] {
 		w.schedule(callTimeout, func() { w.deliver(n, incarnation, failed) })
 		return
 	}
@@ -284,7 +284,7 @@
 			return
 		}
 		report := w.workers[e.Worker].Apply(w.now, e.Sync)
-		if w.isLost() || n.cutWorkers[e.Worker] {
+		if w.isLost() || n.unreachableWorkers[e.Worker] {
 			return
 		}
 		w.schedule(w.delay(), func() {
@@ -304,7 +304,7 @@
 
 func (w *world) sendHello(n *node, e effect.SendHello) {
 	to := w.node(e.Address)
-	if to == nil || n.cutPeers || to.cutPeers || w.isLost() {
+	if to == nil || n.dropsPeerCalls || to.dropsPeerCalls || w.isLost() {
 		return
 	}
 	incarnation := to.incarnation
@@ -313,7 +313,7 @@
 
 func (w *world) fetchSnapshot(n *node, incarnation int, e effect.FetchSnapshot) {
 	from := w.node(e.Box)
-	if from == nil || n.cutPeers || from.cutPeers || from.paused || w.isLost() {
+	if from == nil || n.dropsPeerCalls || from.dropsPeerCalls || from.paused || w.isLost() {
 		return
 	}
 	s := from.core.Snapshot()
@@ -363,15 +363,15 @@
 	for _, name := range []string{"cell", "work"} {
 		f, ok := n.core.File(name)
 		if !ok {
-			if n.highest[name] > 0 {
+			if n.highestRevision[name] > 0 {
 				w.recordViolation("%s lost file %s", n.name, name)
 			}
 			continue
 		}
-		if f.Revision < n.highest[name] {
-			w.recordViolation("%s went back from revision %d of %s to %d", n.name, n.highest[name], name, f.Revision)
+		if f.Revision < n.highestRevision[name] {
+			w.recordViolation("%s went back from revision %d of %s to %d", n.name, n.highestRevision[name], name, f.Revision)
 		}
-		n.highest[name] = f.Revision
+		n.highestRevision[name] = f.Revision
 	}
 }
 
