--- a/models/spec/parse.go
+++ b/models/spec/parse.go
@@ -41,7 +41,7 @@
 	positions, problems := strictyaml.Decode(source, data, f)
 	c := checker{source: source, positions: positions, problems: problems}
 	f.setDefaults()
-	c.file(f)
+	c.checkFile(f)
 	if len(c.problems) > 0 {
 		return nil, positions, c.problems
 	}
@@ -96,9 +96,9 @@
 	})
 }
 
-// name checks that name is well formed and, if seen is not nil, that it is unique. Seen maps the
+// checkName checks that name is well formed and, if seen is not nil, that it is unique. Seen maps the
 // names checked so far to their paths.
-func (c *checker) name(path, name string, seen map[string]string) {
+func (c *checker) checkName(path, name string, seen map[string]string) {
 	if !namePattern.MatchString(name) {
 		c.fail(path, "want a name of a-z, 0-9 and '-', at most 63 long, got %q", name)
 		return
@@ -120,61 +120,61 @@
 	}
 }
 
-func (c *checker) file(f *File) {
-	c.name("name", f.Name, nil)
-	c.racks(f.Racks)
-	c.teams(f.Teams)
-	c.pools(f.Pools)
+func (c *checker) checkFile(f *File) {
+	c.checkName("name", f.Name, nil)
+	c.checkRacks(f.Racks)
+	c.checkTeams(f.Teams)
+	c.checkPools(f.Pools)
 	seen := map[string]string{}
 	for i := range f.Services {
-		c.work(indexed("services", i), &f.Services[i].Work, seen)
+		c.checkWork(indexed("services", i), &f.Services[i].Work, seen)
 	}
 	for i := range f.Jobs {
-		c.work(indexed("jobs", i), &f.Jobs[i].Work, seen)
-		c.batch(indexed("jobs", i), &f.Jobs[i].Batch)
+		c.checkWork(indexed("jobs", i), &f.Jobs[i].Work, seen)
+		c.checkBatch(indexed("jobs", i), &f.Jobs[i].Batch)
 	}
 	for i := range f.Gangs {
-		c.work(indexed("gangs", i), &f.Gangs[i].Work, seen)
-		c.batch(indexed("gangs", i), &f.Gangs[i].Batch)
+		c.checkWork(indexed("gangs", i), &f.Gangs[i].Work, seen)
+		c.checkBatch(indexed("gangs", i), &f.Gangs[i].Batch)
 	}
 	for i, name := range f.Drain {
-		c.name(indexed("drain", i), name, nil)
+		c.checkName(indexed("drain", i), name, nil)
 	}
-	c.settled(f.Settled)
+	c.checkSettlements(f.Settled)
 }
 
-func (c *checker) racks(racks []Rack) {
+func (c *checker) checkRacks(racks []Rack) {
 	names, workers := map[string]string{}, map[string]string{}
 	for i, r := range racks {
 		path := indexed("racks", i)
-		c.name(path+".name", r.Name, names)
-		c.name(path+".domain", r.Domain, nil)
+		c.checkName(path+".name", r.Name, names)
+		c.checkName(path+".domain", r.Domain, nil)
 		c.checkRange(path+".shard", r.Shard, 0, 1000)
 		if r.Each.Processors <= 0 || r.Each.Memory <= 0 {
 			c.fail(path+".each", "want processors and memory above zero")
 		}
 		for j, w := range r.Workers {
-			c.name(indexed(path+".workers", j), w, workers)
+			c.checkName(indexed(path+".workers", j), w, workers)
 		}
 	}
 }
 
-func (c *checker) teams(teams []Team) {
+func (c *checker) checkTeams(teams []Team) {
 	names := map[string]string{}
 	for i, t := range teams {
 		path := indexed("teams", i)
-		c.name(path+".name", t.Name, names)
+		c.checkName(path+".name", t.Name, names)
 		if !(t.Weight > 0 && t.Weight <= 1000) {
 			c.fail(path+".weight", "want a number above 0 and up to 1000, got %v", t.Weight)
 		}
 	}
 }
 
-func (c *checker) pools(pools []Pool) {
+func (c *checker) checkPools(pools []Pool) {
 	names := map[string]string{}
 	for i, p := range pools {
 		path := indexed("pools", i)
-		c.name(path+".name", p.Name, names)
+		c.checkName(path+".name", p.Name, names)
 		c.checkRange(path+".slots", p.Slots, 1, maxSlots)
 		c.checkRange(path+".connections", p.Connections, p.Slots, maxSlots)
 		if len(p.Classes) == 0 {
@@ -182,13 +182,13 @@
 		}
 		classes := map[string]string{}
 		for j, k := range p.Classes {
-			c.class(indexed(path+".classes", j), k, classes)
+			c.checkClass(indexed(path+".classes", j), k, classes)
 		}
 	}
 }
 
-func (c *checker) class(path string, k Class, seen map[string]string) {
-	c.name(path+".name", k.Name, seen)
+func (c *checker) checkClass(path string, k Class, seen map[string]string) {
+	c.checkName(path+".name", k.Name, seen)
 	if k.Priority == "" {
 		c.fail(path+".priority", "missing")
 	}
@@ -198,9 +198,9 @@
 	c.checkRange(path+".queue", k.Queue, 1, maxQueue)
 }
 
-func (c *checker) work(path string, w *Work, seen map[string]string) {
-	c.name(path+".name", w.Name, seen)
-	c.name(path+".team", w.Team, nil)
+func (c *checker) checkWork(path string, w *Work, seen map[string]string) {
+	c.checkName(path+".name", w.Name, seen)
+	c.checkName(path+".team", w.Team, nil)
 	c.checkRange(path+".count", w.Count, 1, MaxCount)
 	if w.Resources.IsZero() || w.Resources.IsNegative() {
 		c.fail(path+".resources", "want at least one amount above zero and none below")
@@ -209,18 +209,18 @@
 		c.fail(path+".command", "want 1 to %d words, got %d", maxCommand, len(w.Command))
 	}
 	for i, d := range w.Domains {
-		c.name(indexed(path+".domains", i), d, nil)
+		c.checkName(indexed(path+".domains", i), d, nil)
 	}
 }
 
-func (c *checker) batch(path string, b *Batch) {
+func (c *checker) checkBatch(path string, b *Batch) {
 	if b.Expected < 0 {
 		c.fail(path+".expected", "want 0s or more, got %s", b.Expected)
 	}
 	c.checkRange(path+".retries", b.Retries, 0, maxRetries)
 }
 
-func (c *checker) settled(settled []Settlement) {
+func (c *checker) checkSettlements(settled []Settlement) {
 	for i, s := range settled {
 		path := indexed("settled", i)
 		if _, err := s.Key(); err != nil {
