--- a/models/mechanism/mechanism.go
+++ b/models/mechanism/mechanism.go
@@ -33,8 +33,8 @@
 	DividedAdvice Mechanism = "divided-advice"
 	// RepeatedStarts resends start orders that are not answered.
 	RepeatedStarts Mechanism = "repeated-starts"
-	// OverdueAnswers sends no starts to a worker with overdue answers.
-	OverdueAnswers Mechanism = "owed-answers"
+	// OverdueStarts sends no starts to a worker with overdue answers.
+	OverdueStarts Mechanism = "owed-answers"
 	// ShortRenewals limits how long a worker may delay its answer to a renewal, depending on its
 	// shortest task.
 	ShortRenewals Mechanism = "short-looks"
@@ -55,7 +55,7 @@
 func All() []Mechanism {
 	return []Mechanism{
 		LearnedTimes, SlowWorkers, Draining, Preemption, SparedTasks, RemainingWork, EarlyAdvice,
-		DividedAdvice, RepeatedStarts, OverdueAnswers, ShortRenewals, MovedRuns, Exclusion,
+		DividedAdvice, RepeatedStarts, OverdueStarts, ShortRenewals, MovedRuns, Exclusion,
 		RefusedShares, SharedOrder, LeastWork,
 	}
 }
--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -157,7 +157,7 @@
 // suspect.
 func (h *holderState) isHealthy(now time.Time, w *worker) bool {
 	return w.reported && w.presence.IsListed() && w.recorded && !w.Leaving && !w.incarnations.HasCandidate() && w.failedRenewals == 0 && len(w.orphans) == 0 &&
-		now.Sub(w.answeredAt) < h.core.settings.RenewWait+h.adaptiveTimeout(now, unresponsiveTimeout) && !now.Before(w.excludedUntil) && !(h.isEnabled(mechanism.OverdueAnswers) && h.hasOverdueStart(now, w))
+		now.Sub(w.answeredAt) < h.core.settings.RenewWait+h.adaptiveTimeout(now, unresponsiveTimeout) && !now.Before(w.excludedUntil) && !(h.isEnabled(mechanism.OverdueStarts) && h.hasOverdueStart(now, w))
 }
 
 // hasOverdueStart reports whether the worker is overdue with the answers to its start orders.
