--- a/cmd/saddlevane-bench/capacity.go
+++ b/cmd/saddlevane-bench/capacity.go
@@ -11,13 +11,13 @@
 	"strings"
 )
 
-// The marks between which the page's tables are rewritten.
+// Markers in CAPACITY.md that enclose the measured tables.
 const (
 	markBegin = "<!-- measured: begin -->"
 	markEnd   = "<!-- measured: end -->"
 )
 
-// slopes is everything that is measured.
+// slopes holds all measured slopes.
 type slopes struct {
 	holderMemoryWorkers, holderMemoryTasks slope
 	holderTick                             slope
@@ -31,6 +31,7 @@
 	helloPeers                             slope
 }
 
+// all returns the slopes in the order of the table.
 func (s *slopes) all() []slope {
 	return []slope{
 		s.holderMemoryWorkers, s.holderMemoryTasks, s.holderTick, s.answerUnchanged, s.answerInventory, s.placement, s.syncBytes, s.reportBytes,
@@ -38,7 +39,8 @@
 	}
 }
 
-// capacity measures the slopes and rewrites the page's tables and plots.
+// capacity measures the slopes, prints their tables, and rewrites the tables in CAPACITY.md and
+// the plots in the directory docs.
 func capacity(out io.Writer, docs string) error {
 	s := &slopes{}
 	for _, measure := range []func(*slopes){measureHolder, measureWire, measureLedger, measureRouting, measurePeers} {
@@ -64,6 +66,7 @@
 	return rewriteTables(filepath.Join(docs, "CAPACITY.md"), b.String())
 }
 
+// rewriteTables replaces the text between the markers in the file at path by tables.
 func rewriteTables(path, tables string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -72,12 +75,13 @@
 	head, rest, ok := strings.Cut(string(data), markBegin)
 	_, tail, ok2 := strings.Cut(rest, markEnd)
 	if !ok || !ok2 {
-		return fmt.Errorf("%s: the marks are gone", path)
+		return fmt.Errorf("%s: the markers of the measured tables are missing", path)
 	}
 	return os.WriteFile(path, []byte(head+markBegin+"\n"+tables+markEnd+tail), 0o644)
 }
 
-// The two-year size, from the users' letter.
+// The cell's size planned for two years from now, over all domains, and the budgets for it: cores,
+// megabytes and kilobytes per second of one node, and appends per second of the log.
 const (
 	sizeWorkers         = 21_000
 	sizeTasks           = 170_000
@@ -87,8 +91,8 @@
 	sizeBoxes           = 6.5 * sizeDomains
 	renewSeconds        = 1.0
 	secondsPerDay       = 86_400
-	// sizeObjects is how many jobs, gangs and services are in force at a time: a
-	// tenth of a day's 100,000 jobs, by assumption.
+	// sizeObjects is the number of jobs, gangs and services in force at a time, assumed to
+	// be a tenth of the 100,000 jobs of a day.
 	sizeObjects  = 10_000
 	nodeCores    = 0.012
 	nodeMemory   = 256.0
@@ -96,22 +100,25 @@
 	appendBudget = 100.0
 )
 
-// roleCost is one role's cost in a domain.
+// roleCost is the cost of one of the scheduler's roles in a domain.
 type roleCost struct {
+	// carries describes the mechanism that carries the role.
 	role, carries string
-	// cores, megabytes and kilobytes a second, for one domain.
+	// cores is in processor cores, memory in megabytes, traffic in kilobytes per second.
 	cores, memory, traffic float64
 }
 
-// costAtSize works the costs of a domain out at the two-year size.
+// costAtSize returns tables of the costs of one domain at the planned size, extrapolated from
+// the slopes.
 func (s *slopes) costAtSize() string {
 	workers, tasks, starts := float64(sizeWorkers)/sizeDomains, float64(sizeTasks)/sizeDomains, float64(sizeStartsPerSecond)/sizeDomains
 	perWorker := tasks / workers
 	boxes := sizeBoxes / sizeDomains
-	// A worker with short tasks is also asked when one is likely to end, and each
-	// start goes out with a sync of its own at the worst.
+	// A worker with short tasks also gets a sync when a task is expected to end. In the worst
+	// case each start is sent in a sync of its own.
 	syncs := workers/renewSeconds + starts
-	// The inventory is told after each start and each end; else it is unchanged.
+	// A worker reports its inventory after each start and each end. Other answers report it
+	// as unchanged.
 	changes := 2 * starts
 	const httpBytes, httpCore = 350.0, 120e-6
 	rows := []roleCost{
@@ -154,7 +161,7 @@
 	return b.String()
 }
 
-// logBudget works out what the log has to take in.
+// logBudget returns a table of the appends per second to the log at the planned size.
 func (s *slopes) logBudget() string {
 	checkpoint := s.snapshotBytes.at(sizeObjects) / 1e6
 	var b strings.Builder
--- a/cmd/saddlevane-bench/decisions.go
+++ b/cmd/saddlevane-bench/decisions.go
@@ -13,7 +13,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// decisions measures the reducer of one shard.
+// decisions measures the reducer of one shard: placement throughput, packing quality, the
+// placement weights, and how long urgent tasks wait.
 func decisions(out io.Writer) error {
 	fmt.Fprintln(out, "Placement by one holder: tasks of 4 shapes, until 8 a worker run; virtual time, workers answer at once.")
 	fmt.Fprintln(out, "\n| workers | tasks | placements/s in Tick | µs a placement | answers/s | µs an answer | bytes a worker | bytes a task |")
@@ -29,7 +30,7 @@
 	return nil
 }
 
-// fillResult is what filling a shard cost.
+// fillResult is the cost of filling a shard with tasks.
 type fillResult struct {
 	tasks            int
 	decideTime       time.Duration
@@ -39,10 +40,12 @@
 	idleTickTime     time.Duration
 }
 
+// placementsPerSecond returns the placements per second spent in the holder's Tick.
 func (f fillResult) placementsPerSecond() float64 { return float64(f.tasks) / f.decideTime.Seconds() }
 
 const tasksPerWorker = 8
 
+// heapInUse returns the bytes of live heap objects after garbage collection.
 func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -51,7 +54,8 @@
 	return m.HeapAlloc
 }
 
-// measureFill fills a shard with services and jobs of mixed shapes.
+// measureFill fills a shard of the given number of workers with services and jobs of mixed
+// shapes, tasksPerWorker per worker.
 func measureFill(workers int) fillResult {
 	before := heapInUse()
 	r := newSimShard(workers, 1000)
@@ -67,7 +71,7 @@
 	full := heapInUse()
 	f.bytesPerWorker = float64(empty-before) / float64(workers)
 	f.bytesPerTask = float64(full-empty) / float64(f.tasks)
-	// What a tick costs when there is nothing to decide.
+	// Measure ticks with nothing to decide.
 	r.decideTime = 0
 	const idle = 40
 	for range idle {
@@ -78,13 +82,14 @@
 	return f
 }
 
-// publishMixed puts work in force: a fifth services, the rest jobs.
+// publishMixed publishes objects with the given number of tasks in total. One object in five is a
+// service, the others are jobs.
 func publishMixed(r *simShard, tasks int) {
 	shapes := []string{"processors: 1, memory: 4GiB", "processors: 2, memory: 8GiB", "processors: 4, memory: 8GiB", "processors: 8, memory: 40GiB"}
-	const inOne = 2000
+	const tasksPerObject = 2000
 	var services, jobs strings.Builder
-	for n, i := tasks, 0; n > 0; n, i = n-inOne, i+1 {
-		line := fmt.Sprintf("  - {name: o%d, team: t, count: %d, resources: {%s}, command: [serve]", i, min(n, inOne), shapes[i%len(shapes)])
+	for n, i := tasks, 0; n > 0; n, i = n-tasksPerObject, i+1 {
+		line := fmt.Sprintf("  - {name: o%d, team: t, count: %d, resources: {%s}, command: [serve]", i, min(n, tasksPerObject), shapes[i%len(shapes)])
 		if i%5 == 0 {
 			services.WriteString(line + "}\n")
 		} else {
@@ -98,8 +103,8 @@
 	r.publish("work", text)
 }
 
-// urgentBurst measures how long urgent tasks wait at a full shard, against the
-// same tasks without priority.
+// urgentBurst measures how long a burst of urgent tasks waits at a full shard, compared with the
+// same burst at batch priority.
 func urgentBurst(out io.Writer) {
 	fmt.Fprintln(out, "\nA burst of 200 urgent tasks of 4 processors at 150 workers full of batch tasks of 2 processors and 60 s, virtual time:")
 	fmt.Fprintln(out, "\n| the burst's priority | p50 | p99 | max |")
@@ -111,18 +116,20 @@
 	}
 }
 
+// burstWait returns the times in milliseconds from the publication of the burst to the start of each
+// of its tasks.
 func burstWait(priority string) *hdrhistogram.Histogram {
 	r := newSimShard(150, 1000)
 	r.publish("bulk", "jobs:\n  - {name: bulk, team: t, priority: batch, count: 20000, resources: {processors: 2, memory: 2GiB}, command: [sleep, 60s], repeatable: true}\n")
 	for range 400 {
 		r.tick()
 	}
-	begun := r.now
+	start := r.now
 	r.publish("rush", "jobs:\n  - {name: rush, team: t, priority: "+priority+", count: 200, resources: {processors: 4, memory: 2GiB}, command: [sleep, 20s], repeatable: true}\n")
 	h := hdrhistogram.New(1, int64(time.Hour/time.Millisecond), 3)
 	seen := map[string]bool{}
-	const most = 40 * 600
-	for range most {
+	const maxTicks = 40 * 600
+	for range maxTicks {
 		r.tick()
 		for _, w := range r.workers {
 			for _, s := range w.History() {
@@ -130,7 +137,7 @@
 					continue
 				}
 				seen[s.Task.Key().String()] = true
-				_ = h.RecordValue(max(s.Start-begun.UnixMilli(), 1))
+				_ = h.RecordValue(max(s.Start-start.UnixMilli(), 1))
 			}
 		}
 		if len(seen) == 200 {
--- a/cmd/saddlevane-bench/jobcell.go
+++ b/cmd/saddlevane-bench/jobcell.go
@@ -20,8 +20,7 @@
 	"saddlevane/services/dispatch"
 )
 
-// The times and sizes of what surrounds the reducer, like those of the users'
-// platform.
+// Latencies, periods and sizes of the simulated platform, modeled on the real one.
 const (
 	tickInterval   = 20 * time.Millisecond
 	appendLatency  = 5 * time.Millisecond
@@ -32,17 +31,18 @@
 	rackSize       = 12
 )
 
-// scheduledEvent is something that happens at a time. Numbers order what happens at the same
-// time.
+// scheduledEvent is a function that is run at a virtual time. Events at the same time run in the
+// order of seq.
 type scheduledEvent struct {
 	at  time.Time
 	seq int
 	run func()
 }
 
-// eventQueue is a heap of what is due, the first to happen on top.
+// eventQueue is a heap of events with the earliest on top.
 type eventQueue []scheduledEvent
 
+// Len returns the number of events.
 func (q eventQueue) Len() int { return len(q) }
 
 func (q eventQueue) Less(i, j int) bool {
@@ -60,49 +60,53 @@
 	return last
 }
 
-// simCell is one box that holds a cell, its workers, the log and the advice
-// service, in virtual time. Nothing fails in it.
+// simCell simulates a cell in virtual time: one box that holds the cell, its workers, the log and
+// the advice service. Nothing fails in it.
 type simCell struct {
 	mix jobMix
 	rng *rand.Rand
-	// arrivals draws the jobs, so that they are the same under each policy.
+	// arrivals is a separate source for the submitted jobs, so that they are the same under
+	// each policy.
 	arrivals *rand.Rand
 	now      time.Time
-	// queue is what is still to happen, number that of the last thing put there.
+	// queue holds the events that are still to run, lastSeq is the number of the last one
+	// scheduled.
 	queue   eventQueue
 	lastSeq int
 	core    *dispatch.Core
-	// offset is that of the next record of the log.
+	// nextOffset is the offset of the next record in the log.
 	nextOffset int64
 	workers    map[string]*simWorker
-	// advising is when the calls of each box are over.
+	// adviceBusyUntil holds, per box, when its pending advice calls end.
 	adviceBusyUntil map[string]time.Time
 	jobs            map[job.ID]*simJob
 	lastCall        exchange.CallID
 
-	// deciding is the processor time that the reducer took, maxDecideTime that of
-	// its longest group of events.
+	// decideTime is the real time spent in the reducer, maxDecideTime the longest time for one
+	// group of events.
 	decideTime, maxDecideTime time.Duration
 	starts                    int
 	adviceCalls               int
 	adviceTime                time.Duration
-	// worked and wasted are processor seconds.
+	// usefulCoreSeconds is the work of runs that completed, wastedCoreSeconds that of runs
+	// that were stopped.
 	usefulCoreSeconds, wastedCoreSeconds float64
 }
 
-// simJob is a job as its caller sees it.
+// simJob is a submitted job and when it was submitted and completed.
 type simJob struct {
 	kind *jobKind
 	sub  job.Submission
-	// work is how long the tasks of each step work.
+	// work is the run time of the tasks of each step on a worker of normal speed.
 	work   []time.Duration
 	sentAt time.Time
-	// doneAt is when the log had its good end, if it has.
+	// doneAt is when the log recorded that the job succeeded, or zero.
 	doneAt time.Time
 }
 
-// newSimCell returns a cell whose box is about to take it over.
-func newSimCell(mix jobMix, seed int64, without map[mechanism.Mechanism]bool) *simCell {
+// newSimCell returns a cell whose box has just started and takes the cell over. Mechanisms in
+// disabled are switched off.
+func newSimCell(mix jobMix, seed int64, disabled map[mechanism.Mechanism]bool) *simCell {
 	c := &simCell{
 		mix: mix, rng: rand.New(rand.NewSource(seed)), arrivals: rand.New(rand.NewSource(seed)), now: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC),
 		workers: map[string]*simWorker{}, adviceBusyUntil: map[string]time.Time{}, jobs: map[job.ID]*simJob{},
@@ -115,13 +119,14 @@
 		Authority: authority.Settings{RenewInterval: 400 * time.Millisecond, HoldFor: 1400 * time.Millisecond, ClaimAfter: 1550 * time.Millisecond},
 		Lease:     workerLease, RenewWait: renewWait, AppendInterval: appendInterval, EndedRetention: time.Minute, StopGrace: time.Second,
 		OrderTimeout: 300 * time.Millisecond,
-		Disabled:     without,
+		Disabled:     disabled,
 	}, claim.Member{Box: "box-00", Incarnation: "1", Address: "box-00", Size: 1000})
 	c.takeOver()
 	return c
 }
 
-// takeOver lets the box take the cell over.
+// takeOver delivers the configuration, the members and the empty claims, upon which the box takes
+// the cell over, and starts the ticks.
 func (c *simCell) takeOver() {
 	config := job.Config{Version: 1, Queues: map[string]job.Queue{}}
 	for i := range c.mix.kinds {
@@ -137,19 +142,19 @@
 	c.tick()
 }
 
-// tick gives the reducer its ticks.
+// tick delivers a tick and schedules the next one.
 func (c *simCell) tick() {
 	c.deliver(exchange.Tick{})
 	c.schedule(tickInterval, c.tick)
 }
 
-// schedule does something once some time has passed.
+// schedule runs do after d of virtual time.
 func (c *simCell) schedule(d time.Duration, do func()) {
 	c.lastSeq++
 	heap.Push(&c.queue, scheduledEvent{at: c.now.Add(d), seq: c.lastSeq, run: do})
 }
 
-// runUntil lets time pass until a moment.
+// runUntil runs all events up to the given virtual time.
 func (c *simCell) runUntil(until time.Time) {
 	for len(c.queue) > 0 && !c.queue[0].at.After(until) {
 		next := heap.Pop(&c.queue).(scheduledEvent)
@@ -159,15 +164,15 @@
 	c.now = until
 }
 
-// deliver tells the reducer some events that came together, and carries out what it
-// asks for.
+// deliver passes events that arrive at the same time to the reducer, and carries out the effects
+// that it returns.
 func (c *simCell) deliver(events ...exchange.Event) {
-	began := time.Now()
+	start := time.Now()
 	for _, e := range events {
 		c.core.Handle(c.now, e)
 	}
 	effects := c.core.Decide(c.now)
-	took := time.Since(began)
+	took := time.Since(start)
 	c.decideTime += took
 	c.maxDecideTime = max(c.maxDecideTime, took)
 	for _, e := range effects {
@@ -175,13 +180,13 @@
 	}
 }
 
-// deliverAfter gives the reducer an event after a while.
+// deliverAfter delivers an event after d of virtual time.
 func (c *simCell) deliverAfter(d time.Duration, e exchange.Event) {
 	c.schedule(d, func() { c.deliver(e) })
 }
 
-// execute carries out one effect. Answers to callers are not looked at: what becomes of a
-// job is seen in the log.
+// execute carries out one effect. Replies to callers are ignored: the results of jobs are read
+// from the log.
 func (c *simCell) execute(e exchange.Effect) {
 	switch e := e.(type) {
 	case exchange.Append:
@@ -202,7 +207,7 @@
 	}
 }
 
-// append keeps records, whose end the reducer hears of later.
+// append appends records to the log and confirms them to the reducer after appendLatency.
 func (c *simCell) append(e exchange.Append) {
 	first := c.nextOffset
 	c.nextOffset += int64(len(e.Append.Records))
@@ -214,7 +219,7 @@
 	})
 }
 
-// recordSuccesses notes the jobs that the log says have succeeded.
+// recordSuccesses sets doneAt of the jobs whose progress records say that they succeeded.
 func (c *simCell) recordSuccesses(records []stream.Record) {
 	for _, r := range records {
 		if len(r.Key) < 3 || r.Key[:2] != "p/" {
@@ -230,7 +235,7 @@
 	}
 }
 
-// listWorkers tells the reducer of all workers.
+// listWorkers delivers the complete list of workers.
 func (c *simCell) listWorkers() {
 	l := order.Listing{Complete: true}
 	for i := range c.mix.workers {
@@ -239,29 +244,29 @@
 	c.deliverAfter(appendLatency, exchange.WorkersRead{Listing: l})
 }
 
-// advise answers a call for advice: one after the other for each box.
+// advise answers a call for advice. The calls of one box are answered one after the other.
 func (c *simCell) advise(e exchange.Advise) {
 	j := c.jobs[e.Step.Job]
 	q := j.kind.queue.Advice
-	takes := q.BaseTime + time.Duration(len(e.Workers))*q.TimePerWorker
+	duration := q.BaseTime + time.Duration(len(e.Workers))*q.TimePerWorker
 	c.adviceCalls++
-	c.adviceTime += takes
-	free := c.adviceBusyUntil[e.Box]
-	if free.Before(c.now) {
-		free = c.now
+	c.adviceTime += duration
+	busyUntil := c.adviceBusyUntil[e.Box]
+	if busyUntil.Before(c.now) {
+		busyUntil = c.now
 	}
-	free = free.Add(takes)
-	c.adviceBusyUntil[e.Box] = free
+	busyUntil = busyUntil.Add(duration)
+	c.adviceBusyUntil[e.Box] = busyUntil
 	a := exchange.Advised{Step: e.Step, Box: e.Box, Epoch: e.Epoch, Number: e.Number}
 	for _, id := range e.Workers {
 		if c.workers[id].isEligible(e.Step, j.kind.eligibleShare) {
 			a.Tickets = append(a.Tickets, order.Ticket{Worker: id, Ticket: "t"})
 		}
 	}
-	c.deliverAfter(free.Add(orderLatency).Sub(c.now), a)
+	c.deliverAfter(busyUntil.Add(orderLatency).Sub(c.now), a)
 }
 
-// submit hands a job in.
+// submit submits a new job of kind k.
 func (c *simCell) submit(k *jobKind, number int) {
 	sub, work := k.submission(c.arrivals, number)
 	c.jobs[sub.ID] = &simJob{kind: k, sub: sub, work: work, sentAt: c.now}
--- a/cmd/saddlevane-bench/jobmix.go
+++ b/cmd/saddlevane-bench/jobmix.go
@@ -13,10 +13,11 @@
 	"saddlevane/models/resource"
 )
 
-// logNormal is a random amount: log-normal with a mean, the standard deviation as a
-// share of it, and a limit.
+// logNormal is a log-normal distribution with a mean, the standard deviation as a fraction of
+// the mean, and an upper limit that larger values are cut to.
 type logNormal struct{ mean, relStdDev, limit float64 }
 
+// draw returns a random value, or the mean if the standard deviation is 0.
 func (s logNormal) draw(rng *rand.Rand) float64 {
 	if s.relStdDev == 0 {
 		return s.mean
@@ -26,51 +27,51 @@
 	return min(x, s.limit)
 }
 
-// jobKind is a kind of job that callers submit.
+// jobKind describes a kind of job that callers submit.
 type jobKind struct {
 	queue job.Queue
-	// perSecond is how many come a second.
+	// perSecond is the mean number of jobs submitted per second.
 	perSecond float64
 	steps     logNormal
 	tasks     logNormal
-	// processors and gigabytes are what a task needs, seconds how long it works.
+	// processors and gigabytes are the resources that a task needs, seconds is its run time.
 	processors, gigabytes, seconds logNormal
-	// estimateError is the standard deviation of the logarithm of the estimate's
-	// error.
+	// estimateError is the standard deviation of ln(estimate / run time).
 	estimateError float64
-	// gangs and checkpoints are shares of the jobs, suits that of the workers which
-	// may run a step.
+	// gangShare is the share of jobs whose steps are gangs, checkpointShare that of jobs that
+	// write checkpoints, and eligibleShare that of the workers which may run a step.
 	gangShare, checkpointShare, eligibleShare float64
-	// uneven is the standard deviation of the logarithm of what tasks of one step differ by.
+	// taskVariation is the standard deviation of the logarithm of the factor by which the run
+	// times of a step's tasks differ.
 	taskVariation float64
 	burst         burst
-	// worth is what a job of mean work earns that is on time.
+	// worth is what a job with the mean work of its kind earns if it is on time.
 	worth float64
 }
 
-// jobMix is a cell and what its callers submit.
+// jobMix describes a cell and the jobs that its callers submit.
 type jobMix struct {
 	name    string
 	boxes   int
 	workers int
 	domains int
-	// maxStopTime is how long a stop takes at most.
+	// maxStopTime is the longest time that a worker needs to stop a run.
 	maxStopTime time.Duration
-	// slowShare of the workers take slowFactor times as long for everything.
+	// slowShare is the share of workers on which tasks take slowFactor times as long.
 	slowShare, slowFactor float64
-	// cores and gigabytes are what a worker has.
+	// cores and gigabytes are the capacity of a worker.
 	cores     resource.Millis
 	gigabytes resource.Bytes
 	kinds     []jobKind
 }
 
-// burst is a time in which more jobs of a kind come, a span after the first job.
+// burst is a time span, relative to the first job, in which more jobs of a kind are submitted.
 type burst struct {
 	from, duration time.Duration
 	factor         float64
 }
 
-// rate returns how many times as many jobs as usual come at a span after the first job.
+// rate returns the factor on the usual submission rate at the given time after the first job.
 func (b burst) rate(at time.Duration) float64 {
 	if at >= b.from && at < b.from+b.duration {
 		return b.factor
@@ -78,7 +79,8 @@
 	return 1
 }
 
-// jobMixes are like the deployments that the users described, and the same grown.
+// jobMixes returns the cells to simulate: a deployment of today's size, the same grown, the grown
+// one with slow workers, a large one, and shiftedMix.
 func jobMixes() []jobMix {
 	heavy := jobKind{
 		queue:     job.Queue{Name: "heavy", Pool: "pool", Priority: 1, Attempts: 3, Stretch: 2.2, Latency: time.Second, Advice: advice(550, 8, 1500)},
@@ -109,8 +111,8 @@
 	return []jobMix{small, grown, slow, large, shiftedMix()}
 }
 
-// shiftedMix is a cell of many small workers, of which a third are slower, with large gangs
-// that come in bursts.
+// shiftedMix returns a cell of many small workers, of which a third are slower. Large gangs and
+// urgent jobs arrive in bursts.
 func shiftedMix() jobMix {
 	return jobMix{
 		name: "shifted", cores: 16, gigabytes: 32, boxes: 30, workers: 350, domains: 3, maxStopTime: 900 * time.Millisecond, slowShare: 1.0 / 3, slowFactor: 1.3,
@@ -136,23 +138,24 @@
 	}
 }
 
-// advice returns the cost of calls to the advice service, in milliseconds.
-func advice(base, each, valid float64) *job.Advice {
+// advice returns the cost of calls to the advice service and the lifetime of its tickets. The
+// parameters are in milliseconds.
+func advice(base, perWorker, lifetime float64) *job.Advice {
 	ms := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
-	return &job.Advice{BaseTime: ms(base), TimePerWorker: ms(each), TicketLifetime: ms(valid)}
+	return &job.Advice{BaseTime: ms(base), TimePerWorker: ms(perWorker), TicketLifetime: ms(lifetime)}
 }
 
-// submission draws a job of a kind, and how long each of its steps works.
+// submission returns a random job of kind k and the run time of the tasks of each step.
 func (k *jobKind) submission(rng *rand.Rand, number int) (job.Submission, []time.Duration) {
 	s := job.Submission{ID: job.ID(fmt.Sprintf("%08x%08x", rng.Uint32(), number)), Queue: k.queue.Name, Spec: "x"}
 	steps := max(1, int(math.Round(k.steps.draw(rng))))
-	gang, saves := rng.Float64() < k.gangShare, rng.Float64() < k.checkpointShare
+	gang, checkpoints := rng.Float64() < k.gangShare, rng.Float64() < k.checkpointShare
 	work := make([]time.Duration, steps)
 	for i := range steps {
 		work[i] = time.Duration(max(0.05, k.seconds.draw(rng)) * float64(time.Second))
 		estimate := float64(work[i].Milliseconds()) * math.Exp(k.estimateError*rng.NormFloat64())
 		step := job.Step{
-			Tasks: max(1, int(k.tasks.draw(rng))), Estimate: job.Milliseconds(max(1, estimate)), Gang: gang, Checkpoints: saves,
+			Tasks: max(1, int(k.tasks.draw(rng))), Estimate: job.Milliseconds(max(1, estimate)), Gang: gang, Checkpoints: checkpoints,
 			Need: resource.Vector{
 				Processors: resource.Millis(max(100, 1000*k.processors.draw(rng))),
 				Memory:     resource.Bytes(max(0.1, k.gigabytes.draw(rng)) * float64(resource.GiB)),
--- a/cmd/saddlevane-bench/jobs.go
+++ b/cmd/saddlevane-bench/jobs.go
@@ -17,36 +17,37 @@
 	"saddlevane/models/resource"
 )
 
-// jobOptions say what the bench of submitted jobs plays.
+// jobOptions are the options of the benchmark of submitted jobs.
 type jobOptions struct {
-	// mix names the cell to play, or is empty for all.
+	// mix is the name of the cell to simulate, or empty for all.
 	mix string
-	// load multiplies what callers submit.
+	// load is a factor on the rate at which jobs are submitted.
 	load float64
-	// seeds is how many runs are made of each cell.
+	// seeds is the number of runs per cell.
 	seeds int
-	// without names parts of the policy that are switched off, separated by commas.
+	// disabled lists the mechanisms that are switched off, separated by commas.
 	disabled string
-	// profile is a file for a profile of the processor time, or empty.
+	// profile is the file to write a CPU profile to, or empty.
 	profile string
 }
 
-// The times of a run: the box has takeoverTime to take the cell over, jobs are handed in
-// for submitPeriod, and may end until completionPeriod later.
+// Periods of a run: the box has takeoverTime to take the cell over, jobs are submitted for
+// submitPeriod, and the cell runs for another completionPeriod so that they can end.
 const (
 	takeoverTime     = 2 * time.Second
 	submitPeriod     = 30 * time.Second
 	completionPeriod = 20 * time.Second
 )
 
-// benchJobs plays what callers submit against the reducer alone, in virtual time.
+// benchJobs runs the reducer against simulated cells in virtual time and prints what became of
+// the submitted jobs.
 func benchJobs(out io.Writer, o jobOptions) error {
-	without, err := mechanism.Parse(strings.FieldsFunc(o.disabled, func(r rune) bool { return r == ',' }))
+	disabled, err := mechanism.Parse(strings.FieldsFunc(o.disabled, func(r rune) bool { return r == ',' }))
 	if err != nil {
 		return fmt.Errorf("-without: %w", err)
 	}
 	if o.profile == "" {
-		printJobs(out, o, without)
+		printJobs(out, o, disabled)
 		return nil
 	}
 	f, err := os.Create(o.profile)
@@ -58,12 +59,12 @@
 		return err
 	}
 	defer pprof.StopCPUProfile()
-	printJobs(out, o, without)
+	printJobs(out, o, disabled)
 	return nil
 }
 
-// printJobs plays the cells and prints what came of the jobs.
-func printJobs(out io.Writer, o jobOptions, without map[mechanism.Mechanism]bool) {
+// printJobs simulates the selected cells and prints tables of the results.
+func printJobs(out io.Writer, o jobOptions, disabled map[mechanism.Mechanism]bool) {
 	fmt.Fprintf(out, "Submitted jobs against the reducer, virtual time: %v of jobs at %.1f times the load, nothing fails.\n\n", submitPeriod, o.load)
 	fmt.Fprintln(out, "| cell | seed | kind | jobs | on time | late | never or later | p50 | p99 |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -73,7 +74,7 @@
 			continue
 		}
 		for seed := range o.seeds {
-			c := simulateJobs(mix, int64(seed+1), o.load, without)
+			c := simulateJobs(mix, int64(seed+1), o.load, disabled)
 			c.printKinds(out, seed+1)
 			totals = append(totals, c.summaryRow(seed+1))
 		}
@@ -85,9 +86,9 @@
 	}
 }
 
-// simulateJobs plays one run.
-func simulateJobs(mix jobMix, seed int64, load float64, without map[mechanism.Mechanism]bool) *simCell {
-	c := newSimCell(mix, seed, without)
+// simulateJobs simulates one run of a cell and returns the cell at its end.
+func simulateJobs(mix jobMix, seed int64, load float64, disabled map[mechanism.Mechanism]bool) *simCell {
+	c := newSimCell(mix, seed, disabled)
 	begin := c.now.Add(takeoverTime)
 	c.runUntil(begin)
 	number := 0
@@ -109,7 +110,7 @@
 	return c
 }
 
-// objective is the time within which a job is wanted, by its true work.
+// objective returns the time within which a job should complete, based on its actual run time.
 func (j *simJob) objective() time.Duration {
 	chain := time.Duration(0)
 	for _, w := range j.work {
@@ -120,19 +121,19 @@
 
 const (
 	// maxLateFactor is how many times its objective a job may take and still earn the
-	// share lateWorthShare of its worth (the users' rules).
+	// share lateWorthShare of its worth.
 	maxLateFactor  = 3
 	lateWorthShare = 0.2
 )
 
-// kindResult is what became of the jobs of a kind.
+// kindResult summarizes the jobs of a kind.
 type kindResult struct {
 	jobs, onTime, late int
-	// took has how long those took that are done, in order.
+	// durations holds the sorted times that the completed jobs took.
 	durations []time.Duration
 }
 
-// kindResult sums up the jobs of a kind.
+// kindResult returns the results of the jobs of kind k.
 func (c *simCell) kindResult(k *jobKind) kindResult {
 	var r kindResult
 	for _, j := range c.jobs {
@@ -156,10 +157,10 @@
 	return r
 }
 
-// share returns the share of some of the jobs.
+// share returns n as a share of all jobs.
 func (r *kindResult) share(n int) float64 { return float64(n) / float64(r.jobs) }
 
-// quantile returns the time within which a share of the jobs that are done took.
+// quantile returns the time within which the given share of the completed jobs completed.
 func (r *kindResult) quantile(share float64) time.Duration {
 	if len(r.durations) == 0 {
 		return 0
@@ -167,7 +168,7 @@
 	return r.durations[int(share*float64(len(r.durations)-1))].Round(time.Millisecond)
 }
 
-// printKinds prints a line for each kind of job.
+// printKinds prints one table row per kind of job.
 func (c *simCell) printKinds(out io.Writer, seed int) {
 	for i := range c.mix.kinds {
 		k := &c.mix.kinds[i]
@@ -177,7 +178,7 @@
 	}
 }
 
-// coreSeconds returns the processor seconds of a job.
+// coreSeconds returns the processor seconds that the tasks of a job need.
 func (j *simJob) coreSeconds() float64 {
 	all := 0.0
 	for i, s := range j.sub.Steps {
@@ -186,15 +187,16 @@
 	return all
 }
 
-// The worth of a job is a part for each and a part by its work against the mean of
-// its kind, up to a limit (the users' rules).
+// The worth of a job is the worth of its kind times a factor: a fixed share, plus a share in
+// proportion to its work relative to the mean of its kind. The factor is at most
+// maxWorthFactor.
 const (
 	fixedWorthShare = 0.3
 	workWorthShare  = 0.7
 	maxWorthFactor  = 4
 )
 
-// worths returns what each job of a kind is worth, the largest first.
+// worths returns the jobs of kind k, those with the largest worth first, and the worth of each.
 func (c *simCell) worths(k *jobKind) ([]*simJob, map[*simJob]float64) {
 	var all []*simJob
 	sum := 0.0
@@ -213,7 +215,8 @@
 	return all, worth
 }
 
-// earnedShare returns the part of its worth that a job earns.
+// earnedShare returns the share of its worth that a job earns: all of it if it is on time,
+// lateWorthShare if it is late, and none if it is later still or incomplete.
 func (j *simJob) earnedShare() float64 {
 	if j.doneAt.IsZero() {
 		return 0
@@ -227,32 +230,32 @@
 	return 0
 }
 
-// earnings returns the part of their worth that the jobs of a kind earn, and the
-// part that the largest three tenths of them earn, by number.
-func (c *simCell) earnings(k *jobKind) (owed, earned, large float64) {
+// earnings returns the total worth of the jobs of kind k, the worth that they earned, and the share
+// of the most valuable 30% of them that earned anything.
+func (c *simCell) earnings(k *jobKind) (total, earned, large float64) {
 	jobs, worth := c.worths(k)
 	largest := max(1, 3*len(jobs)/10)
 	for i, j := range jobs {
-		owed += worth[j]
+		total += worth[j]
 		earned += worth[j] * j.earnedShare()
 		if i < largest && j.earnedShare() > 0 {
 			large += 1 / float64(largest)
 		}
 	}
-	return owed, earned, large
+	return total, earned, large
 }
 
-// summaryRow returns a line about the run as a whole.
+// summaryRow returns the table row that summarizes the run.
 func (c *simCell) summaryRow(seed int) string {
-	owed, earned := 0.0, 0.0
+	total, earned := 0.0, 0.0
 	var kinds []string
 	for i := range c.mix.kinds {
-		o, e, large := c.earnings(&c.mix.kinds[i])
-		owed += o
+		t, e, large := c.earnings(&c.mix.kinds[i])
+		total += t
 		earned += e
-		kinds = append(kinds, fmt.Sprintf("%s %.3f (%.2f)", c.mix.kinds[i].queue.Name, e/max(1, o), large))
+		kinds = append(kinds, fmt.Sprintf("%s %.3f (%.2f)", c.mix.kinds[i].queue.Name, e/max(1, t), large))
 	}
-	return fmt.Sprintf("| %s | %d | %.3f | %s | %d | %.0f | %v | %d | %.0f%% | %.1f%% |", c.mix.name, seed, earned/owed, strings.Join(kinds, ", "), c.starts,
+	return fmt.Sprintf("| %s | %d | %.3f | %s | %d | %.0f | %v | %d | %.0f%% | %.1f%% |", c.mix.name, seed, earned/total, strings.Join(kinds, ", "), c.starts,
 		float64(c.decideTime.Microseconds())/float64(c.starts), c.maxDecideTime.Round(100*time.Microsecond), c.adviceCalls,
 		100*c.adviceTime.Seconds()/float64(c.mix.boxes)/(submitPeriod+completionPeriod).Seconds(), 100*c.wastedCoreSeconds/(c.usefulCoreSeconds+c.wastedCoreSeconds))
 }
--- a/cmd/saddlevane-bench/jobworker.go
+++ b/cmd/saddlevane-bench/jobworker.go
@@ -18,41 +18,43 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// simWorker is a worker that does as it is told.
+// simWorker is a simulated worker that carries out all orders.
 type simWorker struct {
 	order.Worker
 	cell *simCell
 	runs map[order.Run]*simRun
-	// ended are ends that the holder has not seen, lastEndNumber the number of the last.
+	// unacknowledgedEnds holds the ends that the holder has not acknowledged yet. lastEndNumber
+	// is the number of the latest end.
 	unacknowledgedEnds []order.End
 	lastEndNumber      int64
-	// waiting is the renewal that waits for an end, or nil.
+	// pendingRenewal is the renewal that waits for an end, or nil.
 	pendingRenewal *exchange.Renew
 	startedAt      time.Time
-	// slowBy is how many times as long tasks take on it.
+	// slowFactor is a factor on the run times of tasks on this worker.
 	slowFactor float64
 }
 
-// simRun is one task at work.
+// simRun is a run of a task on a worker.
 type simRun struct {
 	order.Run
 	startedAt time.Time
-	// lasts is how long its work takes on its worker.
+	// duration is the run time on its worker.
 	duration time.Duration
 	step     *job.Step
 	ended    bool
 }
 
-// maxProgress is the progress, in percent, of a run that is about to end.
+// maxProgress is the largest progress, in percent, that an unfinished run reports.
 const maxProgress = 99
 
-// progress returns how much of a run's work is done, in percent.
+// progress returns the progress of a run in percent.
 func (r *simRun) progress(now time.Time) int {
 	return min(maxProgress, int(100*now.Sub(r.startedAt)/max(1, r.duration)))
 }
 
 func workerName(i int) string { return fmt.Sprintf("w-%03d", i) }
 
+// newSimWorker returns worker number i of the cell.
 func newSimWorker(c *simCell, i int) *simWorker {
 	slowBy := 1.0
 	if c.rng.Float64() < c.mix.slowShare {
@@ -68,12 +70,14 @@
 	}
 }
 
-// isEligible says whether a worker may run a step; that never changes.
+// isEligible reports whether the worker may run step s, where the given share of all workers
+// may. The result depends only on the names of the step and the worker.
 func (w *simWorker) isEligible(s job.StepID, share float64) bool {
 	return float64(xxhash.Sum64String(s.String()+w.Name)%1000) < 1000*share
 }
 
-// renew answers at once if there is an end to tell, else waits for one.
+// renew answers a renewal at once if there are unacknowledged ends or the renewal may not wait.
+// Else it answers after the next end, or once the order's MaxWait has passed.
 func (w *simWorker) renew(e exchange.Renew) {
 	w.unacknowledgedEnds = slices.DeleteFunc(w.unacknowledgedEnds, func(end order.End) bool { return end.Number <= e.Order.Acknowledged })
 	if len(w.unacknowledgedEnds) > 0 || e.Order.MaxWait == 0 {
@@ -89,7 +93,7 @@
 	})
 }
 
-// report answers a renewal.
+// report answers a renewal with the unacknowledged ends and the runs in progress.
 func (w *simWorker) report(e exchange.Renew) {
 	r := order.Report{Incarnation: w.Incarnation, Clock: order.WorkerClock(w.cell.now.Sub(w.startedAt).Milliseconds()), Ended: slices.Clone(w.unacknowledgedEnds)}
 	for _, run := range w.runs {
@@ -100,8 +104,8 @@
 	})
 }
 
-// startRun begins a task, which ends well after its work. All members of a gang come
-// within a few milliseconds, so they begin on their own here.
+// startRun starts a run, which completes after its run time. The members of a gang are not
+// synchronized, because their orders arrive within a few milliseconds of each other.
 func (w *simWorker) startRun(e exchange.StartRun) {
 	j := w.cell.jobs[e.Order.Task.Job]
 	run := &simRun{
@@ -115,7 +119,7 @@
 	w.cell.schedule(run.duration, func() { w.endRun(run, order.Done) })
 }
 
-// stopRun ends a task within the time that a stop may take.
+// stopRun stops a run after a random time below maxStopTime.
 func (w *simWorker) stopRun(e exchange.StopRun) {
 	w.cell.deliverAfter(orderLatency, exchange.StopEnded{
 		Worker: w.Incarnation, Epoch: e.Epoch, Run: e.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut},
@@ -128,7 +132,7 @@
 	w.cell.schedule(takes, func() { w.endRun(run, order.Stopped) })
 }
 
-// endRun ends a task and tells it to a renewal that waits.
+// endRun records the end of a run and answers the pending renewal, if any.
 func (w *simWorker) endRun(run *simRun, how order.EndStatus) {
 	if run.ended {
 		return
@@ -149,8 +153,8 @@
 	}
 }
 
-// taskFactor returns how many times as much as its step's a task has to do: the same each time
-// that it runs.
+// taskFactor returns the factor on the step's run time for one task. It is the same for every run
+// of the task.
 func (j *simJob) taskFactor(id job.TaskID) float64 {
 	if j.kind.taskVariation == 0 {
 		return 1
--- a/cmd/saddlevane-bench/load.go
+++ b/cmd/saddlevane-bench/load.go
@@ -20,28 +20,32 @@
 	"github.com/sourcegraph/conc"
 )
 
-// loadGenerator sends requests at a rate, whether or not earlier ones were answered.
+// loadGenerator sends requests at a fixed mean rate, whether or not earlier ones were answered
+// (open loop).
 type loadGenerator struct {
 	cell *cell.Cell
 	rate float64
-	// entries are the boxes that callers ask.
+	// entries are the boxes that requests are sent to.
 	entries   []*cell.Entry
 	client    *http.Client
 	startedAt time.Time
 	mu        sync.Mutex
-	// byClass holds what came of each class while measured.
+	// byClass holds the results of each class in the measured period.
 	byClass map[string]*tally
-	keyed   map[string]bool
-	sent    int
+	// keyed holds the nonces of the requests with an idempotency key.
+	keyed map[string]bool
+	sent  int
 }
 
-// tally is what came of one class.
+// tally holds the results of one class of requests.
 type tally struct {
 	offered, done, refused, unknown int
 	waitTime, refusalTime           *hdrhistogram.Histogram
 	serviceTime                     time.Duration
 }
 
+// newLoadGenerator returns a generator that sends rate requests per second to all entry boxes, or
+// with skew only to those of domain a.
 func newLoadGenerator(c *cell.Cell, rate float64, skew bool) *loadGenerator {
 	l := &loadGenerator{cell: c, rate: rate, entries: c.Entries(), client: newClient(), byClass: map[string]*tally{}, keyed: map[string]bool{}}
 	if skew {
@@ -53,12 +57,12 @@
 	return l
 }
 
-// newHistogram counts microseconds up to a minute.
+// newHistogram returns a histogram of microseconds up to one minute.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 }
 
-// run sends for the warm-up and the measured time, and waits for all answers.
+// run sends requests for warmUpPeriod and measurePeriod, and waits for all responses.
 func (l *loadGenerator) run(ctx context.Context) {
 	r := rand.New(rand.NewPCG(uint64(l.rate), 3))
 	var tasks conc.WaitGroup
@@ -76,15 +80,16 @@
 	l.client.CloseIdleConnections()
 }
 
+// sendRequest sends one request and counts its result. service is the time that the target takes.
 func (l *loadGenerator) sendRequest(ctx context.Context, k requestKind, e *cell.Entry, service time.Duration, nonce string) {
 	key := ""
 	if k.keyed {
 		key, _ = cell.IssueKey(ctx, l.client, e)
 	}
-	begun := time.Now()
+	start := time.Now()
 	path := fmt.Sprintf("runners/%s?ms=%d", k.class, service.Milliseconds())
 	resp, _, err := cell.SendRequest(ctx, l.client, e, path, key, nonce, nonce)
-	took := time.Since(begun)
+	took := time.Since(start)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sent++
@@ -92,10 +97,10 @@
 		l.keyed[nonce] = true
 	}
 	t := l.byClass[k.class]
-	if at := begun.Sub(l.startedAt); at >= warmUpPeriod {
+	if at := start.Sub(l.startedAt); at >= warmUpPeriod {
 		t.offered++
 	}
-	// What came of a request counts when it came.
+	// A result counts at the time of the response, not of the request.
 	if at := time.Since(l.startedAt); at < warmUpPeriod || at >= warmUpPeriod+measurePeriod {
 		return
 	}
@@ -112,7 +117,7 @@
 	}
 }
 
-// print writes a row for each class.
+// print writes one table row per class.
 func (l *loadGenerator) print(out io.Writer, factor float64) {
 	served := time.Duration(0)
 	for _, t := range l.byClass {
@@ -129,6 +134,7 @@
 	}
 }
 
+// formatMicros formats n microseconds, rounded to 100 µs.
 func formatMicros(n int64) string {
 	return (time.Duration(n) * time.Microsecond).Round(100 * time.Microsecond).String()
 }
--- a/cmd/saddlevane-bench/main.go
+++ b/cmd/saddlevane-bench/main.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Saddlevane-bench measures decisions, requests and slopes, and prints tables.
-// It measures; it does not judge.
+// Saddlevane-bench runs the benchmarks of the scheduler and prints tables of the results. It does
+// not compare them with limits.
 package main
 
 import (
@@ -17,19 +17,19 @@
 func main() {
 	var bin, docs string
 	fs := flag.NewFlagSet("saddlevane-bench", flag.ExitOnError)
-	fs.StringVar(&bin, "bin", "bin", "folder of the programs")
-	fs.StringVar(&docs, "docs", "docs", "folder whose CAPACITY.md tables and plots are rewritten")
+	fs.StringVar(&bin, "bin", "bin", "directory of the binaries")
+	fs.StringVar(&docs, "docs", "docs", "directory whose CAPACITY.md tables and plots are rewritten")
 	var baseline, skew bool
 	requests := flag.NewFlagSet("requests", flag.ExitOnError)
 	requests.BoolVar(&baseline, "baseline", false, "measure round robin without priorities in the same run")
-	requests.BoolVar(&skew, "skew", false, "send everything to the first domain")
+	requests.BoolVar(&skew, "skew", false, "send all requests to the first domain")
 	var jobsOf jobOptions
 	jobs := flag.NewFlagSet("jobs", flag.ExitOnError)
-	jobs.StringVar(&jobsOf.mix, "mix", "", "only this cell: today, grown, slow or large")
-	jobs.Float64Var(&jobsOf.load, "load", 1, "times the usual load")
-	jobs.IntVar(&jobsOf.seeds, "seeds", 2, "runs of each cell")
-	jobs.StringVar(&jobsOf.disabled, "without", "", "parts of the policy that are switched off, separated by commas")
-	jobs.StringVar(&jobsOf.profile, "profile", "", "file for a profile of the processor time")
+	jobs.StringVar(&jobsOf.mix, "mix", "", "simulate only this cell: today, grown, slow, large or shifted")
+	jobs.Float64Var(&jobsOf.load, "load", 1, "factor on the usual load")
+	jobs.IntVar(&jobsOf.seeds, "seeds", 2, "number of runs per cell")
+	jobs.StringVar(&jobsOf.disabled, "without", "", "mechanisms to disable, separated by commas")
+	jobs.StringVar(&jobsOf.profile, "profile", "", "file to write a CPU profile to")
 	root := &ffcli.Command{
 		Name: "saddlevane-bench", ShortUsage: "saddlevane-bench [flags] decisions|jobs|requests|takeover|capacity", FlagSet: fs,
 		Exec: func(context.Context, []string) error { return flag.ErrHelp },
--- a/cmd/saddlevane-bench/measure.go
+++ b/cmd/saddlevane-bench/measure.go
@@ -27,7 +27,8 @@
 	"github.com/oklog/ulid/v2"
 )
 
-// measureHolder measures one shard against its workers and tasks.
+// measureHolder measures the holder of one shard: its memory and the time of a tick, a placement
+// and a worker's answer, by the number of workers or tasks.
 func measureHolder(s *slopes) {
 	var memoryWorkers, memoryTasks, tick, place []point
 	for _, n := range []int{300, 600, 1200, 2400} {
@@ -42,21 +43,21 @@
 	s.holderMemoryTasks = newSlope("holder memory, tasks", "tasks", "bytes", memoryTasks)
 	s.holderTick = newSlope("tick with nothing to decide", "workers", "µs", tick)
 	s.placement = newSlope("one placement", "workers", "µs", place)
-	var unchanged, told []point
+	var unchanged, inventory []point
 	for _, n := range []int{0, 4, 8, 16, 32} {
 		unchanged = append(unchanged, point{float64(n), answerCost(n, false)})
-		told = append(told, point{float64(n), answerCost(n, true)})
+		inventory = append(inventory, point{float64(n), answerCost(n, true)})
 	}
 	s.answerUnchanged = newSlope("one unchanged answer of a worker", "tasks on it", "µs", unchanged)
-	s.answerInventory = newSlope("one answer with the inventory", "tasks on it", "µs", told)
+	s.answerInventory = newSlope("one answer with the inventory", "tasks on it", "µs", inventory)
 }
 
-// answerCost returns the µs that a holder spends on one answer of a worker with
-// so many tasks.
-func answerCost(tasks int, tellAll bool) float64 {
+// answerCost returns the µs that a holder spends on one answer of a worker with the given number of
+// tasks. With fullInventory each answer holds the worker's whole inventory.
+func answerCost(tasks int, fullInventory bool) float64 {
 	const workers, rounds = 100, 1000
 	r := newSimShard(workers, 10_000)
-	r.fullInventory = tellAll
+	r.fullInventory = fullInventory
 	if tasks > 0 {
 		r.publish("work", fmt.Sprintf("jobs:\n  - {name: j, team: t, count: %d, resources: {processors: 1}, command: [serve], repeatable: true}\n", workers*tasks))
 	}
@@ -70,7 +71,7 @@
 	return r.answerTime.Seconds() * 1e6 / float64(r.syncs)
 }
 
-// measureWire measures the size of a worker's messages.
+// measureWire measures the size of the messages to and from a worker.
 func measureWire(s *slopes) {
 	var syncs, reports []point
 	for _, n := range []int{0, 4, 8, 16} {
@@ -89,12 +90,14 @@
 	s.reportBytes = newSlope("bytes of a report", "tasks in it", "bytes", reports)
 }
 
+// jsonSize returns the number of bytes of v in JSON.
 func jsonSize(v any) float64 {
 	data, _ := json.Marshal(v)
 	return float64(len(data))
 }
 
-// measureLedger measures the fold against the objects in force.
+// measureLedger measures the ledger by the number of objects in force: the time of a publication,
+// its memory, and the size of a snapshot.
 func measureLedger(s *slopes) {
 	var applies, memory, snapshots []point
 	for _, n := range []int{500, 1000, 2000, 4000} {
@@ -112,7 +115,8 @@
 
 const objectsPerFile = 20
 
-// ledgerWith returns a fold with so many jobs in force, 20 a file, in 18 domains.
+// ledgerWith returns a ledger with the given number of jobs in force, 20 per file, and the racks of
+// 18 domains.
 func ledgerWith(objects int) *ledger.Ledger {
 	l := ledger.New()
 	apply := func(name, data string) {
@@ -136,6 +140,7 @@
 	return l
 }
 
+// jobsFile returns the body of file number f with objectsPerFile jobs.
 func jobsFile(f int) string {
 	var b strings.Builder
 	b.WriteString("jobs:\n")
@@ -145,22 +150,22 @@
 	return b.String()
 }
 
-// publishCost returns the µs that the fold spends on one changed file, parsed
-// before.
+// publishCost returns the µs that the ledger spends on applying one changed file. The time to
+// parse the file is not included.
 func publishCost(l *ledger.Ledger) float64 {
 	const times = 20
 	total := time.Duration(0)
 	for i := range times {
 		p := &record.Publish{ID: fmt.Sprint("again", i), File: "work0", Replaces: l.Revision("work0"), Data: "name: work0\n" + jobsFile(0)}
 		p.Parse()
-		begun := time.Now()
+		start := time.Now()
 		l.Apply(l.NextOffset(), time.Time{}, record.Envelope{ID: p.ID, From: "bench", Entries: []record.Entry{{Publish: p}}})
-		total += time.Since(begun)
+		total += time.Since(start)
 	}
 	return total.Seconds() * 1e6 / times
 }
 
-// measureRouting measures one request against the targets of a box's domain.
+// measureRouting measures the time of one request by the number of targets in the box's domain.
 func measureRouting(s *slopes) {
 	var points []point
 	for _, targets := range []int{17, 50, 100, 200} {
@@ -169,6 +174,7 @@
 	s.routeTargets = newSlope("one request in the reducer", "targets", "µs", points)
 }
 
+// routeCost returns the µs that the router spends on one request and its answer.
 func routeCost(targets int) float64 {
 	now := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 	r := routing.New(routing.Settings{KeyTTL: time.Minute, MaxKeys: 1, EjectAfter: 3, EjectFor: time.Second, MaxEjectFor: time.Second},
@@ -185,7 +191,7 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	const requests = 20_000
 	var open []request.ID
-	begun := time.Now()
+	start := time.Now()
 	for i := range requests {
 		now = now.Add(100 * time.Microsecond)
 		r.Arrived(now, request.Arrival{ID: request.ID(i), Pool: "p", Class: "c"})
@@ -196,10 +202,10 @@
 			open = append(open[:at], open[at+1:]...)
 		}
 	}
-	return time.Since(begun).Seconds() * 1e6 / requests
+	return time.Since(start).Seconds() * 1e6 / requests
 }
 
-// measurePeers measures a second of heartbeats against the peers of a domain.
+// measurePeers measures the time for one second of heartbeats by the number of peers in a domain.
 func measurePeers(s *slopes) {
 	var points []point
 	for _, peers := range []int{2, 4, 7, 14} {
@@ -208,6 +214,8 @@
 	s.helloPeers = newSlope("a second of heartbeats in one box", "peers", "µs", points)
 }
 
+// peersCost returns the µs that a box spends on one second of heartbeats. The given number of
+// peers includes the box itself.
 func peersCost(peers int) float64 {
 	now := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 	hello := func(i int) peer.Hello {
@@ -220,7 +228,7 @@
 	}
 	m.SetBoxes(now, l)
 	const seconds = 200
-	begun := time.Now()
+	start := time.Now()
 	for tick := range seconds * 40 {
 		now = now.Add(25 * time.Millisecond)
 		m.Tick(now, 1)
@@ -230,5 +238,5 @@
 			}
 		}
 	}
-	return time.Since(begun).Seconds() * 1e6 / seconds
+	return time.Since(start).Seconds() * 1e6 / seconds
 }
--- a/cmd/saddlevane-bench/mix.go
+++ b/cmd/saddlevane-bench/mix.go
@@ -9,24 +9,26 @@
 	"saddlevane/models/resource"
 )
 
-// taskShape is a size of task and how common it is.
+// taskShape is the resource need of a task and the percentage of tasks that have it.
 type taskShape struct {
 	need    resource.Vector
 	percent int
 }
 
-// mix is a workload of one deployment. The shapes are made up after the brief's
-// workloads: short scans and shards of scoring beside large renders.
+// mix is the workload of one deployment and the capacity of its workers. The shapes are invented,
+// following typical workloads: short scans and scoring shards next to large renders.
 type mix struct {
 	name     string
 	capacity resource.Vector
 	shapes   []taskShape
 }
 
+// vector returns a vector of processors in thousandths and memory in GiB.
 func vector(millis resource.Millis, gib int64) resource.Vector {
 	return resource.Vector{Processors: millis, Memory: resource.Bytes(gib) * resource.GiB}
 }
 
+// mixes holds the workloads that the packing is measured with.
 var mixes = []mix{
 	{"Jordan", vector(60_000, 130), []taskShape{
 		{vector(500, 1), 30}, {vector(2_000, 4), 40}, {vector(4_000, 16), 15}, {vector(8_000, 8), 10}, {vector(16_000, 40), 5},
@@ -36,6 +38,7 @@
 	}},
 }
 
+// draw returns the need of a random task.
 func (m mix) draw(r *rand.Rand) resource.Vector {
 	n := r.IntN(100)
 	for _, s := range m.shapes {
@@ -46,8 +49,8 @@
 	return m.shapes[0].need
 }
 
-// bound is the most of each resource that any packing of the mix could reserve:
-// whichever resource runs out first, if nothing were lost.
+// bound returns the share of each resource that an ideal packing of the mix would reserve. The
+// scarcer resource is reserved completely.
 func (m mix) bound() (processors, memory float64) {
 	var p, b float64
 	for _, s := range m.shapes {
@@ -56,6 +59,6 @@
 	}
 	p /= float64(m.capacity.Processors)
 	b /= float64(m.capacity.Memory)
-	most := max(p, b)
-	return p / most, b / most
+	scarcest := max(p, b)
+	return p / scarcest, b / scarcest
 }
--- a/cmd/saddlevane-bench/packing.go
+++ b/cmd/saddlevane-bench/packing.go
@@ -14,12 +14,13 @@
 	"saddlevane/services/placement"
 )
 
-// placer finds a worker for a task, or nil.
+// placer is a placement algorithm: place returns a worker with enough free capacity, or nil.
 type placer struct {
 	name  string
 	place func(nodes []*placement.Node, x *placement.Index, r *rand.Rand, need resource.Vector) *placement.Node
 }
 
+// placers holds the scheduler's algorithm and the ones that it is compared with.
 var placers = []placer{
 	{"saddlevane", func(_ []*placement.Node, x *placement.Index, _ *rand.Rand, need resource.Vector) *placement.Node {
 		w := placement.DefaultWeights()
@@ -54,24 +55,25 @@
 	}},
 }
 
-// placedTask is a task at a worker.
+// placedTask is a task that runs on a worker.
 type placedTask struct {
 	node *placement.Node
 	need resource.Vector
 }
 
-// packingResult is what a placer came to.
+// packingResult is the result of a placer: the mean shares of resources reserved, and the median and
+// 99th percentile of the time to place a task.
 type packingResult struct {
 	processors, memory float64
 	p50, p99           time.Duration
 }
 
-// lookahead is how many waiting tasks are tried at each step: smaller ones pass
-// those that do not fit.
+// lookahead is how many waiting tasks are tried at each step. Smaller tasks overtake those that do
+// not fit.
 const lookahead = 32
 
-// churn fills workers from a queue that is never empty, while tasks end one by
-// one, and returns the mean share reserved once full.
+// churn fills workers from a queue that is never empty. In each step one random task ends and the
+// free capacity is filled again. The shares reserved are means over the second half of the steps.
 func churn(m mix, p placer, workers, steps int, seed uint64) packingResult {
 	r := rand.New(rand.NewPCG(seed, 1))
 	x := &placement.Index{}
@@ -90,9 +92,9 @@
 	samples := 0
 	fill := func() {
 		for i := 0; i < len(queue); {
-			begun := time.Now()
+			start := time.Now()
 			n := p.place(nodes, x, r, queue[i])
-			times = append(times, time.Since(begun))
+			times = append(times, time.Since(start))
 			if n == nil {
 				i++
 				continue
@@ -122,6 +124,7 @@
 	return out
 }
 
+// reservedShare returns the share of the processors and memory of all nodes that is reserved.
 func reservedShare(nodes []*placement.Node) (processors, memory float64) {
 	var total, free resource.Vector
 	for _, n := range nodes {
@@ -131,10 +134,10 @@
 	return float64(used.Processors) / float64(total.Processors), float64(used.Memory) / float64(total.Memory)
 }
 
-// seedCount is how many runs a figure is the mean of. All placers get the same
-// tasks.
+// seedCount is the number of runs that each figure is the mean of. All placers get the same tasks.
 const seedCount = 3
 
+// meanResult returns the mean result of a placer over seedCount seeds.
 func meanResult(m mix, p placer, workers int) packingResult {
 	var sum packingResult
 	for seed := range uint64(seedCount) {
@@ -146,6 +149,7 @@
 	return sum
 }
 
+// packing measures how well each placer packs each mix.
 func packing(out io.Writer) {
 	fmt.Fprintf(out, "\nPacking: mean share reserved while the queue is never empty, and time of one search; mean of %d seeds.\n\n", seedCount)
 	fmt.Fprintln(out, "| mix | workers | placer | processors | memory | search p50 | p99 |")
@@ -162,7 +166,7 @@
 	}
 }
 
-// sweepWeights measures the weights that a deployment can set.
+// sweepWeights measures the packing under different placement weights, which deployments can set.
 func sweepWeights(out io.Writer) {
 	fmt.Fprintf(out, "\nWeights: the same at 1200 workers, mean of 3 seeds.\n\n")
 	fmt.Fprintln(out, "| mix | tight | balance | processors | memory |")
--- a/cmd/saddlevane-bench/requests.go
+++ b/cmd/saddlevane-bench/requests.go
@@ -16,7 +16,8 @@
 	"saddlevane/tests/cell"
 )
 
-// The cell is of Jordan's size: 3 domains, 6 entry boxes, 50 targets of 8 slots.
+// Size of the cell, which is that of the deployment Jordan (3 domains, 6 entry boxes, 50 targets of
+// 8 slots), and the periods of a run.
 const (
 	benchTargets  = 50
 	benchSlots    = 8
@@ -24,13 +25,15 @@
 	warmUpPeriod  = 3 * time.Second
 )
 
-// requestKind is a class of requests and what one takes at a target, on average; times
-// are exponentially distributed.
+// requestKind is a class of requests. Service times are exponentially distributed with mean
+// serviceTime.
 type requestKind struct {
-	class       string
+	class string
+	// percent is the percentage of all requests that belong to the class.
 	percent     int
 	serviceTime time.Duration
-	keyed       bool
+	// keyed requests may not be repeated and carry an idempotency key.
+	keyed bool
 }
 
 var requestKinds = []requestKind{
@@ -39,7 +42,7 @@
 	{"extract", 30, 800 * time.Millisecond, true},
 }
 
-// capacityPerSecond is how many requests the slots can serve in a second.
+// capacityPerSecond returns the number of requests per second that the slots can serve.
 func capacityPerSecond() float64 {
 	mean := 0.0
 	for _, k := range requestKinds {
@@ -48,6 +51,7 @@
 	return benchTargets * benchSlots / mean
 }
 
+// pickKind returns a random kind, weighted by percent.
 func pickKind(r *rand.Rand) requestKind {
 	n := r.IntN(100)
 	for _, k := range requestKinds {
@@ -58,16 +62,18 @@
 	return requestKinds[0]
 }
 
-// requestOptions say what is measured.
+// requestOptions are the options of the benchmark of requests.
 type requestOptions struct {
+	// bin is the directory of the binaries.
 	bin string
-	// baseline adds the same under the plain policy.
+	// baseline repeats the measurement under the plain policy.
 	baseline bool
-	// skew sends everything to the first domain, at loads of that domain.
+	// skew sends all requests to the entry boxes of the first domain, at loads chosen for
+	// that domain.
 	skew bool
 }
 
-// factors are the loads, in parts of what the slots can serve.
+// factors returns the loads to measure, as fractions of capacityPerSecond.
 func (o requestOptions) factors() []float64 {
 	if o.skew {
 		return []float64{0.3, 0.45, 0.9}
@@ -75,6 +81,7 @@
 	return []float64{0.5, 0.9, 1.5, 3}
 }
 
+// benchRequests measures requests against real processes under each selected policy.
 func benchRequests(ctx context.Context, out io.Writer, o requestOptions) error {
 	fmt.Fprintf(out, "Requests: 3 domains, 6 entry boxes, %d targets of %d slots, open loop, %.0f requests/s fill the slots; %s each after %s.\n",
 		benchTargets, benchSlots, capacityPerSecond(), measurePeriod, warmUpPeriod)
@@ -91,6 +98,7 @@
 	return nil
 }
 
+// benchPolicy starts a cell with the given routing policy and prints its results at each load.
 func benchPolicy(ctx context.Context, out io.Writer, o requestOptions, policy string) error {
 	dir, err := os.MkdirTemp("", "saddlevane-bench-")
 	if err != nil {
@@ -124,6 +132,7 @@
 	return nil
 }
 
+// benchOptions returns the options of the cell. The targets are spread over three domains.
 func benchOptions(bin, dir, policy string) cell.Options {
 	o := cell.Options{Binaries: cell.BinariesIn(bin), Dir: dir, Settings: map[string][]string{
 		"policy":   {"routing: " + policy},
@@ -142,7 +151,7 @@
 	return o
 }
 
-// publishCellFile puts the cell's file in force everywhere.
+// publishCellFile publishes the cell's file and waits until it is in force on all entry boxes.
 func publishCellFile(ctx context.Context, c *cell.Cell, dir string) error {
 	if err := c.WaitReady(ctx); err != nil {
 		return err
@@ -165,6 +174,7 @@
 	})
 }
 
+// newClient returns a client that keeps enough connections for the open-loop load.
 func newClient() *http.Client {
 	return &http.Client{Timeout: time.Minute, Transport: &http.Transport{MaxIdleConnsPerHost: 4000, IdleConnTimeout: time.Minute}}
 }
--- a/cmd/saddlevane-bench/rig.go
+++ b/cmd/saddlevane-bench/rig.go
@@ -22,7 +22,8 @@
 	"saddlevane/tests/fake"
 )
 
-// simShard is one holder with a log and workers that answer at once, in virtual time.
+// simShard simulates one holder of a shard in virtual time, with a log and workers that answer at
+// once.
 type simShard struct {
 	now        time.Time
 	ledger     *ledger.Ledger
@@ -33,20 +34,23 @@
 	nextOffset int64
 	appends    int64
 	syncs      int64
-	// fullInventory makes workers tell their whole inventory each time.
+	// fullInventory makes workers report their whole inventory in each answer.
 	fullInventory bool
-	// deciding is the time spent in the holder, answering that spent on answers.
+	// decideTime is the real time spent in the holder's Tick, answerTime that spent on the
+	// workers' answers.
 	decideTime time.Duration
 	answerTime time.Duration
 }
 
 var benchShard = spec.ShardID{Domain: "a"}
 
-// benchWorkerCapacity is a worker of Lakeshore's.
+// benchWorkerCapacity is the capacity of a worker in the deployment Lakeshore.
 var benchWorkerCapacity = resource.Vector{Processors: 60 * resource.Processor, Memory: 260 * resource.GiB}
 
 const workersPerRack = 8
 
+// newSimShard returns a shard that is held and whose workers are known. The holder places at most
+// perTick tasks per tick.
 func newSimShard(workers, perTick int) *simShard {
 	r := &simShard{now: time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC), workers: map[string]*fake.Worker{}, ledger: ledger.New()}
 	r.members = membership.New(membership.Settings{HeartbeatInterval: time.Second, DeadAfter: 5 * time.Second},
@@ -67,7 +71,7 @@
 	return r
 }
 
-// publishRacks puts the workers in force, in files of bounded size.
+// publishRacks publishes the racks with all workers, split into files of at most racksInFile racks.
 func (r *simShard) publishRacks(workers int) {
 	const racksInFile = 100
 	var list box.List
@@ -98,6 +102,8 @@
 	r.members.SetBoxes(r.now, list)
 }
 
+// publish applies the publication of a file with the given name and body. It panics if the file is
+// not accepted.
 func (r *simShard) publish(name, rest string) {
 	p := &record.Publish{ID: name, File: name, Replaces: r.ledger.Revision(name), Data: "name: " + name + "\n" + rest}
 	applied := r.apply(record.Envelope{ID: name, From: "bench", Entries: []record.Entry{{Publish: p}}})
@@ -107,18 +113,19 @@
 	r.holder.SetObjects(r.now)
 }
 
+// apply appends a record to the log and applies it to the ledger.
 func (r *simShard) apply(e record.Envelope) ledger.ApplyResult {
 	applied := r.ledger.Apply(r.nextOffset, r.now, e)
 	r.nextOffset++
 	return applied
 }
 
-// tick lets 25 ms of virtual time pass.
+// tick advances virtual time by 25 ms and carries out the effects of the holder and the journal.
 func (r *simShard) tick() {
 	r.now = r.now.Add(25 * time.Millisecond)
-	begun := time.Now()
+	start := time.Now()
 	effects := r.holder.Tick(r.now)
-	r.decideTime += time.Since(begun)
+	r.decideTime += time.Since(start)
 	effects = append(effects, r.journal.Tick(r.now)...)
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -132,12 +139,12 @@
 				e.Sync.KnownVersion = 0
 			}
 			report := r.workers[e.Worker].Apply(r.now, e.Sync)
-			begun := time.Now()
+			start := time.Now()
 			r.holder.WorkerAnswered(r.now, event.WorkerAnswered{Worker: e.Worker, Seq: e.Sync.Seq, SentAt: r.now, Report: report})
-			r.answerTime += time.Since(begun)
+			r.answerTime += time.Since(start)
 		}
 	}
 }
 
-// starts returns how many starts the holder has sent.
+// starts returns the number of starts that the holder has sent.
 func (r *simShard) starts() int { return int(r.holder.Counts().Starts) }
--- a/cmd/saddlevane-bench/takeover.go
+++ b/cmd/saddlevane-bench/takeover.go
@@ -14,12 +14,12 @@
 	"saddlevane/tests/cell"
 )
 
-// takeoverRuns is how often a holder is killed.
+// takeoverRuns is the number of takeovers that are measured for each kind of stop.
 const takeoverRuns = 5
 
-// takeover measures, with real processes and default settings, how long a shard
-// is without an active holder after a crash and after a planned stop, and what
-// the log takes in for it.
+// takeover measures, with real processes and default settings, how long a shard is without an
+// active holder after a crash and after a planned stop, and how many appends to the log each
+// takeover takes.
 func takeover(ctx context.Context, out io.Writer, bin string) error {
 	fmt.Fprintf(out, "Takeover of a shard of 40 workers, real processes, default settings, %d times each:\n\n", takeoverRuns)
 	fmt.Fprintln(out, "| end of the holder | until active again: least, most | appends |\n| --- | --- | --- |")
@@ -31,6 +31,8 @@
 	return nil
 }
 
+// measureTakeover measures takeoverRuns takeovers in a new cell. The holder is stopped if planned,
+// and else killed.
 func measureTakeover(ctx context.Context, out io.Writer, bin string, planned bool) error {
 	dir, err := os.MkdirTemp("", "saddlevane-bench-")
 	if err != nil {
@@ -48,22 +50,24 @@
 	if err := publishCellFile(ctx, c, dir); err != nil {
 		return err
 	}
-	least, most, appends := time.Hour, time.Duration(0), int64(0)
+	shortest, longest, appends := time.Hour, time.Duration(0), int64(0)
 	for range takeoverRuns {
 		took, n, err := runTakeover(ctx, c, planned)
 		if err != nil {
 			return err
 		}
-		least, most, appends = min(least, took), max(most, took), appends+n
+		shortest, longest, appends = min(shortest, took), max(longest, took), appends+n
 	}
 	name := "killed"
 	if planned {
 		name = "stopped as planned"
 	}
-	fmt.Fprintf(out, "| %s | %s, %s | %.1f |\n", name, least.Round(10*time.Millisecond), most.Round(10*time.Millisecond), float64(appends)/takeoverRuns)
+	fmt.Fprintf(out, "| %s | %s, %s | %.1f |\n", name, shortest.Round(10*time.Millisecond), longest.Round(10*time.Millisecond), float64(appends)/takeoverRuns)
 	return nil
 }
 
+// runTakeover ends the current holder and returns the time until the other box holds the shard,
+// and the number of appends to the log meanwhile. It restarts the former holder.
 func runTakeover(ctx context.Context, c *cell.Cell, planned bool) (time.Duration, int64, error) {
 	holder, other, err := awaitHolder(ctx, c)
 	if err != nil {
@@ -73,7 +77,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	begun := time.Now()
+	start := time.Now()
 	if planned {
 		go func() { _ = holder.Process().Stop(time.Minute) }()
 	} else {
@@ -82,7 +86,7 @@
 	if err := cell.WaitFor(ctx, "the other box holds the shard", func() bool { return isActive(ctx, other) }); err != nil {
 		return 0, 0, err
 	}
-	took := time.Since(begun)
+	took := time.Since(start)
 	after, err := c.CountLog(ctx)
 	if err != nil {
 		return 0, 0, err
@@ -94,7 +98,7 @@
 	return took, after.Next - before.Next, c.WaitReady(ctx)
 }
 
-// awaitHolder waits for an active holder and returns it and the other box.
+// awaitHolder waits until a box actively holds the shard and returns it and the other box.
 func awaitHolder(ctx context.Context, c *cell.Cell) (holder, other *cell.Entry, err error) {
 	err = cell.WaitFor(ctx, "the shard has a holder", func() bool {
 		for i, e := range c.Entries() {
@@ -108,6 +112,7 @@
 	return holder, other, err
 }
 
+// isActive reports whether e actively holds its only shard.
 func isActive(ctx context.Context, e *cell.Entry) bool {
 	s, err := e.Status(ctx)
 	return err == nil && len(s.Shards) == 1 && s.Shards[0].Phase == "active"
--- a/cmd/saddlevane-bench/usage.go
+++ b/cmd/saddlevane-bench/usage.go
@@ -13,16 +13,16 @@
 	"saddlevane/tests/cell"
 )
 
-// processUsage is what a process has used so far.
+// processUsage is the resource usage of a process since its start.
 type processUsage struct {
-	// cpu is in seconds, memory the most resident so far in megabytes.
+	// cpu is the processor time in seconds, memory the peak resident memory in MiB.
 	cpu, memory float64
 }
 
-// ticksPerSecond is the kernel's unit of processor time on Linux.
+// ticksPerSecond is the number of clock ticks per second in which Linux reports processor time.
 const ticksPerSecond = 100
 
-// entryUsage reads what each entry box has used.
+// entryUsage returns the usage of each entry box's process, by box name.
 func entryUsage(c *cell.Cell) map[string]processUsage {
 	all := map[string]processUsage{}
 	for _, e := range c.Entries() {
@@ -31,13 +31,14 @@
 	return all
 }
 
+// readProcessUsage reads the usage of a process from /proc. It is zero if the process is gone.
 func readProcessUsage(pid int) processUsage {
 	var u processUsage
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return u
 	}
-	// The name, in parentheses, may hold spaces.
+	// The process name, in parentheses, may contain spaces.
 	_, rest, _ := strings.Cut(string(stat), ") ")
 	fields := strings.Fields(rest)
 	const user, system = 11, 12
@@ -55,12 +56,14 @@
 	return u
 }
 
-// loadCost is what a load cost the entry boxes.
+// loadCost is the cost of one load to the entry boxes: processor seconds per 1,000 requests, the
+// peak memory of a box in MiB, and the number of duplicate runs.
 type loadCost struct {
 	cpu, memory float64
 	duplicates  int
 }
 
+// newLoadCost returns the cost of the load that ran between two readings of the usage.
 func newLoadCost(before, after map[string]processUsage, l *loadGenerator) loadCost {
 	var c loadCost
 	for name, u := range after {
@@ -72,7 +75,8 @@
 	return c
 }
 
-// countDuplicates counts runs beyond the first of requests that may not be repeated.
+// countDuplicates returns the number of runs beyond the first of requests that may not be repeated,
+// or -1 if the targets' counts cannot be read.
 func countDuplicates(l *loadGenerator) int {
 	all, err := l.cell.TargetStats(context.Background())
 	if err != nil {
--- a/cmd/saddlevane-demo/jobs.go
+++ b/cmd/saddlevane-demo/jobs.go
@@ -19,20 +19,20 @@
 	"saddlevane/tests/soak"
 )
 
-// jobsDemo shows jobs that callers submit, on a stand-in of the users' platform.
+// jobsDemo demonstrates jobs that callers submit, on a stand-in for the platform.
 type jobsDemo struct {
 	ctx context.Context
 	rig *soak.Rig
-	// bin has the programs, dir takes what the demo writes.
+	// bin is the directory of the binaries, dir that of the files that the demo writes.
 	bin string
 	dir string
 }
 
-// taskDuration is how long each task of the demo works.
+// taskDuration is the run time of each task of the demo.
 const taskDuration = 400 * time.Millisecond
 
-// runJobsDemo starts daemons that serve submitted jobs, hands a job in, has workers start
-// again, kills the box that holds the cell and waits for the job's end.
+// runJobsDemo starts daemons that serve submitted jobs, submits a job, restarts workers, kills the
+// box that holds the cell, and checks that the job succeeds.
 func runJobsDemo(ctx context.Context, bin, dir string) error {
 	rig, err := soak.NewRig(1, filepath.Join(bin, "saddlevaned"), dir, 3, 6)
 	if rig != nil {
@@ -49,7 +49,7 @@
 	return d.run()
 }
 
-// nightlyJob is a job of two steps: all tasks of the second start together.
+// nightlyJob returns a job of two steps. The tasks of the second step are a gang and start together.
 func nightlyJob() job.Submission {
 	need := resource.Vector{Processors: 4 * resource.Processor, Memory: 4 * resource.GiB}
 	return job.Submission{
@@ -61,7 +61,8 @@
 	}
 }
 
-// run hands a job in, has workers start again, kills the holder and checks what became of the job.
+// run carries out the demo on the running cell. It returns an error if the job does not succeed or a
+// guarantee is violated.
 func (d *jobsDemo) run() error {
 	s := nightlyJob()
 	if err := d.submit(s); err != nil {
@@ -73,7 +74,7 @@
 	if err := cell.WaitFor(d.ctx, "tasks run", func() bool { return d.rig.StartCount() > 0 }); err != nil {
 		return err
 	}
-	fmt.Printf("\n%s start again under their names, with nothing of before\n", strings.Join(d.rig.RestartWorkers(), ", "))
+	fmt.Printf("\nrestarted %s under the same names and without their earlier state\n", strings.Join(d.rig.RestartWorkers(), ", "))
 	holder, err := d.rig.KillHolder(d.ctx)
 	if err != nil {
 		return err
@@ -83,8 +84,8 @@
 	if err != nil {
 		return err
 	}
-	if broken := d.rig.Violations(); state != job.Succeeded || len(broken) > 0 {
-		return fmt.Errorf("the job is %s; broken: %v", state, broken)
+	if violations := d.rig.Violations(); state != job.Succeeded || len(violations) > 0 {
+		return fmt.Errorf("the job is %s; violated guarantees: %v", state, violations)
 	}
 	if err := d.runTool("cell"); err != nil {
 		return err
@@ -103,7 +104,8 @@
 	return state, err
 }
 
-// submit hands a job in until a box holds the cell; the same ID is the same job.
+// submit submits a job and retries until it is accepted, since no box may hold the cell yet. It is
+// safe to retry because the same ID denotes the same job.
 func (d *jobsDemo) submit(s job.Submission) error {
 	if err := d.rig.Expect(s, taskDuration); err != nil {
 		return err
@@ -119,7 +121,7 @@
 	return cell.WaitFor(d.ctx, "the job is accepted", func() bool { return d.runTool("submit", path) == nil })
 }
 
-// runTool runs the command-line tool against the boxes that are up.
+// runTool runs saddlevanectl against the boxes that are up and prints its output.
 func (d *jobsDemo) runTool(args ...string) error {
 	all := append([]string{"-address", strings.Join(d.rig.OperatorAddresses(d.ctx), ",")}, args...)
 	out, err := exec.CommandContext(d.ctx, filepath.Join(d.bin, "saddlevanectl"), all...).CombinedOutput()
--- a/cmd/saddlevane-demo/main.go
+++ b/cmd/saddlevane-demo/main.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Saddlevane-demo starts a small cell as real processes, publishes files, sends
-// callers' requests and checks what came of it. It exits 0 only if all of it
-// was as it should be.
+// Saddlevane-demo starts a small cell of real processes, publishes files, sends callers' requests,
+// submits a job, and checks the results. It exits with 0 only if all checks pass.
 package main
 
 import (
@@ -23,15 +22,16 @@
 const demoTimeout = 90 * time.Second
 
 func main() {
-	bin := flag.String("bin", "bin", "folder of the programs")
+	bin := flag.String("bin", "bin", "directory of the binaries")
 	flag.Parse()
 	if err := run(*bin); err != nil {
 		fmt.Fprintln(os.Stderr, "demo: FAILED:", err)
 		os.Exit(1)
 	}
-	fmt.Println("\ndemo: everything was as it should be")
+	fmt.Println("\ndemo: all checks passed")
 }
 
+// run runs both parts of the demo with the binaries in bin.
 func run(bin string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	defer cancel()
@@ -49,6 +49,8 @@
 	return errors.Join(d.runSteps(), runJobsDemo(ctx, bin, dir))
 }
 
+// options returns the options of the cell: three domains, each with two entry boxes, four workers and
+// two targets.
 func options(bin, dir string) cell.Options {
 	capacity := resource.Vector{Processors: 8 * resource.Processor, Memory: 16 * resource.GiB}
 	o := cell.Options{Binaries: cell.BinariesIn(bin), Dir: dir, Settings: cell.QuickSettings()}
@@ -60,13 +62,14 @@
 	return o
 }
 
-// demo is the state of a run.
+// demo holds the running cell and the directory for files.
 type demo struct {
 	ctx  context.Context
 	cell *cell.Cell
 	dir  string
 }
 
+// runSteps runs the steps in order until one fails.
 func (d *demo) runSteps() error {
 	fmt.Println("== 6 entry boxes in 3 failure domains, 12 workers, 6 targets, a log and a list of boxes are running")
 	for _, step := range []func() error{
@@ -79,7 +82,7 @@
 	return nil
 }
 
-// writeFile writes a file and returns its path.
+// writeFile writes text to a file in the demo's directory and returns its path.
 func (d *demo) writeFile(name, text string) (string, error) {
 	path := filepath.Join(d.dir, name)
 	return path, os.WriteFile(path, []byte(text), 0o644)
--- a/cmd/saddlevane-demo/steps.go
+++ b/cmd/saddlevane-demo/steps.go
@@ -13,7 +13,8 @@
 	"saddlevane/tests/cell"
 )
 
-// workFile is a file with one object of each kind, and one that cannot fit at once.
+// workFile is a file with objects of each kind. The job backlog needs more capacity than the cell
+// has, so some of its tasks wait.
 const workFile = `name: work
 services:
   - name: portal
@@ -55,6 +56,7 @@
     repeatable: true
 `
 
+// tooLargeFile is a file that must be refused: no worker is large enough for its job.
 const tooLargeFile = `name: wrong
 jobs:
   - name: giant
@@ -65,6 +67,7 @@
     repeatable: true
 `
 
+// publishCell publishes the cell's file and waits until all entry boxes have it.
 func (d *demo) publishCell() error {
 	if err := d.cell.WaitReady(d.ctx); err != nil {
 		return err
@@ -82,8 +85,10 @@
 	})
 }
 
+// publishWork publishes workFile.
 func (d *demo) publishWork() error { return d.publish("work.yaml", workFile) }
 
+// publish publishes a new file with the given text.
 func (d *demo) publish(name, text string) error {
 	path, err := d.writeFile(name, text)
 	if err != nil {
@@ -97,6 +102,8 @@
 	return nil
 }
 
+// awaitWork waits until the published work runs or is done, prints where tasks run, and checks that no
+// task ran twice at once, beyond a worker's size, or again although it may not be repeated.
 func (d *demo) awaitWork() error {
 	err := cell.WaitFor(d.ctx, "the service runs and the jobs and the gang are done", func() bool {
 		w := d.cell.Work(d.ctx)
@@ -122,8 +129,8 @@
 	if err != nil {
 		return err
 	}
-	if twice := h.Overlaps(); len(twice) > 0 || h.ExcessStarts > 0 {
-		return fmt.Errorf("tasks in two places: %v; starts beyond a worker's size: %d", twice, h.ExcessStarts)
+	if overlaps := h.Overlaps(); len(overlaps) > 0 || h.ExcessStarts > 0 {
+		return fmt.Errorf("tasks in two places: %v; starts beyond a worker's size: %d", overlaps, h.ExcessStarts)
 	}
 	for key, n := range h.Starts() {
 		if key.Object.Name == "extracts" && n > 1 {
@@ -134,6 +141,7 @@
 	return nil
 }
 
+// publishTooLarge checks that tooLargeFile is refused.
 func (d *demo) publishTooLarge() error {
 	path, err := d.writeFile("wrong.yaml", tooLargeFile)
 	if err != nil {
@@ -142,18 +150,19 @@
 	out, code := d.cell.RunTool(d.ctx, "publish", "-replaces", "0", path)
 	fmt.Printf("\n$ saddlevanectl publish -replaces 0 wrong.yaml\n%s", out)
 	if code != 1 {
-		return fmt.Errorf("a job that can never run: exit code %d, want 1", code)
+		return fmt.Errorf("publishing a job that can never run: exit code %d, want 1", code)
 	}
 	return nil
 }
 
-// requestCase is one request and what its caller must get.
+// requestCase is a request and the expected response.
 type requestCase struct {
 	path, key, nonce, body string
 	status                 int
 	verdict                verdict.Verdict
 }
 
+// sendRequests sends requests to all entry boxes and checks the responses.
 func (d *demo) sendRequests() error {
 	entries := d.cell.Entries()
 	fmt.Println("\ncallers ask entry boxes:")
@@ -167,7 +176,8 @@
 	return d.sendKeyedRequest(entries[0], entries[1])
 }
 
-// sendKeyedRequest sends a request that may not be repeated twice, to two boxes.
+// sendKeyedRequest sends a request that may not be repeated to two boxes with the same key, and
+// checks that it ran only once. Without a key, the request must be refused and a key issued.
 func (d *demo) sendKeyedRequest(first, second *cell.Entry) error {
 	resp, _, err := cell.SendRequest(d.ctx, http.DefaultClient, first, "runners/extract", "", "x", "filing")
 	if err != nil {
@@ -175,7 +185,7 @@
 	}
 	key := resp.Header.Get(request.HeaderKey)
 	if resp.StatusCode != http.StatusPreconditionRequired || key == "" {
-		return fmt.Errorf("an extract without a key: status %d, key %q", resp.StatusCode, key)
+		return fmt.Errorf("extract without a key: status %d, key %q", resp.StatusCode, key)
 	}
 	fmt.Printf("  %s extract without a key: %d, not run, a key is given\n", first.Name, resp.StatusCode)
 	for _, e := range []*cell.Entry{first, second} {
@@ -199,6 +209,7 @@
 	return nil
 }
 
+// sendRequest sends one request to e and checks the response.
 func (d *demo) sendRequest(e *cell.Entry, a requestCase) error {
 	resp, body, err := cell.SendRequest(d.ctx, http.DefaultClient, e, a.path, a.key, a.nonce, a.body)
 	if err != nil {
@@ -212,6 +223,7 @@
 	return nil
 }
 
+// showStatus prints the output of commands that show the state of the cell.
 func (d *demo) showStatus() error {
 	for _, args := range [][]string{{"status"}, {"get"}, {"explain", "portal/0"}, {"explain", "backlog/39"}} {
 		out, code := d.cell.RunTool(d.ctx, args...)
--- a/cmd/saddlevane-standin/boxes.go
+++ b/cmd/saddlevane-standin/boxes.go
@@ -12,22 +12,24 @@
 	"saddlevane/modules/httpjson"
 )
 
-// maxBoxListBytes bounds a list, in bytes.
+// maxBoxListBytes bounds the request body that sets the list of boxes.
 const maxBoxListBytes = 64 << 20
 
-// boxesStandin is the platform's list of boxes. What is set shows only after a
-// lag.
+// boxesStandin stands in for the platform's list of boxes. A change is visible only after a lag.
 type boxesStandin struct {
 	*http.ServeMux
 	faults faultState
 	lag    time.Duration
 
-	mu        sync.Mutex
+	mu sync.Mutex
+	// shown is the visible list. pending is the last list set, which is visible from
+	// visibleAt on.
 	shown     box.List
 	pending   box.List
 	visibleAt time.Time
 }
 
+// newBoxes returns an empty list whose changes are visible after lag.
 func newBoxes(lag time.Duration) *boxesStandin {
 	b := &boxesStandin{ServeMux: http.NewServeMux(), lag: lag}
 	b.HandleFunc("GET /v1/boxes", b.read)
@@ -36,6 +38,7 @@
 	return b
 }
 
+// read answers GET /v1/boxes.
 func (b *boxesStandin) read(w http.ResponseWriter, _ *http.Request) {
 	if !b.faults.beforeCall(w) {
 		return
@@ -52,6 +55,7 @@
 	b.faults.writeAnswer(w, shown)
 }
 
+// set replaces the list, which is visible once the lag has passed.
 func (b *boxesStandin) set(w http.ResponseWriter, r *http.Request) {
 	var l box.List
 	if !httpjson.Decode(w, r, maxBoxListBytes, &l) {
--- a/cmd/saddlevane-standin/faults.go
+++ b/cmd/saddlevane-standin/faults.go
@@ -11,21 +11,21 @@
 	"saddlevane/modules/httpjson"
 )
 
-// faults are switched by POST /admin/faults; each request sets all of them.
+// faults are the faults to inject. Each POST /admin/faults replaces all of them.
 type faults struct {
-	// Down refuses every call without running it.
+	// Down answers every call with status 503 without running it.
 	Down bool `json:"down"`
 	// Drop closes the connection of every call without running it.
 	Drop bool `json:"drop"`
 	// LoseAnswers runs calls and closes the connection instead of answering.
 	LoseAnswers bool `json:"lose_answers"`
-	// Truncate sends the first half of an answer only.
+	// Truncate makes a target send only the first half of a response.
 	Truncate bool `json:"truncate"`
-	// Slow is added to each call, in milliseconds.
+	// Slow is a delay before each call in milliseconds.
 	Slow int64 `json:"slow_ms"`
-	// FailAll makes a worker fail all that it starts.
+	// FailAll makes a worker fail all tasks that it starts.
 	FailAll bool `json:"fail_all"`
-	// Leaving makes a worker or target say that it leaves.
+	// Leaving makes a worker or target report that it is leaving.
 	Leaving bool `json:"leaving"`
 }
 
@@ -35,12 +35,14 @@
 	current faults
 }
 
+// get returns the faults in force.
 func (b *faultState) get() faults {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.current
 }
 
+// serve answers POST /admin/faults.
 func (b *faultState) serve(w http.ResponseWriter, r *http.Request) {
 	var f faults
 	if !httpjson.Decode(w, r, 1<<16, &f) {
@@ -52,8 +54,8 @@
 	httpjson.Write(w, http.StatusOK, f)
 }
 
-// beforeCall applies what happens before a call runs, and returns false if it does
-// not run.
+// beforeCall applies the faults that precede a call. It returns false if the call must not run; the
+// response is then already sent or the connection closed.
 func (b *faultState) beforeCall(w http.ResponseWriter) bool {
 	f := b.get()
 	if f.Slow > 0 {
@@ -70,7 +72,7 @@
 	return true
 }
 
-// writeAnswer sends an answer unless it is to be lost.
+// writeAnswer writes v as JSON, or closes the connection if LoseAnswers is set.
 func (b *faultState) writeAnswer(w http.ResponseWriter, v any) {
 	if b.get().LoseAnswers {
 		closeConnection(w)
@@ -79,7 +81,7 @@
 	httpjson.Write(w, http.StatusOK, v)
 }
 
-// closeConnection closes the connection of a call.
+// closeConnection closes the connection of a call without a response.
 func closeConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
--- a/cmd/saddlevane-standin/log.go
+++ b/cmd/saddlevane-standin/log.go
@@ -15,23 +15,27 @@
 	"golang.org/x/time/rate"
 )
 
-// maxAppendBytes bounds one append, in bytes.
+// maxAppendBytes bounds the body of one append.
 const maxAppendBytes = 16 << 20
 
-// logStandin is the platform's log, kept in memory.
+// logStandin stands in for the platform's log and keeps the records in memory.
 type logStandin struct {
 	*http.ServeMux
 	faults    faultState
 	limiter   *rate.Limiter
 	retention time.Duration
 
-	mu       sync.Mutex
-	first    int64
-	records  []platform.Record
+	mu sync.Mutex
+	// first is the offset of the first record that is kept.
+	first   int64
+	records []platform.Record
+	// appended is closed and replaced after each append.
 	appended chan struct{}
 	appends  int64
 }
 
+// newLog returns an empty log that accepts perSecond appends per second and keeps records for the
+// retention.
 func newLog(perSecond float64, retention time.Duration) *logStandin {
 	l := &logStandin{
 		ServeMux: http.NewServeMux(), retention: retention, appended: make(chan struct{}),
@@ -45,6 +49,7 @@
 	return l
 }
 
+// append answers POST /v1/append.
 func (l *logStandin) append(w http.ResponseWriter, r *http.Request) {
 	if !l.faults.beforeCall(w) {
 		return
@@ -60,6 +65,7 @@
 	l.faults.writeAnswer(w, platform.Appended{Offset: l.add(a)})
 }
 
+// add appends a record and returns its offset.
 func (l *logStandin) add(a platform.Append) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,6 +77,8 @@
 	return offset
 }
 
+// read answers GET /v1/read. It waits up to wait_ms for a record, unless the records from the
+// requested offset on have already been removed.
 func (l *logStandin) read(w http.ResponseWriter, r *http.Request) {
 	if !l.faults.beforeCall(w) {
 		return
@@ -96,6 +104,8 @@
 	}
 }
 
+// recordsFrom returns at most limit records from an offset on, and a channel that is closed at the
+// next append.
 func (l *logStandin) recordsFrom(from int64, limit int) (platform.Read, chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,6 +118,7 @@
 	return answer, l.appended
 }
 
+// expire removes the records that are older than a time in Unix milliseconds.
 func (l *logStandin) expire(before int64) {
 	for len(l.records) > 0 && l.records[0].At < before {
 		l.records = l.records[1:]
@@ -115,7 +126,7 @@
 	}
 }
 
-// trim forgets all records up to an offset, as age would.
+// trim removes all records before an offset, as the retention does.
 func (l *logStandin) trim(w http.ResponseWriter, r *http.Request) {
 	before, _ := strconv.ParseInt(r.URL.Query().Get("before"), 10, 64)
 	l.mu.Lock()
@@ -134,6 +145,7 @@
 	Next    int64 `json:"next"`
 }
 
+// showCount answers GET /admin/count.
 func (l *logStandin) showCount(w http.ResponseWriter, _ *http.Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/cmd/saddlevane-standin/main.go
+++ b/cmd/saddlevane-standin/main.go
@@ -1,10 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Saddlevane-standin takes the place of the platform, its workers and the
-// targets in tests and in the demo. It is no simulator: each role does the least
-// that the protocol in docs/PLATFORM.md asks for, and faults are switched by an
-// admin request.
+// Saddlevane-standin stands in for the platform, its workers and the targets in tests and in the
+// demo. It is not a simulator: each role does the minimum that the protocol in docs/PLATFORM.md
+// requires, and faults are injected by an admin request.
 package main
 
 import (
@@ -25,7 +24,7 @@
 	"github.com/sourcegraph/conc"
 )
 
-// member is one worker or target that this process plays.
+// member is one worker or target that this process stands in for.
 type member struct {
 	Name        string          `json:"name"`
 	Listen      string          `json:"listen"`
@@ -34,7 +33,7 @@
 	Connections int             `json:"connections"`
 }
 
-// options are the command line.
+// options holds the command-line flags.
 type options struct {
 	role      string
 	listen    string
@@ -49,11 +48,11 @@
 	var o options
 	flag.StringVar(&o.role, "role", "", "log, boxes, workers or targets")
 	flag.StringVar(&o.listen, "listen", "", "address of the log or of the list of boxes")
-	flag.StringVar(&o.members, "members", "", "file with the workers or targets to play, as JSON")
-	flag.Float64Var(&o.rate, "rate", 100, "appends a second that the log takes")
+	flag.StringVar(&o.members, "members", "", "file with the workers or targets to stand in for, as JSON")
+	flag.Float64Var(&o.rate, "rate", 100, "appends per second that the log accepts")
 	flag.DurationVar(&o.retention, "retention", 24*time.Hour, "how long the log keeps records")
-	flag.DurationVar(&o.lag, "lag", 500*time.Millisecond, "how far the list of boxes lags")
-	flag.DurationVar(&o.taskLease, "task-lease", 30*time.Second, "how long tasks run after a lease has lapsed")
+	flag.DurationVar(&o.lag, "lag", 500*time.Millisecond, "delay until a change of the list of boxes is visible")
+	flag.DurationVar(&o.taskLease, "task-lease", 30*time.Second, "how long tasks run after a lease has expired")
 	flag.Parse()
 	if err := run(o); err != nil {
 		fmt.Fprintln(os.Stderr, "saddlevane-standin:", err)
@@ -61,6 +60,7 @@
 	}
 }
 
+// run serves the role until a signal stops the process.
 func run(o options) error {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
@@ -89,13 +89,14 @@
 	return nil
 }
 
-// server is one listener and what it answers.
+// server is an address to listen on, its handler, and an optional wrapper of the listener.
 type server struct {
 	address      string
 	handler      http.Handler
 	wrapListener func(net.Listener) net.Listener
 }
 
+// buildServers returns the servers of the role.
 func buildServers(o options) ([]server, error) {
 	switch o.role {
 	case "log":
@@ -109,6 +110,7 @@
 	}
 }
 
+// buildMemberServers returns one server for each worker or target in the members file.
 func buildMemberServers(o options) ([]server, error) {
 	data, err := os.ReadFile(o.members)
 	if err != nil {
--- a/cmd/saddlevane-standin/target.go
+++ b/cmd/saddlevane-standin/target.go
@@ -16,8 +16,8 @@
 	"saddlevane/modules/httpjson"
 )
 
-// targetStandin is one target: it echoes requests, a bounded number at a time,
-// and counts how often each one ran.
+// targetStandin stands in for one target. It echoes requests, a bounded number at a time, and
+// counts how often each one ran.
 type targetStandin struct {
 	*http.ServeMux
 	faults      faultState
@@ -25,16 +25,20 @@
 	slots       chan struct{}
 	connections chan struct{}
 
-	mu            sync.Mutex
-	runs          map[string]int
-	served        int64
+	mu sync.Mutex
+	// runs counts the runs of each request by its nonce, served those of all requests.
+	runs   map[string]int
+	served int64
+	// maxConcurrent is the largest number of requests that were in the target at once, with
+	// those queued for a slot.
 	maxConcurrent int
 	queued        int
 }
 
-// headerNonce names a request in a test, whatever its key.
+// headerNonce is a header that identifies a request in a test, independent of its idempotency key.
 const headerNonce = "Test-Nonce"
 
+// newTarget returns a target with the slots and connections of m.
 func newTarget(m member) *targetStandin {
 	t := &targetStandin{
 		ServeMux: http.NewServeMux(), name: m.Name, runs: map[string]int{},
@@ -46,6 +50,8 @@
 	return t
 }
 
+// serve runs one request: it takes a slot, sleeps for the query parameter ms in milliseconds, and
+// echoes the body.
 func (t *targetStandin) serve(w http.ResponseWriter, r *http.Request) {
 	if t.faults.get().Leaving {
 		w.Header().Set(request.HeaderVerdict, string(verdict.NotRun))
@@ -70,6 +76,7 @@
 	t.reply(w, body)
 }
 
+// reply echoes body, subject to the faults in force.
 func (t *targetStandin) reply(w http.ResponseWriter, body []byte) {
 	f := t.faults.get()
 	if f.LoseAnswers {
@@ -86,13 +93,15 @@
 	_, _ = w.Write(body)
 }
 
-func (t *targetStandin) addQueued(by int) {
+// addQueued changes the number of requests that wait for a slot by delta.
+func (t *targetStandin) addQueued(delta int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.queued += by
+	t.queued += delta
 	t.maxConcurrent = max(t.maxConcurrent, len(t.slots)+t.queued)
 }
 
+// countRun counts a run of the request with the nonce, which may be empty.
 func (t *targetStandin) countRun(nonce string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -107,27 +116,30 @@
 	Target string         `json:"target"`
 	Served int64          `json:"served"`
 	Runs   map[string]int `json:"runs"`
-	// Busiest is the most requests that were in the target at once.
+	// Busiest is the largest number of requests that were in the target at once.
 	Busiest int `json:"busiest"`
 }
 
+// showRuns answers GET /admin/runs.
 func (t *targetStandin) showRuns(w http.ResponseWriter, _ *http.Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	httpjson.Write(w, http.StatusOK, runCounts{Target: t.name, Served: t.served, Runs: t.runs, Busiest: t.maxConcurrent})
 }
 
-// limitConnections refuses connections beyond what the target accepts.
+// limitConnections returns a listener that closes connections beyond the target's limit.
 func (t *targetStandin) limitConnections(l net.Listener) net.Listener {
 	return &limitedListener{Listener: l, open: t.connections}
 }
 
+// limitedListener is a listener with a limited number of open connections. open holds one element for
+// each of them.
 type limitedListener struct {
 	net.Listener
 	open chan struct{}
 }
 
-// Accept returns the next connection that is within the limit.
+// Accept returns the next connection within the limit. It closes connections beyond the limit.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -143,13 +155,14 @@
 	}
 }
 
+// limitedConn is a connection that counts against the limit until it is closed.
 type limitedConn struct {
 	net.Conn
 	once sync.Once
 	open chan struct{}
 }
 
-// Close closes the connection and makes room for another.
+// Close closes the connection and frees its place in the limit.
 func (c *limitedConn) Close() error {
 	c.once.Do(func() { <-c.open })
 	return c.Conn.Close()
--- a/cmd/saddlevane-standin/worker.go
+++ b/cmd/saddlevane-standin/worker.go
@@ -13,10 +13,10 @@
 	"saddlevane/tests/fake"
 )
 
-// maxSyncBytes bounds one Sync, in bytes.
+// maxSyncBytes bounds the body of one sync.
 const maxSyncBytes = 16 << 20
 
-// workerStandin serves one worker of the platform.
+// workerStandin stands in for one worker.
 type workerStandin struct {
 	*http.ServeMux
 	faults faultState
@@ -26,6 +26,7 @@
 	worker *fake.Worker
 }
 
+// newWorker returns a worker whose tasks run for taskLease after its lease has expired.
 func newWorker(m member, taskLease time.Duration) *workerStandin {
 	w := &workerStandin{
 		ServeMux: http.NewServeMux(), name: m.Name, worker: fake.NewWorker(m.Name, m.Capacity, taskLease),
@@ -36,6 +37,7 @@
 	return w
 }
 
+// sync answers POST /v1/sync.
 func (w *workerStandin) sync(rw http.ResponseWriter, r *http.Request) {
 	if !w.faults.beforeCall(rw) {
 		return
@@ -47,6 +49,7 @@
 	w.faults.writeAnswer(rw, w.apply(s))
 }
 
+// apply applies a sync under the faults in force and returns the worker's report.
 func (w *workerStandin) apply(s worker.Sync) worker.Report {
 	f := w.faults.get()
 	w.mu.Lock()
@@ -59,10 +62,11 @@
 type history struct {
 	Worker string      `json:"worker"`
 	Spans  []fake.Span `json:"spans"`
-	// Excess counts starts that would have given the worker more than it has.
+	// Excess counts starts that would have exceeded the worker's capacity.
 	Excess int64 `json:"excess"`
 }
 
+// showHistory answers GET /admin/history.
 func (w *workerStandin) showHistory(rw http.ResponseWriter, _ *http.Request) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/cmd/saddlevanectl/client.go
+++ b/cmd/saddlevanectl/client.go
@@ -20,27 +20,28 @@
 	"saddlevane/modules/httpjson"
 )
 
-// maxResponseBytes bounds an answer of a daemon, in bytes.
+// maxResponseBytes bounds the body of a daemon's response.
 const maxResponseBytes = 64 << 20
 
 const (
-	// callTimeout bounds one call, dialTimeout the opening of a connection.
+	// callTimeout bounds one call, and dialTimeout the time to open a connection.
 	callTimeout = 15 * time.Second
 	dialTimeout = 5 * time.Second
-	// idleConnTimeout is how long a connection is kept between two calls.
+	// idleConnTimeout is how long an idle connection is kept.
 	idleConnTimeout = 10 * time.Second
-	// answerTimeout is after how long a read on a connection that may be silent is made
-	// again. A dump of a large cell takes longer, and then is made twice.
+	// answerTimeout is how long a read waits on a connection that may be broken before it is
+	// repeated. A dump of a large cell takes longer than that and is requested twice.
 	answerTimeout = time.Second
 )
 
-// client calls the operators' ports of daemons.
+// client calls the operators' ports of one or more daemons.
 type client struct {
 	addresses []string
 	http      *http.Client
 	json      *httpjson.Client
 }
 
+// newClient returns a client for a comma-separated list of IP addresses and ports.
 func newClient(addresses string) (*client, error) {
 	now, err := clock.New()
 	if err != nil {
@@ -60,7 +61,7 @@
 	return c, nil
 }
 
-// get reads path from one daemon.
+// get reads path from the daemon at address and decodes its JSON response.
 func get[T any](ctx context.Context, c *client, address, path string) (T, error) {
 	var v T
 	ctx = httpclient.WithRetry(ctx, httpclient.Retry{})
@@ -68,7 +69,8 @@
 	return v, err
 }
 
-// getFirst reads path from the first daemon that answers.
+// getFirst reads path from the daemons in turn and returns the first successful response, or the
+// errors of all of them.
 func getFirst[T any](ctx context.Context, c *client, path string) (T, error) {
 	var errs []error
 	for _, a := range c.addresses {
@@ -78,12 +80,12 @@
 		}
 		errs = append(errs, fmt.Errorf("%s: %w", a, err))
 	}
-	var none T
-	return none, errors.Join(errs...)
+	var zero T
+	return zero, errors.Join(errs...)
 }
 
-// getAll reads path from every daemon and returns the answers with the addresses
-// that gave them.
+// getAll reads path from every daemon. It returns the successful responses, each with its
+// daemon's address, and the joined errors of the others.
 func getAll[T any](ctx context.Context, c *client, path string) ([]daemonAnswer[T], error) {
 	var all []daemonAnswer[T]
 	var errs []error
@@ -98,14 +100,14 @@
 	return all, errors.Join(errs...)
 }
 
-// daemonAnswer is one daemon's answer.
+// daemonAnswer is the response of one daemon.
 type daemonAnswer[T any] struct {
 	Address string `json:"address"`
 	Answer  T      `json:"answer"`
 }
 
-// postFile sends a file to one daemon. It also says whether the daemon may have
-// received it.
+// postFile posts a file to the daemon at address. The second result reports whether the daemon
+// may have received the file: it is true once the request had a connection.
 func (c *client) postFile(ctx context.Context, address, path string, query url.Values, data string) (*http.Response, bool, error) {
 	sent := false
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent = true }})
@@ -117,6 +119,7 @@
 	return resp, sent, err
 }
 
+// readBody reads and closes the body of a response, up to maxResponseBytes.
 func readBody(resp *http.Response) ([]byte, error) {
 	defer resp.Body.Close()
 	return httpjson.ReadAll(io.Reader(resp.Body), maxResponseBytes)
--- a/cmd/saddlevanectl/jobs.go
+++ b/cmd/saddlevanectl/jobs.go
@@ -19,7 +19,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// job is the command that explains one job.
+// job returns the command that shows one submitted job.
 func (t *tool) job() *ffcli.Command {
 	return t.command("job", "ID", "shows a submitted job: its state, and for each step why tasks wait",
 		"job 5c0e7a21d94b36f8", func(ctx context.Context, args []string) error {
@@ -34,7 +34,8 @@
 		})
 }
 
-// printExplanation prints a job and why its tasks wait.
+// printExplanation prints the state of a job and, if it is unfinished, why the tasks of each
+// step wait.
 func (t *tool) printExplanation(x *job.Explanation) {
 	if x == nil {
 		return
@@ -51,7 +52,7 @@
 	table.flush()
 }
 
-// workspaceSuffix names whose job it is, if it is anyone's.
+// workspaceSuffix returns the words that name a job's workspace, or "" if it has none.
 func workspaceSuffix(name string) string {
 	if name == "" {
 		return ""
@@ -59,17 +60,17 @@
 	return " of workspace " + name
 }
 
-// reasonSuffix puts a reason after what it is for, if there is one.
-func reasonSuffix(why string) string {
-	if why == "" {
+// reasonSuffix returns reason preceded by a colon, or "" if it is empty.
+func reasonSuffix(reason string) string {
+	if reason == "" {
 		return ""
 	}
-	return ": " + why
+	return ": " + reason
 }
 
-// cell is the command that asks every daemon what it knows of the cell.
+// cell returns the command that shows the state of the cell as each daemon sees it.
 func (t *tool) cell() *ffcli.Command {
-	return t.command("cell", "", "shows who holds the cell and what each process knows of it",
+	return t.command("cell", "", "shows which box holds the cell and its state as each process sees it",
 		"cell -o json", func(ctx context.Context, _ []string) error {
 			all, err := getAll[job.CellStatus](ctx, t.client, "/v1/cell")
 			if printed := t.print(all, func() { t.printCells(all) }); printed != nil {
@@ -79,7 +80,7 @@
 		})
 }
 
-// printCells prints one row for each daemon.
+// printCells prints one row per daemon, and the workspaces that each reports.
 func (t *tool) printCells(all []daemonAnswer[job.CellStatus]) {
 	table := t.table("BOX", "HOLDER", "CLAIM", "HOLDS", "LOG", "CONFIG", "OPEN STEPS", "WORKERS", "RELAYS", "USED", "CAPACITY")
 	for _, a := range all {
@@ -96,7 +97,7 @@
 	}
 }
 
-// printWorkspaces prints what the tasks of each workspace take, as the holder knows it.
+// printWorkspaces prints the resources that the tasks of each workspace use, and their caps.
 func (t *tool) printWorkspaces(s job.CellStatus) {
 	if len(s.Workspaces) == 0 {
 		return
@@ -108,9 +109,9 @@
 	table.flush()
 }
 
-// submit is the command that hands a job in.
+// submit returns the command that submits a job.
 func (t *tool) submit() *ffcli.Command {
-	return t.command("submit", "FILE", "hands a job in, as JSON from a file or - for standard input; the same ID again is the same job",
+	return t.command("submit", "FILE", "submits a job as JSON from a file, or - for standard input; the same ID again is the same job",
 		"submit job.json", func(ctx context.Context, args []string) error {
 			if len(args) != 1 {
 				return usageError("submit: want a file, or - for standard input")
@@ -123,9 +124,9 @@
 		})
 }
 
-// cancel is the command that ends a job.
+// cancel returns the command that cancels a job.
 func (t *tool) cancel() *ffcli.Command {
-	return t.command("cancel", "ID", "ends a submitted job", "cancel 5c0e7a21d94b36f8",
+	return t.command("cancel", "ID", "cancels a submitted job", "cancel 5c0e7a21d94b36f8",
 		func(ctx context.Context, args []string) error {
 			if len(args) != 1 {
 				return usageError("cancel: want the ID of a job")
@@ -134,7 +135,7 @@
 		})
 }
 
-// readInput reads a file, or standard input for -.
+// readInput reads the named file, or standard input if name is "-".
 func readInput(name string) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(os.Stdin)
@@ -142,7 +143,8 @@
 	return os.ReadFile(name)
 }
 
-// sendJobRequest makes a call at the first daemon; the exit code says what is known.
+// sendJobRequest sends a request to the first daemon and prints the response. Its error has the
+// exit code exitUnknown if the request may have been carried out.
 func (t *tool) sendJobRequest(ctx context.Context, method, path string, body []byte) error {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+t.client.addresses[0]+path, bytes.NewReader(body))
 	if err != nil {
--- a/cmd/saddlevanectl/losses.go
+++ b/cmd/saddlevanectl/losses.go
@@ -13,14 +13,14 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// defaultLossInterval is the time that one row of the losses by time covers, unless the flag
-// says otherwise.
+// defaultLossInterval is the default length of the time span that one row of the losses by
+// time covers.
 const defaultLossInterval = 2 * time.Second
 
-// losses is the command that sums up why jobs were late and calls not served.
+// losses returns the command that summarizes why jobs were late and calls were not served.
 func (t *tool) losses() *ffcli.Command {
 	var every *time.Duration
-	c := t.command("losses", "[LOG FILE ...]", "sums up what the daemons logged of late and failed jobs and of calls not served",
+	c := t.command("losses", "[LOG FILE ...]", "summarizes what the daemons logged about late and failed jobs and calls not served",
 		"losses -every 10s box-a.log box-b.log", func(_ context.Context, args []string) error {
 			if *every <= 0 {
 				return usageError("losses: -every: want a time above 0, got %v", *every)
@@ -35,7 +35,7 @@
 	return c
 }
 
-// lossReport is the output for programs.
+// lossReport is the output in JSON and YAML.
 type lossReport struct {
 	Queues     []joblog.QueueLoss `json:"queues"`
 	Workspaces []joblog.QueueLoss `json:"workspaces,omitempty"`
@@ -43,7 +43,7 @@
 	Torn       int                `json:"torn_lines"`
 }
 
-// printLosses prints the losses by queue and by time.
+// printLosses prints the losses by queue, by workspace if there are any, and by time.
 func (t *tool) printLosses(l *joblog.Losses) error {
 	report := lossReport{Queues: l.Queues(), Workspaces: l.Workspaces(), Spans: l.Spans(), Torn: l.Torn}
 	return t.print(report, func() {
@@ -62,7 +62,8 @@
 	})
 }
 
-// printLossTable prints losses by what they are of.
+// printLossTable prints one row per element of all, such as a queue, followed by the delays of its
+// late jobs. The first column has the given title and holds what name returns.
 func (t *tool) printLossTable(title string, all []joblog.QueueLoss, name func(joblog.QueueLoss) string) {
 	table := t.table(title, "ENDED", "FAILED", "LATE", "DELAY", "LATE JOBS")
 	for _, q := range all {
--- a/cmd/saddlevanectl/main.go
+++ b/cmd/saddlevanectl/main.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Saddlevanectl is the operators' tool. It changes things only by publishing a
-// new complete file; everything else reads.
+// Saddlevanectl is the operators' command-line tool. It publishes configuration files, submits and
+// cancels jobs, and shows the state of the daemons.
 package main
 
 import (
@@ -19,19 +19,19 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// Exit codes.
+// Exit codes of the tool.
 const (
-	// exitDone says that what was asked for was done.
+	// exitDone means that the command succeeded.
 	exitDone = 0
-	// exitRefused says that it was refused or failed and that nothing was applied.
+	// exitRefused means that the command was refused or failed, and nothing was applied.
 	exitRefused = 1
-	// exitUsage says that the command line or the file is wrong.
+	// exitUsage means that the command line or the file is invalid.
 	exitUsage = 2
-	// exitUnknown says that it is not known whether the file was applied.
+	// exitUnknown means that it is not known whether the file or request was applied.
 	exitUnknown = 3
 )
 
-// codeError is an error that ends the tool with its own exit code.
+// codeError is an error with the exit code that the tool ends with.
 type codeError struct {
 	code int
 	err  error
@@ -41,13 +41,14 @@
 
 func (e *codeError) Unwrap() error { return e.err }
 
+// usageError returns a formatted error with the exit code exitUsage.
 func usageError(format string, args ...any) error {
 	return &codeError{exitUsage, fmt.Errorf(format, args...)}
 }
 
 func main() { os.Exit(run(context.Background(), os.Args[1:], os.Stdout, os.Stderr)) }
 
-// tool is what all commands share.
+// tool holds the flags, output streams and client that all commands share.
 type tool struct {
 	out       io.Writer
 	errOut    io.Writer
@@ -56,6 +57,7 @@
 	client    *client
 }
 
+// run executes the command line and returns the exit code.
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	t := &tool{out: out, errOut: errOut}
 	root := t.root()
@@ -63,7 +65,7 @@
 	case errors.Is(err, flag.ErrHelp):
 		return exitDone
 	case err != nil:
-		// The flag set has said what is wrong.
+		// The flag set has already printed the error.
 		return exitUsage
 	}
 	err := t.prepare()
@@ -73,6 +75,7 @@
 	return exitCode(err, errOut)
 }
 
+// exitCode prints err, if any, and returns the exit code for it.
 func exitCode(err error, errOut io.Writer) int {
 	if err == nil {
 		return exitDone
@@ -84,6 +87,7 @@
 	return exitRefused
 }
 
+// root returns the root command with all subcommands.
 func (t *tool) root() *ffcli.Command {
 	root := &ffcli.Command{
 		Name:       "saddlevanectl",
@@ -101,7 +105,7 @@
 	return root
 }
 
-// flags returns a set with the flags that every command takes.
+// flags returns a flag set with the flags that every command has.
 func (t *tool) flags(name string) *flag.FlagSet {
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
 	fs.SetOutput(t.errOut)
@@ -113,7 +117,7 @@
 	return fs
 }
 
-// command returns a command with the shared flags.
+// command returns a subcommand with the shared flags.
 func (t *tool) command(name, arguments, help, example string, exec func(context.Context, []string) error) *ffcli.Command {
 	return &ffcli.Command{
 		Name:       name,
@@ -126,6 +130,7 @@
 	}
 }
 
+// prepare checks the output format and makes the client, once the flags are parsed.
 func (t *tool) prepare() error {
 	switch t.format {
 	case formatTable, formatJSON, formatYAML:
--- a/cmd/saddlevanectl/output.go
+++ b/cmd/saddlevanectl/output.go
@@ -12,14 +12,15 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Output formats.
+// Values of the flag -o.
 const (
 	formatTable = "table"
 	formatJSON  = "json"
 	formatYAML  = "yaml"
 )
 
-// print writes v in the format asked for; text writes it for people.
+// print writes v as JSON or YAML if the flag -o selects one of them, and else calls text, which
+// writes it in readable form.
 func (t *tool) print(v any, text func()) error {
 	switch t.format {
 	case formatJSON:
@@ -27,7 +28,7 @@
 		encoder.SetIndent("", "  ")
 		return encoder.Encode(v)
 	case formatYAML:
-		// By way of JSON, so that both formats name everything alike.
+		// Converting from JSON gives both formats the same keys.
 		data, err := json.Marshal(v)
 		if err != nil {
 			return err
@@ -44,9 +45,10 @@
 	}
 }
 
-// table lines columns up.
+// table writes rows with aligned columns.
 type table struct{ w *tabwriter.Writer }
 
+// table starts a table with the given column headings.
 func (t *tool) table(heads ...string) table {
 	w := tabwriter.NewWriter(t.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, strings.Join(heads, "\t"))
--- a/cmd/saddlevanectl/read.go
+++ b/cmd/saddlevanectl/read.go
@@ -16,6 +16,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
+// get returns the command that shows the published files.
 func (t *tool) get() *ffcli.Command {
 	return t.command("get", "[FILE NAME]", "shows which revision of each file is in force on each process, or one file as published",
 		"get jordan", func(ctx context.Context, args []string) error {
@@ -30,6 +31,7 @@
 		})
 }
 
+// getFile prints the revision in force of one file, as published.
 func (t *tool) getFile(ctx context.Context, name string) error {
 	f, err := getFirst[status.File](ctx, t.client, "/v1/files/"+url.PathEscape(name))
 	if err != nil {
@@ -40,7 +42,7 @@
 	})
 }
 
-// fileRevision is one file on one process.
+// fileRevision is the revision of a file on one process.
 type fileRevision struct {
 	Box      string `json:"box"`
 	File     string `json:"file"`
@@ -48,6 +50,7 @@
 	InForce  bool   `json:"in_force"`
 }
 
+// printRevisions prints one row per process and file.
 func (t *tool) printRevisions(all []daemonAnswer[status.Process]) error {
 	rows := []fileRevision{}
 	for _, a := range all {
@@ -64,14 +67,16 @@
 	})
 }
 
+// status returns the command that summarizes the state of each process.
 func (t *tool) status() *ffcli.Command {
-	return t.command("status", "", "shows the state of each process in short",
+	return t.command("status", "", "shows a summary of the state of each process",
 		"status -o json", func(ctx context.Context, _ []string) error {
 			all, err := getAll[status.Process](ctx, t.client, "/v1/status")
 			return errors.Join(t.print(all, func() { t.printStatus(all) }), err)
 		})
 }
 
+// printStatus prints one row per process and shard.
 func (t *tool) printStatus(all []daemonAnswer[status.Process]) {
 	table := t.table("BOX", "DOMAIN", "IN FORCE", "LIVE", "LOG NEXT", "LOG", "SHARD", "PHASE", "HOLDER", "HELD", "RUNNING", "WAITING", "PACKED")
 	for _, a := range all {
@@ -88,6 +93,8 @@
 	table.flush()
 }
 
+// shardsOrPlaceholder returns the shards of p, or one placeholder so that a process without
+// shards still has a row.
 func shardsOrPlaceholder(p status.Process) []status.Shard {
 	if len(p.Shards) == 0 {
 		return []status.Shard{{ID: "-", Phase: "-"}}
@@ -95,8 +102,9 @@
 	return p.Shards
 }
 
+// queue returns the command that shows the work of all processes.
 func (t *tool) queue() *ffcli.Command {
-	return t.command("queue", "", "shows what waits, since when and for what",
+	return t.command("queue", "", "shows what waits, since when and why",
 		"queue", func(ctx context.Context, _ []string) error {
 			all, err := getAll[[]status.Work](ctx, t.client, "/v1/queue")
 			rows := []status.Work{}
@@ -107,6 +115,7 @@
 		})
 }
 
+// printQueue prints one row per service, job or gang.
 func (t *tool) printQueue(rows []status.Work) {
 	table := t.table("OBJECT", "KIND", "TEAM", "PRIORITY", "SHARD", "TASKS", "RUNNING", "DONE", "FAILED", "UNKNOWN", "WAITING", "SINCE", "WHY")
 	for _, w := range rows {
@@ -119,8 +128,9 @@
 	table.flush()
 }
 
+// explain returns the command that explains the state of a task.
 func (t *tool) explain() *ffcli.Command {
-	return t.command("explain", "TASK", "says in one sentence why a task is where it is",
+	return t.command("explain", "TASK", "explains the state of a task in one sentence",
 		"explain renders/3", func(ctx context.Context, args []string) error {
 			if len(args) != 1 {
 				return usageError("explain: want one task, such as renders/3")
@@ -133,6 +143,8 @@
 		})
 }
 
+// dump returns the command that prints the whole state of each process. It has no table format, so
+// YAML is its default.
 func (t *tool) dump() *ffcli.Command {
 	return t.command("dump", "", "prints the whole state of each process, as JSON or YAML",
 		"dump -address 127.0.0.1:8081", func(ctx context.Context, _ []string) error {
@@ -144,6 +156,7 @@
 		})
 }
 
+// version returns the command that prints the tool's version.
 func (t *tool) version() *ffcli.Command {
 	return t.command("version", "", "prints the tool's version",
 		"version", func(context.Context, []string) error {
--- a/cmd/saddlevanectl/trace.go
+++ b/cmd/saddlevanectl/trace.go
@@ -15,9 +15,9 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// trace is the command that prints the history of one job.
+// trace returns the command that prints the log history of one job.
 func (t *tool) trace() *ffcli.Command {
-	return t.command("trace", "ID [LOG FILE ...]", "prints what the daemons logged of a job, in order, with gaps named",
+	return t.command("trace", "ID [LOG FILE ...]", "prints what the daemons logged about a job in time order, with gaps marked",
 		"trace 5c0e7a21d94b36f8 box-a.log box-b.log", func(_ context.Context, args []string) error {
 			if len(args) == 0 {
 				return usageError("trace: want the ID of a job")
@@ -29,13 +29,13 @@
 			h.Sort()
 			t.printHistory(&h)
 			if len(h.Lines) == 0 {
-				return fmt.Errorf("no line tells of job %s", args[0])
+				return fmt.Errorf("no log line mentions job %s", args[0])
 			}
 			return nil
 		})
 }
 
-// readLogs reads files, or standard input if there are none.
+// readLogs calls read with each of the named files, or with standard input if there are none.
 func readLogs(files []string, read func(io.Reader) error) error {
 	if len(files) == 0 {
 		return read(os.Stdin)
@@ -54,7 +54,8 @@
 	return nil
 }
 
-// printHistory prints lines in order; a gap has a mark.
+// printHistory prints the log lines of a job in order. A line that reports omitted
+// lines is marked with "!".
 func (t *tool) printHistory(h *joblog.History) {
 	for _, l := range h.Lines {
 		mark := " "
--- a/cmd/saddlevaned/daemon.go
+++ b/cmd/saddlevaned/daemon.go
@@ -25,15 +25,15 @@
 	"github.com/sourcegraph/conc"
 )
 
-// The bounds of the HTTP servers. The idle time is longer than that of
-// well-known balancers, which must be the ones to close an idle connection.
+// Limits of the HTTP servers. idleTimeout exceeds the idle timeouts of common load
+// balancers, so that the balancer and not the daemon closes an idle connection.
 const (
 	headerTimeout  = 5 * time.Second
 	idleTimeout    = 75 * time.Second
 	maxHeaderBytes = 64 << 10
 )
 
-// daemon is all that a running process owns.
+// daemon holds the reducer loop, its adapters and the HTTP servers of one process.
 type daemon struct {
 	log         *logrus.Entry
 	loop        *runtime.Loop
@@ -44,10 +44,11 @@
 	serveErrors chan error
 }
 
-// listeners are the three ports of a daemon.
+// listeners holds the listeners of a daemon's three ports.
 type listeners struct{ callers, operators, peers net.Listener }
 
-// serve runs the daemon until a signal has stopped it.
+// serve runs the daemon until a signal stops it. It returns an error if the daemon cannot
+// start or one of its HTTP servers fails. A second signal ends the wait for a clean stop.
 func serve(s setting.Settings, log *logrus.Logger, signals <-chan os.Signal) error {
 	c, err := clock.New()
 	if err != nil {
@@ -77,6 +78,7 @@
 	return nil
 }
 
+// listen opens the callers', operators' and peers' ports, or none of them on an error.
 func listen(s setting.Listen) (listeners, error) {
 	var l listeners
 	for _, p := range []struct {
@@ -101,6 +103,7 @@
 	}
 }
 
+// start runs the reducer loop and its adapters and serves the callers' and operators' ports.
 func start(s setting.Settings, c *clock.Clock, log *logrus.Logger, l listeners) *daemon {
 	now := c.Now()
 	self := peer.Hello{
@@ -114,7 +117,10 @@
 		serveErrors: make(chan error, 2),
 	}
 	d.loop = runtime.NewLoop(core.New(now, coreSettings(s), policies(s.Policy), self, newKey), d.log, c.Now)
-	connections := runtime.Connections{ProbeAfter: s.Connections.ProbeAfter, AnswerTimeout: s.Connections.AnswerTimeout, IdleTimeout: s.Connections.IdleTimeout}
+	connections := runtime.Connections{
+		ProbeAfter: s.Connections.ProbeAfter, AnswerTimeout: s.Connections.AnswerTimeout,
+		IdleTimeout: s.Connections.IdleTimeout,
+	}
 	requests := runtime.NewRequests(runtime.RequestSettings{
 		MaxAnswerBytes: s.Requests.MaxAnswer, MaxPending: s.Requests.MaxPending, MaxRetainedBytes: s.Requests.MaxKept,
 		Connections: connections,
@@ -134,11 +140,12 @@
 	return d
 }
 
-// newKey returns an identifier that is unique among all processes.
+// newKey returns a ULID for now, which is unique across all processes.
 func newKey(now time.Time) ulid.ULID {
 	return ulid.MustNew(ulid.Timestamp(now), ulid.DefaultEntropy())
 }
 
+// serveHTTP serves h on l until the returned server is closed. Other errors go to serveErrors.
 func (d *daemon) serveHTTP(l net.Listener, h http.Handler) *http.Server {
 	server := &http.Server{
 		Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
@@ -151,9 +158,9 @@
 	return server
 }
 
-// shutdown closes the ports and waits for the answers under way.
-func (d *daemon) shutdown(most time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), most)
+// shutdown closes the HTTP ports and waits up to timeout for the requests in progress.
+func (d *daemon) shutdown(timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if err := d.callers.Shutdown(ctx); err != nil {
 		d.log.WithError(err).Warning("callers were cut off")
@@ -162,7 +169,8 @@
 	_ = d.operators.Shutdown(ctx)
 }
 
-// drain waits until the requests that peers passed on are answered too.
+// drain waits until the requests that peers forwarded to this process are answered as
+// well, until ctx ends or until the loop has stopped.
 func (d *daemon) drain(ctx context.Context) {
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
@@ -178,9 +186,10 @@
 	}
 }
 
+// drainPollInterval is the time between two checks for remaining requests.
 const drainPollInterval = 10 * time.Millisecond
 
-// close ends everything that still runs.
+// close closes the servers, the adapters and the loop, and waits for the servers' goroutines.
 func (d *daemon) close() {
 	_ = d.callers.Close()
 	_ = d.operators.Close()
--- a/cmd/saddlevaned/jobs.go
+++ b/cmd/saddlevaned/jobs.go
@@ -36,26 +36,26 @@
 )
 
 const (
-	// jobTick is the time between two ticks of the reducer; what is urgent comes
-	// as an event.
+	// jobTick is the time between two ticks of the reducer. Urgent changes do not wait
+	// for a tick: they arrive as events.
 	jobTick = 20 * time.Millisecond
-	// logTimeout bounds a call to the log; its usual answer takes 4 ms.
+	// logTimeout bounds a call to the log, which usually answers within 4 ms.
 	logTimeout = 900 * time.Millisecond
-	// claimsReadWait is how long a read of the claims waits for a record. Renewals come
-	// more often, so that it costs no more calls than a longer one.
+	// claimsReadWait is how long a read of the claims waits for a record. Claims are renewed
+	// more often than that, so a longer wait would not save calls.
 	claimsReadWait = 500 * time.Millisecond
-	// workersReadInterval is the time between two reads of the list of workers, which
+	// workersReadInterval is the time between two reads of the list of workers. The list
 	// itself lags by 0.8 s.
 	workersReadInterval = 300 * time.Millisecond
-	// dialTimeout bounds the opening of a connection.
+	// dialTimeout bounds the time to open a connection.
 	dialTimeout = 500 * time.Millisecond
-	// maxIdleConnsPerHost bounds the connections kept to one worker.
+	// maxIdleConnsPerHost is the largest number of idle connections that are kept to one host.
 	maxIdleConnsPerHost = 16
-	// shutdownTimeout bounds the wait for answers under way.
+	// shutdownTimeout bounds the wait for requests in progress during a stop.
 	shutdownTimeout = 2 * time.Second
 )
 
-// jobDaemon is all that a process owns that serves submitted jobs.
+// jobDaemon holds the loop and the servers of a process that serves submitted jobs.
 type jobDaemon struct {
 	loop        *jobrun.Loop
 	peers       *jobrun.Peers
@@ -65,7 +65,8 @@
 	stopping    atomic.Bool
 }
 
-// serveJobs runs the daemon until a signal has stopped it.
+// serveJobs runs the daemon for submitted jobs until a signal stops it. It returns an error if
+// the daemon cannot start or one of its HTTP servers fails.
 func serveJobs(s setting.Settings, log *logrus.Logger, signals <-chan os.Signal) error {
 	c, err := clock.New()
 	if err != nil {
@@ -81,7 +82,8 @@
 		return err
 	}
 	defer d.close()
-	// Taken until the end: a reload during the stop must not end the process.
+	// SIGHUP is caught until this function returns: by default it would terminate the
+	// process, also during a stop.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
@@ -101,7 +103,8 @@
 	return nil
 }
 
-// awaitStop returns nil once a signal asks for a stop, or why a server has failed.
+// awaitStop waits for a stop signal and returns nil, or for a server to fail and returns its
+// error. A reload signal is only logged: settings are read once, at the start.
 func (d *jobDaemon) awaitStop(log *logrus.Entry, signals, reload <-chan os.Signal) error {
 	for {
 		select {
@@ -115,7 +118,8 @@
 	}
 }
 
-// startJobs starts all parts of the daemon.
+// startJobs starts the reducer loop, the peers' port and the HTTP servers. On an error it
+// stops what it has started.
 func startJobs(s setting.Settings, c *clock.Clock, self claim.Member, log *logrus.Entry) (*jobDaemon, error) {
 	d := &jobDaemon{serveErrors: make(chan error, 2)}
 	settings, err := jobSettings(s.Jobs, s.Connections)
@@ -143,7 +147,7 @@
 	return d, nil
 }
 
-// listenAndServe answers at one address.
+// listenAndServe opens the port at address and serves handler on it in the background.
 func (d *jobDaemon) listenAndServe(address string, handler http.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -159,29 +163,31 @@
 	return nil
 }
 
-// jobSettings returns what the loop and the reducer need of the settings.
+// jobSettings converts the settings to those of the loop and the reducer. It returns an error if
+// j.Disabled names an unknown mechanism.
 func jobSettings(j setting.Jobs, c setting.Connections) (jobrun.Settings, error) {
-	without, err := mechanism.Parse(j.Disabled)
+	disabled, err := mechanism.Parse(j.Disabled)
 	return jobrun.Settings{
 		Dispatch: dispatch.Settings{
 			Authority: authority.Settings{RenewInterval: j.RenewInterval, HoldFor: j.HoldFor, ClaimAfter: j.ClaimAfter},
 			Lease:     j.WorkerLease(), MaxLease: j.MaxLease, RenewWait: j.RenewWait, AppendInterval: j.AppendInterval,
 			OrderTimeout: j.OrderTimeout, EndedRetention: j.EndedRetention, StopGrace: j.StopGrace,
-			ConfigPropagation: j.ConfigPropagation, ShareWindow: j.ShareWindow, Disabled: without,
+			ConfigPropagation: j.ConfigPropagation, ShareWindow: j.ShareWindow, Disabled: disabled,
 		},
 		Tick: jobTick, ReadWait: claimsReadWait, WorkersInterval: workersReadInterval, CallTimeout: logTimeout,
-		Relays: relay.Limits{MinWorkers: j.MinRelayedWorkers, WorkersPerRelay: j.WorkersPerRelay}, PeerTimeout: j.PeerTimeout, ProbeAfter: c.ProbeAfter, AnswerTimeout: c.AnswerTimeout,
+		Relays:      relay.Limits{MinWorkers: j.MinRelayedWorkers, WorkersPerRelay: j.WorkersPerRelay},
+		PeerTimeout: j.PeerTimeout, ProbeAfter: c.ProbeAfter, AnswerTimeout: c.AnswerTimeout,
 	}, err
 }
 
-// newPlatform returns the calls to the platform. Each service has a client of its
-// own, so that its connections are not taken up by others. What happens to them is told
-// to the reports of what they lead to.
-func newPlatform(s setting.Settings, c *clock.Clock, reports func(to string) httpclient.Hooks) jobrun.Platform {
+// newPlatform returns the clients of the platform's services. Each service has its own HTTP
+// client, so that calls to one cannot use up the connections to another. hooks returns the
+// callbacks that receive the connection events of a service.
+func newPlatform(s setting.Settings, c *clock.Clock, hooks func(to string) httpclient.Hooks) jobrun.Platform {
 	client := func(to string) *http.Client {
 		return httpclient.New(httpclient.Settings{
 			To: to, DialTimeout: dialTimeout, IdleTimeout: s.Connections.IdleTimeout, MinOverdue: s.Connections.AnswerTimeout,
-			MaxIdlePerHost: maxIdleConnsPerHost, Now: c.Now, Hooks: reports(to),
+			MaxIdlePerHost: maxIdleConnsPerHost, Now: c.Now, Hooks: hooks(to),
 		})
 	}
 	log := platform.NewLog(s.Jobs.LogAddress, client("log"))
@@ -194,8 +200,8 @@
 	}
 }
 
-// connectionHooks has the loop told of the connections to a service. There is a loop by the time
-// that the first is opened.
+// connectionHooks returns callbacks that pass the connection events of a service to the loop.
+// They look up d.loop only when they are called, because it is not set yet when they are made.
 func (d *jobDaemon) connectionHooks(to string) httpclient.Hooks {
 	bytes := sync.OnceValue(func() func(in, out int) { return d.loop.ByteCounter(to) })
 	return httpclient.Hooks{
@@ -207,7 +213,7 @@
 	}
 }
 
-// shutdown closes the callers' ports and waits for the answers under way.
+// shutdown closes the HTTP ports and waits up to shutdownTimeout for the requests in progress.
 func (d *jobDaemon) shutdown() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -216,7 +222,7 @@
 	}
 }
 
-// close ends all parts, also those that a failed start has left.
+// close stops the servers, the peers' port and the loop. It also cleans up after a failed start.
 func (d *jobDaemon) close() {
 	for _, s := range d.servers {
 		_ = s.Close()
--- a/cmd/saddlevaned/main.go
+++ b/cmd/saddlevaned/main.go
@@ -18,7 +18,7 @@
 	"saddlevane/modules/version"
 )
 
-// Exit codes.
+// Exit codes of the daemon.
 const (
 	exitDone     = 0
 	exitFailed   = 1
@@ -27,6 +27,7 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
+// run loads the settings, runs the daemon and returns the exit code.
 func run(args []string) int {
 	settings, command, err := setting.Load("saddlevaned", args)
 	switch {
@@ -39,7 +40,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return exitSettings
 	case command.Check:
-		fmt.Println("the settings are right")
+		fmt.Println("the settings are valid")
 		return exitDone
 	}
 	log, err := logger.New(os.Stderr, settings.Log.Level, settings.Log.Format)
--- a/cmd/saddlevaned/settings.go
+++ b/cmd/saddlevaned/settings.go
@@ -13,10 +13,10 @@
 	"saddlevane/services/shard"
 )
 
-// journalLimit is how many entries may wait for the log.
+// journalLimit is the largest number of journal entries that may wait to be appended to the log.
 const journalLimit = 10_000
 
-// coreSettings returns the reducer's part of the settings.
+// coreSettings converts the settings to those of the reducer.
 func coreSettings(s setting.Settings) core.Settings {
 	return core.Settings{
 		Journal: journal.Settings{
@@ -36,6 +36,7 @@
 	}
 }
 
+// shardSettings converts the settings to those of a shard's holder.
 func shardSettings(s setting.Settings) shard.Settings {
 	return shard.Settings{
 		Lease: s.Workers.Lease, RenewInterval: s.Workers.RenewInterval, ClockMargin: s.Workers.ClockMargin, TaskLease: s.Workers.TaskLease,
@@ -46,7 +47,7 @@
 	}
 }
 
-// policies returns the policies that a deployment chose.
+// policies returns the routing and placement policies that the settings select.
 func policies(p setting.Policy) core.Policies {
 	weights := placement.Weights{Tight: p.Tight, Balance: p.Balance}
 	routes := routing.DefaultPolicy()
