--- a/modules/clock/clock.go
+++ b/modules/clock/clock.go
@@ -1,12 +1,12 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package clock tells the time by which leases, authority, silence and the age of what is
-// known are judged. It is the only one of the daemon's that reads clocks.
+// Package clock provides the time by which leases, authority, silence and the age of
+// information are judged. It is the only package of the daemon that reads clocks.
 //
-// Go's own steady clock stands still while the machine is suspended, and the time of day
-// may be set. The time told here goes on during a suspension, as CLOCK_BOOTTIME does: a
-// box that wakes up must see that what it believes is old.
+// Go's monotonic clock stops while the machine is suspended, and the wall clock may be set. The
+// time returned here advances during a suspension, as CLOCK_BOOTTIME does, so that a box that
+// resumes recognizes that its information is outdated.
 package clock
 
 import (
@@ -18,18 +18,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells the time. It may be used by several goroutines.
+// Clock returns the current time. It is safe for concurrent use.
 type Clock struct {
-	// now reads Go's clock, suspended how long the machine has been suspended so far.
+	// now reads Go's clock, and suspended returns how long the machine has been suspended so
+	// far.
 	now       func() time.Time
 	suspended func() time.Duration
-	// first is what suspended was at the start, counted how much of it has been counted
-	// since, in nanoseconds.
+	// initialSuspension is the result of suspended when the clock was created. counted is how
+	// much of the suspension since then Now has added so far, in nanoseconds.
 	initialSuspension time.Duration
 	counted           atomic.Int64
 }
 
-// minSuspension is the shortest suspension that is counted.
+// minSuspension is the shortest suspension that is counted. Shorter differences between the two
+// clocks result from reading them one after the other.
 const minSuspension = time.Millisecond
 
 // New returns the clock of the machine.
@@ -40,31 +42,33 @@
 	return NewWith(time.Now, func() time.Duration {
 		d, err := machineSuspension()
 		if err != nil {
-			// It could be read before, and takes no arguments that could be wrong.
+			// New has already read the clocks successfully, and the call takes no arguments
+			// that could be invalid.
 			panic(err)
 		}
 		return d
 	}), nil
 }
 
-// NewWith returns a clock that reads some functions: Go's clock, and how long the machine has
-// been suspended so far, or somewhat less.
+// NewWith returns a clock that reads Go's time from now and the total suspension of the
+// machine, or slightly less, from suspended.
 func NewWith(now func() time.Time, suspended func() time.Duration) *Clock {
 	return &Clock{now: now, suspended: suspended, initialSuspension: suspended()}
 }
 
-// Now returns the time. Times differ by what has passed, suspensions included, whatever
-// the time of day was set to meanwhile; read as a time of day it is ahead by Suspended.
+// Now returns the time. The difference between two times is the time elapsed between them,
+// including suspensions, even if the wall clock was set meanwhile. As a wall-clock time it is
+// ahead by Suspended.
 func (c *Clock) Now() time.Time {
 	t := c.now()
 	return t.Add(c.Suspended())
 }
 
-// Deadline returns a time some way from now on Go's own clock, by which the deadlines of
-// connections are kept. A suspension lengthens it.
-func Deadline(in time.Duration) time.Time { return time.Now().Add(in) }
+// Deadline returns the time in Go's own clock that is d from now, as deadlines of connections
+// require. A suspension delays it.
+func Deadline(d time.Duration) time.Time { return time.Now().Add(d) }
 
-// Wait waits for some time, or less if ctx ends. A suspension lengthens it.
+// Wait waits for d, or until ctx ends. A suspension lengthens the wait.
 func Wait(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -77,7 +81,7 @@
 	}
 }
 
-// Suspended returns how long the machine has been suspended since the clock was made.
+// Suspended returns how long the machine has been suspended since the clock was created.
 func (c *Clock) Suspended() time.Duration {
 	d := c.suspended() - c.initialSuspension
 	for {
@@ -91,19 +95,19 @@
 	}
 }
 
-// machineSuspension returns how long the machine has been suspended since it started, or
-// somewhat less: the clock that stands still meanwhile is read last, and this process may
-// wait for a processor between.
+// machineSuspension returns how long the machine has been suspended since boot, or slightly
+// less: the monotonic clock, which stops during a suspension, is read last, and the process may
+// be descheduled between the two reads.
 func machineSuspension() (time.Duration, error) {
 	boot, err := readClock(unix.CLOCK_BOOTTIME)
 	if err != nil {
 		return 0, err
 	}
-	steady, err := readClock(unix.CLOCK_MONOTONIC)
-	return boot - steady, err
+	monotonic, err := readClock(unix.CLOCK_MONOTONIC)
+	return boot - monotonic, err
 }
 
-// readClock reads one of the system's clocks.
+// readClock reads a system clock.
 func readClock(id int32) (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(id, &t); err != nil {
--- a/modules/clock/clock_test.go
+++ b/modules/clock/clock_test.go
@@ -17,7 +17,7 @@
 	steady, suspended := time.Now(), 90*time.Minute
 	c := clock.NewWith(func() time.Time { return steady }, func() time.Duration { return suspended })
 	began := c.Now()
-	assert.Equal(t, c.Suspended(), time.Duration(0), "what was before it counts for nothing")
+	assert.Equal(t, c.Suspended(), time.Duration(0), "suspensions before the clock was created do not count")
 
 	steady = steady.Add(time.Second)
 	assert.Equal(t, c.Now().Sub(began), time.Second)
@@ -27,13 +27,13 @@
 	assert.Equal(t, c.Suspended(), 5*time.Second)
 }
 
-// The two clocks are read one after the other, so what they differ by varies.
+// The two clocks are read one after the other, so the difference between them varies.
 func TestTimeIsMonotonic(t *testing.T) {
 	steady, suspended := time.Now(), time.Duration(0)
 	c := clock.NewWith(func() time.Time { return steady }, func() time.Duration { return suspended })
 	last := c.Now()
-	for _, told := range []time.Duration{30, 0, 2000, -700, 2000, 1500, 0} {
-		suspended = told * time.Microsecond
+	for _, reading := range []time.Duration{30, 0, 2000, -700, 2000, 1500, 0} {
+		suspended = reading * time.Microsecond
 		now := c.Now()
 		assert.Check(t, !now.Before(last), "%v after %v", now, last)
 		last = now
@@ -44,8 +44,8 @@
 func TestMachineClock(t *testing.T) {
 	c, err := clock.New()
 	assert.NilError(t, err)
-	began, same := time.Now(), c.Now()
-	passed := c.Now().Sub(same)
+	began, first := time.Now(), c.Now()
+	passed := c.Now().Sub(first)
 	assert.Check(t, passed >= 0 && passed <= time.Since(began)+c.Suspended()+time.Second, "%v", passed)
 }
 
--- a/modules/clock/only_test.go
+++ b/modules/clock/only_test.go
@@ -14,8 +14,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestOnlyClockPackageReadsClocks holds that the daemon and its tool judge time by this package
-// only. Stand-ins, tests and benchmarks may read what they like.
+// TestOnlyClockPackageReadsClocks checks that the daemon and its tool read clocks only through
+// this package. Stand-ins, tests and benchmarks may read clocks directly.
 func TestOnlyClockPackageReadsClocks(t *testing.T) {
 	reads := regexp.MustCompile(`\btime\.(Now|Since|Until)\b|ClockGettime`)
 	others := []string{"modules/clock/", "tests/", "platform/standin/", "cmd/saddlevane-"}
--- a/modules/conntrack/conntrack_test.go
+++ b/modules/conntrack/conntrack_test.go
@@ -14,12 +14,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// fakeClock is the time of a test.
+// fakeClock is a clock that the test sets.
 type fakeClock struct{ now time.Time }
 
 func (c *fakeClock) read() time.Time { return c.now }
 
-// pipe returns a connection of a table and its far end.
+// pipe returns a connection in a table and its remote end.
 func pipe(t *testing.T, table *conntrack.Table, address string) (*conntrack.Conn, net.Conn) {
 	t.Helper()
 	near, far := net.Pipe()
@@ -30,7 +30,7 @@
 	return table.Add(address, near), far
 }
 
-// receive has something come over a connection.
+// receive makes c receive one byte from its remote end.
 func receive(t *testing.T, c *conntrack.Conn, far net.Conn) {
 	t.Helper()
 	go func() { _, _ = far.Write([]byte{'x'}) }()
@@ -38,7 +38,7 @@
 	assert.NilError(t, err)
 }
 
-// isClosed says whether a connection is closed at its far end.
+// isClosed reports whether the other end of a connection is closed.
 func isClosed(far net.Conn) bool {
 	_ = far.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
 	_, err := far.Read(make([]byte, 1))
@@ -50,23 +50,23 @@
 	table := conntrack.NewTable(at.read)
 	silent, silentFar := pipe(t, table, "a")
 	idle, idleFar := pipe(t, table, "a")
-	heard, heardFar := pipe(t, table, "a")
+	active, activeFar := pipe(t, table, "a")
 	other, otherFar := pipe(t, table, "b")
 	receive(t, idle, idleFar)
 
 	at.now = at.now.Add(time.Second)
 	sentAt := at.now
 	at.now = at.now.Add(time.Second)
-	receive(t, heard, heardFar)
+	receive(t, active, activeFar)
 	_, laterFar := pipe(t, table, "a")
 	assert.Equal(t, table.Len(), 5)
 
 	got := silent.Discard(at.now, sentAt, conntrack.AllSilent)
 	assert.Equal(t, got, conntrack.Discarded{Address: "a", Count: 2, SilentFor: 2 * time.Second})
 	assert.Check(t, isClosed(silentFar) && isClosed(idleFar))
-	assert.Check(t, !isClosed(heardFar), "something came over it since the call was sent")
-	assert.Check(t, !isClosed(laterFar), "it was opened since the call was sent")
-	assert.Check(t, !isClosed(otherFar), "it leads elsewhere")
+	assert.Check(t, !isClosed(activeFar), "data was received on it since the call was sent")
+	assert.Check(t, !isClosed(laterFar), "it was opened after the call was sent")
+	assert.Check(t, !isClosed(otherFar), "it has another address")
 	assert.Equal(t, table.Len(), 3)
 	_, err := idle.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, conntrack.ErrDiscarded)
@@ -82,34 +82,29 @@
 	table := conntrack.NewTable(at.read)
 	silent, silentFar := pipe(t, table, "a")
 	busy, busyFar := pipe(t, table, "a")
-	was, wasFar := pipe(t, table, "a")
+	finished, finishedFar := pipe(t, table, "a")
 	silent.BeginCall()
 	busy.BeginCall()
-	was.BeginCall()
-	was.EndCall()
+	finished.BeginCall()
+	finished.EndCall()
 	at.now = at.now.Add(time.Second)
 
 	got := silent.Discard(at.now, at.now, conntrack.SilentAndIdle)
 	assert.Equal(t, got.Count, 2)
-	assert.Check(t, isClosed(silentFar) && isClosed(wasFar))
+	assert.Check(t, isClosed(silentFar) && isClosed(finishedFar))
 	assert.Check(t, !isClosed(busyFar))
 }
 
-// Symptom: a connection seems silent for seconds over which something has just come,
-// or the other way round.
-//
-// Sequence: the time of day is set back or forward while the connection is open.
-//
-// Cause: when something last came was kept as a time of day.
-//
-// What settled it: reading the code; the users' machines set their clocks by seconds.
+// Guards against connections that appear silent, or active, by several seconds because the wall
+// clock was set while they were open. This happens if the time of the last receipt is stored as
+// wall-clock time; machines in production set their clocks by seconds.
 func TestTimesAreMonotonic(t *testing.T) {
 	c, far := pipe(t, conntrack.NewTable(time.Now), "a")
 	began := time.Now()
 	receive(t, c, far)
-	heard := c.LastReceivedAt()
-	assert.Check(t, heard != heard.Round(0), "%v has no steady time", heard)
-	assert.Check(t, !heard.Before(began) && !heard.After(time.Now()), "heard at %v, read since %v", heard, began)
+	received := c.LastReceivedAt()
+	assert.Check(t, received != received.Round(0), "%v has no monotonic reading", received)
+	assert.Check(t, !received.Before(began) && !received.After(time.Now()), "received at %v, read since %v", received, began)
 }
 
 func TestOpenConnectionsAreCounted(t *testing.T) {
@@ -128,7 +123,7 @@
 	at := &fakeClock{now: time.Now()}
 	table := conntrack.NewTable(at.read)
 	c, _ := pipe(t, table, "a")
-	beside, besideFar := pipe(t, table, "a")
+	other, otherFar := pipe(t, table, "a")
 	elsewhere, elsewhereFar := pipe(t, table, "b")
 	at.now = at.now.Add(time.Second)
 	since := at.now
@@ -136,17 +131,17 @@
 	later, laterFar := pipe(t, table, "a")
 	receive(t, later, laterFar)
 	receive(t, elsewhere, elsewhereFar)
-	assert.Check(t, !c.MayBeQueued(since), "only what was open by then counts")
-	receive(t, beside, besideFar)
-	assert.Check(t, c.MayBeQueued(since), "one was answered since")
+	assert.Check(t, !c.MayBeQueued(since), "only connections open by then count")
+	receive(t, other, otherFar)
+	assert.Check(t, c.MayBeQueued(since), "another connection received data since then")
 
 	now := at.now
 	at.now = at.now.Add(time.Second)
-	beside.BeginCall()
-	assert.Check(t, !c.MayBeQueued(now), "the other one was made later")
+	other.BeginCall()
+	assert.Check(t, !c.MayBeQueued(now), "the other call began later")
 	at.now = at.now.Add(time.Second)
-	assert.Check(t, c.MayBeQueued(at.now), "the other one is under way")
-	beside.EndCall()
+	assert.Check(t, c.MayBeQueued(at.now), "the other call is in progress")
+	other.EndCall()
 	assert.Check(t, !c.MayBeQueued(at.now))
 }
 
--- a/modules/frame/frame.go
+++ b/modules/frame/frame.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package frame frames the messages between entry boxes.
+// Package frame implements the length-prefixed framing of messages between entry boxes.
 package frame
 
 import (
@@ -12,11 +12,11 @@
 	"io"
 )
 
-// maxMessage bounds one message between entry boxes, in bytes.
+// maxMessage is the maximum size of one message between entry boxes, in bytes.
 const maxMessage = 64 << 20
 
-// Codec frames JSON objects for jsonrpc2 with their length, and refuses
-// long ones before it reads them.
+// Codec is a jsonrpc2 codec that prefixes each JSON object with its length. It refuses objects
+// over the limit before it reads them.
 type Codec struct{}
 
 // WriteObject writes one object.
@@ -26,17 +26,17 @@
 		return err
 	}
 	if len(data) > maxMessage {
-		return fmt.Errorf("peer message of %d bytes, the limit is %d", len(data), maxMessage)
+		return fmt.Errorf("peer message of %d bytes exceeds the limit of %d bytes", len(data), maxMessage)
 	}
 	frame := binary.BigEndian.AppendUint32(make([]byte, 0, frameHeader+len(data)), uint32(len(data)))
 	_, err = w.Write(append(frame, data...))
 	return err
 }
 
-// frameHeader is the size of the length before an object, in bytes.
+// frameHeader is the size of the length prefix, in bytes.
 const frameHeader = 4
 
-// ReadObject reads one object.
+// ReadObject reads and decodes one object.
 func (Codec) ReadObject(r *bufio.Reader, v any) error {
 	data, err := Read(r)
 	if err != nil {
@@ -45,8 +45,8 @@
 	return json.Unmarshal(data, v)
 }
 
-// Read reads one object that is not decoded yet. It grows its buffer only as bytes arrive,
-// so a peer that announces much and sends little costs little.
+// Read reads one object without decoding it. Its buffer grows only as bytes arrive, so a peer
+// that announces a large object but sends little uses little memory.
 func Read(r *bufio.Reader) ([]byte, error) {
 	var header [frameHeader]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -54,7 +54,7 @@
 	}
 	size := int64(binary.BigEndian.Uint32(header[:]))
 	if size > maxMessage {
-		return nil, fmt.Errorf("peer message of %d bytes, the limit is %d", size, maxMessage)
+		return nil, fmt.Errorf("peer message of %d bytes exceeds the limit of %d bytes", size, maxMessage)
 	}
 	data, err := io.ReadAll(io.LimitReader(r, size))
 	if err != nil {
--- a/modules/httpclient/calls_test.go
+++ b/modules/httpclient/calls_test.go
@@ -20,7 +20,8 @@
 	"gotest.tools/v3/poll"
 )
 
-// A read whose connection is given up has waited long enough, too.
+// A read on a connection that is discarded has waited long enough; its retry must not wait
+// again.
 func TestReadOnDiscardedConnectionIsRetriedWithoutWait(t *testing.T) {
 	for name, body := range map[string]io.Reader{"no body": nil, "an empty body": bytes.NewReader(nil)} {
 		t.Run(name, func(t *testing.T) { testDiscardedReadIsRetriedWithoutWait(t, body) })
@@ -52,8 +53,8 @@
 	assert.Equal(t, len(r.retried), 2)
 }
 
-// A service that takes a caller's calls one at a time goes on with those that were given
-// up, so each needless one makes its queue longer.
+// A service that serves a caller's calls one at a time also serves those that were abandoned,
+// so each needless retry lengthens its queue.
 func TestQueuedCallIsNotRetriedWhileServiceAnswers(t *testing.T) {
 	const takes = 3 * overdueAfter
 	turn, serve := make(chan struct{}, 1), slowEcho(takes, isCall)
@@ -63,11 +64,11 @@
 		serve(w, req)
 	}, nil)
 	r.openConnections(3)
-	inTurn := httpclient.WithRetry(context.Background(), httpclient.Retry{Expected: takes, Serialized: true})
+	serialized := httpclient.WithRetry(context.Background(), httpclient.Retry{Expected: takes, Serialized: true})
 	var calls sync.WaitGroup
 	for range 3 {
 		calls.Go(func() {
-			_, err := r.call(inTurn, "text")
+			_, err := r.call(serialized, "text")
 			assert.Check(t, err)
 		})
 	}
@@ -75,11 +76,11 @@
 	assert.Equal(t, len(r.retried), 0)
 	assert.Equal(t, r.served.Load(), int64(3+3))
 
-	// The first is made again, and the others once that was answered.
+	// The first call is retried, and the others once it has been answered.
 	r.proxy.Stall()
 	for range 3 {
 		calls.Go(func() {
-			_, err := r.call(inTurn, "text")
+			_, err := r.call(serialized, "text")
 			assert.Check(t, err)
 		})
 	}
@@ -101,7 +102,7 @@
 	assert.Equal(t, r.served.Load(), int64(3))
 }
 
-// An address that leaves one call unanswered and talks on another connection is well.
+// A service that leaves one call unanswered but sends data on another connection is working.
 func TestActiveConnectionIsKept(t *testing.T) {
 	var hold atomic.Bool
 	r := newRig(t, func(w http.ResponseWriter, req *http.Request) {
@@ -119,7 +120,7 @@
 	})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if hold.Load() {
-			return poll.Continue("it is not under way")
+			return poll.Continue("the call is not in progress yet")
 		}
 		return poll.Success()
 	})
@@ -130,13 +131,13 @@
 	assert.Equal(t, r.open.Load(), int64(1), "the other connection is kept")
 }
 
-// The log can be fifty times slower for seconds. Two calls in place of each would make
-// it slower still.
+// The log can be fifty times slower for seconds. Making two calls instead of one each time
+// would slow it down further.
 func TestRetriesStopWhileServiceIsSlow(t *testing.T) {
 	var isSlow atomic.Bool
-	var later atomic.Int64
+	var clockOffset atomic.Int64
 	r := newRig(t, slowEcho(3*overdueAfter, func(*http.Request) bool { return isSlow.Load() }), func(s *httpclient.Settings) {
-		s.Now = func() time.Time { return time.Now().Add(time.Duration(later.Load())) }
+		s.Now = func() time.Time { return time.Now().Add(time.Duration(clockOffset.Load())) }
 	})
 	r.openConnections(1)
 	isSlow.Store(true)
@@ -149,8 +150,8 @@
 	assert.Equal(t, len(r.discarded), 0)
 	assert.Equal(t, r.served.Load(), int64(1+6+1))
 
-	// That it was slow is forgotten.
-	later.Store(int64(time.Minute))
+	// After a minute, the slow answers no longer count.
+	clockOffset.Store(int64(time.Minute))
 	_, err := r.call(retryContext(0), "text")
 	assert.NilError(t, err)
 	assert.Equal(t, len(r.retried), 2)
@@ -171,7 +172,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, got, "text")
 	assert.Equal(t, r.served.Load(), int64(3))
-	assert.Equal(t, len(r.discarded), 0, "a reset is told to each connection by itself")
+	assert.Equal(t, len(r.discarded), 0, "each connection notices a reset by itself")
 }
 
 func TestCallOnNewConnectionIsNotRetried(t *testing.T) {
@@ -198,10 +199,10 @@
 	assert.Equal(t, r.served.Load(), int64(3))
 	assert.Equal(t, r.retried[0].AnsweredOn, httpclient.OnNeither)
 	assert.Equal(t, len(r.unanswered), 2)
-	assert.Equal(t, len(r.discarded), 0, "calls on other connections may be about to be answered")
+	assert.Equal(t, len(r.discarded), 0, "calls on other connections may still be answered")
 }
 
-// An answer that comes in pieces is under way, however long it takes.
+// An answer that arrives in pieces is in progress, however long it takes.
 func TestAnswerInProgressIsNotRetried(t *testing.T) {
 	r := newRig(t, func(w http.ResponseWriter, _ *http.Request) {
 		for range 8 {
@@ -217,7 +218,7 @@
 	assert.Equal(t, len(r.retried), 0)
 }
 
-// What is too large to keep is passed on as it comes.
+// An answer that is too large to buffer is streamed to the caller.
 func TestLargeAnswerIsComplete(t *testing.T) {
 	const size = 20 << 20
 	r := newRig(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, size)) }, nil)
@@ -233,7 +234,7 @@
 	r.proxy.Stall()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if n := r.open.Load(); n > 0 {
-			return poll.Continue("%d are open", n)
+			return poll.Continue("%d connections are open", n)
 		}
 		return poll.Success()
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(10*time.Millisecond))
@@ -259,8 +260,8 @@
 	assert.Equal(t, len(r.unanswered), 0)
 }
 
-// An answer that is overdue may still come; the connections beside it may be as silent,
-// and the next call must not be made on one of them.
+// An overdue answer may still arrive. The other connections may be silent as well, so the next
+// call must not use one of them.
 func TestOverdueCallContinuesAndNextCallUsesNewConnection(t *testing.T) {
 	r := newRig(t, slowEcho(3*overdueAfter, isCall), nil)
 	r.openConnections(3)
@@ -269,7 +270,7 @@
 	assert.Equal(t, got, "late")
 	r.locked(func() {
 		assert.Equal(t, len(r.unanswered), 1)
-		assert.Equal(t, r.discarded[0].Count, 2, "the others carried no call")
+		assert.Equal(t, r.discarded[0].Count, 2, "the other connections were idle")
 	})
 	assert.Equal(t, r.open.Load(), int64(1))
 
@@ -284,7 +285,7 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if len(r.unanswered) < 2 {
-			return poll.Continue("it is not overdue yet")
+			return poll.Continue("the call is not overdue yet")
 		}
 		return poll.Success()
 	})
@@ -293,5 +294,5 @@
 	assert.Equal(t, got, "next")
 	r.checkFast(began)
 	lost.Wait()
-	r.locked(func() { assert.Equal(t, len(r.unanswered), 2, "it is told of once") })
+	r.locked(func() { assert.Equal(t, len(r.unanswered), 2, "an unanswered call is reported once") })
 }
--- a/modules/httpclient/httpclient.go
+++ b/modules/httpclient/httpclient.go
@@ -1,20 +1,20 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package httpclient makes the clients with which a process calls services over
-// HTTP. Open connections can go silent for good without a reset while new ones work,
-// so a client keeps two rules:
+// Package httpclient provides the HTTP clients by which a process calls services. An open
+// connection can go silent for good without a reset while new connections work, so a client
+// follows two rules:
 //
-//   - Once a call on a connection that was used before has had no answer in its time,
-//     all other connections to that address over which nothing has come since are given
-//     up too, so that one call pays and not one for each connection.
-//   - A call that may be made again (see Repeatable) is made again on a connection opened
-//     for it when its answer is overdue; the first answer counts. The connections are
-//     given up only if that comes on the new one: if it comes on neither, the service is
-//     slow or away, and calls under way on the others may be about to be answered.
+//   - When a call on a reused connection times out, all other connections to that address on
+//     which nothing was received since are discarded as well, so that a fault costs one call and
+//     not one call per connection.
+//   - A call that may be retried (see WithRetry) is retried on a new connection when its answer
+//     is overdue, and the first answer counts. Connections are discarded only if the answer arrives
+//     on the new one: if neither is answered, the service is slow or unresponsive, and calls in
+//     progress on other connections may still be answered.
 //
-// A call whose late answer still counts (see Overdue) is not given up when it is overdue,
-// but the connections beside it that carry none are.
+// A call whose late answer still counts (see WithOverdueAfter) continues when it is overdue,
+// but the idle connections to the same address that are silent too are discarded.
 package httpclient
 
 import (
@@ -28,46 +28,46 @@
 	"saddlevane/modules/conntrack"
 )
 
-// Settings are the bounds of a client.
+// Settings holds the settings of a client.
 type Settings struct {
-	// To names what is called, for lines and metrics.
+	// To names the service in log lines and metrics.
 	To string
-	// Dial bounds the opening of a connection.
+	// DialTimeout limits the time to open a connection.
 	DialTimeout time.Duration
-	// Unused is how long a connection is kept that carries no call.
+	// IdleTimeout is how long a connection without a call is kept.
 	IdleTimeout time.Duration
-	// Answer is how long the answer to a call that may be made again may at least be
-	// overdue before it is made again.
+	// MinOverdue is the minimum time by which the answer to a retryable call must be overdue
+	// before the call is retried.
 	MinOverdue time.Duration
-	// MaxIdlePerHost is how many unused connections to one address are kept, Most how many
-	// connections there are to it at a time, or 0 for any number.
+	// MaxIdlePerHost limits the idle connections kept per address, MaxPerHost all connections
+	// per address; 0 means no limit for the latter.
 	MaxIdlePerHost, MaxPerHost int
-	// Discard says which connections are given up beside one that gave no answer. Empty
-	// means all.
+	// Discard selects the connections to discard besides the one on which a call timed out. The
+	// default is conntrack.AllSilent.
 	Discard conntrack.DiscardScope
-	// Now tells the time.
+	// Now returns the current time.
 	Now   func() time.Time
 	Hooks Hooks
 }
 
-// Hooks are told what happens to connections and calls. Each may be nil.
+// Hooks are called on events of connections and calls. Each may be nil.
 type Hooks struct {
-	// Unanswered is told of each call that ran out of its time without an answer.
+	// OnUnanswered is called for each call that timed out without an answer.
 	OnUnanswered func(conntrack.Unanswered)
-	// GivenUp is told of connections that were given up.
+	// OnDiscard is called when connections are discarded.
 	OnDiscard func(conntrack.Discarded)
-	// Again is told of each call that was made again, once it is over.
+	// OnRetry is called at the end of each call that was retried.
 	OnRetry func(RetriedCall)
-	// Open is told of each connection that is opened (1) or closed (-1).
+	// OnOpen is called for each connection that is opened (1) or closed (-1).
 	OnOpen func(delta int)
-	// Bytes is told of the bytes that were read and written.
+	// OnBytes is called with the numbers of bytes read and written.
 	OnBytes func(in, out int)
 }
 
-// New returns a client with connections of its own.
+// New returns a client with its own connections.
 func New(s Settings) *http.Client { return &http.Client{Transport: NewTransport(s)} }
 
-// NewTransport returns what carries out the calls of a client.
+// NewTransport returns the transport of a client.
 func NewTransport(s Settings) *Transport {
 	t := &Transport{settings: s, table: conntrack.NewTable(s.Now), lateness: newLatenessTracker(s.MinOverdue)}
 	if s.Hooks.OnOpen != nil {
@@ -80,17 +80,17 @@
 		DialContext: t.dial, DisableCompression: true,
 		MaxIdleConnsPerHost: s.MaxIdlePerHost, MaxConnsPerHost: s.MaxPerHost, IdleConnTimeout: s.IdleTimeout,
 	}
-	// It keeps no connection, so each call on it is on one opened for it.
+	// It keeps no idle connections, so each call opens a new one.
 	t.fresh = &http.Transport{DialContext: t.dial, DisableCompression: true, MaxIdleConnsPerHost: -1}
 	return t
 }
 
-// Transport carries out calls.
+// Transport is an http.RoundTripper that discards silent connections.
 type Transport struct {
 	settings Settings
 	table    *conntrack.Table
 	lateness *latenessTracker
-	// kept has the connections that are used again.
+	// pooled reuses connections; fresh opens a new connection for each call.
 	pooled *http.Transport
 	fresh  *http.Transport
 }
@@ -108,7 +108,7 @@
 // CloseIdleConnections closes the connections that carry no call.
 func (t *Transport) CloseIdleConnections() { t.pooled.CloseIdleConnections() }
 
-// RoundTrip makes one call, or one and a second time if that may be.
+// RoundTrip makes a call and retries it if that is allowed and necessary.
 func (t *Transport) RoundTrip(req *http.Request) (*http.Response, error) {
 	if r, ok := retryOf(req); ok {
 		return t.doRetryable(req, r)
@@ -116,7 +116,7 @@
 	return t.doOnce(req)
 }
 
-// doOnce makes a call that may not be made again.
+// doOnce makes a call that must not be retried.
 func (t *Transport) doOnce(req *http.Request) (*http.Response, error) {
 	a := t.newAttempt(req)
 	defer t.watchOverdue(a)()
@@ -129,10 +129,10 @@
 	return resp, nil
 }
 
-// handleFailure takes the failure of a call that may not be made again. One that ran out of its
-// time on a connection used before is the sign that those to its address may be silent.
+// handleFailure handles the failure of a call that must not be retried. A timeout on a reused
+// connection indicates that the other connections to its address may be silent as well.
 func (t *Transport) handleFailure(a *attempt, err error) {
-	if _, told := OverdueAfter(a.req.Context()); !told {
+	if _, ok := OverdueAfter(a.req.Context()); !ok {
 		t.reportUnanswered(a, err)
 	}
 	if conn, sentAt, reused := a.connection(); reused && errors.Is(err, context.DeadlineExceeded) {
@@ -140,9 +140,9 @@
 	}
 }
 
-// watchOverdue has the other connections of a call given up that carry none, if its
-// answer is overdue and they are as silent. The call itself goes on. It returns what ends
-// the watch.
+// watchOverdue discards the idle connections to the address of a call if its answer is overdue
+// and nothing was received on them either. The call itself continues. The returned function
+// ends the watch.
 func (t *Transport) watchOverdue(a *attempt) (end func()) {
 	after, ok := OverdueAfter(a.req.Context())
 	if !ok {
@@ -157,14 +157,14 @@
 	return func() { timer.Stop() }
 }
 
-// watchedBody is the body of an answer. It tells of an error while it is read: the call
-// lasts until its answer is whole.
+// watchedBody is the body of an answer. It reports a read error, because a call lasts until its
+// answer is complete.
 type watchedBody struct {
 	io.ReadCloser
 	onError func(error)
 }
 
-// Read reads.
+// Read reads from the body and reports an error other than io.EOF.
 func (w *watchedBody) Read(b []byte) (int, error) {
 	n, err := w.ReadCloser.Read(b)
 	if err != nil && err != io.EOF {
@@ -173,7 +173,7 @@
 	return n, err
 }
 
-// reportUnanswered tells of a try that failed because its time ran out.
+// reportUnanswered reports an attempt that timed out.
 func (t *Transport) reportUnanswered(a *attempt, err error) {
 	report := t.settings.Hooks.OnUnanswered
 	conn, sentAt, reused := a.connection()
@@ -185,16 +185,16 @@
 	report(u)
 }
 
-// discard gives up a connection on which a call had no answer, and others to its address
-// that may be as silent.
+// discard discards a connection on which a call was not answered, and the others to its address
+// that Settings.Discard selects.
 func (t *Transport) discard(conn *conntrack.Conn, sentAt time.Time) {
 	t.reportDiscarded(conn.Discard(t.settings.Now(), sentAt, t.settings.Discard))
 }
 
-// reportDiscarded tells of connections that were given up.
-func (t *Transport) reportDiscarded(g conntrack.Discarded) {
-	g.To = t.settings.To
-	if report := t.settings.Hooks.OnDiscard; report != nil && g.Count > 0 {
-		report(g)
+// reportDiscarded reports connections that were discarded.
+func (t *Transport) reportDiscarded(d conntrack.Discarded) {
+	d.To = t.settings.To
+	if report := t.settings.Hooks.OnDiscard; report != nil && d.Count > 0 {
+		report(d)
 	}
 }
--- a/modules/httpclient/httpclient_test.go
+++ b/modules/httpclient/httpclient_test.go
@@ -23,19 +23,19 @@
 )
 
 const (
-	// overdueAfter is after how long a call of the tests that may be made again is.
+	// overdueAfter is when a retryable call of the tests is overdue.
 	overdueAfter = 100 * time.Millisecond
-	// callTimeout bounds the calls of the tests; it is far longer than an answer takes.
+	// callTimeout limits the calls of the tests; answers take far less.
 	callTimeout = 2 * time.Second
 )
 
-// rig is a client, a service, and what stands between them.
+// rig is a client and a service with a proxy between them.
 type rig struct {
 	t      *testing.T
 	client *http.Client
 	proxy  *forward.Proxy
 	url    string
-	// served counts the calls that the service has taken.
+	// served counts the calls that the service has received.
 	served atomic.Int64
 	open   atomic.Int64
 
@@ -45,8 +45,8 @@
 	retried    []httpclient.RetriedCall
 }
 
-// newRig returns a client of a service that answers by a function, or with what it
-// was sent.
+// newRig returns a client of a service that is implemented by answer. change, if not nil,
+// modifies the settings of the client.
 func newRig(t *testing.T, answer http.HandlerFunc, change func(*httpclient.Settings)) *rig {
 	t.Helper()
 	r := &rig{t: t, proxy: forward.New()}
@@ -85,13 +85,13 @@
 	f()
 }
 
-// echo answers with what was sent.
+// echo answers with the body of the request.
 func echo(w http.ResponseWriter, req *http.Request) {
 	body, _ := io.ReadAll(req.Body)
 	_, _ = w.Write(body)
 }
 
-// slowEcho answers as echo does, but some requests only after a while.
+// slowEcho answers like echo, but delays the answers to the requests selected by which.
 func slowEcho(takes time.Duration, which func(*http.Request) bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		if which(req) {
@@ -101,11 +101,11 @@
 	}
 }
 
-// hasWait and isCall tell requests apart that are to be slow.
+// hasWait and isCall select the requests that are delayed.
 func hasWait(req *http.Request) bool { return req.URL.Query().Has("wait") }
 func isCall(req *http.Request) bool  { return req.URL.Path == "/call" }
 
-// hang gives no answer as long as the caller waits.
+// hang does not answer until the caller gives up.
 func hang(req *http.Request) {
 	_, _ = io.Copy(io.Discard, req.Body)
 	<-req.Context().Done()
@@ -126,13 +126,13 @@
 	return string(body), err
 }
 
-// retryContext marks calls of the tests that may be made again.
+// retryContext returns a context for retryable calls.
 func retryContext(expected time.Duration) context.Context {
 	return httpclient.WithRetry(context.Background(), httpclient.Retry{Expected: expected})
 }
 
-// openConnections opens some connections by as many calls at once, and waits until the client
-// has them all back.
+// openConnections opens count connections by as many concurrent calls and waits until all of
+// them are idle.
 func (r *rig) openConnections(count int) {
 	r.t.Helper()
 	var all, calls sync.WaitGroup
@@ -162,34 +162,27 @@
 	return 0, io.EOF
 }
 
-// checkFast fails the test unless what began then took less than a call's whole time.
+// checkFast fails the test if more than half the timeout of a call has passed since began.
 func (r *rig) checkFast(began time.Time) {
 	r.t.Helper()
 	took := time.Since(began)
 	assert.Check(r.t, took < callTimeout/2, "it took %v", took)
 }
 
-// Symptom: after the connections of a process had gone silent, each that was left in
-// the pool cost its next caller a whole time-out, as many as there were; reads of the
-// log that wait were missed for 1.4 s.
-//
-// Sequence: open connections to the log, the advice service, workers or targets go
-// silent, without a reset, while new ones work. The calls under way run out of their
-// time; the next calls are made on the connections that are left.
-//
-// Cause: a call that runs out of its time gives up its own connection only, and a call
-// that may be made again is not made again on a new one.
-//
-// What settled it: of 2,668 calls without an answer not one was on a connection opened
-// for it; the log was read anew on a connection that nobody had used for 27 s, which
-// took another 0.9 s.
+// Guards against calls that time out one after the other once the connections of a process have
+// gone silent. Open connections to the log, the advice service, workers or targets can go
+// silent without a reset while new connections work. If a call that times out discards only its
+// own connection, and no call is retried on a new one, each connection left in the pool costs
+// its next caller a whole timeout. Of 2,668 unanswered calls, none was on a new connection.
+// Reads of the log were interrupted for 1.4 s; one of them was retried on a connection that had
+// been idle for 27 s, which took another 0.9 s.
 func TestSilentConnections(t *testing.T) {
 	t.Run("a pool of them costs one call", testSilentPoolCostsOneCall)
-	t.Run("calls under way on them fail with the first", testInflightCallsFail)
-	t.Run("a call that may be made again is answered", testRetryableCallIsAnswered)
+	t.Run("calls in progress on them fail with the first", testInflightCallsFail)
+	t.Run("a retryable call is answered", testRetryableCallIsAnswered)
 	t.Run("a read that waits is answered", testWaitingReadIsAnswered)
-	t.Run("an answer that stops half-way is had again", testStalledAnswerIsRetried)
-	t.Run("a call whose connection was given up is made again", testCallOnDiscardedConnectionIsRetried)
+	t.Run("an answer that stalls is requested again", testStalledAnswerIsRetried)
+	t.Run("a call on a discarded connection is retried", testCallOnDiscardedConnectionIsRetried)
 }
 
 func testSilentPoolCostsOneCall(t *testing.T) {
@@ -206,7 +199,7 @@
 		assert.Equal(t, got, fmt.Sprint(i))
 		r.checkFast(began)
 	}
-	assert.Equal(t, r.served.Load(), int64(8+8), "a call that may not be made again was")
+	assert.Equal(t, r.served.Load(), int64(8+8), "a call that must not be retried was retried")
 	assert.Equal(t, len(r.unanswered), 1)
 	assert.Equal(t, len(r.discarded), 1)
 	assert.Equal(t, r.discarded[0].Count, 8)
@@ -300,7 +293,7 @@
 	assert.Equal(t, got, "half whole")
 	r.checkFast(began)
 
-	// One that may not be made again ends at its own time.
+	// A call that must not be retried ends at its own timeout.
 	_, err = r.call(context.Background(), "")
 	assert.NilError(t, err)
 	stops.Store(true)
--- a/modules/httpclient/pace.go
+++ b/modules/httpclient/pace.go
@@ -9,33 +9,34 @@
 )
 
 const (
-	// slowFactor times the latest of recent answers is what an answer of the same
-	// address may take, so that a service that has become slow is not asked twice for
-	// each call, which would make it slower still.
+	// slowFactor is the factor by which the latest of recent answers of an address is
+	// multiplied to get the lateness allowed for it. Without it, each call to a service that
+	// has become slow would be made twice, which would slow it down further.
 	slowFactor = 2
-	// latenessWindow is how long an answer counts as recent; it counts at most twice as long.
-	// Services are slow for seconds at a time.
+	// latenessWindow is how long an answer counts as recent; it counts for at most twice as
+	// long. Services are slow for seconds at a time.
 	latenessWindow = 10 * time.Second
 )
 
-// latenessTracker knows how late answers are of addresses that are slow.
+// latenessTracker records how late the answers of slow addresses are.
 type latenessTracker struct {
-	// least is how late any answer may be.
+	// minAllowed is the lateness allowed for any answer.
 	minAllowed time.Duration
 
 	mu sync.Mutex
-	// slow has the addresses with a recent answer that was late.
+	// slow holds the addresses with a recent late answer.
 	slow map[string]*recentLateness
 }
 
-// recentLateness is how late the latest answers were in this span of latenessWindow and the last.
+// recentLateness is the maximum lateness of answers in the current window of length
+// latenessWindow, which began at since, and in the previous one.
 type recentLateness struct {
 	since             time.Time
 	current, previous time.Duration
 }
 
-func newLatenessTracker(least time.Duration) *latenessTracker {
-	return &latenessTracker{minAllowed: least, slow: map[string]*recentLateness{}}
+func newLatenessTracker(minAllowed time.Duration) *latenessTracker {
+	return &latenessTracker{minAllowed: minAllowed, slow: map[string]*recentLateness{}}
 }
 
 // allowed returns how late an answer of an address may be.
@@ -53,7 +54,8 @@
 	return max(p.minAllowed, slowFactor*max(l.current, l.previous))
 }
 
-// recordAnswer notes how late an answer was. Those that change nothing are not kept.
+// recordAnswer records how late an answer was. It ignores a lateness that would not change the
+// result of allowed.
 func (p *latenessTracker) recordAnswer(now time.Time, address string, late time.Duration) {
 	if slowFactor*late <= p.minAllowed {
 		return
@@ -69,11 +71,11 @@
 	l.current = max(l.current, late)
 }
 
-// advance begins a new span if this one is over.
+// advance begins a new window if the current one is over.
 func (l *recentLateness) advance(now time.Time) {
-	switch spans := now.Sub(l.since) / latenessWindow; {
-	case spans <= 0:
-	case spans == 1:
+	switch windows := now.Sub(l.since) / latenessWindow; {
+	case windows <= 0:
+	case windows == 1:
 		l.since, l.previous, l.current = now, l.current, 0
 	default:
 		l.since, l.previous, l.current = now, 0, 0
--- a/modules/httpclient/race.go
+++ b/modules/httpclient/race.go
@@ -12,22 +12,21 @@
 	"github.com/sourcegraph/conc"
 )
 
-// retryableCall is a call that may be made again: two tries at most, of which the first answer
-// counts.
+// retryableCall is a call that may be retried once. The first answer counts.
 type retryableCall struct {
 	t         *Transport
 	req       *http.Request
 	retry     Retry
 	startedAt time.Time
 	wg        conc.WaitGroup
-	// ended has the tries that are over.
+	// finished receives the tries that have ended.
 	finished chan *try
 	first    *try
-	// second is nil unless the call was made again.
+	// second is nil unless the call was retried.
 	second *try
 }
 
-// doRetryable makes a call, and makes it again when its answer is overdue.
+// doRetryable makes a call and retries it when its answer is overdue.
 func (t *Transport) doRetryable(req *http.Request, r Retry) (*http.Response, error) {
 	c := &retryableCall{t: t, req: req, retry: r, startedAt: t.settings.Now(), finished: make(chan *try, 2)}
 	defer c.wg.Wait()
@@ -36,9 +35,9 @@
 	defer timer.Stop()
 	for {
 		select {
-		case done := <-c.finished:
-			if c.handleTryEnd(done) {
-				return c.finish(done)
+		case ended := <-c.finished:
+			if c.handleTryEnd(ended) {
+				return c.finish(ended)
 			}
 		case <-timer.C:
 			c.retryIfOverdue(timer)
@@ -46,8 +45,9 @@
 	}
 }
 
-// withoutTransportRetry returns the request so that the transport does not make it again by itself.
-// Once its connection is closed it would make a read again as it was, with its whole wait.
+// withoutTransportRetry returns a request that http.Transport does not retry by itself.
+// Otherwise it would retry a read unchanged, with its whole wait, when its connection is
+// closed.
 func withoutTransportRetry(req *http.Request) *http.Request {
 	if req.Body != nil && req.Body != http.NoBody {
 		return req
@@ -62,19 +62,19 @@
 	return c.t.lateness.allowed(c.t.settings.Now(), c.req.URL.Host)
 }
 
-// startTry makes a try.
-func (c *retryableCall) startTry(on *http.Transport, req *http.Request) *try {
+// startTry starts a try on a transport.
+func (c *retryableCall) startTry(via *http.Transport, req *http.Request) *try {
 	ctx, cancel := context.WithCancel(req.Context())
 	y := &try{attempt: c.t.newAttempt(req.WithContext(ctx)), cancel: cancel}
 	c.wg.Go(func() {
-		y.run(c.t, on)
+		y.run(c.t, via)
 		c.finished <- y
 	})
 	return y
 }
 
-// retryIfOverdue makes the call again if its answer is overdue, else sets the timer for when it
-// will be.
+// retryIfOverdue retries the call if its answer is overdue. Otherwise it sets the timer to when
+// the answer will be overdue.
 func (c *retryableCall) retryIfOverdue(timer *time.Timer) {
 	if c.second != nil {
 		return
@@ -86,7 +86,8 @@
 	c.startSecond()
 }
 
-// startSecond makes the call on a connection opened for it. It returns false if it cannot.
+// startSecond retries the call on a new connection. It returns false if the body cannot be read
+// again.
 func (c *retryableCall) startSecond() bool {
 	req := c.req.Clone(c.req.Context())
 	if c.req.GetBody != nil {
@@ -103,47 +104,47 @@
 	return true
 }
 
-// handleTryEnd takes the end of a try and says whether the call ends with it. A connection
-// that failed says nothing of the service if it had carried other calls before.
-func (c *retryableCall) handleTryEnd(done *try) bool {
-	done.done = true
-	if done.err == nil {
+// handleTryEnd records the end of a try and reports whether the call ends with it. The failure
+// of a reused connection says nothing about the service, so the call is retried.
+func (c *retryableCall) handleTryEnd(ended *try) bool {
+	ended.done = true
+	if ended.err == nil {
 		return true
 	}
-	c.t.reportUnanswered(done.attempt, done.err)
+	c.t.reportUnanswered(ended.attempt, ended.err)
 	if c.second == nil {
-		_, _, reused := done.connection()
+		_, _, reused := ended.connection()
 		return !reused || c.req.Context().Err() != nil || !c.startSecond()
 	}
 	return c.first.done && c.second.done
 }
 
-// finish ends the call with the end of a try.
-func (c *retryableCall) finish(done *try) (*http.Response, error) {
-	c.recordResult(done)
-	if done != c.first {
+// finish ends the call with the result of a try and cancels the other try.
+func (c *retryableCall) finish(ended *try) (*http.Response, error) {
+	c.recordResult(ended)
+	if ended != c.first {
 		c.first.cancel()
 	}
-	if c.second != nil && done != c.second {
+	if c.second != nil && ended != c.second {
 		c.second.cancel()
 	}
-	return done.resp, done.err
+	return ended.resp, ended.err
 }
 
-// recordResult draws the conclusions: from how late the answer was, and on which connection it
-// came.
-func (c *retryableCall) recordResult(done *try) {
-	if done.err == nil && !done.mayBeQueued(c.retry) {
-		_, sentAt, _ := done.connection()
-		c.t.lateness.recordAnswer(done.answeredAt, c.req.URL.Host, done.answeredAt.Sub(sentAt)-c.retry.Expected)
+// recordResult records how late the answer was and, if the call was retried, on which
+// connection it arrived. It discards the first connection if the answer arrived on the second.
+func (c *retryableCall) recordResult(ended *try) {
+	if ended.err == nil && !ended.mayBeQueued(c.retry) {
+		_, sentAt, _ := ended.connection()
+		c.t.lateness.recordAnswer(ended.answeredAt, c.req.URL.Host, ended.answeredAt.Sub(sentAt)-c.retry.Expected)
 	}
 	if c.second == nil {
 		return
 	}
 	answered := OnNeither
 	switch {
-	case done.err != nil:
-	case done == c.first:
+	case ended.err != nil:
+	case ended == c.first:
 		answered = OnOld
 	default:
 		answered = OnNew
--- a/modules/httpclient/try.go
+++ b/modules/httpclient/try.go
@@ -11,25 +11,26 @@
 	"time"
 )
 
-// maxBufferedBody is how much of an answer is read before its call counts as answered, in
+// maxBufferedBody is how much of an answer is buffered before its call counts as answered, in
 // bytes. A page of the log has 1 MB.
 const maxBufferedBody = 4 << 20
 
-// try is one of the tries of a race.
+// try is one of the two tries of a retryableCall.
 type try struct {
 	*attempt
 	cancel context.CancelFunc
-	// answeredAt is when the answer began to come.
+	// answeredAt is when the header of the answer was received.
 	answeredAt time.Time
 	resp       *http.Response
 	err        error
-	// over says that the race has taken its end.
+	// done reports that the retryableCall has handled the end of this try.
 	done bool
 }
 
-// run carries the try out until its answer is whole, or as large as is kept.
-func (y *try) run(t *Transport, on *http.Transport) {
-	y.resp, y.err = on.RoundTrip(y.req)
+// run makes the request and reads the answer until it is complete or maxBufferedBody is
+// reached.
+func (y *try) run(t *Transport, via *http.Transport) {
+	y.resp, y.err = via.RoundTrip(y.req)
 	y.answeredAt = y.now()
 	if y.err != nil {
 		y.cancel()
@@ -52,8 +53,8 @@
 	y.cancel()
 }
 
-// largeBody is the body of an answer of which only the beginning is kept. The try goes on
-// until it is closed.
+// largeBody is the body of an answer of which only the beginning is buffered. The try lasts
+// until the body is closed.
 type largeBody struct {
 	io.Reader
 	body   io.Closer
--- a/modules/httpjson/httpjson.go
+++ b/modules/httpjson/httpjson.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package httpjson sends and takes JSON over HTTP with bounded sizes.
+// Package httpjson sends and receives JSON over HTTP with bounded body sizes.
 package httpjson
 
 import (
@@ -14,10 +14,10 @@
 	"net/http"
 )
 
-// ErrTooLarge says that a body exceeded its limit.
+// ErrTooLarge is returned for a body that exceeds its limit.
 var ErrTooLarge = errors.New("body too large")
 
-// StatusError is an answer with a status other than 2xx.
+// StatusError is the error for a response with a status other than 2xx.
 type StatusError struct {
 	Status int
 	Body   string
@@ -34,10 +34,10 @@
 	limit int64
 }
 
-// NewClient returns a client that reads at most limit bytes of an answer.
+// NewClient returns a client that reads at most limit bytes of a response.
 func NewClient(c *http.Client, limit int64) *Client { return &Client{http: c, limit: limit} }
 
-// Get decodes the answer to a GET of url into out.
+// Get sends a GET request to url and decodes the response into out.
 func (c *Client) Get(ctx context.Context, url string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return c.do(req, out)
 }
 
-// Post sends in to url and decodes the answer into out.
+// Post sends in to url and decodes the response into out.
 func (c *Client) Post(ctx context.Context, url string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -79,8 +79,7 @@
 	return nil
 }
 
-// ReadAll reads r to its end, or returns ErrTooLarge if it holds more than limit
-// bytes.
+// ReadAll reads r to its end. It returns ErrTooLarge if r holds more than limit bytes.
 func ReadAll(r io.Reader, limit int64) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err != nil {
@@ -92,8 +91,8 @@
 	return data, nil
 }
 
-// Decode reads the body of r into out. It answers the request itself if that
-// fails and then returns false.
+// Decode reads the body of r, of at most limit bytes, into out. If that fails, it writes an
+// error response and returns false.
 func Decode(w http.ResponseWriter, r *http.Request, limit int64, out any) bool {
 	data, err := ReadAll(r.Body, limit)
 	if errors.Is(err, ErrTooLarge) {
@@ -111,7 +110,7 @@
 	return true
 }
 
-// Write answers with v as JSON.
+// Write writes v to w as JSON.
 func Write(w http.ResponseWriter, status int, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -123,12 +122,12 @@
 	_, _ = w.Write(append(data, '\n'))
 }
 
-// problem is the body of an error answer.
+// problem is the body of an error response.
 type problem struct {
 	Reason string `json:"reason"`
 }
 
-// Error answers with a reason.
+// Error writes an error response with a reason.
 func Error(w http.ResponseWriter, status int, reason string) {
 	Write(w, status, problem{Reason: reason})
 }
--- a/modules/joblog/joblog.go
+++ b/modules/joblog/joblog.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package joblog reads the lines that daemons logged and picks those that tell
-// the history of one job.
+// Package joblog reads the logs of daemons. It extracts the history of one job and summarizes
+// jobs and calls that were late or failed.
 package joblog
 
 import (
@@ -16,30 +16,31 @@
 	"time"
 )
 
-// Line is one line about a job.
+// Line is one log line about a job.
 type Line struct {
 	At      time.Time
 	Box     string
 	Message string
-	// Fields are the others, as name=value, in the order of names.
+	// Fields holds the remaining fields as name=value, sorted by name.
 	Fields []string
-	// Gap says that the line tells of others that were left out.
+	// Gap reports that the line states how many other lines were left out of the log.
 	Gap bool
 }
 
-// History is what was found.
+// History holds the lines found for a job.
 type History struct {
 	Lines []Line
-	// Torn counts lines that looked like a daemon's and could not be read.
+	// Torn counts lines that look like a daemon's but could not be decoded.
 	Torn int
-	// Foreign counts lines of something else.
+	// Foreign counts lines that were not written by a daemon.
 	Foreign int
 }
 
-// maxLine bounds a line, in bytes; the rest of a longer one counts as torn.
+// maxLine is the maximum length of a line in bytes. A longer line counts as torn.
 const maxLine = 1 << 20
 
-// The names of fields that are told apart from the others.
+// The names of fields with a special meaning, and the message of a line that stands for lines
+// left out.
 const (
 	fieldTime      = "time"
 	fieldMessage   = "msg"
@@ -47,7 +48,7 @@
 	messageLeftOut = "lines were left out"
 )
 
-// hiddenFields are fields that say nothing of the job itself.
+// hiddenFields are fields that Line.Fields omits because they do not describe the job.
 var hiddenFields = []string{fieldTime, fieldMessage, fieldBox, "level", "incarnation"}
 
 // Read adds the lines of r that concern a job.
@@ -55,13 +56,13 @@
 	return forEachLine(r, func(text string) { h.addLine(text, job) })
 }
 
-// forEachLine gives the lines of r that are not empty to a function.
-func forEachLine(r io.Reader, take func(text string)) error {
+// forEachLine calls f for each non-empty line of r.
+func forEachLine(r io.Reader, f func(text string)) error {
 	in := bufio.NewReaderSize(r, 64<<10)
 	for {
 		text, err := in.ReadString('\n')
 		if text = strings.TrimSpace(text); text != "" {
-			take(text)
+			f(text)
 		}
 		if err == io.EOF {
 			return nil
@@ -72,8 +73,8 @@
 	}
 }
 
-// addLine looks at one line. Whatever stands before the first brace was added by
-// whoever gathered the lines.
+// addLine adds one line if it concerns the job. Text before the first brace is ignored: it was
+// added by the tool that collected the lines.
 func (h *History) addLine(text, job string) {
 	brace := strings.IndexByte(text, '{')
 	if brace < 0 {
@@ -96,7 +97,7 @@
 	h.Lines = append(h.Lines, newLine(fields, message))
 }
 
-// isAboutJob says whether a line names the job, or a step or task of it.
+// isAboutJob reports whether a line names the job, or a step or task of it.
 func isAboutJob(fields map[string]any, job string) bool {
 	for _, name := range []string{"job", "step", "task"} {
 		if v, ok := fields[name].(string); ok && (v == job || strings.HasPrefix(v, job+".")) {
@@ -106,7 +107,7 @@
 	return false
 }
 
-// newLine keeps what is worth showing of a line.
+// newLine builds a Line from the decoded fields of a log line.
 func newLine(fields map[string]any, message string) Line {
 	l := Line{Message: message, Gap: message == messageLeftOut}
 	l.Box, _ = fields[fieldBox].(string)
@@ -122,8 +123,8 @@
 	return l
 }
 
-// Sort orders the lines by time and drops gaps before the first and after the
-// last line about the job, where nothing of it can be missing.
+// Sort orders the lines by time and drops gaps before the first and after the last line about
+// the job, where no line about it can be missing.
 func (h *History) Sort() {
 	slices.SortStableFunc(h.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
 	about := func(l Line) bool { return !l.Gap }
--- a/modules/joblog/losses.go
+++ b/modules/joblog/losses.go
@@ -13,52 +13,54 @@
 	"time"
 )
 
-// The messages of daemons that tell of jobs and calls that were not served in time.
+// The log messages that report the end of a job and a call that was not served.
 const (
 	messageJobEnded      = "job ended"
 	messageCallNotServed = "call not served"
 )
 
-// Losses sums up what the daemons logged of jobs that were late or failed, and of
-// calls that were not served.
+// Losses summarizes the jobs that were late or failed and the calls that were not served,
+// according to the daemons' logs.
 type Losses struct {
 	queues map[string]*QueueLoss
-	// spans counts by the time of the day and by reason, in steps of every.
+	// spans counts losses by the start of the interval and by reason. interval is the length of
+	// an interval.
 	spans    map[time.Time]map[string]int
 	interval time.Duration
-	// workspaces has the losses of each workspace.
+	// workspaces holds the losses of each workspace.
 	workspaces map[string]*QueueLoss
-	// Torn counts lines that looked like a daemon's and could not be read.
+	// Torn counts lines that look like a daemon's but could not be decoded.
 	Torn int
 }
 
-// QueueLoss is what one queue, or one workspace, has lost.
+// QueueLoss holds the losses of one queue or one workspace.
 type QueueLoss struct {
 	Queue     string `json:"queue,omitempty"`
 	Workspace string `json:"workspace,omitempty"`
-	// Ended counts the jobs that have ended well or failed, Late those that took longer
-	// than their objective, Failed those that failed.
+	// Ended counts the jobs that ended, late ones and failed ones included. Late counts those
+	// that took longer than their objective, Failed those that failed.
 	Ended  int `json:"ended"`
 	Late   int `json:"late"`
 	Failed int `json:"failed"`
-	// Delays is how many of the late jobs, in parts of a job, were late because of each
-	// delay.
+	// Delays attributes the late jobs to the causes of their delay. A job delayed by several
+	// causes counts as a fraction for each, in proportion to its duration.
 	Delays map[string]float64 `json:"delays"`
 }
 
-// SpanLoss counts what was lost in a span of time for one reason.
+// SpanLoss counts the losses of one interval for one reason.
 type SpanLoss struct {
 	Begin  time.Time `json:"from"`
 	Reason string    `json:"reason"`
 	Count  int       `json:"count"`
 }
 
-// NewLosses returns no losses yet; they are counted in spans of some length.
-func NewLosses(every time.Duration) *Losses {
-	return &Losses{queues: map[string]*QueueLoss{}, workspaces: map[string]*QueueLoss{}, spans: map[time.Time]map[string]int{}, interval: every}
+// NewLosses returns empty losses that are counted per interval.
+func NewLosses(interval time.Duration) *Losses {
+	return &Losses{queues: map[string]*QueueLoss{}, workspaces: map[string]*QueueLoss{}, spans: map[time.Time]map[string]int{}, interval: interval}
 }
 
-// lossLine is the part of a line that tells the end of a job or of a call.
+// lossLine holds the fields of a log line that reports the end of a job or a call that was not
+// served.
 type lossLine struct {
 	Message   string                   `json:"msg"`
 	At        time.Time                `json:"time"`
@@ -99,16 +101,16 @@
 	}
 }
 
-// addEnded counts the end of a job, for its queue and for its workspace if it is of one.
+// addEnded counts the end of a job for its queue and, if it has one, its workspace.
 func (l *Losses) addEnded(line lossLine) {
 	q := l.queues[line.Queue]
 	if q == nil {
 		q = &QueueLoss{Queue: line.Queue, Delays: map[string]float64{}}
 		l.queues[line.Queue] = q
 	}
-	why := q.addEnded(line)
-	if why != "" {
-		l.countLoss(line.At, why)
+	reason := q.addEnded(line)
+	if reason != "" {
+		l.countLoss(line.At, reason)
 	}
 	if line.Workspace == "" {
 		return
@@ -121,8 +123,8 @@
 	w.addEnded(line)
 }
 
-// addEnded counts the end of a job, and returns what was lost by it, if anything. One without
-// an objective has none: it lasts, or falls due several times.
+// addEnded counts the end of a job and returns the kind of loss, or "" if there was none. A job
+// without an objective cannot be late: it runs indefinitely or has several due times.
 func (q *QueueLoss) addEnded(line lossLine) string {
 	switch {
 	case line.Outcome == "failed":
@@ -139,18 +141,19 @@
 	return ""
 }
 
-// addLate divides a late job among what delayed it, and returns what did most.
+// addLate distributes a late job over the causes of its delay and returns the cause with the
+// longest delay.
 func (q *QueueLoss) addLate(line lossLine) string {
 	total, longest := time.Duration(0), ""
-	for _, why := range slices.Sorted(maps.Keys(line.Delays)) {
-		took := line.Delays[why]
-		total += took
-		if longest == "" || took > line.Delays[longest] {
-			longest = why
+	for _, cause := range slices.Sorted(maps.Keys(line.Delays)) {
+		delay := line.Delays[cause]
+		total += delay
+		if longest == "" || delay > line.Delays[longest] {
+			longest = cause
 		}
 	}
-	for why, took := range line.Delays {
-		q.Delays[why] += float64(took) / float64(total)
+	for cause, delay := range line.Delays {
+		q.Delays[cause] += float64(delay) / float64(total)
 	}
 	if longest == "" {
 		longest = "no delay was told"
@@ -168,18 +171,18 @@
 	l.spans[begin][reason]++
 }
 
-// reasonClass drops what differs from call to call: words with digits, such as
-// addresses, and what follows a colon.
+// reasonClass removes the parts of a reason that differ between calls: words with digits, such
+// as addresses, and everything after a colon.
 func reasonClass(reason string) string {
 	class, _, _ := strings.Cut(reason, ":")
 	words := slices.DeleteFunc(strings.Fields(class), func(word string) bool { return strings.ContainsAny(word, "0123456789") })
 	return strings.Join(words, " ")
 }
 
-// Queues returns the losses of each queue, by name.
+// Queues returns the losses of each queue, sorted by name.
 func (l *Losses) Queues() []QueueLoss { return sortedByName(l.queues) }
 
-// Workspaces returns the losses of each workspace, by name.
+// Workspaces returns the losses of each workspace, sorted by name.
 func (l *Losses) Workspaces() []QueueLoss { return sortedByName(l.workspaces) }
 
 func sortedByName(losses map[string]*QueueLoss) []QueueLoss {
@@ -190,7 +193,7 @@
 	return all
 }
 
-// Spans returns the losses in order of time and reason.
+// Spans returns the losses sorted by time and reason.
 func (l *Losses) Spans() []SpanLoss {
 	var all []SpanLoss
 	for _, begin := range slices.SortedFunc(maps.Keys(l.spans), time.Time.Compare) {
@@ -201,7 +204,7 @@
 	return all
 }
 
-// SortedDelays returns the delays, that of most late jobs first.
+// SortedDelays returns the causes of delay, the one with the most late jobs first.
 func (q *QueueLoss) SortedDelays() []string {
 	return slices.SortedFunc(maps.Keys(q.Delays), func(a, b string) int {
 		return cmp.Or(cmp.Compare(q.Delays[b], q.Delays[a]), cmp.Compare(a, b))
--- a/modules/logger/logger.go
+++ b/modules/logger/logger.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package logger sets up structured logs. The fields have stable names.
+// Package logger sets up structured logging with fixed field names.
 package logger
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Names of the fields that log lines share.
+// Names of fields used in several log lines.
 const (
 	FieldBox         = "box"
 	FieldIncarnation = "incarnation"
--- a/modules/ordered/compare.go
+++ b/modules/ordered/compare.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-// TrueFirst orders what something holds of before what it does not hold of.
+// TrueFirst compares two booleans and orders true before false.
 func TrueFirst(a, b bool) int {
 	switch {
 	case a == b:
--- a/modules/peering/accept_test.go
+++ b/modules/peering/accept_test.go
@@ -23,7 +23,7 @@
 	failuresLeft atomic.Int32
 }
 
-// Accept fails as it does without a free descriptor.
+// Accept fails with EMFILE, as accept does when no file descriptor is free.
 func (f *failingListener) Accept() (net.Conn, error) {
 	if f.failuresLeft.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: syscall.EMFILE}
@@ -31,14 +31,9 @@
 	return f.Listener.Accept()
 }
 
-// Symptom: a box answers nobody for as long as it lives, though it works.
-//
-// Sequence: connections that went silent use up its descriptors for a moment; the next
-// connection of another box cannot be accepted.
-//
-// Cause: the first accept that failed ended all accepting.
-//
-// What settled it: reading the code; this test.
+// Guards against a box that accepts no connections until it restarts after one failed
+// accept. An accept fails if silent connections use up the file descriptors for a moment; the
+// accept loop must not end with the first failure.
 func TestAcceptIsRetriedAfterFailure(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/modules/peering/bench_test.go
+++ b/modules/peering/bench_test.go
@@ -16,14 +16,14 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// countingListener is a listener that counts the bytes of its connections, both ways, without
-// what TCP and IP add.
+// countingListener counts the bytes of its connections in both directions, without the overhead
+// of TCP and IP.
 type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
 }
 
-// Accept accepts a connection.
+// Accept accepts a connection whose bytes are counted.
 func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	return &countingConn{Conn: c, bytes: &l.bytes}, err
@@ -35,21 +35,21 @@
 	bytes *atomic.Int64
 }
 
-// Read reads and counts.
+// Read reads and counts the bytes.
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write writes and counts.
+// Write writes and counts the bytes.
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// benchBox returns a box and where it listens.
+// benchBox returns the links of a box and their listener.
 func benchBox(b *testing.B) (*peering.Links, *countingListener) {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,7 +65,7 @@
 	return box, l
 }
 
-// cpuTime returns the processor time that this process has used.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var used syscall.Rusage
@@ -75,7 +75,7 @@
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
 
-// BenchmarkProbe measures one probe and its answer, both boxes together.
+// BenchmarkProbe measures one probe and its answer, for both boxes together.
 func BenchmarkProbe(b *testing.B) {
 	from, _ := benchBox(b)
 	_, to := benchBox(b)
@@ -93,7 +93,7 @@
 	b.ReportMetric(float64(to.bytes.Load()-bytes)/float64(b.N), "wire-B/op")
 }
 
-// BenchmarkIdleLinks measures what links cost that nobody calls on, both ends together.
+// BenchmarkIdleLinks measures the cost of links without calls, for both ends together.
 func BenchmarkIdleLinks(b *testing.B) {
 	const links, span = 200, 5 * time.Second
 	from, _ := benchBox(b)
--- a/modules/peering/call.go
+++ b/modules/peering/call.go
@@ -14,50 +14,50 @@
 // Call is a call to another box.
 type Call struct {
 	Method string
-	// Params are sent with the call, and the answer is decoded into Result.
+	// Params are sent with the call; the answer is decoded into Result.
 	Params, Result any
-	// Idempotent says that serving the call twice does no more than serving it once. It
-	// is then made again, on a new connection, if its connection is lost.
+	// Idempotent states that serving the call twice has the same effect as serving it once. If
+	// its connection is lost, it is retried on a new connection.
 	Idempotent bool
-	// Urgent has its link probed at once, so that a silent one costs the call no more
-	// than the bound on the probe's answer.
+	// Urgent has the link probed at once, so that a silent link delays the call by no more than
+	// the timeout of the probe.
 	Urgent bool
 }
 
-// NoAnswerError means that a box has not answered a call.
+// NoAnswerError is returned for a call that was not answered.
 type NoAnswerError struct {
 	Address, Method string
-	// Sent says that the call may have arrived. Without it nothing was done.
+	// Sent reports that the call may have arrived. If it is false, the call was not served.
 	Sent bool
-	// BoxUnresponsive says that this tells of the box and not of an old connection that is dead: no
-	// connection could be opened, or nothing has ever come over the last one, though it
-	// had the usual time of an answer.
+	// BoxUnresponsive reports that the box itself failed to respond, as opposed to an old dead
+	// connection: no connection could be opened, or nothing was ever received on the last one
+	// within the usual time of an answer.
 	BoxUnresponsive bool
-	// Err is why the last try has failed.
+	// Err is the error of the last attempt.
 	Err error
 }
 
-// Error returns which call had no answer, and why.
+// Error returns the address, the method and the cause.
 func (e *NoAnswerError) Error() string {
 	return fmt.Sprintf("entry box %s: %s: no answer: %v", e.Address, e.Method, e.Err)
 }
 
-// Unwrap returns why the last try has failed.
+// Unwrap returns the error of the last attempt.
 func (e *NoAnswerError) Unwrap() error { return e.Err }
 
-// maxAttempts bounds how often a call is made whose connections are lost: another is had
-// in a few milliseconds, and a second loss in a row is rare.
+// maxAttempts limits the attempts of a call whose connections are lost. A new connection takes
+// a few milliseconds, and a second loss in a row is rare.
 const maxAttempts = 4
 
-// Call calls the box at an address. repeated says that an earlier try of the call may
-// have been served besides, so that an answer that refuses it tells of the last try
-// only. An error is a NoAnswerError, or else what the box has answered.
+// Call calls the box at address. repeated reports that an earlier attempt may have been served
+// as well, so that an answer that refuses the call describes only the last attempt. The error
+// is a NoAnswerError, or the error that the box returned.
 func (l *Links) Call(ctx context.Context, address string, c Call) (repeated bool, err error) {
 	began := l.settings.Now()
 	failed := &NoAnswerError{Address: address, Method: c.Method}
 	for tries := 1; ; tries++ {
-		o := l.linkTo(address)
-		sent, err := o.call(ctx, c)
+		s := l.linkTo(address)
+		sent, err := s.call(ctx, c)
 		if err == nil {
 			return failed.Sent, nil
 		}
@@ -65,21 +65,21 @@
 			return failed.Sent, fmt.Errorf("entry box %s: %s: %w", address, c.Method, err)
 		}
 		failed.Sent = failed.Sent || sent
-		failed.BoxUnresponsive, failed.Err = o.indicatesBoxFailure(l.settings.Now(), began, l.settings.AnswerTimeout), err
+		failed.BoxUnresponsive, failed.Err = s.indicatesBoxFailure(l.settings.Now(), began, l.settings.AnswerTimeout), err
 		if tries == maxAttempts || ctx.Err() != nil || !c.canRetry(failed) {
 			return failed.Sent, failed
 		}
 	}
 }
 
-// canRetry says whether a call that has failed may be made again: if it has not
-// arrived, or does no harm twice, and the box was not found to be out of reach.
+// canRetry reports whether a failed call may be retried: it has not arrived or is idempotent,
+// and the box was not found to be unreachable.
 func (c Call) canRetry(failed *NoAnswerError) bool {
 	unreached := failed.BoxUnresponsive && errors.Is(failed.Err, errNotConnected)
 	return !unreached && (c.Idempotent || !failed.Sent)
 }
 
-// isNoAnswer says whether an error means that there was no answer.
+// isNoAnswer reports whether an error means that the call was not answered.
 func isNoAnswer(err error) bool {
 	for _, target := range []error{errNotConnected, jsonrpc2.ErrClosed, context.DeadlineExceeded, context.Canceled} {
 		if errors.Is(err, target) {
@@ -89,10 +89,11 @@
 	return false
 }
 
-// call makes one call once the connection is open.
-func (o *sharedLink) call(ctx context.Context, c Call) (sent bool, err error) {
-	if err := o.wait(ctx); err != nil {
+// call makes one attempt of a call once the connection is open. sent reports whether the call
+// may have arrived.
+func (s *sharedLink) call(ctx context.Context, c Call) (sent bool, err error) {
+	if err := s.wait(ctx); err != nil {
 		return false, err
 	}
-	return o.link.call(ctx, c)
+	return s.link.call(ctx, c)
 }
--- a/modules/peering/givenup.go
+++ b/modules/peering/givenup.go
@@ -5,31 +5,32 @@
 
 import "time"
 
-// Reason is why a link was given up.
+// Reason is why a link was discarded.
 type Reason string
 
 // The reasons.
 const (
-	// ReasonProbe means that nothing came over it after a probe.
+	// ReasonProbe means that nothing was received after a probe.
 	ReasonProbe Reason = "probe"
-	// ReasonWrite means that a part of a message could not be written in time.
+	// ReasonWrite means that a chunk of a message could not be written in time.
 	ReasonWrite Reason = "write"
 )
 
-// Discarded describes a link that was given up as silent.
+// Discarded describes a link that was discarded because it was silent.
 type Discarded struct {
-	// To is what was at its other end, and Address where.
+	// To names the kind of the remote end, and Address is its address.
 	To      string
 	Address string
 	Reason  Reason
-	// OpenFor is how long it had been open, SilentFor how long nothing had come over it.
+	// OpenFor is how long the link had been open, SilentFor the time since data was last
+	// received on it.
 	OpenFor   time.Duration
 	SilentFor time.Duration
-	// Calls is how many calls of this box were under way on it.
+	// Calls is the number of calls of this box in progress on the link.
 	Calls int
 }
 
-// discard ends a silent link.
+// discard closes a silent link and reports it once.
 func (k *link) discard(now time.Time, reason Reason) {
 	k.mu.Lock()
 	first, calls := !k.discarded, k.calls
--- a/modules/peering/kept_test.go
+++ b/modules/peering/kept_test.go
@@ -20,18 +20,20 @@
 )
 
 const (
-	// slowRate is the rate of a thin link, 10 Mbit/s, in bytes a second.
+	// slowRate is the rate of a slow link, 10 Mbit/s, in bytes per second.
 	slowRate = 10_000_000 / 8
-	// slowMessage takes a thin link 0.8 s, longer than a link may be silent, in bytes.
+	// slowMessage is the size of a message, in bytes, that takes 0.8 s on a slow link, longer
+	// than a link may be silent.
 	slowMessage = 1 << 20
 )
 
-// checkKept checks that a call was served on the one connection there is.
+// checkKept checks that a call is served on the first connection and that no link was
+// discarded.
 func (p *pair) checkKept() {
 	p.t.Helper()
 	p.mustAnswer(10 * time.Second)
 	connections, _ := p.to.connectionsAndCalls()
-	assert.Check(p.t, connections == 1, "calls came on %d connections", connections)
+	assert.Check(p.t, connections == 1, "calls were received on %d connections", connections)
 	assert.Check(p.t, len(p.from.discardedLinks()) == 0 && len(p.to.discardedLinks()) == 0, "%+v %+v", p.from.discardedLinks(), p.to.discardedLinks())
 }
 
@@ -45,13 +47,13 @@
 			done <- err
 		}()
 		began := time.Now()
-		waitUntil(t, "the call is under way for long", func() bool { return time.Since(began) > 2*settings().ProbeAfter })
+		waitUntil(t, "the call has been in progress for long", func() bool { return time.Since(began) > 2*settings().ProbeAfter })
 		assert.Equal(t, len(done), 0)
 		close(p.to.release)
 		assert.NilError(t, <-done)
 		p.checkKept()
 	})
-	t.Run("though calls on it run out of their time", func(t *testing.T) {
+	t.Run("though calls on it time out", func(t *testing.T) {
 		p := newPair(t)
 		defer close(p.to.release)
 		for range 3 {
@@ -64,15 +66,15 @@
 		}
 		p.checkKept()
 	})
-	t.Run("while nobody calls", func(t *testing.T) {
+	t.Run("while no calls are made", func(t *testing.T) {
 		p := newPair(t)
 		began := time.Now()
-		waitUntil(t, "nobody has called for long", func() bool { return time.Since(began) > 3*settings().ProbeAfter })
+		waitUntil(t, "no call was made for long", func() bool { return time.Since(began) > 3*settings().ProbeAfter })
 		p.checkKept()
 	})
 }
 
-// A link that carries large messages slowly works, too.
+// A link is not discarded because large messages on it are slow.
 func TestLinkWithLargeSlowMessagesIsKept(t *testing.T) {
 	p := &pair{t: t, from: newBox(t), to: newBox(t), proxy: forward.New()}
 	t.Cleanup(p.proxy.Close)
--- a/modules/peering/link.go
+++ b/modules/peering/link.go
@@ -20,41 +20,44 @@
 type link struct {
 	links *Links
 	conn  *conntrack.Conn
-	// stream is what the end that speaks JSON-RPC reads from and writes to.
+	// stream carries the messages of rpc.
 	stream *stream
-	// used says that a call was made on it.
+	// used reports that a call was made on the link.
 	used atomic.Bool
-	// reading says that the next bytes are waited for.
+	// reading is true while a Read waits for data.
 	reading atomic.Bool
-	// sending is held by the call that is being written, so that others can leave when
-	// their time is out.
+	// sendSlot is held while a call is written. It is a channel so that waiting callers can
+	// give up when their context ends.
 	sendSlot chan struct{}
 
 	mu sync.Mutex
-	// rpc is the end that speaks JSON-RPC.
+	// rpc is the JSON-RPC connection.
 	rpc *jsonrpc2.Conn
-	// serve has the calls of the peer handled.
+	// handler serves the calls of the peer.
 	handler jsonrpc2.Handler
-	// calls is how many calls of this box wait on it, and waitingSince since when there
-	// has been at least one.
+	// calls is the number of calls of this box in progress, and waitingSince is when calls last
+	// rose above 0.
 	calls        int
 	waitingSince time.Time
-	// urgent says that it is to be probed at once.
+	// probeNow requests an immediate probe.
 	probeNow bool
-	// probing says that a probe is under way. probedAt is when all that was written until
-	// the probe should have arrived, or zero while the probe waits to be written.
+	// probing reports that a probe is in progress. probedAt is when all data up to and
+	// including the probe should have been delivered, or zero while the probe waits to be
+	// written.
 	probing  bool
 	probedAt time.Time
-	// answeredAt is when the last probe was answered, or zero before calls wait.
+	// answeredAt is when the last probe was answered, or zero if none was answered since calls
+	// are in progress.
 	answeredAt time.Time
-	// overdue says that it was found to be silent once.
+	// overdue reports that check has once found the answer to the probe overdue.
 	overdue   bool
 	discarded bool
-	// deliveredBy is when the peer should have all that was written, if the link works.
+	// deliveredBy is when the peer should have received and decoded all data written so far, if
+	// the link works.
 	deliveredBy time.Time
 }
 
-// newLink serves the calls that come over a connection.
+// newLink wraps a connection and serves the calls that arrive on it.
 func newLink(l *Links, conn *conntrack.Conn) *link {
 	k := &link{links: l, conn: conn, sendSlot: make(chan struct{}, 1)}
 	k.stream = newStream(k)
@@ -65,17 +68,17 @@
 	return k
 }
 
-// peer returns the end of the connection that speaks JSON-RPC.
+// peer returns the JSON-RPC connection.
 func (k *link) peer() *jsonrpc2.Conn {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.rpc
 }
 
-// close ends the connection; calls under way on it fail.
+// close closes the connection; calls in progress on it fail.
 func (k *link) close() { _ = k.peer().Close() }
 
-// isClosed says whether the connection has ended.
+// isClosed reports whether the connection is closed.
 func (k *link) isClosed() bool {
 	select {
 	case <-k.peer().DisconnectNotify():
@@ -85,8 +88,8 @@
 	}
 }
 
-// call makes one call. sent says that it may have arrived: a message that was not
-// written whole is not served.
+// call makes one call. sent reports whether it may have arrived: a message that was not written
+// completely is not served.
 func (k *link) call(ctx context.Context, c Call) (sent bool, err error) {
 	began, reused := k.links.settings.Now(), k.used.Swap(true)
 	k.beginCall(began, c.Urgent)
@@ -106,10 +109,11 @@
 	return true, answer.Wait(ctx, c.Result)
 }
 
-// PeerName is what the lines and counters of connections call the other end of a link.
+// PeerName names the remote end of a link in log lines and metrics of connections.
 const PeerName = "entry box"
 
-// send writes a call.
+// send writes a call. It returns early if ctx ends or the link is closed before the call is
+// written.
 func (k *link) send(ctx context.Context, c Call) (jsonrpc2.Waiter, error) {
 	select {
 	case k.sendSlot <- struct{}{}:
@@ -125,12 +129,12 @@
 // pong is the result of a probe.
 var pong = json.RawMessage("null")
 
-// Handle serves one call of the peer, as a jsonrpc2.Handler. A probe is answered at
-// once, whatever the other calls wait for.
+// Handle implements jsonrpc2.Handler. It answers a probe at once, even while other calls are
+// being served.
 func (k *link) Handle(ctx context.Context, c *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	if req.Method == methodPing {
-		// Written past the lock that is held while other messages are encoded. It fails
-		// if the link has ended.
+		// This bypasses the lock that jsonrpc2 holds while it encodes other messages. An error
+		// means that the link is closed.
 		_ = k.stream.WriteObject(&jsonrpc2.Response{ID: req.ID, Result: &pong})
 		return
 	}
--- a/modules/peering/links.go
+++ b/modules/peering/links.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package peering keeps the connections between entry boxes: one to each box
-// that is called, and those that other boxes have opened. Calls go both ways over
-// a connection, as JSON-RPC 2.0 in the frames of package frame.
+// Package peering manages the connections between entry boxes: one to each box that is called,
+// and those opened by other boxes. Calls go in both directions on a connection, as JSON-RPC 2.0
+// messages framed by package frame.
 package peering
 
 import (
@@ -25,30 +25,30 @@
 // Handler serves one call of a peer.
 type Handler func(ctx context.Context, c *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error)
 
-// Settings of the connections of one box.
+// Settings holds the settings of the connections of one box.
 type Settings struct {
-	// Dial bounds the opening of a connection.
+	// DialTimeout limits the time to open a connection.
 	DialTimeout time.Duration
-	// Probe is how long nothing may have come over a connection before it is probed.
+	// ProbeAfter is how long nothing may be received on a connection before it is probed.
 	ProbeAfter time.Duration
-	// Answer is how long nothing may come after a probe before the connection is given
-	// up.
+	// AnswerTimeout is how long nothing may be received after a probe before the connection is
+	// discarded.
 	AnswerTimeout time.Duration
-	// Now tells the time.
+	// Now returns the current time.
 	Now func() time.Time
-	// Unanswered is told of each call that ran out of its time without an answer.
+	// OnUnanswered is called for each call that timed out without an answer.
 	OnUnanswered func(conntrack.Unanswered)
-	// GivenUp is told of each connection that is given up as silent.
+	// OnDiscard is called for each connection that is discarded as silent.
 	OnDiscard func(Discarded)
-	// OnAcceptError is told why a connection of a peer could not be accepted.
+	// OnAcceptError is called with the error of each failed accept.
 	OnAcceptError func(error)
-	// Open, if set, is told of each connection that is opened (1) or closed (-1).
+	// OnOpen, if set, is called for each connection that is opened (1) or closed (-1).
 	OnOpen func(delta int)
-	// Bytes, if set, is told of the bytes that were read and written.
+	// OnBytes, if set, is called with the numbers of bytes read and written.
 	OnBytes func(in, out int)
 }
 
-// Links are the connections of one box. They may be used by several goroutines.
+// Links holds the connections of one box. It is safe for concurrent use.
 type Links struct {
 	settings   Settings
 	listener   net.Listener
@@ -61,15 +61,15 @@
 	wg         conc.WaitGroup
 
 	mu sync.Mutex
-	// links has all connections that are open.
+	// links holds all open connections.
 	links map[*link]struct{}
-	// newest has the newest connection, open or being opened, to each address that was
+	// newest holds the newest connection, open or being opened, to each address that was
 	// called.
 	newest map[string]*sharedLink
 	closed bool
 }
 
-// New returns links that end with ctx. Peers' calls go to handle.
+// New returns links that are closed when ctx ends. Calls of peers are passed to handle.
 func New(ctx context.Context, listener net.Listener, s Settings, handle Handler) *Links {
 	ctx, cancel := context.WithCancel(ctx)
 	l := &Links{
@@ -87,10 +87,10 @@
 	return l
 }
 
-// Serve accepts peers until Close.
+// Serve starts accepting connections of peers, until Close.
 func (l *Links) Serve() { l.wg.Go(l.accept) }
 
-// Close ends all connections and waits for what is under way on them.
+// Close closes all connections and waits for the goroutines that serve them.
 func (l *Links) Close() {
 	l.cancel()
 	_ = l.listener.Close()
@@ -103,22 +103,22 @@
 	l.wg.Wait()
 }
 
-// openLinks returns the connections that are open.
+// openLinks returns the open connections.
 func (l *Links) openLinks() []*link {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Collect(maps.Keys(l.links))
 }
 
-// Len returns how many connections are open.
+// Len returns the number of open connections.
 func (l *Links) Len() int { return l.table.Len() }
 
-// acceptRetryDelay is the pause after an accept that failed, mostly for want of a
-// descriptor: others are closed within that time.
+// acceptRetryDelay is the delay after a failed accept. Most accepts fail for lack of a file
+// descriptor, and connections are closed within this time.
 const acceptRetryDelay = 50 * time.Millisecond
 
-// accept takes connections of peers until the links are closed. One that cannot be taken
-// does not end it: the box would answer nobody any more.
+// accept accepts connections of peers until the links are closed. It continues after an error,
+// because otherwise the box would never be reachable again.
 func (l *Links) accept() {
 	for l.ctx.Err() == nil {
 		raw, err := l.listener.Accept()
@@ -134,7 +134,7 @@
 	}
 }
 
-// addLink makes a link of a connection.
+// addLink creates a link on a connection.
 func (l *Links) addLink(address string, raw net.Conn) *link {
 	limitSendBuffer(raw)
 	l.mu.Lock()
@@ -150,13 +150,13 @@
 	return k
 }
 
-// removeLink takes a connection out that has ended.
+// removeLink removes a closed link.
 func (l *Links) removeLink(k *link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.links, k)
 	address := k.conn.Address()
-	if o := l.newest[address]; o != nil && o.hasEnded() {
+	if s := l.newest[address]; s != nil && s.hasEnded() {
 		delete(l.newest, address)
 	}
 }
--- a/modules/peering/opening.go
+++ b/modules/peering/opening.go
@@ -12,10 +12,9 @@
 	"saddlevane/modules/ordered"
 )
 
-// sharedLink is a connection to a box, or the opening of one, which all callers of that
-// box share.
+// sharedLink is a link to a box, open or being opened, that all callers of that box share.
 type sharedLink struct {
-	// began is when the opening began.
+	// startedAt is when dialing began.
 	startedAt time.Time
 	// done is closed once link or err is set.
 	done chan struct{}
@@ -23,78 +22,78 @@
 	err  error
 }
 
-// wait waits until the connection is open. An error means that nobody was reached.
-func (o *sharedLink) wait(ctx context.Context) error {
+// wait waits until the link is open. It returns an error if it could not be opened or ctx ends.
+func (s *sharedLink) wait(ctx context.Context) error {
 	select {
-	case <-o.done:
-		return o.err
+	case <-s.done:
+		return s.err
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// hasEnded says whether the opening has failed or its connection has ended.
-func (o *sharedLink) hasEnded() bool {
+// hasEnded reports whether dialing has failed or the link is closed.
+func (s *sharedLink) hasEnded() bool {
 	select {
-	case <-o.done:
-		return o.err != nil || o.link.isClosed()
+	case <-s.done:
+		return s.err != nil || s.link.isClosed()
 	default:
 		return false
 	}
 }
 
-// indicatesBoxFailure says whether a call that began at some time and has no answer by now tells of the
-// box, and not of an old connection that is dead: if a connection could not be opened for
-// it, or nothing has ever come over one that had time enough.
-func (o *sharedLink) indicatesBoxFailure(now, began time.Time, enough time.Duration) bool {
+// indicatesBoxFailure reports whether a call that began at began and is not answered by now
+// indicates a failure of the box rather than of an old connection: either no connection could
+// be opened for it, or nothing was ever received on the connection for at least minWait.
+func (s *sharedLink) indicatesBoxFailure(now, began time.Time, minWait time.Duration) bool {
 	select {
-	case <-o.done:
-		if o.err != nil {
-			return !o.startedAt.Before(began)
+	case <-s.done:
+		if s.err != nil {
+			return !s.startedAt.Before(began)
 		}
-		if o.link.hasReceived() {
+		if s.link.hasReceived() {
 			return false
 		}
 	default:
 	}
-	return now.Sub(ordered.Later(o.startedAt, began)) >= enough
+	return now.Sub(ordered.Later(s.startedAt, began)) >= minWait
 }
 
 // errNotConnected means that no connection could be opened.
-var errNotConnected = errors.New("not reached")
+var errNotConnected = errors.New("not connected")
 
 // errClosed means that the links of this box are closed.
 var errClosed = fmt.Errorf("%w: the links are closed", errNotConnected)
 
-// linkTo returns the connection to an address. It opens one if there is none, within
-// the time that the settings allow, whatever its first caller waits.
+// linkTo returns the link to an address and dials one if there is none. Dialing is limited by
+// DialTimeout and not by the context of the first caller.
 func (l *Links) linkTo(address string) *sharedLink {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if o := l.newest[address]; o != nil && !o.hasEnded() {
-		return o
+	if s := l.newest[address]; s != nil && !s.hasEnded() {
+		return s
 	}
-	o := &sharedLink{startedAt: l.settings.Now(), done: make(chan struct{})}
+	s := &sharedLink{startedAt: l.settings.Now(), done: make(chan struct{})}
 	if l.closed {
-		o.err = errClosed
-		close(o.done)
-		return o
+		s.err = errClosed
+		close(s.done)
+		return s
 	}
-	l.newest[address] = o
-	l.wg.Go(func() { l.dial(address, o) })
-	return o
+	l.newest[address] = s
+	l.wg.Go(func() { l.dial(address, s) })
+	return s
 }
 
-// dial opens a connection.
-func (l *Links) dial(address string, o *sharedLink) {
-	defer close(o.done)
+// dial opens the connection of s and sets its result.
+func (l *Links) dial(address string, s *sharedLink) {
+	defer close(s.done)
 	raw, err := l.dialer.DialContext(l.ctx, "tcp", address)
 	if err != nil {
-		o.err = fmt.Errorf("%w: %w", errNotConnected, err)
+		s.err = fmt.Errorf("%w: %w", errNotConnected, err)
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		delete(l.newest, address)
 		return
 	}
-	o.link = l.addLink(address, raw)
+	s.link = l.addLink(address, raw)
 }
--- a/modules/peering/peering_test.go
+++ b/modules/peering/peering_test.go
@@ -27,37 +27,37 @@
 	}
 }
 
-// box is one end of the links that are tested. It answers each call with the name of
-// its method, but for those that the methods below name.
+// box is one end of the links under test. It answers each call with the name of its method,
+// except for the methods below.
 type box struct {
 	links   *peering.Links
 	address string
-	// reset closes the connections on which a call comes the first time.
+	// resetProxy resets all connections at the first methodLose call.
 	resetProxy *forward.Proxy
 
-	// until is closed when calls that wait are to be answered.
+	// release is closed to answer the calls of methodWait.
 	release chan struct{}
 
 	mu sync.Mutex
-	// given has the links that were given up.
+	// discards holds the links that were discarded.
 	discards []peering.Discarded
-	// conns has the connections on which calls came, in their order.
+	// conns holds the connection of each call received, in order.
 	conns []*jsonrpc2.Conn
 }
 
-// The methods that are served in their own way.
+// The methods with special behavior.
 const (
 	// methodRefuse is answered with an error.
 	methodRefuse = "refuse"
-	// methodLose is answered after its first connection was lost.
+	// methodLose is answered after its first connection was reset.
 	methodLose = "lose"
-	// methodWait is answered when the box is told to.
+	// methodWait is answered once release is closed.
 	methodWait = "wait"
 	// methodLarge has a large answer.
 	methodLarge = "large"
 )
 
-// newBox returns a box that is served until the test ends.
+// newBox returns a box that serves calls until the test ends.
 func newBox(t *testing.T) *box {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -92,21 +92,22 @@
 	return req.Method, nil
 }
 
-// recordDiscard notes a link that was given up.
-func (b *box) recordDiscard(g peering.Discarded) {
+// recordDiscard records a discarded link.
+func (b *box) recordDiscard(d peering.Discarded) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.discards = append(b.discards, g)
+	b.discards = append(b.discards, d)
 }
 
-// discardedLinks returns the links that were given up.
+// discardedLinks returns the links that were discarded.
 func (b *box) discardedLinks() []peering.Discarded {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.discards)
 }
 
-// connectionsAndCalls returns on how many connections calls came, and how many there were.
+// connectionsAndCalls returns the number of connections on which calls were received, and the
+// number of calls.
 func (b *box) connectionsAndCalls() (connections, calls int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -117,14 +118,14 @@
 	return len(different), len(b.conns)
 }
 
-// call makes a call and returns its answer.
+// call makes a call with a timeout of a minute and returns its answer.
 func (b *box) call(address string, c peering.Call) (answer string, repeated bool, err error) {
 	return b.callWithin(address, time.Minute, c)
 }
 
-// callWithin makes a call that is to be answered in some time.
-func (b *box) callWithin(address string, span time.Duration, c peering.Call) (answer string, repeated bool, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), span)
+// callWithin makes a call with the given timeout and returns its answer.
+func (b *box) callWithin(address string, timeout time.Duration, c peering.Call) (answer string, repeated bool, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	c.Result = &answer
 	repeated, err = b.links.Call(ctx, address, c)
@@ -154,7 +155,7 @@
 		assert.Equal(t, connections, want)
 		if calls == 2 {
 			by.Reset()
-			waitUntil(t, "the connection has ended", func() bool { return a.links.Len() == 0 })
+			waitUntil(t, "the connection is closed", func() bool { return a.links.Len() == 0 })
 		}
 	}
 }
--- a/modules/peering/probe.go
+++ b/modules/peering/probe.go
@@ -9,38 +9,38 @@
 	"saddlevane/modules/ordered"
 )
 
-// Each end of a link probes it when nothing has come over it for some time, whether
-// calls are made on it or not, and gives it up when nothing comes after the probe:
-// connections can go silent for good without a reset, while new ones work.
+// Each end of a link probes it when nothing has been received on it for some time, whether
+// calls are in progress or not, and discards it when nothing is received after the probe: a
+// connection can go silent for good without a reset while new connections work.
 
-// methodPing is the call by which a link is probed. A peer that does not know it says
-// so, which is an answer too.
+// methodPing is the method of a probe. A peer that does not support it returns an error, which
+// is an answer as well.
 const methodPing = "peering.ping"
 
-// methodBusy is what an end tells the other while it decodes a large message. It is no
-// call, and a peer that does not know it passes it over: that it came is what it says.
+// methodBusy is the notification that an end sends while it decodes a large message. Receiving
+// it shows that the link works; peers that do not support it ignore it.
 const methodBusy = "peering.busy"
 
 const (
-	// probeDelayWithCalls is how long nothing may have come over a link that calls wait on
-	// before it is probed. With it and the usual bound on answers, a call that has 700 ms
-	// can be made again on a new link. Once the link has answered, it is the calls that
-	// take long, and the next probe can wait for as long as answers may take: a holder of
-	// 42 links then made 93 probes a second for its calls for advice in place of 155
-	// (counted over 25 s).
+	// probeDelayWithCalls is how long nothing may be received on a link with calls in progress
+	// before it is probed. With this value and the usual AnswerTimeout, a call with a timeout
+	// of 700 ms can be retried on a new link. Once the link has answered a probe, the calls
+	// themselves are slow, and the next probe waits for AnswerTimeout: a holder with 42 links
+	// then sent 93 probes per second during its calls for advice instead of 155 (counted over
+	// 25 s).
 	probeDelayWithCalls = 100 * time.Millisecond
-	// firstAnswerFactor is how many times the usual bound the first answer on a link may take.
-	// What has not answered on a new connection is a busy box rather than a silent
-	// connection, and yet another one would only be more work for it. Of a holder that ran
-	// 5.5 times slower for 6 s, 33 links were given up in place of 70 (mean of 4 plays).
+	// firstAnswerFactor is the factor by which AnswerTimeout is extended until something has
+	// been received on a link. A new connection without an answer indicates a busy box rather
+	// than a silent connection, and another connection would only add to its load. With a
+	// holder that ran 5.5 times slower for 6 s, 33 links were discarded instead of 70.
 	firstAnswerFactor = 4
-	// recheckDelay is how long after its answer became overdue a link is given up, so that
-	// what came while this process had no processor is read before.
+	// recheckDelay is the time between finding an answer overdue and discarding the link. Data
+	// that arrived while this process was not scheduled is read in that time.
 	recheckDelay = 10 * time.Millisecond
 )
 
-// check does what is due on a link. It returns when it is due next, or that nothing has
-// come over it for too long after a probe.
+// check probes the link if that is due. It returns when the next check is due, or silent if
+// nothing was received for too long after a probe.
 func (k *link) check(now time.Time) (due time.Time, silent bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -61,7 +61,7 @@
 	}
 }
 
-// nextCheck returns when a link is to be looked at. The lock is held.
+// nextCheck returns when the link must be checked next. k.mu is held.
 func (k *link) nextCheck(now time.Time) time.Time {
 	switch {
 	case k.probing:
@@ -73,37 +73,38 @@
 	}
 }
 
-// answerDeadline returns by when something must have come over a link that is being probed.
+// answerDeadline returns by when data must be received on a link that is being probed.
 func (k *link) answerDeadline(now time.Time) time.Time {
 	answer := k.links.settings.AnswerTimeout
 	if !k.hasReceived() {
 		answer *= firstAnswerFactor
 	}
 	if k.probedAt.IsZero() {
-		// The probe still waits to be written, and writes are bounded.
+		// The probe has not been written yet. It will be soon, because writes have a deadline.
 		return now.Add(answer)
 	}
 	return ordered.Later(k.lastReceivedAt(now), k.probedAt).Add(answer)
 }
 
-// nextProbe returns when a link is to be probed.
+// nextProbe returns when the link must be probed next.
 func (k *link) nextProbe(now time.Time) time.Time {
-	s, heard := &k.links.settings, k.lastReceivedAt(now)
+	s, received := &k.links.settings, k.lastReceivedAt(now)
 	switch {
 	case k.calls == 0:
-		return heard.Add(s.ProbeAfter)
-	case heard.Equal(k.answeredAt):
-		return ordered.Later(heard, k.waitingSince).Add(min(s.ProbeAfter, s.AnswerTimeout))
+		return received.Add(s.ProbeAfter)
+	case received.Equal(k.answeredAt):
+		return ordered.Later(received, k.waitingSince).Add(min(s.ProbeAfter, s.AnswerTimeout))
 	default:
-		return ordered.Later(heard, k.waitingSince).Add(min(s.ProbeAfter, probeDelayWithCalls))
+		return ordered.Later(received, k.waitingSince).Add(min(s.ProbeAfter, probeDelayWithCalls))
 	}
 }
 
-// hasReceived says whether anything has ever come over a link.
+// hasReceived reports whether any data has been received on the link.
 func (k *link) hasReceived() bool { return k.conn.LastReceivedAt().After(k.conn.OpenedAt()) }
 
-// lastReceivedAt returns when something last came over a link. While a message is being
-// decoded nothing is read, which is no silence.
+// lastReceivedAt returns when data was last received on the link. It returns now while a
+// message is being decoded, because nothing is read meanwhile and that does not count as
+// silence.
 func (k *link) lastReceivedAt(now time.Time) time.Time {
 	if !k.reading.Load() {
 		return now
@@ -111,23 +112,23 @@
 	return k.conn.LastReceivedAt()
 }
 
-// probe makes one probe and waits for its answer.
+// probe sends one probe and waits for its answer.
 func (k *link) probe() {
 	defer k.finishProbe()
 	ping, err := k.peer().DispatchCall(k.links.ctx, methodPing, nil)
 	if err != nil {
-		// The link has ended.
+		// The link is closed.
 		return
 	}
 	k.mu.Lock()
-	// What was written before it may still be on its way.
+	// Data written before the probe may still be in transit.
 	k.probedAt = ordered.Later(k.links.settings.Now(), k.deliveredBy)
 	k.mu.Unlock()
-	// An error is an answer as well, or the end of the link.
+	// An error is either an answer as well, or means that the link is closed.
 	_ = ping.Wait(k.links.ctx, nil)
 }
 
-// finishProbe notes that a probe has ended.
+// finishProbe records the end of a probe and schedules the next check.
 func (k *link) finishProbe() {
 	now := k.links.settings.Now()
 	k.mu.Lock()
@@ -137,7 +138,8 @@
 	k.links.checkTimer.scheduleBy(now, due)
 }
 
-// beginCall notes that a call waits on a link. An urgent one has it probed at once.
+// beginCall records the start of a call on the link. An urgent call has the link probed at
+// once.
 func (k *link) beginCall(now time.Time, urgent bool) {
 	k.mu.Lock()
 	if k.calls == 0 {
@@ -150,7 +152,7 @@
 	k.links.checkTimer.scheduleBy(now, due)
 }
 
-// endCall notes that a call no longer waits.
+// endCall records the end of a call on the link.
 func (k *link) endCall() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/modules/peering/silent_test.go
+++ b/modules/peering/silent_test.go
@@ -17,19 +17,11 @@
 	"gotest.tools/v3/poll"
 )
 
-// Symptom: calls to a box run out of their time, whatever that is, though the box
-// answers others; or callers hang beyond their time.
-//
-// Sequence: the connection to a box goes silent, in one direction or both, without a
-// reset; new ones work. Nothing ends it at either end. Calls are made on it until their
-// time is out; a large one stays in its writing, with the lock held that others wait for.
-//
-// Cause: a connection was used until somebody closed it, and nobody looked whether
-// anything came over it.
-//
-// What settled it: in the lines of calls without an answer all were on connections over
-// which nothing had come since the silence; here, the connections are still open at both
-// ends, and a second connection answers at once.
+// Guards against calls that time out, or callers that hang beyond their timeout, although the
+// box answers calls on other connections. This happens when the connection to a box goes silent
+// in one or both directions without a reset while new connections work: unless received data is
+// monitored, both ends keep using it, and a large call blocks in its write while it holds the
+// lock that other calls need.
 func TestSilentLink(t *testing.T) {
 	for name, directions := range map[string][]forward.Direction{
 		"silent in both directions": {forward.Requests, forward.Answers},
@@ -37,12 +29,12 @@
 		"without answers":           {forward.Answers},
 	} {
 		t.Run(name, func(t *testing.T) {
-			t.Run("is given up at both ends if nobody calls", func(t *testing.T) {
+			t.Run("is discarded at both ends if no calls are made", func(t *testing.T) {
 				p := newPair(t)
 				p.silence(directions...)
 				waitUntil(t, "no connection is open at either end", p.allClosed)
 			})
-			t.Run("costs a call only a small part of its time", func(t *testing.T) {
+			t.Run("delays a call only by a small part of its timeout", func(t *testing.T) {
 				p := newPair(t)
 				p.silence(directions...)
 				began := time.Now()
@@ -51,19 +43,19 @@
 			})
 		})
 	}
-	t.Run("costs an urgent call little more than the bound on answers", func(t *testing.T) {
+	t.Run("delays an urgent call by little more than the answer timeout", func(t *testing.T) {
 		p := newPair(t)
 		p.silence()
-		// Longer than calls usually leave a link in peace.
+		// Wait longer than other calls usually leave a link idle.
 		began := time.Now()
-		waitUntil(t, "the link is at rest", func() bool { return time.Since(began) > settings().ProbeAfter/2 })
+		waitUntil(t, "the link has been idle", func() bool { return time.Since(began) > settings().ProbeAfter/2 })
 		s := settings()
 		got, repeated, err := p.from.callWithin(p.address, s.AnswerTimeout+100*time.Millisecond, peering.Call{Method: "greet", Idempotent: true, Urgent: true})
 		assert.NilError(t, err)
 		assert.Equal(t, got, "greet")
 		assert.Check(t, repeated)
 	})
-	t.Run("whose writes block holds up other calls for a bounded time", func(t *testing.T) {
+	t.Run("with blocked writes delays other calls for a bounded time", func(t *testing.T) {
 		p := newPair(t)
 		p.silence(forward.Requests)
 		var calls sync.WaitGroup
@@ -87,11 +79,11 @@
 	})
 }
 
-// largeMessage is more than the system takes for a connection that nobody reads from,
-// in bytes.
+// largeMessage is a size, in bytes, that exceeds the system's buffers of a connection that
+// nobody reads from.
 const largeMessage = 16 << 20
 
-// pair is a box that calls another one through a forwarder.
+// pair is a box that calls another one through a proxy.
 type pair struct {
 	t        *testing.T
 	from, to *box
@@ -111,36 +103,36 @@
 	return p
 }
 
-// silence silences the open connection.
+// silence stalls the open connection.
 func (p *pair) silence(directions ...forward.Direction) {
 	p.t.Helper()
 	assert.Equal(p.t, p.proxy.Stall(directions...), 1)
 }
 
-// call makes a call that may be made again, and returns its answer.
-func (p *pair) call(within time.Duration, params any) (string, error) {
-	got, _, err := p.from.callWithin(p.address, within, peering.Call{Method: "greet", Params: params, Idempotent: true})
+// call makes an idempotent call and returns its answer.
+func (p *pair) call(timeout time.Duration, params any) (string, error) {
+	got, _, err := p.from.callWithin(p.address, timeout, peering.Call{Method: "greet", Params: params, Idempotent: true})
 	return got, err
 }
 
-// mustAnswer makes a call that must be answered.
-func (p *pair) mustAnswer(within time.Duration) {
+// mustAnswer makes a call and fails the test unless it is answered.
+func (p *pair) mustAnswer(timeout time.Duration) {
 	p.t.Helper()
-	got, err := p.call(within, struct{}{})
+	got, err := p.call(timeout, struct{}{})
 	assert.NilError(p.t, err)
 	assert.Equal(p.t, got, "greet")
 }
 
-// allClosed says whether no connection is open at either end.
+// allClosed reports whether no connection is open at either end.
 func (p *pair) allClosed() bool { return p.from.links.Len() == 0 && p.to.links.Len() == 0 }
 
 // waitUntil waits until a condition holds.
-func waitUntil(t *testing.T, what string, holds func() bool) {
+func waitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if holds() {
+		if condition() {
 			return poll.Success()
 		}
-		return poll.Continue("%s", what)
+		return poll.Continue("%s", description)
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(10*time.Millisecond))
 }
--- a/modules/peering/stream.go
+++ b/modules/peering/stream.go
@@ -20,42 +20,44 @@
 )
 
 const (
-	// minLinkRate is how fast a link that works carries bytes at least, in bytes a second:
-	// thin links have 10 Mbit/s.
+	// minLinkRate is the minimum rate of a working link, in bytes per second: slow links have
+	// 10 Mbit/s.
 	minLinkRate = 10_000_000 / 8
-	// minDecodeRate is how fast a busy box decodes a message at least, in bytes a second: a
-	// fifteenth of a core decodes 2 MB. Until it has, it reads nothing more from the link.
+	// minDecodeRate is the minimum rate at which a busy box decodes a message, in bytes per
+	// second: a fifteenth of a core decodes 2 MB. The box reads nothing more from the link
+	// until the message is decoded.
 	minDecodeRate = 2_000_000
-	// sendBuffer is how many bytes the system is asked to take for a link before they are
-	// sent. It holds up to twice as many; without the bound, silence would show only after
-	// megabytes.
+	// sendBuffer is the size of the socket's send buffer, in bytes. The system holds up to
+	// twice as much. Without the limit, a silent link would be noticed only after megabytes
+	// were written.
 	sendBuffer = 128 << 10
-	// maxBufferedTime is how long a link of the least rate takes for what the system holds.
+	// maxBufferedTime is how long a link of the minimum rate takes to send what the system
+	// holds.
 	maxBufferedTime = 2 * sendBuffer * time.Second / minLinkRate
-	// largeMessage is from which size on a message may take long to decode, in bytes.
+	// largeMessage is the size, in bytes, from which on a message may take long to decode.
 	largeMessage = 64 << 10
-	// busyPerAnswerTimeout is how many times the peer is told within the bound on answers that a
-	// message is being decoded.
+	// busyPerAnswerTimeout is the number of busy notifications that are sent per AnswerTimeout
+	// while a message is decoded.
 	busyPerAnswerTimeout = 4
-	// writeChunk is how many bytes are written at a time, so that the bound on writes is
-	// one on their progress, however long a message is.
+	// writeChunk is the number of bytes written at a time. The write deadline applies to each
+	// chunk, so it limits the progress of a write regardless of the size of the message.
 	writeChunk = 64 << 10
 )
 
-// limitSendBuffer has the system hold no more than sendBuffer for a connection. Where that
-// cannot be set, only the time is longer until a silent link is given up.
+// limitSendBuffer limits the socket's send buffer of a connection to sendBuffer. If this fails,
+// it only takes longer until a silent link is discarded.
 func limitSendBuffer(raw net.Conn) {
 	if c, ok := raw.(*net.TCPConn); ok {
 		_ = c.SetWriteBuffer(sendBuffer)
 	}
 }
 
-// stream carries the messages of a link. It may be written to by several goroutines.
+// stream carries the messages of a link. It is safe for concurrent writers.
 type stream struct {
 	link   *link
 	reader *bufio.Reader
-	// writing is held while a message is written, but not while it is encoded: a probe is
-	// answered meanwhile.
+	// writeMu is held while a message is written, but not while it is encoded, so that probes
+	// are answered meanwhile.
 	writeMu sync.Mutex
 }
 
@@ -66,8 +68,8 @@
 	return s
 }
 
-// ReadObject reads a message. While a large one is decoded nothing more is read, and the
-// peer, which would take that for silence, is told.
+// ReadObject reads a message. Nothing more is read while a large message is decoded, which the
+// peer would take for silence, so it is notified meanwhile.
 func (s *stream) ReadObject(v any) error {
 	data, err := frame.Read(s.reader)
 	if err != nil {
@@ -79,9 +81,9 @@
 	return json.Unmarshal(data, v)
 }
 
-// reportBusy tells the peer that this end is at work, until end is called. Under a load of
-// 22 on 8 processors a message of 1 MB took 1.5 s to decode, and the peer, which allows
-// it 0.5 s and the bound on answers, gave the link up each time.
+// reportBusy sends busy notifications to the peer until end is called. Under a load of 22 on 8
+// processors, decoding a message of 1 MB took 1.5 s. The peer allows 0.5 s plus AnswerTimeout,
+// and without the notifications it discarded the link each time.
 func (s *stream) reportBusy() (end func()) {
 	done := make(chan struct{})
 	s.link.links.wg.Go(func() {
@@ -92,7 +94,7 @@
 			case <-done:
 				return
 			case <-ticker.C:
-				// An error says that the link has ended.
+				// An error means that the link is closed.
 				_ = s.WriteObject(&jsonrpc2.Request{Method: methodBusy, Notif: true})
 			}
 		}
@@ -110,14 +112,14 @@
 	return s.link.conn.Read(b)
 }
 
-// Write writes a whole message in parts that must each be taken in time. A failure ends
-// the link: the peer could make nothing of what comes after half a message.
+// Write writes a whole message in chunks, each with a deadline. An error closes the link,
+// because the peer could not decode anything after a partial message.
 func (s *stream) Write(b []byte) (n int, err error) {
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
 	for n < len(b) {
-		part := b[n:min(n+writeChunk, len(b))]
-		written, err := s.link.write(part)
+		chunk := b[n:min(n+writeChunk, len(b))]
+		written, err := s.link.write(chunk)
 		n += written
 		if err != nil {
 			s.link.handleWriteError(err)
@@ -134,42 +136,43 @@
 	return s.link.conn.Close()
 }
 
-// write writes a part of a message within the time that a link that works takes for it
-// and for what was written before.
-func (k *link) write(part []byte) (int, error) {
+// write writes a chunk. Its deadline allows a working link enough time for the chunk and all
+// data written before.
+func (k *link) write(chunk []byte) (int, error) {
 	now := k.links.settings.Now()
 	k.mu.Lock()
-	by := ordered.Later(now, k.deliveredBy).Add(maxBufferedTime + k.links.settings.AnswerTimeout)
+	deadline := ordered.Later(now, k.deliveredBy).Add(maxBufferedTime + k.links.settings.AnswerTimeout)
 	k.mu.Unlock()
-	// The deadline is one of Go's clock, which the links' own may be ahead of.
-	if err := k.conn.SetWriteDeadline(clock.Deadline(by.Sub(now))); err != nil {
+	// The deadline is in Go's clock, which the clock of the links may be ahead of.
+	if err := k.conn.SetWriteDeadline(clock.Deadline(deadline.Sub(now))); err != nil {
 		return 0, err
 	}
-	n, err := k.conn.Write(part)
+	n, err := k.conn.Write(chunk)
 	if err != nil {
 		return n, err
 	}
-	// A deadline left behind would wake the process when it passes. An error would say
-	// that the link has ended, and the part is written.
+	// A deadline left in place would wake up the process when it passes. An error would mean
+	// that the link is closed, but the chunk has been written.
 	_ = k.conn.SetWriteDeadline(time.Time{})
 	return n, nil
 }
 
-// recordWrite notes when the peer should have a message of some bytes that was written.
+// recordWrite records when the peer should have received and decoded a message of n bytes that
+// was just written.
 func (k *link) recordWrite(n int) {
 	now := k.links.settings.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	carried := ordered.Later(k.deliveredBy, now).Add(time.Duration(n) * time.Second / minLinkRate)
-	if most := now.Add(maxBufferedTime); carried.After(most) {
-		// The system has no more of it.
-		carried = most
+	sent := ordered.Later(k.deliveredBy, now).Add(time.Duration(n) * time.Second / minLinkRate)
+	if latest := now.Add(maxBufferedTime); sent.After(latest) {
+		// The system does not buffer more than this.
+		sent = latest
 	}
 	decoded := now.Add(time.Duration(n) * time.Second / minDecodeRate)
-	k.deliveredBy = ordered.Later(k.deliveredBy, ordered.Later(carried, decoded))
+	k.deliveredBy = ordered.Later(k.deliveredBy, ordered.Later(sent, decoded))
 }
 
-// handleWriteError ends a link on which a write has failed.
+// handleWriteError closes a link after a failed write.
 func (k *link) handleWriteError(err error) {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		k.discard(k.links.settings.Now(), ReasonWrite)
--- a/modules/peering/watch.go
+++ b/modules/peering/watch.go
@@ -8,53 +8,53 @@
 	"time"
 )
 
-// checkGrid is the distance of the times at which a box probes its links, so that one
-// wake-up of the process serves many of them. It adds as much to the time after which a
-// silent link is given up.
+// checkGrid is the interval to which the times of link checks are rounded up, so that one
+// wake-up of the process serves many links. It delays the discarding of a silent link by up to
+// as much.
 const checkGrid = 25 * time.Millisecond
 
-// checkTimer wakes whoever waits on its timer when the next link is due.
+// checkTimer fires when the next link check is due.
 type checkTimer struct {
 	timer *time.Timer
-	// base is what the times of the grid are counted from.
+	// base is the origin of the grid.
 	base time.Time
 
 	mu sync.Mutex
-	// at is when it goes off, or zero.
+	// firesAt is when the timer fires, or zero if it is not set.
 	firesAt time.Time
 }
 
-// newCheckTimer returns an alarm that does not go off yet.
+// newCheckTimer returns a timer that is not set.
 func newCheckTimer(now time.Time) *checkTimer {
-	a := &checkTimer{timer: time.NewTimer(time.Hour), base: now}
-	a.timer.Stop()
-	return a
+	t := &checkTimer{timer: time.NewTimer(time.Hour), base: now}
+	t.timer.Stop()
+	return t
 }
 
-// roundUpToGrid returns the next time of the grid.
-func (a *checkTimer) roundUpToGrid(at time.Time) time.Time {
-	return a.base.Add((at.Sub(a.base) + checkGrid - 1) / checkGrid * checkGrid)
+// roundUpToGrid returns the first time of the grid that is not before at.
+func (t *checkTimer) roundUpToGrid(at time.Time) time.Time {
+	return t.base.Add((at.Sub(t.base) + checkGrid - 1) / checkGrid * checkGrid)
 }
 
-// scheduleBy has the alarm go off at a time, if it does not go off earlier.
-func (a *checkTimer) scheduleBy(now, at time.Time) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if !a.firesAt.IsZero() && !at.Before(a.firesAt) {
+// scheduleBy sets the timer to at unless it already fires earlier.
+func (t *checkTimer) scheduleBy(now, at time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.firesAt.IsZero() && !at.Before(t.firesAt) {
 		return
 	}
-	a.firesAt = at
-	a.timer.Reset(at.Sub(now))
+	t.firesAt = at
+	t.timer.Reset(at.Sub(now))
 }
 
-// markFired notes that the alarm has gone off.
-func (a *checkTimer) markFired() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.firesAt = time.Time{}
+// markFired records that the timer has fired.
+func (t *checkTimer) markFired() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.firesAt = time.Time{}
 }
 
-// runChecks looks at the links when one is due, until they are closed.
+// runChecks checks the links whenever a check is due, until they are closed.
 func (l *Links) runChecks() {
 	defer l.checkTimer.timer.Stop()
 	for {
@@ -68,7 +68,7 @@
 	}
 }
 
-// checkLinks looks at all links.
+// checkLinks checks all links, discards silent ones and schedules the next check.
 func (l *Links) checkLinks(now time.Time) {
 	var first time.Time
 	for _, k := range l.openLinks() {
--- a/modules/rendezvous/rendezvous.go
+++ b/modules/rendezvous/rendezvous.go
@@ -1,14 +1,14 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package rendezvous picks one of several names for a key so that each name's
-// departure moves only the keys that it had.
+// Package rendezvous implements rendezvous hashing: it assigns keys to names so that removing a
+// name reassigns only the keys of that name.
 package rendezvous
 
 import "github.com/cespare/xxhash/v2"
 
-// Pick returns the name with the highest weight for key, or "" if names is
-// empty. The order of names does not matter.
+// Pick returns the name with the highest weight for key, or "" if names is empty. The order of
+// names does not matter.
 func Pick(key string, names []string) string {
 	best, bestWeight := "", uint64(0)
 	for _, name := range names {
--- a/modules/setting/box.go
+++ b/modules/setting/box.go
@@ -3,30 +3,32 @@
 
 package setting
 
-// Box says which entry box this is.
+// Box identifies this entry box and the resources it may use.
 type Box struct {
 	Name   string `yaml:"name"`
 	Domain string `yaml:"domain"`
-	// Processors is how much of a processor the daemon may use, and Link the rate
-	// of the box's network in Mbit/s. The cell is held by a large box.
+	// Processors is the number of processors the daemon may use, which may be fractional.
+	// LinkMbps is the rate of the box's network in Mbit/s. Both determine Size, because the
+	// cell should be held by a large box.
 	Processors float64 `yaml:"processors"`
 	LinkMbps   float64 `yaml:"link_mbps"`
-	// Memory is how much the daemon may use, in MiB; 0 means as much as there is.
+	// MemoryMiB is the memory the daemon may use, in MiB; 0 means no limit.
 	MemoryMiB int64 `yaml:"memory_mb"`
 }
 
-// heapShare is the part of its memory that a daemon's heap may take before the
-// garbage collector works harder: what has arrived and is not read counts too.
+// heapShare is the fraction of the daemon's memory that its heap may reach before the garbage
+// collector runs more often. The rest is left for data that has been received but not read yet,
+// which is not on the heap.
 const heapShare = 0.7
 
-// HeapLimit returns how large the heap should stay, in bytes, or 0 for any size.
+// HeapLimit returns the soft limit of the heap in bytes, or 0 for no limit.
 func (b *Box) HeapLimit() int64 { return int64(float64(b.MemoryMiB<<20) * heapShare) }
 
-// minHolderLinkMbps is the rate, in Mbit/s, below which a box counts as a quarter of its
-// processors: the reports of 350 workers come to about 20 Mbit/s in bursts.
+// minHolderLinkMbps is the link rate, in Mbit/s, below which Size counts only a quarter of the
+// box's processors: the reports of 350 workers to the holder reach about 20 Mbit/s in bursts.
 const minHolderLinkMbps = 50
 
-// Size is how much the box can do, in thousandths of a processor.
+// Size returns the capacity of the box as a holder, in thousandths of a processor.
 func (b *Box) Size() int64 {
 	size := int64(b.Processors * 1000)
 	if b.LinkMbps < minHolderLinkMbps {
@@ -45,16 +47,16 @@
 	checkRange(c, "box.memory_mb", b.MemoryMiB, 0, 1<<30)
 }
 
-// Listen says where the daemon listens.
+// Listen holds the addresses that the daemon listens on.
 type Listen struct {
-	// Callers is for callers' requests and the balancer's health checks.
+	// Callers serves callers' requests and the balancer's health checks.
 	Callers string `yaml:"callers"`
-	// Operators is for the operators' tool, metrics and dumps.
+	// Operators serves the operators' tool, metrics and dumps.
 	Operators string `yaml:"operators"`
-	// Peers is for other entry boxes.
+	// Peers accepts connections of other entry boxes.
 	Peers string `yaml:"peers"`
-	// Advertise is the address under which other entry boxes reach Peers, if it is
-	// another one.
+	// Advertise is the address under which other entry boxes reach Peers, if it differs from
+	// Peers.
 	Advertise string `yaml:"advertise"`
 }
 
--- a/modules/setting/check.go
+++ b/modules/setting/check.go
@@ -15,7 +15,7 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
-// checker gathers mistakes with their places.
+// checker collects the problems found in settings, with their positions in the file.
 type checker struct {
 	file      string
 	positions strictyaml.Positions
@@ -30,7 +30,7 @@
 
 func (c *checker) name(key, value string) {
 	if !namePattern.MatchString(value) {
-		c.fail(key, "want a name of a-z, 0-9 and '-', at most 63 long, got %q", value)
+		c.fail(key, "want a name of at most 63 characters from a-z, 0-9 and '-', got %q", value)
 	}
 }
 
@@ -51,17 +51,17 @@
 	}
 }
 
-// checkRange checks a value against bounds that belong to the range.
-func checkRange[T cmp.Ordered](c *checker, key string, got, least, most T) {
-	if got < least || got > most {
-		c.fail(key, "want %v to %v, got %v", least, most, got)
+// checkRange reports a value outside the range from minimum to maximum, both included.
+func checkRange[T cmp.Ordered](c *checker, key string, got, minimum, maximum T) {
+	if got < minimum || got > maximum {
+		c.fail(key, "want %v to %v, got %v", minimum, maximum, got)
 	}
 }
 
-// checkBelow checks that one setting is smaller than another.
+// checkBelow reports a value that is not smaller than the value of another setting.
 func checkBelow[T cmp.Ordered](c *checker, key string, got T, otherKey string, other T) {
 	if got >= other {
-		c.fail(key, "%v is not below %s, which is %v", got, otherKey, other)
+		c.fail(key, "%v must be less than %s (%v)", got, otherKey, other)
 	}
 }
 
--- a/modules/setting/connections.go
+++ b/modules/setting/connections.go
@@ -5,23 +5,23 @@
 
 import "time"
 
-// Connections bounds how long an open connection may be silent before it is given
-// up. Connections can go silent for good without a reset while new ones work.
+// Connections limits how long an open connection may be silent before it is discarded. A
+// connection can go silent for good without a reset while new connections work.
 type Connections struct {
-	// Probe is how long nothing may have come over a link to another entry box before
-	// it is probed.
+	// ProbeAfter is how long nothing may be received on a link to another entry box before the
+	// link is probed.
 	ProbeAfter time.Duration `yaml:"probe"`
-	// Answer is how long the answer to a probe may take, and how long the answer to a
-	// call that can be made again may be overdue before it is made again on a new
+	// AnswerTimeout is how long the answer to a probe may take. It is also how long the answer
+	// to a call that may be retried may be overdue before the call is retried on a new
 	// connection.
 	AnswerTimeout time.Duration `yaml:"answer"`
-	// Unused is how long a connection to the platform or a worker is kept that carries
-	// no call. It bounds what silent ones hold that nobody calls on. To 350 workers 4,050
-	// connections were opened in a minute with 10 s, 2,800 with 75 s, 7,700 with 3 s and
-	// 13,500 with 1 s, with no difference to callers (means of 2 plays).
+	// IdleTimeout is how long a connection to the platform or a worker is kept without a call.
+	// It limits how long silent connections that nobody uses hold resources. With 350 workers,
+	// 4,050 connections were opened per minute with 10 s, 2,800 with 75 s, 7,700 with 3 s and
+	// 13,500 with 1 s, with no difference to callers.
 	IdleTimeout time.Duration `yaml:"unused"`
-	// Callers is how long a caller's connection may give no sign of life before it is
-	// closed.
+	// CallerTimeout is how long nothing may be received or acknowledged on a caller's
+	// connection before it is closed.
 	CallerTimeout time.Duration `yaml:"callers"`
 }
 
--- a/modules/setting/jobs.go
+++ b/modules/setting/jobs.go
@@ -5,59 +5,64 @@
 
 import "time"
 
-// Jobs says how the daemon serves jobs that callers submit, on a platform that
-// takes each order to a worker by itself. Without it the daemon serves files.
+// Jobs holds the settings for serving jobs that callers submit, on a platform that delivers
+// orders to each worker separately. If it is not enabled, the daemon serves files instead.
 type Jobs struct {
 	// Enabled makes the daemon serve submitted jobs.
 	Enabled bool `yaml:"enabled"`
-	// Ready is where the balancer asks whether the box takes callers.
+	// ReadyAddress is the address on which the balancer asks whether the box accepts callers.
 	ReadyAddress string `yaml:"ready"`
-	// Log and Advice are addresses of the platform's services.
+	// LogAddress and AdviceAddress are the addresses of the platform's log and advice service.
+	// An empty AdviceAddress means that there is no advice service.
 	LogAddress    string `yaml:"log"`
 	AdviceAddress string `yaml:"advice"`
-	// Lease is how long workers run their tasks after a renewal, MaxLease the longest
-	// that the platform allows; the shorter of them holds.
+	// Lease is how long workers run their tasks after a renewal, MaxLease the longest lease
+	// that the platform allows. The shorter one applies.
 	Lease    time.Duration `yaml:"lease"`
 	MaxLease time.Duration `yaml:"lease_most"`
-	// Wait is how long a renewal waits at a worker for the end of a task.
+	// RenewWait is how long a renewal waits at a worker for the end of a task.
 	RenewWait time.Duration `yaml:"wait"`
-	// Renew, HoldFor and ClaimAfter are the times of the claim on the cell.
+	// RenewInterval is the time between renewals of the claim on the cell. HoldFor is how long
+	// the holder may act after it sent the last renewal that the log has. ClaimAfter is how
+	// long a box must not have read a renewal before it claims the cell.
 	RenewInterval time.Duration `yaml:"renew"`
 	HoldFor       time.Duration `yaml:"hold_for"`
 	ClaimAfter    time.Duration `yaml:"claim_after"`
-	// Gather is the least time between two appends of the holder.
+	// AppendInterval is the minimum time between two appends of the holder.
 	AppendInterval time.Duration `yaml:"gather"`
-	// EndedRetention is how long the final state of a job can be asked for.
+	// EndedRetention is how long the final state of a job can be queried.
 	EndedRetention time.Duration `yaml:"keep_ended"`
-	// OrderTimeout bounds one order to a worker.
+	// OrderTimeout limits the time of one order to a worker.
 	OrderTimeout time.Duration `yaml:"order_timeout"`
-	// MinRelayedWorkers is how many workers a cell has at least whose orders are carried by entry
-	// boxes near them, WorkersPerRelay how many workers' orders one box should carry.
+	// MinRelayedWorkers is the number of workers in a cell from which on orders are relayed by
+	// entry boxes near the workers. WorkersPerRelay is the number of workers that one box
+	// should relay orders for.
 	MinRelayedWorkers int `yaml:"relay_from"`
 	WorkersPerRelay   int `yaml:"relay_workers"`
-	// PeerTimeout bounds a call to another entry box.
+	// PeerTimeout limits the time of a call to another entry box.
 	PeerTimeout time.Duration `yaml:"peer_timeout"`
-	// StopGrace is how long a stopping box still passes calls on.
+	// StopGrace is how long a stopping box still forwards calls.
 	StopGrace time.Duration `yaml:"stop_grace"`
-	// ConfigPropagation is how long a change of the configuration may take until it is in force
-	// everywhere. A box that has not read the log for about as long no longer relies on what
-	// it knows of keys and queues.
+	// ConfigPropagation is how long a configuration change may take until it is in force on all
+	// boxes. A box that has not read the log for about this long no longer relies on the keys
+	// and queues it has.
 	ConfigPropagation time.Duration `yaml:"config_within"`
-	// Share is for how long a workspace's share gathers while it sends less.
+	// ShareWindow is how long a workspace that submits less than its share may accumulate the
+	// rest.
 	ShareWindow time.Duration `yaml:"share"`
-	// Without names parts of the policy that are switched off.
+	// Disabled names the parts of the policy that are switched off.
 	Disabled []string `yaml:"without"`
 }
 
-// defaultLease is how long workers run their tasks after a renewal. It outlasts a
-// takeover; a task that lasts is started again no sooner than it is over after its
-// worker has ended, and the users allow 9 s: with leases of 10 s it took 10.8 s.
+// defaultLease is the default of Jobs.Lease. It is longer than a takeover. A long-running task
+// of a failed worker is not restarted before the worker's lease has run out, and must be
+// restarted within 9 s; with leases of 10 s this took 10.8 s.
 const defaultLease = 6 * time.Second
 
 // WorkerLease returns the lease that workers are given.
 func (j *Jobs) WorkerLease() time.Duration { return min(j.Lease, j.MaxLease) }
 
-// defaultJobs returns what holds for settings that are not given.
+// defaultJobs returns the defaults of Jobs.
 func defaultJobs() Jobs {
 	return Jobs{
 		ReadyAddress: "127.0.0.1:8083", Lease: defaultLease, MaxLease: time.Minute, RenewWait: time.Second,
@@ -69,7 +74,7 @@
 	}
 }
 
-// check reports the settings that cannot be, or that do not fit each other.
+// check reports settings that are out of range or inconsistent with each other.
 func (j *Jobs) check(c *checker) {
 	if !j.Enabled {
 		return
--- a/modules/setting/log.go
+++ b/modules/setting/log.go
@@ -3,7 +3,7 @@
 
 package setting
 
-// Log says what is logged.
+// Log holds the level and format of the daemon's log.
 type Log struct {
 	Level  string `yaml:"level"`
 	Format string `yaml:"format"`
--- a/modules/setting/peers.go
+++ b/modules/setting/peers.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Peers says how entry boxes watch each other.
+// Peers holds the settings by which entry boxes monitor each other.
 type Peers struct {
 	Heartbeat time.Duration `yaml:"heartbeat"`
-	// DeadAfter is how long a silent peer counts as live.
+	// DeadAfter is how long a peer that sends no heartbeat still counts as live.
 	DeadAfter time.Duration `yaml:"dead_after"`
-	// Seeds are peers to greet when the list of boxes cannot be read.
+	// Seeds are the addresses of peers to contact when the list of boxes cannot be read.
 	Seeds []string `yaml:"seeds"`
 }
 
--- a/modules/setting/platform.go
+++ b/modules/setting/platform.go
@@ -5,18 +5,18 @@
 
 import "time"
 
-// Platform says how to reach the platform's services.
+// Platform holds the settings for access to the platform's services.
 type Platform struct {
-	// Log and Boxes are the addresses of the log and of the list of boxes.
+	// LogURL and BoxesURL are the addresses of the log and of the list of boxes.
 	LogURL   string `yaml:"log"`
 	BoxesURL string `yaml:"boxes"`
-	// Timeout bounds one call.
+	// Timeout limits the time of one call.
 	Timeout time.Duration `yaml:"timeout"`
-	// Wait is how long a read waits at the log for new records.
+	// ReadWait is how long a read waits at the log for new records.
 	ReadWait time.Duration `yaml:"wait"`
-	// BoxesInterval is the time between two reads of the list.
+	// BoxesInterval is the time between two reads of the list of boxes.
 	BoxesInterval time.Duration `yaml:"boxes_every"`
-	// AppendInterval is the least time between two appends of this process.
+	// AppendInterval is the minimum time between two appends of this process.
 	AppendInterval time.Duration `yaml:"append_every"`
 	// Retention is how long the log keeps records.
 	Retention time.Duration `yaml:"retention"`
--- a/modules/setting/policy.go
+++ b/modules/setting/policy.go
@@ -3,20 +3,20 @@
 
 package setting
 
-// Policy weighs the decisions of a deployment.
+// Policy holds the weights of placement decisions and the routing policy.
 type Policy struct {
-	// Tight prefers workers that a task nearly fills, Balance workers whose
+	// Tight is the weight of workers that a task nearly fills, Balance that of workers whose
 	// processors and memory run out together.
 	Tight   float64 `yaml:"tight"`
 	Balance float64 `yaml:"balance"`
-	// Spread is the penalty for each task of a service in the same group.
+	// Spread is the penalty for each task of the same service in the same group.
 	Spread float64 `yaml:"spread"`
-	// Routing is how requests are given to targets.
+	// Routing is the policy by which requests are assigned to targets.
 	Routing string `yaml:"routing"`
 }
 
-// The ways to give requests to targets. RoutingPlain, round robin without
-// priorities or early refusal, is there to be measured against.
+// The routing policies. RoutingPlain is round robin without priorities or early refusal, the
+// baseline for comparisons.
 const (
 	RoutingShared = "shared"
 	RoutingPlain  = "plain"
--- a/modules/setting/queue.go
+++ b/modules/setting/queue.go
@@ -5,15 +5,16 @@
 
 import "time"
 
-// Queue says how waiting tasks are treated.
+// Queue holds the settings for waiting tasks.
 type Queue struct {
-	// Backoff is the wait before a failed task is tried again; it doubles up to
+	// Backoff is the delay before a failed task is retried. It doubles with each failure, up to
 	// MaxBackoff.
 	Backoff    time.Duration `yaml:"backoff"`
 	MaxBackoff time.Duration `yaml:"backoff_most"`
-	// GangOvertakeTimeout is how long a gang waits before smaller work stops overtaking.
+	// GangOvertakeTimeout is how long a gang waits before smaller tasks may no longer overtake
+	// it.
 	GangOvertakeTimeout time.Duration `yaml:"gang_patience"`
-	// PlacementsPerTick and StopsPerTick bound the work of one decision.
+	// PlacementsPerTick and StopsPerTick limit the placements and stops of one tick.
 	PlacementsPerTick int `yaml:"placements_per_tick"`
 	StopsPerTick      int `yaml:"stops_per_tick"`
 }
--- a/modules/setting/requests.go
+++ b/modules/setting/requests.go
@@ -5,28 +5,28 @@
 
 import "time"
 
-// Requests bounds callers' requests.
+// Requests limits callers' requests.
 type Requests struct {
-	// MaxBody and MaxAnswer are the largest bodies, in bytes.
+	// MaxBody and MaxAnswer are the maximum sizes of request and response bodies, in bytes.
 	MaxBody   int64 `yaml:"max_body_bytes"`
 	MaxAnswer int64 `yaml:"max_answer_bytes"`
-	// MaxPending is how many requests may be unanswered at once.
+	// MaxPending is the maximum number of unanswered requests.
 	MaxPending int `yaml:"max_pending"`
-	// MaxKept bounds the answers kept for keyed requests, in bytes.
+	// MaxKept limits the total size of the responses kept for keyed requests, in bytes.
 	MaxKept int64 `yaml:"max_kept_bytes"`
-	// KeyTTL is how long a key is remembered, MaxKeys how many are.
+	// KeyTTL is how long an idempotency key is remembered, MaxKeys the maximum number of keys.
 	KeyTTL  time.Duration `yaml:"key_ttl"`
 	MaxKeys int           `yaml:"max_keys"`
-	// RetryRatio is how many retries one fresh request pays for, RetryBurst how
-	// many can be saved up.
+	// RetryRatio is the number of retries that each new request adds to the retry budget,
+	// RetryBurst the maximum of the budget.
 	RetryRatio float64 `yaml:"retry_ratio"`
 	RetryBurst float64 `yaml:"retry_burst"`
-	// EjectAfter failures in a row take a target out for EjectFor, doubling up to
-	// MaxEjectFor.
+	// EjectAfter is the number of consecutive failures that eject a target for EjectFor. The
+	// time doubles with each ejection, up to MaxEjectFor.
 	EjectAfter  int           `yaml:"eject_after"`
 	EjectFor    time.Duration `yaml:"eject_for"`
 	MaxEjectFor time.Duration `yaml:"eject_most"`
-	// MinAttemptTimeout is the least time one attempt is given.
+	// MinAttemptTimeout is the minimum timeout of one attempt.
 	MinAttemptTimeout time.Duration `yaml:"least_attempt"`
 }
 
--- a/modules/setting/setting.go
+++ b/modules/setting/setting.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package setting loads a daemon's settings: flags go before the environment,
-// that before the file, that before the defaults. Every mistake is reported at
-// once with its place.
+// Package setting loads a daemon's settings. Flags take precedence over the environment, the
+// environment over the file, and the file over the defaults. All errors are reported at once,
+// each with its position.
 package setting
 
 import (
@@ -17,13 +17,13 @@
 	"github.com/peterbourgon/ff/v3"
 )
 
-// EnvPrefix starts the name of each environment variable.
+// EnvPrefix is the prefix of the environment variables.
 const EnvPrefix = "SADDLEVANE"
 
-// maxFileBytes bounds a settings file.
+// maxFileBytes is the maximum size of a settings file, in bytes.
 const maxFileBytes = 1 << 20
 
-// Settings are all settings of a daemon.
+// Settings holds all settings of a daemon.
 type Settings struct {
 	Box      Box      `yaml:"box"`
 	Listen   Listen   `yaml:"listen"`
@@ -36,11 +36,11 @@
 	Stop     Stop     `yaml:"stop"`
 	Log      Log      `yaml:"log"`
 	Jobs     Jobs     `yaml:"jobs"`
-	// Connections bounds how long open connections may be silent.
+	// Connections limits how long open connections may be silent.
 	Connections Connections `yaml:"connections"`
 }
 
-// Default returns the settings that hold where nothing else is said.
+// Default returns the default settings.
 func Default() Settings {
 	return Settings{
 		Box: defaultBox(), Listen: defaultListen(), Platform: defaultPlatform(), Peers: defaultPeers(),
@@ -50,14 +50,14 @@
 	}
 }
 
-// Command is what the command line says besides settings.
+// Command holds the command-line options that are not settings.
 type Command struct {
-	// Check asks only whether the settings are right.
+	// Check requests only that the settings be validated.
 	Check   bool
 	Version bool
 }
 
-// Load reads the settings for a command line.
+// Load reads the settings for a command line. The error, if any, lists all invalid settings.
 func Load(name string, args []string) (Settings, Command, error) {
 	s := Default()
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
@@ -79,6 +79,7 @@
 	return s, command, c.problems.Err()
 }
 
+// readFile decodes the settings file into s. An empty path means that there is no file.
 func readFile(path string, s *Settings) (strictyaml.Positions, strictyaml.Problems) {
 	if path == "" {
 		return nil, nil
@@ -97,10 +98,10 @@
 	return strictyaml.Decode(path, data, s)
 }
 
-// overrides holds the settings that flags or the environment gave, by key.
+// overrides holds the settings given by flags or the environment, by key.
 type overrides struct{ values map[string]string }
 
-// addFlags adds a flag for each setting that is a single value.
+// addFlags defines a flag for each scalar setting.
 func addFlags(fs *flag.FlagSet, s *Settings) *overrides {
 	o := &overrides{values: map[string]string{}}
 	eachKey(reflect.ValueOf(s).Elem(), "", func(key string, v reflect.Value) {
@@ -112,7 +113,7 @@
 	return o
 }
 
-// eachKey calls f for each setting that is a single value.
+// eachKey calls f for each scalar setting of v, with its key in dotted form.
 func eachKey(v reflect.Value, prefix string, f func(key string, v reflect.Value)) {
 	for i := range v.NumField() {
 		key := v.Type().Field(i).Tag.Get(strictyaml.Tag)
@@ -126,6 +127,7 @@
 	}
 }
 
+// apply sets the overridden settings in s.
 func (o *overrides) apply(s *Settings) strictyaml.Problems {
 	var problems strictyaml.Problems
 	eachKey(reflect.ValueOf(s).Elem(), "", func(key string, v reflect.Value) {
@@ -140,7 +142,7 @@
 	return problems
 }
 
-// Keys returns the key of every setting that is a single value.
+// Keys returns the keys of all scalar settings.
 func Keys() []string {
 	s := Default()
 	var keys []string
--- a/modules/setting/setting_test.go
+++ b/modules/setting/setting_test.go
@@ -17,7 +17,7 @@
 
 const example = "../../custom/conf/saddlevaned.example.yaml"
 
-// required is the settings that have no default.
+// required holds the settings that have no default.
 const required = "box: {name: x, domain: a}\nplatform: {log: 'http://127.0.0.1:1', boxes: 'http://127.0.0.1:2'}\n"
 
 func load(t *testing.T, text string, args ...string) (setting.Settings, error) {
@@ -72,7 +72,7 @@
 	}, "\n"))
 	assert.Assert(t, err != nil)
 	for _, want := range []string{
-		":1:7: box.name:", ":3:3: platform.log:", ":5:3: platform.wait: 10s is not below platform.timeout",
+		":1:7: box.name:", ":3:3: platform.log:", ":5:3: platform.wait: 10s must be less than platform.timeout",
 		":6:9: peers.heartbeat:", ":7:22: workers.renew:", ":7:33: workers.typo: unknown key", ":8:7: log.level:",
 	} {
 		assert.Check(t, strings.Contains(err.Error(), want), "no %q in:\n%s", want, err)
--- a/modules/setting/stop.go
+++ b/modules/setting/stop.go
@@ -5,9 +5,10 @@
 
 import "time"
 
-// Stop says how a planned stop goes.
+// Stop holds the settings of a planned stop.
 type Stop struct {
-	// Grace is how long new requests are still served, Most bounds the stop.
+	// Grace is how long new requests are still served, MaxStopTime the maximum duration of the
+	// stop.
 	Grace       time.Duration `yaml:"grace"`
 	MaxStopTime time.Duration `yaml:"most"`
 }
--- a/modules/setting/workers.go
+++ b/modules/setting/workers.go
@@ -5,25 +5,25 @@
 
 import "time"
 
-// Workers says how leases on workers are kept.
+// Workers holds the settings for leases on workers.
 type Workers struct {
-	// Lease is how long a worker's lease lasts, Renew the time between renewals,
-	// Margin what is taken off a lease against clocks that run unlike.
+	// Lease is the duration of a worker's lease, RenewInterval the time between renewals.
+	// ClockMargin is subtracted from a lease to allow for clocks that run at different rates.
 	Lease         time.Duration `yaml:"lease"`
 	RenewInterval time.Duration `yaml:"renew"`
 	ClockMargin   time.Duration `yaml:"margin"`
-	// TaskLease is how long the platform's workers run tasks after a lease lapsed.
+	// TaskLease is how long the platform's workers keep running tasks after their lease has
+	// expired.
 	TaskLease time.Duration `yaml:"task_lease"`
-	// Timeout bounds one exchange with a worker.
+	// Timeout limits the time of one exchange with a worker.
 	Timeout time.Duration `yaml:"timeout"`
-	// GoneAfter is how long the list must not have named a worker before it counts
-	// as dead.
+	// GoneAfter is how long a worker must be missing from the list before it counts as dead.
 	GoneAfter time.Duration `yaml:"gone_after"`
-	// Settle is how long the set of live entry boxes must be unchanged before a
-	// shard moves between live ones.
+	// SettleTime is how long the set of live entry boxes must be unchanged before a shard moves
+	// between live boxes.
 	SettleTime time.Duration `yaml:"settle"`
-	// QuarantineAfter different objects in a row that fail on a worker take it out
-	// for QuarantineFor, doubling.
+	// QuarantineAfter is the number of different objects that must fail on a worker in a row
+	// before it is quarantined for QuarantineFor. The time doubles with each quarantine.
 	QuarantineAfter int           `yaml:"quarantine_after"`
 	QuarantineFor   time.Duration `yaml:"quarantine_for"`
 }
--- a/modules/strictyaml/decode.go
+++ b/modules/strictyaml/decode.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package strictyaml fills Go structs from YAML and reports every mistake at
-// once, each with its line and column. The YAML itself is parsed by a library;
-// this package only walks the parsed tree beside the Go type.
+// Package strictyaml decodes YAML into Go structs and reports all errors at once, each with its
+// line and column. A library parses the YAML; this package only walks the syntax tree alongside
+// the Go type.
 package strictyaml
 
 import (
@@ -20,11 +20,11 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// MaxDepth is the deepest nesting that Decode accepts. Deeper input is refused
-// before it is parsed, because the parser recurses once per level.
+// MaxDepth is the deepest nesting that Decode accepts. Deeper input is refused before it is
+// parsed, because the parser recurses once per level.
 const MaxDepth = 32
 
-// Tag is the struct tag that names a field's key.
+// Tag is the struct tag that holds a field's key.
 const Tag = "yaml"
 
 var (
@@ -32,22 +32,22 @@
 	durationType        = reflect.TypeFor[time.Duration]()
 )
 
-// Decode fills dst, a pointer to a struct, from data. It returns where each key
-// stood, for checks that come later, and every mistake found.
+// Decode decodes data into dst, a pointer to a struct. It returns the position of each key, for
+// later checks, and all problems found. file is the name used in problems.
 func Decode(file string, data []byte, dst any) (Positions, Problems) {
 	d := decoder{file: file, positions: Positions{}}
 	if depth := maxNesting(data); depth > MaxDepth {
-		d.addProblem(Position{Line: 1, Column: 1}, "", "nested %d deep, the limit is %d", depth, MaxDepth)
+		d.addProblem(Position{Line: 1, Column: 1}, "", "nested %d levels deep, the limit is %d", depth, MaxDepth)
 		return d.positions, d.problems
 	}
 	tree, err := parser.ParseBytes(data, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
 		at, message := syntaxError(err)
-		d.addProblem(at, "", "not YAML: %s", message)
+		d.addProblem(at, "", "invalid YAML: %s", message)
 		return d.positions, d.problems
 	}
 	if len(tree.Docs) > 1 {
-		d.addProblem(Position{Line: 1, Column: 1}, "", "holds %d documents, want one", len(tree.Docs))
+		d.addProblem(Position{Line: 1, Column: 1}, "", "file has %d documents, want one", len(tree.Docs))
 		return d.positions, d.problems
 	}
 	if len(tree.Docs) == 0 || tree.Docs[0].Body == nil {
@@ -57,13 +57,13 @@
 	return d.positions, d.problems
 }
 
-// SetScalar sets dst, a pointer to a scalar, from text, as Decode would from a
-// scalar in a file. It serves flags and environment variables.
+// SetScalar sets dst, an addressable scalar, from text in the way Decode does for a scalar in a
+// file. It is used for flags and environment variables.
 func SetScalar(dst reflect.Value, text string) error {
 	return setScalar(dst, text)
 }
 
-// IsScalar says whether values of type t are written as one YAML scalar.
+// IsScalar reports whether values of type t are written as one YAML scalar.
 func IsScalar(t reflect.Type) bool {
 	if reflect.PointerTo(t).Implements(textUnmarshalerType) || t == durationType {
 		return true
@@ -76,18 +76,21 @@
 	}
 }
 
+// decoder collects the positions and problems of one file while it fills Go values.
 type decoder struct {
 	file      string
 	positions Positions
 	problems  Problems
 }
 
+// addProblem records an error at a position.
 func (d *decoder) addProblem(at Position, path, format string, args ...any) {
 	d.problems = append(d.problems, Problem{
 		File: d.file, Position: at, Path: path, Reason: fmt.Sprintf(format, args...),
 	})
 }
 
+// decodeNode decodes n into v and records the position of path. A null leaves v unchanged.
 func (d *decoder) decodeNode(n ast.Node, v reflect.Value, path string) {
 	at := positionOf(n)
 	d.positions[path] = at
@@ -114,6 +117,7 @@
 	}
 }
 
+// decodeScalar decodes a scalar into v.
 func (d *decoder) decodeScalar(n ast.Node, v reflect.Value, path string) {
 	text, ok := scalarText(n)
 	if !ok {
@@ -125,10 +129,11 @@
 	}
 }
 
+// decodeMapping decodes a mapping into the struct v and reports unknown and duplicate keys.
 func (d *decoder) decodeMapping(n ast.Node, v reflect.Value, path string) {
 	values, ok := mappingValues(n)
 	if !ok {
-		d.addProblem(positionOf(n), path, "want keys and values")
+		d.addProblem(positionOf(n), path, "want a mapping")
 		return
 	}
 	fields := fieldsByKey(v.Type())
@@ -142,7 +147,7 @@
 		case !known:
 			d.addProblem(at, child, "unknown key")
 		case seen[key]:
-			d.addProblem(at, child, "key given twice")
+			d.addProblem(at, child, "duplicate key")
 		default:
 			d.decodeNode(kv.Value, v.FieldByIndex(index), child)
 			d.positions[child] = at
@@ -151,6 +156,7 @@
 	}
 }
 
+// decodeSequence decodes a sequence into the slice v.
 func (d *decoder) decodeSequence(n ast.Node, v reflect.Value, path string) {
 	seq, ok := n.(*ast.SequenceNode)
 	if !ok {
@@ -163,6 +169,8 @@
 	}
 }
 
+// mappingValues returns the entries of a mapping, which the parser represents by
+// MappingValueNode if it has a single entry.
 func mappingValues(n ast.Node) ([]*ast.MappingValueNode, bool) {
 	switch m := n.(type) {
 	case *ast.MappingNode:
@@ -174,6 +182,7 @@
 	}
 }
 
+// scalarText returns the text of a scalar node.
 func scalarText(n ast.Node) (string, bool) {
 	switch s := n.(type) {
 	case *ast.StringNode:
@@ -187,8 +196,8 @@
 	}
 }
 
-// fieldsByKey maps each key to its field; the fields of an embedded struct count
-// as the struct's own.
+// fieldsByKey maps each key to the index of its field. Fields of an embedded struct count as
+// fields of the outer struct.
 func fieldsByKey(t reflect.Type) map[string][]int {
 	fields := map[string][]int{}
 	for _, f := range reflect.VisibleFields(t) {
@@ -199,6 +208,7 @@
 	return fields
 }
 
+// setScalar sets v from text: by UnmarshalText if v implements it, or according to its type.
 func setScalar(v reflect.Value, text string) error {
 	if u, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		return u.UnmarshalText([]byte(text))
@@ -214,6 +224,7 @@
 	return setBasicKind(v, text)
 }
 
+// setBasicKind sets a value of a basic kind from text.
 func setBasicKind(v reflect.Value, text string) error {
 	switch v.Kind() {
 	case reflect.String:
@@ -242,10 +253,9 @@
 	return nil
 }
 
-// maxNesting bounds the depth of data from its flow brackets and compact block
-// sequences, without parsing it. It may count too much, never too little.
-// Deeper block indentation costs the square of its depth in bytes, so the size
-// limit of the caller bounds that.
+// maxNesting returns an upper bound of the nesting depth of data, from its flow brackets and
+// compact block sequences, without parsing it. Nesting by block indentation is not counted: its
+// size in bytes grows with the square of the depth, so the caller's size limit bounds it.
 func maxNesting(data []byte) int {
 	depth, deepest, compact := 0, 0, 0
 	lineStart := true
@@ -274,7 +284,7 @@
 	return deepest
 }
 
-// syntaxError returns where the parser gave up and why.
+// syntaxError returns the position and message of a parser error.
 func syntaxError(err error) (Position, string) {
 	if e, ok := errors.AsType[yaml.Error](err); ok && e.GetToken() != nil && e.GetToken().Position != nil {
 		at := e.GetToken().Position
@@ -284,6 +294,7 @@
 	return Position{Line: 1, Column: 1}, line
 }
 
+// join appends a key to the path of its parent.
 func join(path, key string) string {
 	if path == "" {
 		return key
--- a/modules/strictyaml/decode_test.go
+++ b/modules/strictyaml/decode_test.go
@@ -21,7 +21,7 @@
 	Words []string      `yaml:"words"`
 }
 
-// Embedded stands for a common part: its keys stand with those of outer.
+// Embedded is an embedded struct whose keys are at the level of outer.
 type Embedded struct {
 	Name string `yaml:"name"`
 }
@@ -63,7 +63,7 @@
 		`f.yaml:4:9: inner.wait: want a duration such as 500ms or 2s, got "soon"`,
 		`f.yaml:5:10: inner.words: want a list`,
 		`f.yaml:7:5: list[0].odd: unknown key`,
-		`f.yaml:8:1: count: key given twice`,
+		`f.yaml:8:1: count: duplicate key`,
 		`f.yaml:9:5: on: want a single value`,
 	})
 }
--- a/modules/strictyaml/problem.go
+++ b/modules/strictyaml/problem.go
@@ -10,18 +10,17 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// Position is a place in a file; lines and columns count from 1. The zero
-// Position means that the place is not known.
+// Position is a position in a file. Lines and columns start at 1; the zero Position means that
+// the position is unknown.
 type Position struct {
 	Line   int `json:"line"`
 	Column int `json:"column"`
 }
 
-// Positions maps the path of a key, such as "jobs[2].count", to its place.
+// Positions maps the path of a key, such as "jobs[2].count", to its position.
 type Positions map[string]Position
 
-// Of returns the place of path, or of the nearest enclosing key that stood in
-// the file.
+// Of returns the position of path, or of the nearest enclosing key present in the file.
 func (p Positions) Of(path string) Position {
 	for path != "" {
 		if at, ok := p[path]; ok {
@@ -36,11 +35,11 @@
 	return p[""]
 }
 
-// Problem is one mistake in a file.
+// Problem is one error in a file.
 type Problem struct {
 	File     string   `json:"file"`
 	Position Position `json:"position"`
-	// Path names the key, such as "jobs[2].count".
+	// Path is the path of the key, such as "jobs[2].count".
 	Path   string `json:"path"`
 	Reason string `json:"reason"`
 }
@@ -53,10 +52,10 @@
 	return fmt.Sprintf("%s:%d:%d: %s: %s", p.File, p.Position.Line, p.Position.Column, p.Path, p.Reason)
 }
 
-// Problems is every mistake found in a file, in the order found.
+// Problems holds all errors found in a file, in the order in which they were found.
 type Problems []Problem
 
-// Error returns one line for each mistake.
+// Error returns one line per problem.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -65,7 +64,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns ps as an error, or nil if there are none.
+// Err returns ps as an error, or nil if ps is empty.
 func (ps Problems) Err() error {
 	if len(ps) == 0 {
 		return nil
@@ -73,6 +72,7 @@
 	return ps
 }
 
+// positionOf returns the position of a node, for a mapping entry that of its key.
 func positionOf(n ast.Node) Position {
 	tok := n.GetToken()
 	if tok == nil || tok.Position == nil {
--- a/modules/version/version.go
+++ b/modules/version/version.go
@@ -1,12 +1,12 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package version says which build this is.
+// Package version reports the version of the build.
 package version
 
 import "runtime/debug"
 
-// Number is the release.
+// Number is the release number.
 const Number = "0.1.0"
 
 // Version describes a build.
@@ -15,7 +15,7 @@
 	Go     string `json:"go"`
 }
 
-// Current returns this build's version.
+// Current returns the version of this build.
 func Current() Version {
 	v := Version{Number: Number}
 	if info, ok := debug.ReadBuildInfo(); ok {
