--- a/tests/cell/calls.go
+++ b/tests/cell/calls.go
@@ -23,21 +23,21 @@
 
 var apiClient = httpjson.NewClient(&http.Client{Timeout: 5 * time.Second}, 64<<20)
 
-// ports is where listeners are placed: below the range that the kernel takes the
-// local ends of connections from.
+// Listeners use ports from firstPort up, below the range from which the kernel assigns local
+// ports to outgoing connections.
 const (
 	firstPort = 12000
 	portCount = 20000
 )
 
-// nextPort counts the ports that this process has given out, from a place that
-// differs between processes.
+// nextPort counts the ports handed out by this process. It starts at a random value so that
+// processes which run at the same time use different ports.
 var nextPort atomic.Int64
 
 func init() { nextPort.Store(rand.Int64N(portCount)) }
 
-// FreeAddress returns a loopback address on which nothing listens, each time
-// another.
+// FreeAddress returns a loopback address on which nothing listens. Each call returns a
+// different address until all portCount ports have been used.
 func FreeAddress() string {
 	for {
 		address := fmt.Sprintf("127.0.0.1:%d", firstPort+nextPort.Add(1)%portCount)
@@ -50,7 +50,8 @@
 	}
 }
 
-// WaitFor waits for a condition.
+// WaitFor polls ok every 20 ms until it returns true. If ctx ends first, it returns an error
+// that starts with what.
 func WaitFor(ctx context.Context, what string, ok func() bool) error {
 	ticker := time.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// Faults are the faults of one stand-in; see docs/PLATFORM.md.
+// Faults are the faults that a stand-in simulates; see docs/PLATFORM.md.
 type Faults struct {
 	Down        bool  `json:"down"`
 	Drop        bool  `json:"drop"`
@@ -75,39 +76,40 @@
 	Leaving     bool  `json:"leaving"`
 }
 
-// SetFaults switches the faults of the stand-in at address.
+// SetFaults replaces the faults of the stand-in at address; the zero Faults ends them all.
 func SetFaults(ctx context.Context, address string, f Faults) error {
 	var out Faults
 	return apiClient.Post(ctx, "http://"+address+"/admin/faults", f, &out)
 }
 
-// TrimLog makes the log forget all records before an offset.
+// TrimLog makes the log delete all records before the given offset.
 func (c *Cell) TrimLog(ctx context.Context, before int64) error {
 	var out struct{}
 	return apiClient.Post(ctx, fmt.Sprintf("http://%s/admin/trim?before=%d", c.LogAddress, before), struct{}{}, &out)
 }
 
-// LogCount is what the log holds.
+// LogCount holds the number of appends to the log and the offsets of its first and next
+// record.
 type LogCount struct {
 	Appends int64 `json:"appends"`
 	First   int64 `json:"first"`
 	Next    int64 `json:"next"`
 }
 
-// CountLog returns what the log holds.
+// CountLog returns the log's counts.
 func (c *Cell) CountLog(ctx context.Context) (LogCount, error) {
 	var n LogCount
 	err := apiClient.Get(ctx, "http://"+c.LogAddress+"/admin/count", &n)
 	return n, err
 }
 
-// SetState changes what the platform's list says of a box.
+// SetState sets the state of the named box in the platform's list of boxes.
 func (c *Cell) SetState(ctx context.Context, name string, s box.State) error {
 	c.states[name] = s
 	return c.PublishBoxList(ctx)
 }
 
-// PublishBoxList gives the platform's list the cell's boxes.
+// PublishBoxList replaces the platform's list of boxes by the boxes of the cell.
 func (c *Cell) PublishBoxList(ctx context.Context) error {
 	var l box.List
 	add := func(b box.Box) {
@@ -132,34 +134,34 @@
 	return apiClient.Post(ctx, "http://"+c.BoxesAddress+"/admin/boxes", l, &out)
 }
 
-// Status reads the state of an entry box in short.
+// Status returns the entry box's short status.
 func (e *Entry) Status(ctx context.Context) (status.Process, error) {
 	var s status.Process
 	err := apiClient.Get(ctx, "http://"+e.Operators+"/v1/status", &s)
 	return s, err
 }
 
-// Queue reads what an entry box knows of objects.
+// Queue returns the task counts of the objects in the shards that the entry box holds.
 func (e *Entry) Queue(ctx context.Context) ([]status.Work, error) {
 	var w []status.Work
 	err := apiClient.Get(ctx, "http://"+e.Operators+"/v1/queue", &w)
 	return w, err
 }
 
-// Places reads which tasks have places in the shards that an entry box holds.
+// Places returns the placed tasks of the shards that the entry box holds.
 func (e *Entry) Places(ctx context.Context) ([]status.Place, error) {
 	var p []status.Place
 	err := apiClient.Get(ctx, "http://"+e.Operators+"/v1/places", &p)
 	return p, err
 }
 
-// Ready says whether an entry box takes callers' requests.
+// Ready reports whether the entry box accepts callers' requests.
 func (e *Entry) Ready(ctx context.Context) bool {
 	var out struct{}
 	return apiClient.Get(ctx, "http://"+e.Callers+"/readyz", &out) == nil
 }
 
-// WaitReady waits until every entry box takes callers' requests.
+// WaitReady waits until every entry box accepts callers' requests.
 func (c *Cell) WaitReady(ctx context.Context) error {
 	return WaitFor(ctx, "every entry box is ready", func() bool {
 		for _, e := range c.entries {
@@ -171,7 +173,8 @@
 	})
 }
 
-// Work adds up what the holders know of each object.
+// Work returns the task counts of each object by its name, summed over the entry boxes that
+// respond.
 func (c *Cell) Work(ctx context.Context) map[string]status.Work {
 	sum := map[string]status.Work{}
 	for _, e := range c.entries {
@@ -199,8 +202,8 @@
 	return sum
 }
 
-// Span is when a task ran on a worker, in milliseconds since 1970; End is 0
-// while it runs.
+// Span is the time during which a task ran on a worker, in Unix milliseconds. End is 0 while
+// the task runs.
 type Span struct {
 	Worker string     `json:"-"`
 	Task   task.ID    `json:"task"`
@@ -209,22 +212,21 @@
 	State  task.State `json:"state"`
 }
 
-// History is what the workers saw.
+// History is the record of task starts and ends kept by the workers.
 type History struct {
 	Spans []Span
-	// Excess counts starts that would have given a worker more than it has.
+	// ExcessStarts counts starts that would have exceeded a worker's capacity.
 	ExcessStarts int64
 }
 
-// workerHistory is one worker's answer.
+// workerHistory is the response of one worker stand-in.
 type workerHistory struct {
 	Worker string `json:"worker"`
 	Spans  []Span `json:"spans"`
 	Excess int64  `json:"excess"`
 }
 
-// History reads what the workers saw; those whose process has ended tell nothing
-// any more.
+// History collects the histories of all workers whose process still runs.
 func (c *Cell) History(ctx context.Context) (History, error) {
 	var h History
 	for _, m := range c.workers {
@@ -244,7 +246,7 @@
 	return h, nil
 }
 
-// Overlaps returns the tasks that ran in two places at once, each told in a line.
+// Overlaps returns one line for each pair of overlapping runs of the same task.
 func (h History) Overlaps() []string {
 	byKey := map[task.Key][]Span{}
 	for _, s := range h.Spans {
@@ -276,7 +278,8 @@
 	return n
 }
 
-// TargetStats is what a target saw.
+// TargetStats counts the requests that one target received: how many it served, how often
+// each ran, by nonce, and how many were in progress at most at the same time.
 type TargetStats struct {
 	Target        string         `json:"target"`
 	Served        int64          `json:"served"`
@@ -284,7 +287,7 @@
 	MaxConcurrent int            `json:"busiest"`
 }
 
-// TargetStats reads what the targets saw.
+// TargetStats returns the statistics of all targets.
 func (c *Cell) TargetStats(ctx context.Context) ([]TargetStats, error) {
 	var all []TargetStats
 	for _, m := range c.targets {
@@ -297,7 +300,8 @@
 	return all, nil
 }
 
-// RunTool runs the operators' tool and returns its output and exit code.
+// RunTool runs the operators' tool against all entry boxes and returns its output and exit
+// code.
 func (c *Cell) RunTool(ctx context.Context, args ...string) (string, int) {
 	var addresses []string
 	for _, e := range c.entries {
@@ -306,7 +310,8 @@
 	return c.RunToolAt(ctx, strings.Join(addresses, ","), args...)
 }
 
-// RunToolAt runs the operators' tool against given addresses.
+// RunToolAt runs the operators' tool against the given addresses, separated by commas. The
+// exit code is -1 if the tool could not be started.
 func (c *Cell) RunToolAt(ctx context.Context, addresses string, args ...string) (string, int) {
 	cmd := exec.CommandContext(ctx, c.options.Binaries.Tool, append([]string{"-address", addresses}, args...)...)
 	out, err := cmd.CombinedOutput()
@@ -316,7 +321,8 @@
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-// SendRequest sends a request to an entry box as a caller would.
+// SendRequest sends a caller's request to an entry box and returns the response and its body.
+// path is POOL/CLASS with an optional query; an empty key sends none.
 func SendRequest(ctx context.Context, client *http.Client, e *Entry, path, key, nonce, body string) (*http.Response, string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+e.Callers+"/v1/pools/"+path, strings.NewReader(body))
 	if err != nil {
@@ -335,7 +341,7 @@
 	return resp, string(data), err
 }
 
-// IssueKey asks an entry box for a key for a request that may not be repeated.
+// IssueKey obtains from an entry box the key that a non-repeatable request needs.
 func IssueKey(ctx context.Context, client *http.Client, e *Entry) (string, error) {
 	var out struct {
 		Key string `json:"key"`
--- a/tests/cell/cell.go
+++ b/tests/cell/cell.go
@@ -18,10 +18,10 @@
 	"saddlevane/models/resource"
 )
 
-// Binaries are the programs of a cell.
+// Binaries holds the paths of a cell's programs.
 type Binaries struct{ Daemon, Tool, Standin string }
 
-// BinariesIn returns the programs that `make build` puts in dir.
+// BinariesIn returns the paths of the programs that `make build` writes to dir.
 func BinariesIn(dir string) Binaries {
 	return Binaries{
 		Daemon: filepath.Join(dir, "saddlevaned"), Tool: filepath.Join(dir, "saddlevanectl"),
@@ -29,39 +29,42 @@
 	}
 }
 
-// Options describe a cell.
+// Options configures a cell.
 type Options struct {
 	Binaries Binaries
-	// Dir takes settings and the output of processes.
+	// Dir receives the settings files and the output of the processes.
 	Dir     string
 	Domains []Domain
-	// Via may change the address under which daemons see a service, a box or a
-	// peer, to put a proxy between.
+	// ProxyAddress returns the address under which daemons reach the named service, box or
+	// peer at address. It lets a proxy be placed in front of it.
 	ProxyAddress func(name, address string) string
-	// Settings is more YAML for each daemon, by section.
+	// Settings holds additional YAML lines for the settings of each daemon, by section.
 	Settings map[string][]string
-	// Lag, Retention and TaskLease are the platform's.
+	// Lag is the delay with which the platform's list of boxes shows changes (100 ms if 0),
+	// Retention how long the log keeps records (24 h if 0), TaskLease how long workers keep
+	// running tasks after their lease has expired (30 s if 0).
 	Lag, Retention, TaskLease time.Duration
 }
 
-// Domain is a failure domain of a cell.
+// Domain describes one failure domain of a cell.
 type Domain struct {
 	Name    string
 	Entries int
 	Racks   int
-	// WorkersPerRack is how many workers a rack has, Capacity what each has.
+	// WorkersPerRack is the number of workers in a rack; Capacity is the capacity of each
+	// worker.
 	WorkersPerRack int
 	Capacity       resource.Vector
-	// Shards is how many shards the racks are dealt to; 1 if 0.
+	// Shards is the number of shards over which the racks are distributed; 0 means 1.
 	Shards  int
 	Targets int
 	Slots   int
-	// Apart plays each worker and target in a process of its own, so that one can
-	// be frozen.
+	// SeparateProcesses runs each worker and target in its own process, so that it can be
+	// paused or killed alone.
 	SeparateProcesses bool
 }
 
-// Entry is an entry box.
+// Entry is an entry box: its addresses and its daemon's process.
 type Entry struct {
 	Name      string
 	Domain    string
@@ -72,25 +75,25 @@
 	process   *Process
 }
 
-// Process returns the box's process.
+// Process returns the box's current daemon process.
 func (e *Entry) Process() *Process { return e.process }
 
-// Member is a worker or target.
+// Member is a worker or a target.
 type Member struct {
 	box.Box
 	Capacity    resource.Vector `json:"capacity"`
 	Listen      string          `json:"listen"`
 	Slots       int             `json:"slots"`
 	Connections int             `json:"connections"`
-	// Real is where the member listens, without a proxy between.
+	// DirectAddress is the address at which the member listens, without a proxy.
 	DirectAddress string `json:"-"`
 	process       *Process
 }
 
-// Process returns the process that plays the member.
+// Process returns the stand-in process that simulates the member.
 func (m *Member) Process() *Process { return m.process }
 
-// Cell is a running cell.
+// Cell is a running cell with its platform stand-ins.
 type Cell struct {
 	options      Options
 	LogAddress   string
@@ -104,7 +107,8 @@
 	states    map[string]box.State
 }
 
-// Start starts a cell and waits until its stand-ins answer.
+// Start starts a cell. It returns once the stand-ins accept connections and the daemons have
+// been started; see [Cell.WaitReady].
 func Start(ctx context.Context, o Options) (*Cell, error) {
 	if o.ProxyAddress == nil {
 		o.ProxyAddress = func(_, address string) string { return address }
@@ -137,7 +141,8 @@
 	return nil
 }
 
-// createBoxes gives every box its name and address.
+// createBoxes creates the entry boxes, workers and targets of all domains, with names and
+// free addresses. It starts nothing.
 func (c *Cell) createBoxes() {
 	for _, d := range c.options.Domains {
 		for i := range d.Entries {
@@ -158,7 +163,7 @@
 	}
 }
 
-// ConnectionsPerTarget is what each target accepts.
+// ConnectionsPerTarget is the number of connections that each target accepts.
 const ConnectionsPerTarget = 60
 
 func (c *Cell) newMember(d Domain, name string, role box.Role, rack string) *Member {
@@ -192,7 +197,8 @@
 	return nil
 }
 
-// startMembers plays the members of a domain, in one process or in one each.
+// startMembers starts the stand-ins for the workers or targets of a domain, in one process or
+// in one process each.
 func (c *Cell) startMembers(role string, d Domain, all []*Member) error {
 	var own []*Member
 	for _, m := range all {
@@ -269,7 +275,8 @@
 	return nil
 }
 
-// StartEntry starts the process of an entry box, anew if it ran before.
+// StartEntry starts the daemon of an entry box. It may be called again after the previous
+// process has ended.
 func (c *Cell) StartEntry(e *Entry) error {
 	if e.settings == "" {
 		if err := c.writeSettings(e); err != nil {
@@ -307,7 +314,7 @@
 	return os.WriteFile(e.settings, []byte(text.String()), 0o644)
 }
 
-// Close ends every process of the cell.
+// Close kills every process of the cell.
 func (c *Cell) Close() {
 	c.mu.Lock()
 	all := c.processes
--- a/tests/cell/file.go
+++ b/tests/cell/file.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// CellFile returns a file that describes the cell's racks, one team and its
-// pool of targets.
+// CellFile returns the text of a file that declares the cell's racks, one team and its pool
+// of targets.
 func (c *Cell) CellFile(name string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "name: %s\nracks:\n", name)
@@ -42,7 +42,8 @@
       - {name: render, priority: normal, repeatable: true, deadline: 10s, queue: 1000}
 `
 
-// QuickSettings returns settings with short times, for cells that live briefly.
+// QuickSettings returns settings with short timeouts and intervals, for cells that run for
+// seconds.
 func QuickSettings() map[string][]string {
 	return map[string][]string{
 		"platform": {"boxes_every: 50ms", "append_every: 50ms", "wait: 500ms", "timeout: 1s"},
--- a/tests/cell/process.go
+++ b/tests/cell/process.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package cell starts a whole cell as real processes on loopback: stand-ins for
-// the platform, and daemons. Tests, the demo and the benchmarks use it; nothing
-// else starts processes.
+// Package cell starts a complete cell as real processes on loopback: daemons, and stand-ins
+// for the platform. It is used by tests, the demo and the benchmarks, which start all their
+// processes through it.
 package cell
 
 import (
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// Process is one process of a cell.
+// Process is a started process.
 type Process struct {
 	name string
 	cmd  *exec.Cmd
@@ -25,7 +25,7 @@
 	err  error
 }
 
-// StartProcess starts a program whose output goes to a file in dir.
+// StartProcess starts a program and appends its output to the file NAME.log in dir.
 func StartProcess(dir, name, program string, args ...string) (*Process, error) {
 	log, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -33,7 +33,7 @@
 	}
 	p := &Process{name: name, cmd: exec.Command(program, args...), log: log, done: make(chan struct{})}
 	p.cmd.Stdout, p.cmd.Stderr = log, log
-	// A process must not outlive the one that started it.
+	// The kernel kills the process when its parent ends, so that none is left behind.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("start %s: %w", name, err)
@@ -48,13 +48,13 @@
 	close(p.done)
 }
 
-// Name returns the process's name.
+// Name returns the name given to [StartProcess].
 func (p *Process) Name() string { return p.name }
 
-// PID returns the process's number.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Signal sends a signal.
+// Signal sends a signal. It returns nil if the process has already ended.
 func (p *Process) Signal(s syscall.Signal) error {
 	err := p.cmd.Process.Signal(s)
 	if errors.Is(err, os.ErrProcessDone) {
@@ -63,20 +63,20 @@
 	return err
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL and waits until the process has ended.
 func (p *Process) Kill() {
 	_ = p.Signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// Pause freezes the process.
+// Pause stops the process with SIGSTOP.
 func (p *Process) Pause() error { return p.Signal(syscall.SIGSTOP) }
 
-// Continue ends a freeze.
+// Continue resumes a paused process with SIGCONT.
 func (p *Process) Continue() error { return p.Signal(syscall.SIGCONT) }
 
-// Stop asks for a planned stop and waits for the end, at most for a while. It
-// returns the process's own error.
+// Stop sends SIGTERM and waits until the process has ended. It returns the process's exit
+// error, or kills it and returns an error if it has not ended within the given time.
 func (p *Process) Stop(within time.Duration) error {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -90,7 +90,7 @@
 	}
 }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
 func (p *Process) hasEnded() bool {
@@ -102,7 +102,7 @@
 	}
 }
 
-// ExitCode returns how the process ended.
+// ExitCode waits until the process has ended and returns its exit code.
 func (p *Process) ExitCode() int {
 	<-p.done
 	return p.cmd.ProcessState.ExitCode()
--- a/tests/cell/proxy.go
+++ b/tests/cell/proxy.go
@@ -15,15 +15,15 @@
 	"github.com/rs/zerolog"
 )
 
-// Proxies stand between daemons and whatever they talk to, and cut or bend what
-// passes.
+// Proxies is a set of named TCP proxies between daemons and the services they call. Each can
+// drop traffic in one or both directions or refuse connections.
 type Proxies struct {
 	server *toxiproxy.ApiServer
 	mu     sync.Mutex
 	byName map[string]*toxiproxy.Proxy
 }
 
-// NewProxies returns proxies for nothing yet.
+// NewProxies returns an empty set; Close stops its proxies.
 func NewProxies() *Proxies {
 	logger := zerolog.Nop()
 	return &Proxies{
@@ -32,8 +32,8 @@
 	}
 }
 
-// GetOrStart returns the address of the proxy of that name, and starts it before
-// address if there is none yet.
+// GetOrStart returns the listen address of the named proxy. If there is none yet, it starts
+// one that forwards to address.
 func (p *Proxies) GetOrStart(name, address string) string {
 	if proxy, err := p.get(name); err == nil {
 		return proxy.Listen
@@ -45,8 +45,8 @@
 	return proxy.Listen
 }
 
-// start tries ports until one is free. One that was just found free may not be:
-// a process that is being started holds all listeners for a moment.
+// start tries ports until one is free. A port that was just found free may be in use again:
+// while a process is being started, it briefly holds a copy of all listeners.
 func (p *Proxies) start(name, address string) *toxiproxy.Proxy {
 	for {
 		proxy := toxiproxy.NewProxy(p.server, name, FreeAddress(), address)
@@ -56,7 +56,7 @@
 	}
 }
 
-// Close ends all proxies.
+// Close stops all proxies.
 func (p *Proxies) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,10 +65,10 @@
 	}
 }
 
-// Direction is which way a cut works.
+// Direction is a direction of traffic through a proxy.
 type Direction string
 
-// The directions: what goes to the proxied service, and its answers.
+// Requests flow towards the proxied service, Answers flow back from it.
 const (
 	Requests Direction = "upstream"
 	Answers  Direction = "downstream"
@@ -76,8 +76,8 @@
 
 const toxicPrefix = "cut-"
 
-// Cut lets nothing pass in the given directions; connections hang, as they do
-// when packets are lost.
+// Cut drops all traffic in the given directions. Connections stay open without progress, as
+// they do when packets are lost.
 func (p *Proxies) Cut(name string, directions ...Direction) error {
 	proxy, err := p.get(name)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// Heal ends a cut.
+// Heal ends all cuts of the named proxy.
 func (p *Proxies) Heal(name string) error {
 	proxy, err := p.get(name)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// Refuse closes all connections and accepts no new ones.
+// Refuse closes all connections of the named proxy and refuses new ones.
 func (p *Proxies) Refuse(name string) error {
 	proxy, err := p.get(name)
 	if err != nil {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// Accept ends Refuse.
+// Accept accepts connections again after Refuse.
 func (p *Proxies) Accept(name string) error {
 	proxy, err := p.get(name)
 	if err != nil {
--- a/tests/cell/sockets.go
+++ b/tests/cell/sockets.go
@@ -12,10 +12,10 @@
 	"strings"
 )
 
-// SocketCount returns how many sockets the process has open, listening ones too, but for
-// those that it took at an address.
-func (p *Process) SocketCount(but string) (int, error) {
-	taken, err := socketsAt(but)
+// SocketCount returns the number of sockets that the process has open, listening ones
+// included, without those whose local address is except.
+func (p *Process) SocketCount(except string) (int, error) {
+	excluded, err := socketsAt(except)
 	if err != nil {
 		return 0, err
 	}
@@ -26,28 +26,28 @@
 	}
 	n := 0
 	for _, f := range files {
-		// A file may be closed meanwhile.
-		to, err := os.Readlink(filepath.Join(dir, f.Name()))
-		if inode, found := strings.CutPrefix(to, "socket:"); err == nil && found && !taken[strings.Trim(inode, "[]")] {
+		// The file may have been closed since the directory was read.
+		link, err := os.Readlink(filepath.Join(dir, f.Name()))
+		if inode, found := strings.CutPrefix(link, "socket:"); err == nil && found && !excluded[strings.Trim(inode, "[]")] {
 			n++
 		}
 	}
 	return n, nil
 }
 
-// The fields of a line of /proc/net/tcp.
+// Field indexes of a line in /proc/net/tcp.
 const (
 	localAddressField = 1
 	inodeField        = 9
 )
 
-// socketsAt returns the inodes of the sockets whose local end is an address.
+// socketsAt returns the inodes of the sockets whose local port is that of address.
 func socketsAt(address string) (map[string]bool, error) {
-	_, text, err := net.SplitHostPort(address)
+	_, portText, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, fmt.Errorf("sockets at %s: %w", address, err)
 	}
-	port, err := strconv.Atoi(text)
+	port, err := strconv.Atoi(portText)
 	if err != nil {
 		return nil, fmt.Errorf("sockets at %s: %w", address, err)
 	}
--- a/tests/integration/callers_test.go
+++ b/tests/integration/callers_test.go
@@ -18,7 +18,7 @@
 	"github.com/sourcegraph/conc"
 )
 
-// callResult is a request and what its caller got.
+// callResult is a request together with the response that its caller received.
 type callResult struct {
 	nonce     string
 	startedAt time.Time
@@ -31,18 +31,18 @@
 	err       error
 }
 
-// isComplete says whether the caller got the whole answer to its own request.
-func (a callResult) isComplete() bool {
-	return a.err == nil && a.verdict == verdict.Ran && a.answer == a.body
+// isComplete reports whether the caller received the complete response to its own request.
+func (r callResult) isComplete() bool {
+	return r.err == nil && r.verdict == verdict.Ran && r.answer == r.body
 }
 
-// callers are clients that send requests until they are stopped.
+// callers sends requests from concurrent clients until it is stopped.
 type callers struct {
 	f      *fixture
 	client *http.Client
-	// pick chooses the entry box for the next request.
+	// pickEntry returns the entry box for the next request.
 	pickEntry func() *cell.Entry
-	// leave makes some callers leave early.
+	// cancelSome makes the callers cancel about a quarter of the requests early.
 	cancelSome      bool
 	maxDelayMs      int
 	maxPaddingBytes int
@@ -61,7 +61,7 @@
 	}
 }
 
-// run starts n callers that each send one request after the other.
+// run starts n callers, each of which sends one request after the other.
 func (c *callers) run(n int, classes ...string) {
 	for i := range n {
 		c.tasks.Go(func() {
@@ -77,63 +77,64 @@
 	}
 }
 
-func (c *callers) addResult(a callResult) {
+func (c *callers) addResult(r callResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.results = append(c.results, a)
+	c.results = append(c.results, r)
 }
 
 func (c *callers) count(ok func(callResult) bool) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
-	for _, a := range c.results {
-		if ok(a) {
+	for _, r := range c.results {
+		if ok(r) {
 			n++
 		}
 	}
 	return n
 }
 
-// stopAndCollect stops the callers and returns what they got.
+// stopAndCollect stops the callers and returns the results of all requests.
 func (c *callers) stopAndCollect() []callResult {
 	close(c.stop)
 	c.tasks.Wait()
 	return c.results
 }
 
-// sendNew sends one request, with a key if its class needs one.
+// sendNew sends a new request with a random delay and body, and with a key if its class needs
+// one.
 func (c *callers) sendNew(class, nonce string) callResult {
-	a := callResult{nonce: nonce, startedAt: time.Now(), delayMs: rand.IntN(c.maxDelayMs + 1), class: class, body: nonce + strings.Repeat("x", rand.IntN(c.maxPaddingBytes+1))}
+	r := callResult{nonce: nonce, startedAt: time.Now(), delayMs: rand.IntN(c.maxDelayMs + 1), class: class, body: nonce + strings.Repeat("x", rand.IntN(c.maxPaddingBytes+1))}
 	e := c.pickEntry()
 	key := ""
 	if class == "extract" {
 		if key = c.issueKey(e); key == "" {
-			a.status, a.verdict = http.StatusServiceUnavailable, verdict.NotRun
-			return a
+			r.status, r.verdict = http.StatusServiceUnavailable, verdict.NotRun
+			return r
 		}
 	}
-	return c.send(e, a, key)
+	return c.send(e, r, key)
 }
 
-func (c *callers) send(e *cell.Entry, a callResult, key string) callResult {
+func (c *callers) send(e *cell.Entry, r callResult, key string) callResult {
 	ctx, cancel := context.WithCancel(c.f.ctx)
 	defer cancel()
 	if c.cancelSome && rand.IntN(4) == 0 {
 		timer := time.AfterFunc(time.Duration(rand.IntN(10))*time.Millisecond, cancel)
 		defer timer.Stop()
 	}
-	path := fmt.Sprintf("runners/%s?ms=%d", a.class, a.delayMs)
-	resp, answer, err := cell.SendRequest(ctx, c.client, e, path, key, a.nonce, a.body)
-	a.err = err
+	path := fmt.Sprintf("runners/%s?ms=%d", r.class, r.delayMs)
+	resp, answer, err := cell.SendRequest(ctx, c.client, e, path, key, r.nonce, r.body)
+	r.err = err
 	if err == nil {
-		a.status, a.answer = resp.StatusCode, answer
-		a.verdict = verdict.Verdict(resp.Header.Get("Saddlevane-Verdict"))
+		r.status, r.answer = resp.StatusCode, answer
+		r.verdict = verdict.Verdict(resp.Header.Get("Saddlevane-Verdict"))
 	}
-	return a
+	return r
 }
 
-// issueKey asks an entry box for a key.
+// issueKey obtains a key from an entry box, or returns "" if that fails.
 func (c *callers) issueKey(e *cell.Entry) string {
 	key, err := cell.IssueKey(c.f.ctx, c.client, e)
 	if err != nil {
@@ -142,11 +143,11 @@
 	return key
 }
 
-// runCounts adds up how often each request ran at any target.
+// runCounts returns how often each request ran at any target, by nonce.
 func (f *fixture) runCounts() map[string]int {
 	f.t.Helper()
 	sum := map[string]int{}
-	f.waitFor("every target tells what it ran", func() bool {
+	f.waitFor("every target reports what it ran", func() bool {
 		clear(sum)
 		all, err := f.TargetStats(f.ctx)
 		for _, r := range all {
@@ -159,23 +160,23 @@
 	return sum
 }
 
-// checkVerdicts holds what callers were told against what targets ran.
+// checkVerdicts compares the verdicts that callers received with what the targets ran.
 func (f *fixture) checkVerdicts(results []callResult) {
 	f.t.Helper()
 	runs := f.runCounts()
-	for _, a := range results {
-		n := runs[a.nonce]
+	for _, r := range results {
+		n := runs[r.nonce]
 		switch {
-		case a.class == "extract" && n > 1:
-			f.t.Errorf("%s may not be repeated and ran %d times", a.nonce, n)
-		case a.err == nil && a.verdict == verdict.NotRun && n > 0:
-			f.t.Errorf("%s was called not run and ran %d times", a.nonce, n)
-		case a.err == nil && a.verdict == verdict.Ran && n == 0:
-			f.t.Errorf("%s was called run and did not run", a.nonce)
-		case a.err == nil && a.verdict == verdict.Ran && a.answer != a.body:
-			f.t.Errorf("%s got %d bytes that are not its own whole answer of %d", a.nonce, len(a.answer), len(a.body))
-		case a.err == nil && a.verdict == "":
-			f.t.Errorf("%s got status %d and no verdict", a.nonce, a.status)
+		case r.class == "extract" && n > 1:
+			f.t.Errorf("%s is not repeatable but ran %d times", r.nonce, n)
+		case r.err == nil && r.verdict == verdict.NotRun && n > 0:
+			f.t.Errorf("%s was reported as not run but ran %d times", r.nonce, n)
+		case r.err == nil && r.verdict == verdict.Ran && n == 0:
+			f.t.Errorf("%s was reported as run but did not run", r.nonce)
+		case r.err == nil && r.verdict == verdict.Ran && r.answer != r.body:
+			f.t.Errorf("%s received %d bytes that are not its own complete response of %d", r.nonce, len(r.answer), len(r.body))
+		case r.err == nil && r.verdict == "":
+			f.t.Errorf("%s received status %d without a verdict", r.nonce, r.status)
 		}
 	}
 }
--- a/tests/integration/config_test.go
+++ b/tests/integration/config_test.go
@@ -63,12 +63,12 @@
 	f.publish("kept", "0", "name: kept\n")
 	f.waitInForce("kept", f.Entries()...)
 	revision := f.revision("kept")
-	f.waitFor("the log has forgotten the record", func() bool {
+	f.waitFor("the log has deleted the record", func() bool {
 		n, err := f.CountLog(f.ctx)
 		assert.NilError(t, err)
 		return n.First > revision
 	})
-	// All boxes are replaced at once: only the log is left.
+	// All boxes restart at once, so that only the log still has the file.
 	for _, e := range f.Entries() {
 		e.Process().Kill()
 	}
@@ -94,17 +94,17 @@
 		return code == 0 && strings.Contains(out, "accepted")
 	})
 	newest := revisionOn(f.ctx, second, "x")
-	// Cut off from the log and from its peer it knows nothing, and says so.
+	// A box that can reach neither the log nor its peer has no files and reports that.
 	assert.NilError(t, f.proxies.Cut("log-a", cell.Requests, cell.Answers))
 	assert.NilError(t, f.proxies.Cut(second.Name, cell.Requests, cell.Answers))
 	assert.NilError(t, f.proxies.Cut(first.Name, cell.Requests, cell.Answers))
 	assert.NilError(t, f.StartEntry(first))
-	f.waitFor("the box answers", func() bool { _, err := first.Status(f.ctx); return err == nil })
+	f.waitFor("the box responds", func() bool { _, err := first.Status(f.ctx); return err == nil })
 	s, err := first.Status(f.ctx)
 	assert.NilError(t, err)
 	assert.Check(t, !s.InForce)
 	assert.Check(t, !first.Ready(f.ctx))
-	// With its peer it knows the newest.
+	// Once it reaches its peer, it gets the newest revision.
 	assert.NilError(t, f.proxies.Heal(second.Name))
 	assert.NilError(t, f.proxies.Heal(first.Name))
 	f.waitFor("the box is ready", func() bool { return first.Ready(f.ctx) })
--- a/tests/integration/frame_test.go
+++ b/tests/integration/frame_test.go
@@ -28,7 +28,8 @@
 	assert.NilError(t, err)
 	taken := l.Addr().String()
 	defer l.Close()
-	// Its port is taken: a daemon that opened ports before it checked would say so.
+	// The port is in use: a daemon that listened before it validated its settings would
+	// report that.
 	text := "box: {name: x, domain: a}\nlisten: {callers: '" + taken + "'}\nplatform: {log: here, boxes: there}\nnonsense: 1\n"
 	assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
 	for _, args := range [][]string{{"-config", path}, {"-config", path, "-check"}} {
@@ -52,16 +53,16 @@
 	_, code = f.RunTool(f.ctx, "publish", bad)
 	assert.Equal(t, code, 2)
 	_, code = f.RunTool(f.ctx, "publish", "-replaces", "0", f.writeFile("cell", f.CellFile("cell")))
-	assert.Equal(t, code, 1, "a file that replaces an older revision")
+	assert.Equal(t, code, 1, "the file does not replace the current revision")
 
-	// Nobody is there: nothing was sent.
+	// Nothing listens at this address, so nothing is sent.
 	_, code = f.RunToolAt(f.ctx, "127.0.0.1:1", "publish", "-within", "300ms", "-replaces", "0", f.writeFile("other", "name: other\n"))
 	assert.Equal(t, code, 1)
 
-	// The log takes records in, and each answer is lost: the reader still sees them.
+	// The log accepts records, but no data returns from it through this proxy.
 	assert.NilError(t, f.proxies.Cut("log-a", cell.Answers))
 	_, code = f.RunTool(f.ctx, "publish", "-within", "4s", "-replaces", "0", f.writeFile("lost", "name: lost\n"))
-	assert.Equal(t, code, 3, "neither reads nor answers come back from the log")
+	assert.Equal(t, code, 3, "no data returns from the log")
 	assert.NilError(t, f.proxies.Heal("log-a"))
 	f.waitInForce("lost", f.Entries()...)
 
@@ -116,7 +117,7 @@
 	}
 }
 
-// zeros is an endless body.
+// zeros is an endless request body.
 type zeros struct{}
 
 func (zeros) Read(p []byte) (int, error) {
--- a/tests/integration/main_test.go
+++ b/tests/integration/main_test.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package integration_test proves promises with real processes on loopback,
-// behind proxies that inject faults. docs/PROOFS.md says which test proves what.
+// Package integration_test tests the guarantees of the system with real processes on
+// loopback, behind proxies that inject faults. docs/PROOFS.md maps guarantees to tests.
 package integration_test
 
 import (
@@ -46,10 +46,10 @@
 	return m.Run()
 }
 
-// testTimeout bounds each test; a condition that has not come true by then fails it.
+// testTimeout bounds each test; a condition that is not met by then fails it.
 const testTimeout = 60 * time.Second
 
-// fixture is a cell under test.
+// fixture is a cell under test with its proxies.
 type fixture struct {
 	*cell.Cell
 	t       *testing.T
@@ -58,7 +58,7 @@
 	proxies *cell.Proxies
 }
 
-// domain returns a failure domain of a size that most tests use.
+// domain returns a failure domain of the size that most tests use.
 func domain(name string) cell.Domain {
 	return cell.Domain{
 		Name: name, Entries: 2, Racks: 2, WorkersPerRack: 2, Targets: 2, Slots: 8,
@@ -66,8 +66,8 @@
 	}
 }
 
-// newFixture starts a cell whose connections all pass through proxies, with the
-// cell's file in force.
+// newFixture starts a cell whose connections all pass through proxies, and waits until the
+// cell's file is in force. change may modify the options.
 func newFixture(t *testing.T, change func(*cell.Options), domains ...cell.Domain) *fixture {
 	t.Helper()
 	t.Parallel()
@@ -109,7 +109,7 @@
 	f.t.Logf("status:\n%s", out)
 }
 
-// writeFile writes a file and returns its path.
+// writeFile writes a file into the fixture's directory and returns its path.
 func (f *fixture) writeFile(name, text string) string {
 	f.t.Helper()
 	path := filepath.Join(f.dir, name+".yaml")
@@ -117,14 +117,15 @@
 	return path
 }
 
-// publish puts a file in force through the operators' tool.
+// publish publishes a file with the operators' tool; replaces is the revision that it
+// replaces.
 func (f *fixture) publish(name, replaces, text string) {
 	f.t.Helper()
 	out, code := f.RunTool(f.ctx, "publish", "-replaces", replaces, f.writeFile(name, text))
 	assert.Equal(f.t, code, 0, out)
 }
 
-// revision returns the highest revision of a file on any process.
+// revision returns the highest revision of a file on any entry box that responds.
 func (f *fixture) revision(name string) int64 {
 	f.t.Helper()
 	highest := int64(0)
@@ -142,14 +143,13 @@
 	return highest
 }
 
-// republish replaces the revision in force.
+// republish replaces the highest revision of a file.
 func (f *fixture) republish(name, text string) {
 	f.t.Helper()
 	f.publish(name, fmt.Sprint(f.revision(name)), text)
 }
 
-// waitInForce waits until a file is in force at its highest revision on the given
-// boxes.
+// waitInForce waits until the highest revision of a file is in force on the given boxes.
 func (f *fixture) waitInForce(name string, entries ...*cell.Entry) {
 	f.t.Helper()
 	f.waitFor(name+" is in force", func() bool {
@@ -176,14 +176,14 @@
 	return 0
 }
 
-// waitFor waits for a condition.
+// waitFor waits until ok returns true and fails the test at testTimeout.
 func (f *fixture) waitFor(what string, ok func() bool) {
 	f.t.Helper()
 	assert.NilError(f.t, cell.WaitFor(f.ctx, what, ok))
 }
 
-// checkWorkerInvariants checks what must always hold at the workers: no task in two places at
-// once, and no worker given more than it has.
+// checkWorkerInvariants checks what must always hold at the workers: no task runs in two
+// places at once, and no start exceeds a worker's capacity.
 func (f *fixture) checkWorkerInvariants() cell.History {
 	f.t.Helper()
 	h, err := f.History(f.ctx)
@@ -193,7 +193,8 @@
 	return h
 }
 
-// activeHolder returns the entry box that holds a shard and is active.
+// activeHolder waits until one of the given entry boxes holds a shard in the phase active,
+// and returns that box.
 func (f *fixture) activeHolder(shard string, among ...*cell.Entry) *cell.Entry {
 	f.t.Helper()
 	var found *cell.Entry
--- a/tests/integration/requests_test.go
+++ b/tests/integration/requests_test.go
@@ -23,7 +23,7 @@
 	c := newCallers(f)
 	c.cancelSome, c.maxDelayMs, c.maxPaddingBytes = true, 20, 200_000
 	c.run(40, "preview", "render", "extract")
-	f.waitFor("callers have had 1500 answers", func() bool { return c.count(callResult.isComplete) >= 1500 })
+	f.waitFor("callers have 1500 complete responses", func() bool { return c.count(callResult.isComplete) >= 1500 })
 	f.checkVerdicts(c.stopAndCollect())
 }
 
@@ -32,9 +32,9 @@
 	assert.NilError(t, cell.SetFaults(f.ctx, f.Targets()[0].DirectAddress, cell.Faults{Truncate: true}))
 	c := newCallers(f)
 	c.run(8, "preview", "extract")
-	f.waitFor("callers have had 300 answers", func() bool { return c.count(callResult.isComplete) >= 300 })
-	f.waitFor("an extract met the fault", func() bool {
-		return c.count(func(a callResult) bool { return a.verdict == verdict.MayHaveRun }) > 0
+	f.waitFor("callers have 300 complete responses", func() bool { return c.count(callResult.isComplete) >= 300 })
+	f.waitFor("an extract request is affected by the fault", func() bool {
+		return c.count(func(r callResult) bool { return r.verdict == verdict.MayHaveRun }) > 0
 	})
 	f.checkVerdicts(c.stopAndCollect())
 }
@@ -48,38 +48,38 @@
 	c := newCallers(f)
 	c.client.Timeout = 2 * time.Second
 	c.run(24, "preview", "render", "extract")
-	flowing := func(what string) {
+	waitForResponses := func(what string) {
 		t.Helper()
-		had := c.count(callResult.isComplete)
-		f.waitFor("answers come after "+what, func() bool { return c.count(callResult.isComplete) >= had+100 })
+		previous := c.count(callResult.isComplete)
+		f.waitFor("responses arrive after "+what, func() bool { return c.count(callResult.isComplete) >= previous+100 })
 	}
-	flowing("the start")
+	waitForResponses("the start")
 	target, proxy := f.Targets()[0], f.Targets()[0].Name
 	for _, faults := range []cell.Faults{{LoseAnswers: true}, {Drop: true}, {Slow: 300}, {Truncate: true}, {}} {
 		assert.NilError(t, cell.SetFaults(f.ctx, target.DirectAddress, faults))
-		flowing(fmt.Sprintf("%+v", faults))
+		waitForResponses(fmt.Sprintf("%+v", faults))
 	}
 	assert.NilError(t, f.proxies.Refuse(proxy))
-	flowing("refused connections")
+	waitForResponses("refused connections")
 	assert.NilError(t, f.proxies.Accept(proxy))
 	assert.NilError(t, f.proxies.Cut(proxy, cell.Answers))
-	flowing("a cut of answers")
+	waitForResponses("a cut of responses")
 	assert.NilError(t, f.proxies.Heal(proxy))
 	assert.NilError(t, f.proxies.Cut(proxy, cell.Requests))
-	flowing("a cut of requests")
+	waitForResponses("a cut of requests")
 	assert.NilError(t, f.proxies.Heal(proxy))
 	assert.NilError(t, target.Process().Pause())
-	flowing("a frozen target")
+	waitForResponses("a paused target")
 	assert.NilError(t, target.Process().Continue())
 	e := f.Entries()[0]
 	assert.NilError(t, e.Process().Pause())
-	flowing("a frozen entry box")
+	waitForResponses("a paused entry box")
 	assert.NilError(t, e.Process().Continue())
 	e.Process().Kill()
-	flowing("a killed entry box")
+	waitForResponses("a killed entry box")
 	assert.NilError(t, f.StartEntry(e))
-	f.waitFor("the entry box is back", func() bool { return e.Ready(f.ctx) })
-	flowing("its return")
+	f.waitFor("the entry box is ready again", func() bool { return e.Ready(f.ctx) })
+	waitForResponses("its restart")
 	f.checkVerdicts(c.stopAndCollect())
 }
 
@@ -87,7 +87,7 @@
 	f := newFixture(t, nil, domain("a"))
 	first, second := f.Entries()[0], f.Entries()[1]
 	c := newCallers(f)
-	f.waitFor("the boxes know each other", func() bool {
+	f.waitFor("the boxes are connected to each other", func() bool {
 		s, err := first.Status(f.ctx)
 		return err == nil && len(s.Live) == 2
 	})
@@ -101,31 +101,32 @@
 			})
 		}
 		for range 4 {
-			a := <-results
-			assert.Check(t, a.isComplete(), "%+v", a)
+			r := <-results
+			assert.Check(t, r.isComplete(), "%+v", r)
 		}
 	}
-	// The box that issued a key dies with the request: nobody knows any more.
+	// The outcome of a request is known only to the box that issued its key. Once that box is
+	// killed, the outcome is unknown.
 	key := c.issueKey(first)
-	a := c.send(second, callResult{nonce: "before", class: "extract", body: "before"}, key)
-	assert.Check(t, a.isComplete(), "%+v", a)
+	r := c.send(second, callResult{nonce: "before", class: "extract", body: "before"}, key)
+	assert.Check(t, r.isComplete(), "%+v", r)
 	first.Process().Kill()
-	a = c.send(second, callResult{nonce: "before", class: "extract", body: "before"}, key)
-	assert.Equal(t, a.verdict, verdict.MayHaveRun, "%+v", a)
-	// A new life of the box does not know either.
+	r = c.send(second, callResult{nonce: "before", class: "extract", body: "before"}, key)
+	assert.Equal(t, r.verdict, verdict.MayHaveRun, "%+v", r)
+	// A new process of the same box does not know the outcome either.
 	assert.NilError(t, f.StartEntry(first))
-	f.waitFor("the box is back", func() bool { return first.Ready(f.ctx) })
-	a = c.send(first, callResult{nonce: "before", class: "extract", body: "before"}, key)
-	assert.Equal(t, a.verdict, verdict.MayHaveRun, "%+v", a)
+	f.waitFor("the box is ready again", func() bool { return first.Ready(f.ctx) })
+	r = c.send(first, callResult{nonce: "before", class: "extract", body: "before"}, key)
+	assert.Equal(t, r.verdict, verdict.MayHaveRun, "%+v", r)
 	for nonce, n := range f.runCounts() {
 		assert.Equal(t, n, 1, nonce)
 	}
 }
 
 func TestLeavingTargetGetsNoNewRequests(t *testing.T) {
-	three := domain("a")
-	three.Targets = 3
-	f := newFixture(t, nil, three)
+	d := domain("a")
+	d.Targets = 3
+	f := newFixture(t, nil, d)
 	served := func(i int) int64 {
 		all, err := f.TargetStats(f.ctx)
 		assert.NilError(t, err)
@@ -135,16 +136,16 @@
 	c.run(8, "preview", "render", "extract")
 	defer func() { f.checkVerdicts(c.stopAndCollect()) }()
 
-	// Its own word counts while the list is cut off.
+	// While the list of boxes can't be read, the target's own report counts.
 	assert.NilError(t, f.proxies.Refuse("boxes-a"))
 	assert.NilError(t, cell.SetFaults(f.ctx, f.Targets()[0].DirectAddress, cell.Faults{Leaving: true}))
-	had := c.count(callResult.isComplete)
-	f.waitFor("others serve on", func() bool { return c.count(callResult.isComplete) > had+50 })
+	previous := c.count(callResult.isComplete)
+	f.waitFor("the other targets continue to serve", func() bool { return c.count(callResult.isComplete) > previous+50 })
 	before := served(0)
-	f.waitFor("others serve on", func() bool { return c.count(callResult.isComplete) > had+200 })
+	f.waitFor("the other targets continue to serve", func() bool { return c.count(callResult.isComplete) > previous+200 })
 	assert.Equal(t, served(0), before)
 
-	// So does the list's.
+	// The state in the list of boxes counts as well.
 	assert.NilError(t, f.proxies.Accept("boxes-a"))
 	assert.NilError(t, f.SetState(f.ctx, f.Targets()[1].Name, box.Leaving))
 	leaving := func() bool {
@@ -156,20 +157,20 @@
 		}
 		return true
 	}
-	f.waitFor("the list's word is known", leaving)
-	had = c.count(callResult.isComplete)
-	f.waitFor("what was in flight ends", func() bool { return c.count(callResult.isComplete) > had+50 })
+	f.waitFor("all boxes have read the state from the list", leaving)
+	previous = c.count(callResult.isComplete)
+	f.waitFor("requests in progress have ended", func() bool { return c.count(callResult.isComplete) > previous+50 })
 	before = served(1)
-	f.waitFor("others serve on", func() bool { return c.count(callResult.isComplete) > had+200 })
+	f.waitFor("the other targets continue to serve", func() bool { return c.count(callResult.isComplete) > previous+200 })
 	assert.Equal(t, served(1), before)
 }
 
 func TestRollingRestartInterruptsNoRequest(t *testing.T) {
 	f := newFixture(t, nil, domain("a"))
 	c := newCallers(f)
-	// A balancer sends callers only to boxes that say they are ready.
+	// A load balancer sends requests only to boxes that report ready.
 	var ready [2]atomic.Bool
-	watch := make(chan struct{})
+	stopWatching := make(chan struct{})
 	c.tasks.Go(func() {
 		ticker := time.NewTicker(20 * time.Millisecond)
 		defer ticker.Stop()
@@ -179,7 +180,7 @@
 			}
 			select {
 			case <-ticker.C:
-			case <-watch:
+			case <-stopWatching:
 				return
 			}
 		}
@@ -196,17 +197,17 @@
 	c.run(16, "preview", "render", "extract")
 	for range 2 {
 		for i, e := range f.Entries() {
-			had := c.count(callResult.isComplete)
-			f.waitFor("callers are served", func() bool { return c.count(callResult.isComplete) > had+100 })
+			previous := c.count(callResult.isComplete)
+			f.waitFor("callers are served", func() bool { return c.count(callResult.isComplete) > previous+100 })
 			assert.NilError(t, e.Process().Stop(30*time.Second))
 			assert.NilError(t, f.StartEntry(e))
 			f.waitFor("the box is ready again", func() bool { return ready[i].Load() })
 		}
 	}
-	close(watch)
+	close(stopWatching)
 	results := c.stopAndCollect()
-	for _, a := range results {
-		assert.Check(t, a.isComplete(), "status %d, verdict %q, error %v", a.status, a.verdict, a.err)
+	for _, r := range results {
+		assert.Check(t, r.isComplete(), "status %d, verdict %q, error %v", r.status, r.verdict, r.err)
 	}
 	f.checkVerdicts(results)
 }
@@ -223,10 +224,10 @@
 	c.run(8, "preview", "extract")
 	f.waitFor("callers are served", func() bool { return c.count(callResult.isComplete) > 300 })
 	results := c.stopAndCollect()
-	for _, a := range results {
-		assert.Check(t, a.isComplete(), "%+v", a)
+	for _, r := range results {
+		assert.Check(t, r.isComplete(), "%+v", r)
 	}
-	// A box that starts during the cut takes what is in force from its peer.
+	// A box that starts during the partition gets the files in force from its peer.
 	inA[1].Process().Kill()
 	assert.NilError(t, f.StartEntry(inA[1]))
 	f.waitFor("the box has the files from its peer", func() bool { return inA[1].Ready(f.ctx) })
@@ -240,42 +241,42 @@
 	c.maxDelayMs = 400
 	c.run(400, "preview")
 	f.waitFor("some are refused", func() bool {
-		return c.count(func(a callResult) bool { return a.status == http.StatusServiceUnavailable }) > 20
+		return c.count(func(r callResult) bool { return r.status == http.StatusServiceUnavailable }) > 20
 	})
 	f.checkVerdicts(c.stopAndCollect())
 }
 
 func TestDomainWithoutTargetsIsServedByAnother(t *testing.T) {
-	none := domain("a")
-	none.Targets = 0
-	f := newFixture(t, nil, none, domain("b"))
+	withoutTargets := domain("a")
+	withoutTargets.Targets = 0
+	f := newFixture(t, nil, withoutTargets, domain("b"))
 	c := newCallers(f)
 	c.client.Timeout = 2 * time.Second
 	inA, inB := f.EntriesIn("a"), f.EntriesIn("b")
 	c.pickEntry = func() *cell.Entry { return inA[rand.IntN(len(inA))] }
 	c.run(8, "preview", "extract")
-	flowing := func(what string, ok func(callResult) bool) {
+	waitForMore := func(what string, ok func(callResult) bool) {
 		t.Helper()
-		had := c.count(ok)
-		f.waitFor(what, func() bool { return c.count(ok) >= had+10 })
+		previous := c.count(ok)
+		f.waitFor(what, func() bool { return c.count(ok) >= previous+10 })
 	}
-	notRun := func(a callResult) bool { return a.verdict == verdict.NotRun }
-	flowing("another domain serves", callResult.isComplete)
+	notRun := func(r callResult) bool { return r.verdict == verdict.NotRun }
+	waitForMore("another domain serves", callResult.isComplete)
 	for _, e := range inB {
 		assert.NilError(t, f.proxies.Refuse(e.Name))
 	}
-	flowing("nobody serves, and callers are told so", notRun)
+	waitForMore("callers receive the verdict not-run", notRun)
 	for _, e := range inB {
 		assert.NilError(t, f.proxies.Accept(e.Name))
 	}
-	flowing("the other domain serves again", callResult.isComplete)
+	waitForMore("the other domain serves again", callResult.isComplete)
 	for _, e := range inB {
 		assert.NilError(t, f.proxies.Cut(e.Name, cell.Answers))
 	}
-	flowing("callers are answered although no answers come", func(a callResult) bool { return !a.isComplete() })
+	waitForMore("callers receive a response although the other domain sends none", func(r callResult) bool { return !r.isComplete() })
 	for _, e := range inB {
 		assert.NilError(t, f.proxies.Heal(e.Name))
 	}
-	flowing("the other domain serves once more", callResult.isComplete)
+	waitForMore("the other domain serves again after the cut", callResult.isComplete)
 	f.checkVerdicts(c.stopAndCollect())
 }
--- a/tests/integration/shard_test.go
+++ b/tests/integration/shard_test.go
@@ -17,8 +17,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// workFile returns a file with a service, a job that may be repeated, one that may
-// not, and a gang.
+// workFile returns a file with a service, a repeatable job, a non-repeatable job and a gang,
+// whose tasks run for the given milliseconds.
 func workFile(ms int) string {
 	return fmt.Sprintf(`name: work
 services:
@@ -31,21 +31,21 @@
 `, ms, ms, ms)
 }
 
-// waitStarted waits until some of the work has ended.
+// waitStarted waits until the service runs and some tasks of both jobs are done.
 func (f *fixture) waitStarted() {
 	f.t.Helper()
-	f.waitFor("work is under way", func() bool {
+	f.waitFor("work is in progress", func() bool {
 		w := f.Work(f.ctx)
 		return w["serve"].Running == 4 && w["many"].Done > 5 && w["once"].Done > 2
 	})
 }
 
-// waitCompleted waits until all work has come to its end, and checks that nothing
-// ran in two places, and nothing twice that may not.
+// waitCompleted waits until all jobs of workFile have ended, checks the worker invariants and
+// that no non-repeatable task was started twice, and returns the final counts.
 func (f *fixture) waitCompleted() map[string]status.Work {
 	f.t.Helper()
 	var w map[string]status.Work
-	f.waitFor("all work has come to its end", func() bool {
+	f.waitFor("all work has ended", func() bool {
 		w = f.Work(f.ctx)
 		ended := w["once"].Done + w["once"].Failed + w["once"].Unknown
 		return w["serve"].Running == 4 && w["many"].Done == 80 && w["gang"].Done == 6 && ended == 40 && w["once"].Running == 0
@@ -53,7 +53,7 @@
 	h := f.checkWorkerInvariants()
 	for key, n := range h.Starts() {
 		if key.Object.Name == "once" {
-			assert.Check(f.t, n <= 1, "%s may not be repeated and was started %d times", key, n)
+			assert.Check(f.t, n <= 1, "%s is not repeatable but was started %d times", key, n)
 		}
 	}
 	return w
@@ -93,7 +93,7 @@
 		}
 	}
 	f.publish("work", "0", workFile(100))
-	f.waitFor("the sound workers do work", func() bool { return f.Work(f.ctx)["many"].Running > 0 || f.Work(f.ctx)["many"].Done > 0 })
+	f.waitFor("the workers without faults run tasks", func() bool { return f.Work(f.ctx)["many"].Running > 0 || f.Work(f.ctx)["many"].Done > 0 })
 	for _, m := range f.Workers() {
 		assert.NilError(t, cell.SetFaults(f.ctx, m.DirectAddress, cell.Faults{}))
 	}
@@ -107,14 +107,14 @@
 			f := newFixture(t, nil, domain("a"))
 			f.publish("work", "0", workFile(300))
 			f.waitStarted()
-			cut := f.Workers()[0].Name
-			assert.NilError(t, f.proxies.Cut(cut, d))
-			f.waitFor("what ran there is started elsewhere", func() bool {
+			worker := f.Workers()[0].Name
+			assert.NilError(t, f.proxies.Cut(worker, d))
+			f.waitFor("the tasks of the worker are started elsewhere", func() bool {
 				w := f.Work(f.ctx)
 				return w["serve"].Running == 4 && w["many"].Done == 80
 			})
 			f.checkWorkerInvariants()
-			assert.NilError(t, f.proxies.Heal(cut))
+			assert.NilError(t, f.proxies.Heal(worker))
 			f.waitCompleted()
 		})
 	}
@@ -129,7 +129,7 @@
 	victim := f.Workers()[0]
 	assert.NilError(t, f.SetState(f.ctx, victim.Name, box.Dead))
 	victim.Process().Kill()
-	f.waitFor("the rest is done", func() bool {
+	f.waitFor("the remaining work is done", func() bool {
 		w := f.Work(f.ctx)
 		return w["serve"].Running == 4 && w["many"].Done == 80 && w["gang"].Done == 6
 	})
@@ -140,7 +140,7 @@
 	f.publish("work", "0", workFile(300))
 	f.waitStarted()
 	assert.NilError(t, cell.SetFaults(f.ctx, f.LogAddress, cell.Faults{Down: true}))
-	f.waitFor("queued tasks that may be repeated still start", func() bool {
+	f.waitFor("queued repeatable tasks are still started", func() bool {
 		h, err := f.History(f.ctx)
 		assert.NilError(t, err)
 		started := 0
@@ -162,11 +162,11 @@
 	d := domain("a")
 	d.Racks, d.WorkersPerRack, d.Entries, d.SeparateProcesses = 1, 2, 1, true
 	f := newFixture(t, nil, d)
-	only := strings.Join([]string{
+	file := strings.Join([]string{
 		"name: only", "jobs:",
 		"  - {name: once, team: archive, count: 2, resources: {processors: 8, memory: 1GiB}, command: [sleep, 60s]}", "",
 	}, "\n")
-	f.publish("only", "0", only)
+	f.publish("only", "0", file)
 	f.waitFor("both tasks run", func() bool { return f.Work(f.ctx)["once"].Running == 2 })
 	victim := f.Workers()[0]
 	assert.NilError(t, f.SetState(f.ctx, victim.Name, box.Dead))
@@ -176,8 +176,8 @@
 	out, code := f.RunTool(f.ctx, "explain", unknown)
 	assert.Equal(t, code, 0, out)
 	assert.Check(t, strings.Contains(out, "unknown") && strings.Contains(out, "settle"), out)
-	f.republish("only", only+fmt.Sprintf("settled:\n  - {task: '%s', as: done}\n", unknown))
-	f.waitFor("it is settled", func() bool {
+	f.republish("only", file+fmt.Sprintf("settled:\n  - {task: '%s', as: done}\n", unknown))
+	f.waitFor("the task is settled", func() bool {
 		w := f.Work(f.ctx)["once"]
 		return w.Unknown == 0 && w.Done == 1
 	})
@@ -188,8 +188,8 @@
 
 func TestCancelledJobStopsAndDrainedWorkerEmpties(t *testing.T) {
 	f := newFixture(t, nil, domain("a"))
-	long := "name: long\njobs:\n  - {name: long, team: archive, priority: batch, count: 500, resources: {processors: 1, memory: 1GiB}, command: [sleep, 60s], repeatable: true%s}\n"
-	f.publish("long", "0", fmt.Sprintf(long, ""))
+	file := "name: long\njobs:\n  - {name: long, team: archive, priority: batch, count: 500, resources: {processors: 1, memory: 1GiB}, command: [sleep, 60s], repeatable: true%s}\n"
+	f.publish("long", "0", fmt.Sprintf(file, ""))
 	f.waitFor("the cell is full", func() bool { return f.Work(f.ctx)["long"].Running == 32 })
 
 	drained := f.Workers()[0].Name
@@ -204,7 +204,7 @@
 		}
 		return f.Work(f.ctx)["long"].Running == 24
 	})
-	f.republish("long", fmt.Sprintf(long, ", cancelled: true"))
+	f.republish("long", fmt.Sprintf(file, ", cancelled: true"))
 	f.waitFor("nothing of the job runs", func() bool {
 		h, err := f.History(f.ctx)
 		assert.NilError(t, err)
@@ -224,7 +224,7 @@
 	f.waitFor("the cell is full", func() bool { return f.Work(f.ctx)["bulk"].Running == 32 })
 	f.publish("rush", "0", "name: rush\njobs:\n  - {name: rush, team: archive, priority: urgent, count: 2, resources: {processors: 4, memory: 1GiB}, command: [sleep, 100ms], repeatable: true}\n")
 	f.waitFor("the urgent work is done", func() bool { return f.Work(f.ctx)["rush"].Done == 2 })
-	f.waitFor("the rest goes on", func() bool { return f.Work(f.ctx)["bulk"].Running == 32 })
+	f.waitFor("the preempted work runs again", func() bool { return f.Work(f.ctx)["bulk"].Running == 32 })
 	f.checkWorkerInvariants()
 }
 
@@ -232,7 +232,7 @@
 	f := newFixture(t, nil, domain("a"))
 	file := "name: s\nservices:\n  - {name: s, team: archive, count: 4, resources: {processors: %d, memory: 1GiB}, command: [serve]}\n"
 	f.publish("s", "0", fmt.Sprintf(file, 1))
-	f.waitFor("it runs", func() bool { return f.Work(f.ctx)["s"].Running == 4 })
+	f.waitFor("the service runs", func() bool { return f.Work(f.ctx)["s"].Running == 4 })
 	f.republish("s", fmt.Sprintf(file, 2))
 	f.waitFor("every task has been replaced", func() bool {
 		h, err := f.History(f.ctx)
@@ -246,13 +246,13 @@
 		return running == 4
 	})
 	h := f.checkWorkerInvariants()
-	assert.Check(t, minRunning(h) >= 3, "only %d of 4 tasks ran at some moment of the replacement", minRunning(h))
+	assert.Check(t, minRunning(h) >= 3, "only %d of 4 tasks ran at some time during the replacement", minRunning(h))
 }
 
-// minRunning returns the least number of tasks that ran at any moment after all of
-// them had started.
+// minRunning returns the lowest number of tasks that ran at the start of any task, after the
+// first time that 4 ran.
 func minRunning(h cell.History) int {
-	least, full := 1<<30, false
+	lowest, allRan := 1<<30, false
 	slices.SortFunc(h.Spans, func(a, b cell.Span) int { return int(a.Start - b.Start) })
 	for _, at := range h.Spans {
 		n := 0
@@ -261,12 +261,12 @@
 				n++
 			}
 		}
-		full = full || n >= 4
-		if full {
-			least = min(least, n)
+		allRan = allRan || n >= 4
+		if allRan {
+			lowest = min(lowest, n)
 		}
 	}
-	return least
+	return lowest
 }
 
 func TestFailingWorkerIsAvoidedAndWorkCompletes(t *testing.T) {
@@ -294,7 +294,7 @@
 			failed++
 		}
 	}
-	assert.Check(t, failed < 60, "%d attempts failed on the one bad worker", failed)
+	assert.Check(t, failed < 60, "%d attempts failed on the one faulty worker", failed)
 }
 
 func TestPlannedStopOfHolderHandsOverShard(t *testing.T) {
--- a/tests/soak/callers.go
+++ b/tests/soak/callers.go
@@ -22,7 +22,7 @@
 	"github.com/sourcegraph/conc"
 )
 
-// queues are those of the soak's configuration.
+// queues are the job queues of the soak's configuration.
 var queues = []standin.Queue{
 	{Name: "urgent", Host: "u.example", Prefix: "/u/", Priority: 0, Attempts: 3},
 	{Name: "wide", Host: "w.example", Prefix: "/w/", Priority: 1, Attempts: 3, Advised: true},
@@ -30,54 +30,56 @@
 }
 
 const (
-	// CallTimeout bounds one call; a box answers or refuses well before.
+	// CallTimeout bounds one call. It is longer than a box takes to respond or refuse.
 	CallTimeout = 3 * time.Second
-	// maxSubmitTries is how often a caller hands a job in.
+	// maxSubmitTries is how often a caller tries to submit a job.
 	maxSubmitTries = 8
-	// retryDelay is the pause between two tries, statePollInterval that between two questions
-	// about a job.
+	// retryDelay is the pause between two tries of a call, statePollInterval the pause
+	// between two requests for the state of a job.
 	retryDelay        = 250 * time.Millisecond
 	statePollInterval = 200 * time.Millisecond
-	// maxVisibilityDelay is how long after its acceptance a job is known at every box.
+	// maxVisibilityDelay is the time after its acceptance by which every box must be able to
+	// report a job.
 	maxVisibilityDelay = 3 * time.Second
-	// maxIdleConns is how many connections callers keep open to a box that carry no call.
+	// maxIdleConns is the number of idle connections that callers keep open to each box.
 	maxIdleConns = 8
-	// crashingTaskDuration is how long the tasks would work that crash their workers, crashingJobInterval
-	// the time between the end of one and the next.
+	// crashingTaskDuration is how long a task that crashes its worker would run otherwise.
+	// crashingJobInterval is the pause between the end of one such job and the submission of
+	// the next.
 	crashingTaskDuration = time.Second
 	crashingJobInterval  = time.Second
-	// minWideTasks to maxWideTasks tasks have the jobs whose tasks are many; they work for wideTaskDuration,
-	// and wideJobInterval is the time from one to the next.
+	// Wide jobs have minWideTasks to maxWideTasks tasks that run for wideTaskDuration each;
+	// wideJobInterval is the pause between two submissions.
 	minWideTasks, maxWideTasks = 20, 40
 	wideTaskDuration           = 400 * time.Millisecond
 	wideJobInterval            = 2 * time.Second
-	// cancelShare of the jobs are cancelled.
+	// cancelShare is the share of jobs that are cancelled.
 	cancelShare = 0.1
 )
 
-// Callers hand jobs in and watch them.
+// Callers submits jobs, polls their states and records each violated guarantee.
 type Callers struct {
 	rig *Rig
-	// clients keep connections open to each box.
+	// clients holds one client per box, which keeps connections open.
 	clients map[*box]*http.Client
 	tasks   conc.WaitGroup
 
 	mu  sync.Mutex
 	rng *rand.Rand
-	// made counts the jobs made up.
+	// created is the number of random jobs created so far.
 	created int
-	// broken lists the promises that were broken, the others count jobs by what
-	// became of them.
+	// violations describes each violated guarantee. The counters below it count jobs by the
+	// outcome of their submission and by their final state.
 	violations []string
 	accepted   int
 	refused    int
 	uncertain  int
 	ended      map[job.State]int
-	// times tells of each job handed in how it was served.
+	// times holds the times of each submitted random job.
 	times []*jobTimes
 }
 
-// NewCallers returns callers of a rig. They keep connections open.
+// NewCallers returns callers of a rig, which draw their jobs from seed.
 func NewCallers(r *Rig, seed int64) *Callers {
 	c := &Callers{
 		rig: r, clients: map[*box]*http.Client{}, rng: rand.New(rand.NewSource(seed)), ended: map[job.State]int{},
@@ -88,18 +90,19 @@
 	return c
 }
 
-// Run hands jobs in at some rate until leave ends, and watches them until ctx does.
-func (c *Callers) Run(ctx, leave context.Context, perSecond float64) {
-	for leave.Err() == nil {
+// Run submits random jobs at perSecond on average until submitCtx ends. Their states are
+// polled in the background until they have ended or ctx ends; see Wait.
+func (c *Callers) Run(ctx, submitCtx context.Context, perSecond float64) {
+	for submitCtx.Err() == nil {
 		s, q, work := c.newJob()
 		c.rig.platform.ExpectJob(s, q, work)
 		c.tasks.Go(func() { c.submitAndWatch(ctx, s, work) })
-		sleep(leave, time.Duration(c.expFloat()/perSecond*float64(time.Second)))
+		sleep(submitCtx, time.Duration(c.expFloat()/perSecond*float64(time.Second)))
 	}
 }
 
-// RunCrashingJobs hands in some jobs, one after the other, that have a task which crashes each
-// worker that starts it. Jobs beside them must not be given up for it.
+// RunCrashingJobs submits jobs one after the other, each with a task that crashes every
+// worker which starts it. Other jobs must not be given up because of these crashes.
 func (c *Callers) RunCrashingJobs(ctx context.Context, jobs int) {
 	c.tasks.Go(func() {
 		for i := range jobs {
@@ -115,21 +118,21 @@
 	})
 }
 
-// RunWideJobs hands in some jobs, one after the other, with many tasks that start together or
-// each for itself.
+// RunWideJobs submits jobs with many tasks one after the other, every second one as a gang.
 func (c *Callers) RunWideJobs(ctx context.Context, jobs int) {
 	c.tasks.Go(func() {
 		for i := range jobs {
 			s := job.Submission{ID: job.ID(fmt.Sprintf("wide%d", i)), Queue: queues[1+i%2].Name, Spec: fmt.Sprintf("spec of wide %d", i)}
 			need := resource.Vector{Processors: 500, Memory: 256 * resource.MiB}
 			s.Steps = []job.Step{{
-				Tasks: minWideTasks + c.intn(maxWideTasks-minWideTasks+1), Need: need, Gang: i%2 == 0, Estimate: job.Milliseconds(wideTaskDuration.Milliseconds()),
+				Tasks: minWideTasks + c.intn(maxWideTasks-minWideTasks+1), Need: need, Gang: i%2 == 0,
+				Estimate: job.Milliseconds(wideTaskDuration.Milliseconds()),
 			}}
 			c.rig.platform.ExpectJob(s, queues[1+i%2], wideTaskDuration)
 			if c.submit(ctx, s) {
-				at := time.Now()
+				acceptedAt := time.Now()
 				c.tasks.Go(func() {
-					if state := c.pollUntilFinal(ctx, s, at); state.IsFinal() {
+					if state := c.pollUntilFinal(ctx, s, acceptedAt); state.IsFinal() {
 						c.checkFinalState(ctx, s, state)
 					}
 				})
@@ -139,54 +142,57 @@
 	})
 }
 
-// Submit hands in a job of which the stand-in was told, and says whether it was
+// Submit submits a job that was announced with [Rig.Expect], and reports whether it was
 // accepted.
 func (c *Callers) Submit(ctx context.Context, s job.Submission) bool { return c.submit(ctx, s) }
 
-// WaitForEnd waits until a job that was accepted has ended.
+// WaitForEnd waits until an accepted job has ended, and records a violation if it has not
+// when ctx ends.
 func (c *Callers) WaitForEnd(ctx context.Context, s job.Submission) {
 	c.pollUntilFinal(ctx, s, time.Now())
 }
 
-// Wait waits until every job has ended or was refused, or ctx has ended.
+// Wait waits until every job has ended or was not accepted, or the context passed to Run has
+// ended.
 func (c *Callers) Wait() { c.tasks.Wait() }
 
-// Violations returns the promises that were broken.
+// Violations returns the guarantees that were violated from the callers' point of view.
 func (c *Callers) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.violations
 }
 
-// String sums up what became of the jobs.
+// String summarizes the outcomes of the jobs.
 func (c *Callers) String() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return fmt.Sprintf("%d jobs accepted, %d refused, %d unsure; ended %v", c.accepted, c.refused, c.uncertain, c.ended)
+	return fmt.Sprintf("%d jobs accepted, %d refused, %d uncertain; ended %v", c.accepted, c.refused, c.uncertain, c.ended)
 }
 
-// recordViolation notes a promise that was broken.
+// recordViolation records a violated guarantee.
 func (c *Callers) recordViolation(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// expFloat draws a number with the mean 1, as the times between callers have.
+// expFloat returns an exponentially distributed random number with mean 1, used for the times
+// between submissions.
 func (c *Callers) expFloat() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rng.ExpFloat64()
 }
 
-// intn draws a number below n.
+// intn returns a random number in [0, n).
 func (c *Callers) intn(n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rng.Intn(n)
 }
 
-// newJob makes a job up.
+// newJob returns a random job, its queue and the run time of each of its tasks.
 func (c *Callers) newJob() (job.Submission, standin.Queue, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -207,7 +213,7 @@
 	return s, q, work
 }
 
-// sleep lets time pass, or less if ctx ends.
+// sleep waits for d, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -215,7 +221,7 @@
 	}
 }
 
-// call makes one call at some box; status 0 means that there was no whole answer.
+// call sends one request to a random box. Status 0 means that there was no complete response.
 func (c *Callers) call(ctx context.Context, method, path string, body any) (int, exchange.Answer) {
 	b := c.rig.boxes[c.intn(len(c.rig.boxes))]
 	data, err := json.Marshal(body)
@@ -228,7 +234,8 @@
 	}
 	resp, err := c.clients[b].Do(req)
 	if err != nil {
-		// The other connections may be silent too, so the next call gets a new one.
+		// The idle connections may have stalled as well, so the next call must open a new
+		// one.
 		c.clients[b].CloseIdleConnections()
 		return 0, exchange.Answer{}
 	}
@@ -241,7 +248,8 @@
 	return resp.StatusCode, a
 }
 
-// submitAndWatch hands a job in and watches it until it has ended.
+// submitAndWatch submits a job, polls it until it has ended and checks its final state. It
+// cancels a random share of the jobs, cancelShare, soon after their acceptance.
 func (c *Callers) submitAndWatch(ctx context.Context, s job.Submission, work time.Duration) {
 	t := c.recordSubmitted(s, work)
 	if !c.submit(ctx, s) {
@@ -259,10 +267,11 @@
 	}
 }
 
-// submit hands a job in until it is accepted. It returns false if it was not; a job
-// of which every try was refused must never run.
+// submit tries up to maxSubmitTries times to submit a job and reports whether it was
+// accepted. If every try was refused, it reports the job to the stand-in as one that must
+// never run. If a try had no clear outcome, the job may run.
 func (c *Callers) submit(ctx context.Context, s job.Submission) bool {
-	sure := true
+	allRefused := true
 	for range maxSubmitTries {
 		status, _ := c.call(ctx, http.MethodPost, "/v1/jobs", s)
 		switch status {
@@ -271,11 +280,11 @@
 			return true
 		case http.StatusServiceUnavailable:
 		default:
-			sure = false
+			allRefused = false
 		}
 		sleep(ctx, retryDelay)
 	}
-	if !sure {
+	if !allRefused {
 		c.count(&c.uncertain)
 		return false
 	}
@@ -284,14 +293,14 @@
 	return false
 }
 
-// count adds to one of the counts of jobs.
+// count increments one of the counters under the lock.
 func (c *Callers) count(n *int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	*n++
 }
 
-// cancel ends a job, with as many tries as that takes.
+// cancel cancels a job, retrying until the cancellation is confirmed or ctx ends.
 func (c *Callers) cancel(ctx context.Context, id job.ID) {
 	for ctx.Err() == nil {
 		if status, _ := c.call(ctx, http.MethodDelete, "/v1/jobs/"+string(id), nil); status == http.StatusOK {
@@ -302,14 +311,15 @@
 	}
 }
 
-// pollUntilFinal asks for a job's state until it is a final one, and returns that. Another one
-// means that a promise was broken.
+// pollUntilFinal polls a job until its state is final, and returns that state. It records a
+// violation and returns a non-final state if the job is unknown later than maxVisibilityDelay
+// after its acceptance, or has not ended when ctx ends.
 func (c *Callers) pollUntilFinal(ctx context.Context, s job.Submission, acceptedAt time.Time) job.State {
 	for ctx.Err() == nil {
 		status, a := c.call(ctx, http.MethodGet, "/v1/jobs/"+string(s.ID), nil)
 		switch {
 		case status == http.StatusGone && time.Since(acceptedAt) > maxVisibilityDelay:
-			c.recordViolation("%s was accepted and is not known %v later", s.ID, time.Since(acceptedAt))
+			c.recordViolation("%s was accepted but is unknown %v later", s.ID, time.Since(acceptedAt))
 			return a.State
 		case status == http.StatusOK && a.State.IsFinal():
 			return a.State
@@ -320,19 +330,20 @@
 	return ""
 }
 
-// checkFinalState checks a final state, once more after a while.
+// checkFinalState checks that the final state of a job agrees with what the workers ran, and
+// that it is still the same up to 1 s later.
 func (c *Callers) checkFinalState(ctx context.Context, s job.Submission, state job.State) {
 	c.mu.Lock()
 	c.ended[state]++
 	c.mu.Unlock()
 	switch {
 	case state == job.Succeeded && !c.rig.platform.AllTasksDone(s):
-		c.recordViolation("%s is shown as succeeded before all its tasks are done", s.ID)
+		c.recordViolation("%s is reported as succeeded before all its tasks are done", s.ID)
 	case state == job.Failed && !c.rig.platform.MayEndFailed(s.ID):
-		c.recordViolation("%s is shown as failed, and no task failed often enough", s.ID)
+		c.recordViolation("%s is reported as failed, but no task has used up its attempts", s.ID)
 	}
 	sleep(ctx, time.Duration(c.intn(1000))*time.Millisecond)
 	if status, a := c.call(ctx, http.MethodGet, "/v1/jobs/"+string(s.ID), nil); status == http.StatusOK && a.State != state {
-		c.recordViolation("%s was shown as %s and then as %s", s.ID, state, a.State)
+		c.recordViolation("%s was reported as %s and later as %s", s.ID, state, a.State)
 	}
 }
--- a/tests/soak/doc.go
+++ b/tests/soak/doc.go
@@ -1,8 +1,7 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package soak runs daemons as real processes against a stand-in of the users'
-// platform, injects faults from outside for a while, and checks what callers and
-// workers may rely on. Each run follows from its seed as far as real processes
-// allow.
+// Package soak runs daemons as real processes against a stand-in of the users' platform,
+// injects faults from outside, and checks the guarantees given to callers and workers. The
+// faults and jobs of a run are determined by its seed; the timing of the processes is not.
 package soak
--- a/tests/soak/lives.go
+++ b/tests/soak/lives.go
@@ -9,45 +9,48 @@
 	"time"
 )
 
-// How often workers start again under their names in a run, besides what other faults do.
+// Numbers of scheduled worker restarts in a run, in addition to those of other faults. A
+// restarted worker keeps its name.
 const (
-	// groupRestarts is how often a third of them do, within groupRestartSpread of each other.
+	// groupRestarts is how often a random third of the workers restart, within
+	// groupRestartSpread of each other.
 	groupRestarts      = 1
 	groupRestartSpread = 500 * time.Millisecond
-	// doubleRestarts is how often one does, and once more soon after.
+	// doubleRestarts is how often one worker restarts twice, with at most maxDoubleRestartGap
+	// between.
 	doubleRestarts      = 3
 	maxDoubleRestartGap = 300 * time.Millisecond
 )
 
-// scheduleRestarts draws starts of workers for a while and has them happen.
-func (f *Faults) scheduleRestarts(ctx context.Context, most time.Duration) {
+// scheduleRestarts schedules worker restarts at random times within the given duration.
+func (f *Faults) scheduleRestarts(ctx context.Context, duration time.Duration) {
 	for range groupRestarts {
-		at := f.restartRNG.Int63n(int64(most))
+		at := f.restartRNG.Int63n(int64(duration))
 		for i := range f.rig.workers {
-			if apart := f.restartRNG.Int63n(int64(groupRestartSpread)); f.restartRNG.Intn(3) == 0 {
-				f.scheduleRestart(ctx, i, time.Duration(at+apart))
+			if offset := f.restartRNG.Int63n(int64(groupRestartSpread)); f.restartRNG.Intn(3) == 0 {
+				f.scheduleRestart(ctx, i, time.Duration(at+offset))
 			}
 		}
 	}
 	for range doubleRestarts {
-		at, i := f.restartRNG.Int63n(int64(most)), f.restartRNG.Intn(len(f.rig.workers))
+		at, i := f.restartRNG.Int63n(int64(duration)), f.restartRNG.Intn(len(f.rig.workers))
 		f.scheduleRestart(ctx, i, time.Duration(at))
 		f.scheduleRestart(ctx, i, time.Duration(at+f.restartRNG.Int63n(int64(maxDoubleRestartGap))))
 	}
 }
 
-// scheduleRestart has a worker start again after some time.
-func (f *Faults) scheduleRestart(ctx context.Context, worker int, after time.Duration) {
+// scheduleRestart restarts a worker after the given time.
+func (f *Faults) scheduleRestart(ctx context.Context, worker int, delay time.Duration) {
 	f.tasks.Go(func() {
-		sleep(ctx, after)
-		f.recordEvent("%s starts again under its name", workerName(worker))
+		sleep(ctx, delay)
+		f.recordEvent("%s restarts", workerName(worker))
 		f.rig.workers[worker].Restart()
 	})
 }
 
-// newRestartRNG returns a generator of their own for the starts of workers, so that the other
-// faults of a seed stay the same.
+// newRestartRNG returns the generator for worker restarts. It is separate from the others so
+// that the other faults of a seed don't depend on the restarts.
 func newRestartRNG(seed int64) *rand.Rand { return rand.New(rand.NewSource(seed ^ restartSeedSalt)) }
 
-// restartSeedSalt tells that generator from the others.
+// restartSeedSalt makes its seed differ from those of the other generators.
 const restartSeedSalt = 0x6c69766573
--- a/tests/soak/rig.go
+++ b/tests/soak/rig.go
@@ -22,63 +22,66 @@
 	"saddlevane/tests/forward"
 )
 
-// Rig is a cell of daemons, a stand-in of the platform, and the proxies and forwarders
-// between them.
+// Rig is a cell of daemons with a stand-in of the platform. Proxies and forwarders between
+// them inject network faults.
 type Rig struct {
-	// dir takes settings and output, daemon is the program to run.
+	// dir receives settings files and output, daemon is the path of the program to run.
 	dir      string
 	daemon   string
 	platform *standin.Platform
 	proxies  *cell.Proxies
-	// ways has what silences open connections, by name.
+	// forwarders stall open connections, by the name of the component behind them.
 	forwarders map[string]*forward.Proxy
 	boxes      []*box
 	workers    []*standin.Worker
-	// holdFor and claimAfter are times of the claim on the cell.
+	// holdFor and claimAfter are the settings jobs.hold_for and jobs.claim_after.
 	holdFor, claimAfter time.Duration
-	// more is added to the settings of each box.
+	// extraSettings is YAML appended to the settings of each box.
 	extraSettings string
 }
 
-// Option changes a rig from the usual.
+// Option changes a rig's defaults.
 type Option func(*Rig)
 
-// WithClaimTimes has a box hold the cell although the log does not answer for a while.
+// WithClaimTimes sets jobs.hold_for and jobs.claim_after. Longer times let a box hold the
+// cell while the log does not respond for a while.
 func WithClaimTimes(holdFor, claimAfter time.Duration) Option {
 	return func(r *Rig) { r.holdFor, r.claimAfter = holdFor, claimAfter }
 }
 
-// WithIdleTimeout has boxes close unused connections to the platform and the workers earlier.
-func WithIdleTimeout(most time.Duration) Option {
-	return func(r *Rig) { r.extraSettings += fmt.Sprintf("connections:\n  unused: %v\n", most) }
+// WithIdleTimeout sets connections.unused, after which boxes close unused connections to
+// the platform and the workers.
+func WithIdleTimeout(timeout time.Duration) Option {
+	return func(r *Rig) { r.extraSettings += fmt.Sprintf("connections:\n  unused: %v\n", timeout) }
 }
 
-// The times of the claim on the cell, where no option says otherwise: one call to the
-// log that runs out of its time ends it.
+// Default times of the claim on the cell. They are so short that one call to the log that
+// times out ends the claim.
 const (
 	defaultHoldFor    = 700 * time.Millisecond
 	defaultClaimAfter = 800 * time.Millisecond
 )
 
-// box is one entry box.
+// box is one entry box with its daemon.
 type box struct {
 	name string
-	// settings is the file with its settings, operators its address for them.
+	// settings is the path of the settings file, operators the address of the operators'
+	// interface.
 	settings  string
 	operators string
-	// callers is where callers reach the box.
+	// callers is the forwarded address at which callers reach the box.
 	callers string
 	advice  *standin.Advice
 
-	// starting is held while the daemon is started again.
+	// startMu is held while the daemon is restarted.
 	startMu sync.Mutex
 
 	mu      sync.Mutex
 	process *cell.Process
 }
 
-// settingsTemplate is what a daemon is told. Times are shorter than usual, so that
-// more happens in a run.
+// settingsTemplate holds the settings of a daemon. Its times are shorter than the defaults,
+// so that more happens in a run.
 const settingsTemplate = `box:
   name: %s
   domain: a
@@ -103,8 +106,9 @@
   stop_grace: 500ms
 `
 
-// NewRig starts a rig with some boxes and workers; daemon is the program to run,
-// and dir takes its output.
+// NewRig starts a rig with the given numbers of boxes and workers. daemon is the path of the
+// program to run; dir receives settings files and output. A rig that is returned with an
+// error must be closed as well.
 func NewRig(seed int64, daemon, dir string, boxes, workers int, options ...Option) (*Rig, error) {
 	p, err := standin.New(seed)
 	if err != nil {
@@ -143,8 +147,9 @@
 	return r, nil
 }
 
-// newBox writes the settings of a box. All connections from it and to it lead through
-// forwarders, those to the log and from other boxes through proxies too.
+// newBox creates a box and writes its settings file. All connections from the box, and those
+// from callers and other boxes to it, pass through forwarders; those to the log and from
+// other boxes also pass through proxies.
 func (r *Rig) newBox(i int) (*box, error) {
 	b := &box{name: fmt.Sprintf("box-%d", i), operators: cell.FreeAddress()}
 	b.settings = filepath.Join(r.dir, b.name+".yaml")
@@ -166,15 +171,16 @@
 	return b, os.WriteFile(b.settings, []byte(text+r.extraSettings), 0o600)
 }
 
-// addForwarder returns the address of a new forwarder to an address.
+// addForwarder starts a forwarder to address and returns its listen address.
 func (r *Rig) addForwarder(name, address string) (string, error) {
 	f := forward.New()
 	r.forwarders[name] = f
 	return f.Forward(address)
 }
 
-// StallConnections silences all connections that are open now, for good, in some directions or
-// in both if none is named. New ones work. It returns how many there were.
+// StallConnections permanently stalls all currently open connections in the given directions,
+// or in both if none is given. New connections work. It returns the number of stalled
+// connections.
 func (r *Rig) StallConnections(directions ...forward.Direction) int {
 	n := 0
 	for _, f := range r.forwarders {
@@ -183,9 +189,11 @@
 	return n
 }
 
-// logProxyName and peerProxyName name what stands before the log and the peers' address of a box,
-// adviceProxyName and callersProxyName the forwarders before its advice service and its callers'
-// address, workerName a worker and what stands before it.
+// The following functions return the names of proxies and forwarders. logProxyName and
+// peerProxyName name both the proxy and the forwarder in front of the log and of the box's
+// address for peers. adviceProxyName and callersProxyName name the forwarders in front of the
+// box's advice service and its address for callers. workerName names a worker and the proxy
+// and forwarder in front of it.
 func logProxyName(i int) string { return fmt.Sprintf("log-%d", i) }
 
 func peerProxyName(i int) string { return fmt.Sprintf("peer-%d", i) }
@@ -208,9 +216,9 @@
 	return nil
 }
 
-// restart starts the daemon of a box again that has ended. Two faults may have ended the same
-// process, a planned stop and a kill during it: the second start would be of a second process
-// of the same box, of which the rig loses sight.
+// restart starts the daemon of a box if it has ended. Two faults may end the same process,
+// such as a planned stop and a kill during it. Starting the daemon for each of them would run
+// two processes of the same box, one of which the rig would not track.
 func (r *Rig) restart(b *box) error {
 	b.startMu.Lock()
 	defer b.startMu.Unlock()
@@ -222,14 +230,14 @@
 	}
 }
 
-// currentProcess returns the process of a box.
+// currentProcess returns the most recently started process of a box.
 func (b *box) currentProcess() *cell.Process {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.process
 }
 
-// WaitReady waits until all boxes take callers.
+// WaitReady waits until all boxes accept callers' requests.
 func (r *Rig) WaitReady(ctx context.Context) error {
 	for _, b := range r.boxes {
 		for !b.isReady(ctx) {
@@ -243,14 +251,14 @@
 	return nil
 }
 
-// readyPollInterval is the pause between two questions whether a box is ready, or holds the
+// readyPollInterval is the pause between two polls for a ready box or for the holder of the
 // cell.
 const readyPollInterval = 20 * time.Millisecond
 
-// isReady says whether a box takes callers.
+// isReady reports whether a box accepts callers' requests.
 func (b *box) isReady(ctx context.Context) bool { return b.get(ctx, "/readyz", nil) }
 
-// Close ends all processes and servers.
+// Close ends all processes, forwarders, proxies and stand-ins.
 func (r *Rig) Close() {
 	for _, b := range r.boxes {
 		if p := b.currentProcess(); p != nil {
@@ -265,9 +273,10 @@
 	r.platform.Close()
 }
 
-// SocketCounts returns how many sockets the process of each box has open, by box. Those of
-// callers are left out: the kernel finds silent callers, and can't here, where that of
-// the forwarder answers for them.
+// SocketCounts returns the number of sockets that the process of each box has open, by box
+// name. Sockets of callers are left out: boxes rely on the kernel to detect stalled callers.
+// Here it can't, since the kernel still acknowledges packets for the sockets of the
+// forwarder.
 func (r *Rig) SocketCounts() (map[string]int, error) {
 	all := map[string]int{}
 	for _, b := range r.boxes {
@@ -283,14 +292,15 @@
 // StartCount returns how many tasks were started.
 func (r *Rig) StartCount() int { return r.platform.StartCount() }
 
-// UnreachedStarts returns how many tasks late orders started on lives that no holder had reached.
+// UnreachedStarts returns how many tasks were started by late orders on an incarnation of a worker
+// that no holder had reached yet.
 func (r *Rig) UnreachedStarts() int { return r.platform.UnreachedStarts() }
 
-// Violations returns the promises that workers have seen broken.
+// Violations returns the guarantees that were violated from the workers' point of view.
 func (r *Rig) Violations() []string { return r.platform.Violations() }
 
-// Expect tells the stand-in of a job before it is handed in, and how long its tasks
-// work.
+// Expect announces a job and the run time of its tasks to the stand-in. It must be called
+// before the job is submitted.
 func (r *Rig) Expect(s job.Submission, work time.Duration) error {
 	for _, q := range queues {
 		if q.Name == s.Queue {
@@ -301,7 +311,7 @@
 	return fmt.Errorf("no queue %q", s.Queue)
 }
 
-// OperatorAddresses returns the addresses of the boxes that answer.
+// OperatorAddresses returns the operators' addresses of all boxes that are ready.
 func (r *Rig) OperatorAddresses(ctx context.Context) []string {
 	var all []string
 	for _, b := range r.boxes {
@@ -312,7 +322,8 @@
 	return all
 }
 
-// get reads what a box answers to a question; false means that it did not.
+// get sends a GET request to a box and decodes the response into into, unless that is nil. It
+// reports whether the box responded with status 200 and a valid body.
 func (b *box) get(ctx context.Context, path string, into any) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+b.operators+path, nil)
 	if err != nil {
@@ -336,18 +347,18 @@
 	return b.name, nil
 }
 
-// RestartWorkers has half of the workers start again under their names, and returns those.
+// RestartWorkers restarts every second worker under its name and returns their names.
 func (r *Rig) RestartWorkers() []string {
-	var again []string
+	var names []string
 	for i := 0; i < len(r.workers); i += 2 {
 		r.workers[i].Restart()
-		again = append(again, workerName(i))
+		names = append(names, workerName(i))
 	}
-	return again
+	return names
 }
 
-// RefuseHolderAdvice has the advice service refuse the box that holds the cell, so that
-// it needs the others for it.
+// RefuseHolderAdvice makes the advice service refuse the box that holds the cell, so that it
+// must request advice through other boxes.
 func (r *Rig) RefuseHolderAdvice(ctx context.Context) error {
 	b, err := r.holder(ctx)
 	if err != nil {
@@ -357,7 +368,7 @@
 	return nil
 }
 
-// holder returns the box that holds the cell, and waits until there is one.
+// holder waits until a box holds the cell and returns it.
 func (r *Rig) holder(ctx context.Context) (*box, error) {
 	for ctx.Err() == nil {
 		for _, b := range r.boxes {
@@ -371,7 +382,7 @@
 	return nil, fmt.Errorf("no box holds the cell: %w", ctx.Err())
 }
 
-// State returns the state of a job, or nothing if no box tells it.
+// State returns the state of a job, or "" if no box reports it.
 func (r *Rig) State(ctx context.Context, id job.ID) job.State {
 	for _, b := range r.boxes {
 		var a exchange.Answer
--- a/tests/soak/served.go
+++ b/tests/soak/served.go
@@ -9,48 +9,48 @@
 	"saddlevane/models/job"
 )
 
-// jobTimes tells how long a job took.
+// jobTimes records when a job was submitted and accepted, and how long it took.
 type jobTimes struct {
 	id          job.ID
 	submittedAt time.Time
-	// accepted is when that was told, zero before.
+	// acceptedAt is when the caller received the acceptance; zero before that.
 	acceptedAt time.Time
-	// minDuration is the least that it takes.
+	// minDuration is the total run time of the job's steps.
 	minDuration time.Duration
-	// took is the time until its end was seen, 0 before.
+	// duration is the time from submission until the caller saw the end; 0 before that.
 	duration time.Duration
 }
 
-// promptMargin is how much longer than at best a job takes that is served promptly:
-// each of its steps is advised, started and seen to end, but no call for it takes a
-// caller's whole time.
+// promptMargin is how much longer than minDuration a promptly served job may take. Each step
+// needs advice, a start and a report of its end, but none of these calls may take the whole
+// timeout of a caller.
 const promptMargin = CallTimeout
 
-// recordSubmitted notes that a job is handed in now, of which each task works for some time.
-func (c *Callers) recordSubmitted(s job.Submission, work time.Duration) *jobTimes {
-	t := &jobTimes{id: s.ID, submittedAt: time.Now(), minDuration: time.Duration(len(s.Steps)) * work}
+// recordSubmitted records that a job is submitted now; each of its steps takes work.
+func (c *Callers) recordSubmitted(s job.Submission, stepDuration time.Duration) *jobTimes {
+	t := &jobTimes{id: s.ID, submittedAt: time.Now(), minDuration: time.Duration(len(s.Steps)) * stepDuration}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.times = append(c.times, t)
 	return t
 }
 
-// recordAccepted notes that a job is accepted now.
+// recordAccepted records that a job is accepted now.
 func (c *Callers) recordAccepted(t *jobTimes) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t.acceptedAt = time.Now()
 }
 
-// recordEnded notes that a job is no longer watched.
+// recordEnded records that the end of a job is seen now.
 func (c *Callers) recordEnded(t *jobTimes) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t.duration = time.Since(t.submittedAt)
 }
 
-// PromptShare returns how many of the jobs that were handed in from one time to another
-// were served promptly, as a share, and how many there were.
+// PromptShare returns the share of promptly served jobs among those submitted in [from, to),
+// and the number of jobs submitted then.
 func (c *Callers) PromptShare(from, to time.Time) (share float64, jobs int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,14 +67,14 @@
 	return float64(prompt) / float64(max(1, jobs)), jobs
 }
 
-// LateJobs returns the jobs that were accepted before some time and had not ended at
-// another.
-func (c *Callers) LateJobs(accepted, at time.Time) []job.ID {
+// LateJobs returns the jobs that were accepted before acceptedBefore and had not ended at the
+// time at.
+func (c *Callers) LateJobs(acceptedBefore, at time.Time) []job.ID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var late []job.ID
 	for _, t := range c.times {
-		if !t.acceptedAt.IsZero() && t.acceptedAt.Before(accepted) && (t.duration == 0 || t.submittedAt.Add(t.duration).After(at)) {
+		if !t.acceptedAt.IsZero() && t.acceptedAt.Before(acceptedBefore) && (t.duration == 0 || t.submittedAt.Add(t.duration).After(at)) {
 			late = append(late, t.id)
 		}
 	}
--- a/tests/soak/silences.go
+++ b/tests/soak/silences.go
@@ -10,64 +10,69 @@
 	"saddlevane/tests/forward"
 )
 
-// How often open connections go silent in a run, for good, while new ones work.
+// Numbers of stalls in a run. A stall affects open connections permanently, while new ones
+// work.
 const (
-	// fullStalls is how often all of them do.
+	// fullStalls is how often all open connections stall.
 	fullStalls = 2
-	// extraStalls is how often those of one thing do, besides once of each sort.
+	// extraStalls is how often the connections of one random component stall, in addition to
+	// one stall per group of components.
 	extraStalls = 3
 )
 
-// stallDirections are those that go silent: both, so that neither end hears the other, or
-// one of them.
+// stallDirections are the choices for a stall: both directions, so that neither end receives
+// anything, or one of them.
 var stallDirections = [][]forward.Direction{
 	{forward.Requests, forward.Answers}, {forward.Requests}, {forward.Answers},
 }
 
-// scheduleStalls draws silences for a while and has them happen.
-func (f *Faults) scheduleStalls(ctx context.Context, most time.Duration) {
+// scheduleStalls schedules stalls at random times within the given duration.
+func (f *Faults) scheduleStalls(ctx context.Context, duration time.Duration) {
 	for range fullStalls {
-		f.schedule(ctx, most, f.drawFullStall())
+		f.schedule(ctx, duration, f.drawFullStall())
 	}
-	for sort := range f.forwarderGroups() {
-		f.schedule(ctx, most, f.drawStall(sort))
+	for group := range f.forwarderGroups() {
+		f.schedule(ctx, duration, f.drawStall(group))
 	}
 	for range extraStalls {
-		f.schedule(ctx, most, f.drawStall(f.stallRNG.Intn(len(f.forwarderGroups()))))
+		f.schedule(ctx, duration, f.drawStall(f.stallRNG.Intn(len(f.forwarderGroups()))))
 	}
 }
 
-// schedule has something happen within a while.
-func (f *Faults) schedule(ctx context.Context, most time.Duration, do func() int) {
-	at := time.Duration(f.stallRNG.Int63n(int64(most)))
+// schedule calls do at a random time within the given duration.
+func (f *Faults) schedule(ctx context.Context, duration time.Duration, do func() int) {
+	delay := time.Duration(f.stallRNG.Int63n(int64(duration)))
 	f.tasks.Go(func() {
-		sleep(ctx, at)
+		sleep(ctx, delay)
 		do()
 	})
 }
 
-// StallAll silences all open connections now, and returns how many there were.
+// StallAll stalls all currently open connections and returns how many there were.
 func (f *Faults) StallAll() int { return f.drawFullStall()() }
 
-// drawFullStall draws a silence of all open connections.
+// drawFullStall draws the directions of a stall of all open connections. The returned
+// function carries it out and returns the number of connections.
 func (f *Faults) drawFullStall() func() int {
-	ways := stallDirections[f.stallRNG.Intn(len(stallDirections))]
+	chosen := stallDirections[f.stallRNG.Intn(len(stallDirections))]
 	return func() int {
-		n := f.rig.StallConnections(ways...)
-		f.recordEvent("all %d open connections silent: %v", n, ways)
+		n := f.rig.StallConnections(chosen...)
+		f.recordEvent("stalled all %d open connections: %v", n, chosen)
 		return n
 	}
 }
 
-// forwarderGroups returns the names of what can go silent alone, by sort.
+// forwarderGroups returns the names of the forwarders that can be stalled alone, grouped by
+// the kind of component behind them.
 func (f *Faults) forwarderGroups() [][]string {
 	boxes, workers := len(f.rig.boxes), len(f.rig.workers)
 	return [][]string{
-		indexedNames(boxes, logProxyName), indexedNames(boxes, peerProxyName), indexedNames(boxes, adviceProxyName), indexedNames(boxes, callersProxyName), indexedNames(workers, workerName),
+		indexedNames(boxes, logProxyName), indexedNames(boxes, peerProxyName), indexedNames(boxes, adviceProxyName),
+		indexedNames(boxes, callersProxyName), indexedNames(workers, workerName),
 	}
 }
 
-// indexedNames returns the names of some number of things.
+// indexedNames returns the names for the indexes 0 to n-1.
 func indexedNames(n int, name func(int) string) []string {
 	all := make([]string, n)
 	for i := range all {
@@ -76,16 +81,17 @@
 	return all
 }
 
-// drawStall draws a silence of the open connections of one thing of a sort. The order
-// is drawn; the first that has some is taken.
-func (f *Faults) drawStall(sort int) func() int {
-	all := f.forwarderGroups()[sort]
+// drawStall draws a stall of the open connections of one component of a group: the directions
+// and an order of the components. The returned function stalls the first component in that
+// order that has open connections, and returns their number.
+func (f *Faults) drawStall(group int) func() int {
+	all := f.forwarderGroups()[group]
 	order := f.stallRNG.Perm(len(all))
-	ways := stallDirections[f.stallRNG.Intn(len(stallDirections))]
+	chosen := stallDirections[f.stallRNG.Intn(len(stallDirections))]
 	return func() int {
 		for _, i := range order {
-			if n := f.rig.forwarders[all[i]].Stall(ways...); n > 0 {
-				f.recordEvent("%s: %d open connections silent: %v", all[i], n, ways)
+			if n := f.rig.forwarders[all[i]].Stall(chosen...); n > 0 {
+				f.recordEvent("%s: stalled %d open connections: %v", all[i], n, chosen)
 				return n
 			}
 		}
--- a/tests/soak/silent_test.go
+++ b/tests/soak/silent_test.go
@@ -17,63 +17,58 @@
 	"gotest.tools/v3/assert"
 )
 
-// What the daemons are told or have for bounds; the stand-in answers in a few
+// Timeouts set for the daemons or built into them. The stand-in responds within a few
 // milliseconds.
 const (
-	// probeAfter and answerTimeout are connections.probe and connections.answer: within
-	// both together a silent connection between boxes is given up.
+	// probeAfter and answerTimeout are the settings connections.probe and connections.answer.
+	// After the sum of both, a stalled connection between boxes is closed.
 	probeAfter    = time.Second
 	answerTimeout = 250 * time.Millisecond
-	// logTimeout bounds a call to the log, peerTimeout a wish that is passed on,
-	// adviceTimeout a call for advice, orderTimeout an order to a worker.
+	// logTimeout bounds a call to the log, peerTimeout a caller's request that is forwarded
+	// to another box, adviceTimeout a call for advice, orderTimeout an order to a worker.
 	logTimeout    = 900 * time.Millisecond
 	peerTimeout   = 700 * time.Millisecond
 	adviceTimeout = 1600 * time.Millisecond
 	orderTimeout  = 300 * time.Millisecond
-	// taskDuration is how long a task works.
+	// taskDuration is how long a task runs.
 	taskDuration = 200 * time.Millisecond
 )
 
-// serveTimeout is the time from handing a job in to its end, although each connection
-// on the job's way is found silent by a call that runs out of its time, one after the
-// other: the caller's, then those for the job.
+// serveTimeout bounds the time from submission to end of a job, if each connection that
+// serves it has stalled and is found so by a call that times out, one after the other: first
+// the caller's, then those used for the job.
 const serveTimeout = soak.CallTimeout + probeAfter + answerTimeout + peerTimeout + logTimeout + adviceTimeout + orderTimeout + taskDuration
 
 const (
-	// stallRounds is how often all that is open goes silent.
+	// stallRounds is how often all open connections stall.
 	stallRounds = 3
-	// jobsPerQueue is how many jobs of each queue are handed in at a time.
+	// jobsPerQueue is the number of jobs submitted to each queue at a time.
 	jobsPerQueue = 4
-	// holdFor and claimAfter outlast several calls to the log that run out of their
-	// time, so that the cell isn't taken over: a box that has just taken it over has
-	// opened no connections to the others yet.
+	// holdFor and claimAfter are longer than several calls to the log that time out, so that
+	// no other box takes the cell over: a box that has just done so has not opened
+	// connections to the other boxes yet.
 	holdFor    = 5 * time.Second
 	claimAfter = 5500 * time.Millisecond
 )
 
-// Symptom: jobs that were accepted never ran, with most of the workers' room free, for
-// as long as the daemons lived.
+// Guards against accepted jobs that never run after all open connections of all boxes stall
+// without a reset, while new connections work and most of the workers' capacity is free.
 //
-// Sequence: all open connections of all boxes went silent at once, without a reset; new
-// ones worked. For a second or so no job was accepted, then as many as before. The
-// holder of the cell could not ask the advice service as often as it needed by itself,
-// and asked through the other boxes: each such call ran out of its time, and so did
-// those after it.
-//
-// Cause: a call that ran out of its time left its connection in use, unless it had
-// passed a caller's wish on. Nothing else looked at connections between boxes.
-//
-// What settled it: the line "a call had no answer" told that all calls for advice
-// without an answer went over connections used before, over which nothing had come
-// since the silence, and none over a new one.
+// A call that timed out used to leave its connection in use, unless the call had forwarded a
+// caller's request, and nothing else checked the connections between boxes. A holder that
+// could not call the advice service often enough itself asked through other boxes. These
+// calls, and all later ones, went over the stalled connections and timed out, for as long as
+// the daemons ran. The log event "a call had no answer" showed that every failed call for
+// advice used an old connection and none a new one.
 func TestServiceRecoversAfterOpenConnectionsStall(t *testing.T) {
 	checkServedAfterStalls(t, func(r *soak.Rig) {
-		assert.Check(t, r.StallConnections() > 0, "nothing was open")
+		assert.Check(t, r.StallConnections() > 0, "no connection was open")
 	})
 }
 
-// checkServedAfterStalls has jobs served, and calls silence while some are.
-func checkServedAfterStalls(t *testing.T, silence func(*soak.Rig)) {
+// checkServedAfterStalls submits jobs before and after each call of stall, and checks that
+// all of them end within serveTimeout.
+func checkServedAfterStalls(t *testing.T, stall func(*soak.Rig)) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), settleTimeout)
 	defer cancel()
@@ -88,17 +83,17 @@
 	waitForEnds(ctx, callers, submitAll(ctx, t, callers, newSubmissions(t, r, "first")))
 	for round := range stallRounds {
 		before := submitAll(ctx, t, callers, newSubmissions(t, r, fmt.Sprint("before", round)))
-		silence(r)
-		within, cancel := context.WithTimeout(ctx, serveTimeout)
-		after := submitAll(within, t, callers, newSubmissions(t, r, fmt.Sprint("after", round)))
-		waitForEnds(within, callers, append(before, after...))
+		stall(r)
+		roundCtx, cancel := context.WithTimeout(ctx, serveTimeout)
+		after := submitAll(roundCtx, t, callers, newSubmissions(t, r, fmt.Sprint("after", round)))
+		waitForEnds(roundCtx, callers, append(before, after...))
 		cancel()
 		assert.Assert(t, len(callers.Violations()) == 0, "round %d: %v", round, callers.Violations())
 	}
 	assert.Check(t, len(r.Violations()) == 0, "%v", r.Violations())
 }
 
-// submitAll hands jobs in at the same time, until all are accepted.
+// submitAll submits jobs concurrently, checks that all are accepted, and returns them.
 func submitAll(ctx context.Context, t *testing.T, callers *soak.Callers, all []job.Submission) []job.Submission {
 	t.Helper()
 	var tasks conc.WaitGroup
@@ -109,7 +104,7 @@
 	return all
 }
 
-// waitForEnds waits until jobs have ended.
+// waitForEnds waits until all given jobs have ended.
 func waitForEnds(ctx context.Context, callers *soak.Callers, all []job.Submission) {
 	var tasks conc.WaitGroup
 	for _, s := range all {
@@ -118,7 +113,8 @@
 	tasks.Wait()
 }
 
-// newSubmissions returns jobs of each queue, and tells the stand-in of them.
+// newSubmissions returns jobsPerQueue jobs for each queue, which it has announced to the
+// stand-in.
 func newSubmissions(t *testing.T, r *soak.Rig, name string) []job.Submission {
 	t.Helper()
 	var all []job.Submission
--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -20,9 +20,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// The times and sizes of a run: nothing fails for calmDuration, and for calmDrainDuration more so
-// that the jobs of that time end; then faults for faultsDuration. All that was accepted has
-// to end within settleTimeout.
+// Times and sizes of a run. Without faults, jobs are measured for calmDuration, and given
+// calmDrainDuration more to end; then faults are injected for faultsDuration. All accepted
+// jobs must end within settleTimeout.
 const (
 	calmDrainDuration = 3 * time.Second
 	calmDuration      = 3 * time.Second
@@ -33,14 +33,14 @@
 	workerCount       = 6
 )
 
-// seedsEnv names the seeds of a longer run by hand, such as 100-149; keepEnv a
-// folder where the output of runs that failed is kept.
+// seedsEnv selects other seeds, such as 100-149, for longer manual runs. keepEnv names a
+// directory in which the output of the runs is kept.
 const (
 	seedsEnv = "SADDLEVANE_SOAK_SEEDS"
 	keepEnv  = "SADDLEVANE_SOAK_KEEP"
 )
 
-// daemonPath is the program that the boxes run, with the race detector.
+// daemonPath is the path of the daemon, built with the race detector.
 var daemonPath string
 
 func TestMain(m *testing.M) { os.Exit(run(m)) }
@@ -61,8 +61,8 @@
 	return m.Run()
 }
 
-// TestNoPromiseIsBrokenUnderRandomFaults plays the seed of CI and those that ever
-// failed.
+// TestNoPromiseIsBrokenUnderRandomFaults runs the seeds of seeds.txt: the seed of CI and
+// those that have failed before.
 func TestNoPromiseIsBrokenUnderRandomFaults(t *testing.T) {
 	for _, seed := range seeds(t) {
 		t.Run(strconv.FormatInt(seed, 10), func(t *testing.T) {
@@ -72,7 +72,7 @@
 	}
 }
 
-// seeds returns those of the environment, or the kept ones.
+// seeds returns the seeds given by the environment, or those of seeds.txt.
 func seeds(t *testing.T) []int64 {
 	t.Helper()
 	if text := os.Getenv(seedsEnv); text != "" {
@@ -81,7 +81,7 @@
 	return readSeedFile(t)
 }
 
-// parseSeedRange reads a seed, or the first and the last of several with a dash between.
+// parseSeedRange parses a single seed, or a range such as 100-149.
 func parseSeedRange(t *testing.T, text string) []int64 {
 	t.Helper()
 	first, last, _ := strings.Cut(text, "-")
@@ -97,7 +97,7 @@
 	return all
 }
 
-// readSeedFile reads the seeds that every run plays, one a line with a comment.
+// readSeedFile reads seeds.txt: one seed per line, with comments that start with #.
 func readSeedFile(t *testing.T) []int64 {
 	t.Helper()
 	f, err := os.Open("seeds.txt")
@@ -120,7 +120,7 @@
 	return seed
 }
 
-// runSeed runs one seed and reports each promise that was broken.
+// runSeed runs one seed and reports each violated guarantee.
 func runSeed(t *testing.T, seed int64) {
 	t.Helper()
 	dir := t.TempDir()
@@ -145,11 +145,11 @@
 	if t.Failed() {
 		t.Logf("faults:\n%s", strings.Join(p.faults.Events(), "\n"))
 	}
-	assert.Check(t, r.StartCount() > 0, "nothing was started")
+	assert.Check(t, r.StartCount() > 0, "no task was started")
 }
 
-// rigOptions returns the claims of daemons outside of tests for even seeds, so that the
-// same box goes on after a call to the log that ran out of its time.
+// rigOptions returns the options for a seed. Even seeds use the claim times that daemons have
+// outside of tests, so that the same box keeps the cell after a call to the log timed out.
 func rigOptions(seed int64) []soak.Option {
 	all := []soak.Option{soak.WithIdleTimeout(idleTimeout)}
 	if seed%2 == 0 {
