--- a/services/runtime/connections.go
+++ b/services/runtime/connections.go
@@ -14,38 +14,38 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Connections bounds the open connections of the adapters.
+// Connections holds the timeouts of the adapters' open connections.
 type Connections struct {
-	// Probe is how long nothing may have come over a link to another entry box before it
-	// is probed.
+	// ProbeAfter is how long a link to another entry box may receive nothing before it is probed.
 	ProbeAfter time.Duration
-	// Answer is how long the answer to a probe may take, and how long that to a call that
-	// may be made again may be overdue.
+	// AnswerTimeout is how long the response to a probe may take, and how long the response to a
+	// retryable call may be overdue before the call is retried.
 	AnswerTimeout time.Duration
-	// Unused is how long a connection to a service is kept that carries no call.
+	// IdleTimeout is how long an idle connection to a service is kept.
 	IdleTimeout time.Duration
 }
 
 const (
 	// dialTimeout bounds the opening of a connection.
 	dialTimeout = time.Second
-	// maxIdleConnsPerHost bounds the unused connections kept to one service.
+	// maxIdleConnsPerHost is the maximum number of idle connections kept to one service.
 	maxIdleConnsPerHost = 4
 )
 
-// newClient returns a client for one sort of service.
+// newClient returns an HTTP client for one kind of service, which log messages and metrics name as
+// to. It keeps at most perHost idle connections to each address.
 func (l *Loop) newClient(to string, c Connections, perHost int) *http.Client {
 	return httpclient.New(httpclient.Settings{
 		To: to, DialTimeout: dialTimeout, IdleTimeout: c.IdleTimeout, MinOverdue: c.AnswerTimeout, MaxIdlePerHost: perHost, Now: l.now, Hooks: l.connectionHooks(),
 	})
 }
 
-// connectionHooks logs what happens to connections.
+// connectionHooks returns hooks that log timeouts, discarded connections and retries.
 func (l *Loop) connectionHooks() httpclient.Hooks {
 	return httpclient.Hooks{OnUnanswered: l.logUnanswered, OnDiscard: l.logConnectionsGivenUp, OnRetry: l.logRepeatedCall}
 }
 
-// logUnanswered logs a call that ran out of its time without an answer.
+// logUnanswered logs a call that timed out without a response.
 func (l *Loop) logUnanswered(u conntrack.Unanswered) {
 	l.log.WithFields(logrus.Fields{
 		"to": u.To, "address": u.Address, "call": u.Call, "reused": u.Reused, "waited": u.Waited.String(),
@@ -53,28 +53,28 @@
 	}).Debug("a call had no answer")
 }
 
-// logConnectionsGivenUp logs that connections were given up because a call had no answer.
+// logConnectionsGivenUp logs that connections were discarded because a call had no response.
 func (l *Loop) logConnectionsGivenUp(g conntrack.Discarded) {
 	l.log.WithFields(logrus.Fields{
 		"to": g.To, "address": g.Address, "count": g.Count, "heard_ago": g.SilentFor.String(),
 	}).Info("connections were given up")
 }
 
-// logRepeatedCall logs a call that was made again.
+// logRepeatedCall logs a call that was retried.
 func (l *Loop) logRepeatedCall(a httpclient.RetriedCall) {
 	l.log.WithFields(logrus.Fields{
 		"to": a.To, "address": a.Address, "call": a.Call, "answered_on": string(a.AnsweredOn), "took": a.Took.String(),
 	}).Debug("a call was made again")
 }
 
-// logLinkGivenUp logs a link to another entry box that was given up as silent.
+// logLinkGivenUp logs a link to another entry box that was closed as unresponsive.
 func (l *Loop) logLinkGivenUp(g peering.Discarded) {
 	l.log.WithFields(logrus.Fields{
 		"address": g.Address, "reason": g.Reason, "open_for": g.OpenFor.String(), "heard_ago": g.SilentFor.String(), "calls": g.Calls,
 	}).Info("a link to an entry box was given up")
 }
 
-// logAcceptFailure logs why a connection of another entry box could not be accepted.
+// logAcceptFailure logs that a connection from another entry box could not be accepted.
 func (l *Loop) logAcceptFailure(err error) {
 	l.log.WithError(err).Warning("a link could not be accepted")
 }
--- a/services/runtime/log.go
+++ b/services/runtime/log.go
@@ -21,20 +21,24 @@
 	"github.com/sourcegraph/conc"
 )
 
-// maxPlatformAnswerBytes bounds one answer of the platform, in bytes.
+// maxPlatformAnswerBytes is the maximum size of one response of the platform, in bytes.
 const maxPlatformAnswerBytes = 64 << 20
 
-// readLimit is how many records one read asks for.
+// readLimit is the maximum number of records requested by one read.
 const readLimit = 500
 
-// PlatformSettings say how to reach the platform.
+// PlatformSettings configures the access to the platform.
 type PlatformSettings struct {
-	LogURL        string
-	BoxesURL      string
-	Timeout       time.Duration
-	ReadWait      time.Duration
+	// LogURL and BoxesURL are the base URLs of the log and of the list of boxes.
+	LogURL   string
+	BoxesURL string
+	// Timeout bounds each call.
+	Timeout time.Duration
+	// ReadWait is how long a read of the log waits for new records.
+	ReadWait time.Duration
+	// BoxesInterval is the time between two reads of the list of boxes.
 	BoxesInterval time.Duration
-	// Connections bounds the open connections.
+	// Connections holds the timeouts of the open connections.
 	Connections Connections
 }
 
@@ -48,7 +52,7 @@
 	goroutines conc.WaitGroup
 }
 
-// NewLog returns the adapter and starts to read the list of boxes.
+// NewLog returns the adapter and starts reading the list of boxes at intervals.
 func NewLog(s PlatformSettings, loop *Loop) *Log {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Log{
@@ -59,12 +63,13 @@
 	return l
 }
 
-// Close ends what is under way and waits for it.
+// Close cancels the calls in progress and waits for their goroutines.
 func (l *Log) Close() {
 	l.cancel()
 	l.goroutines.Wait()
 }
 
+// read reads the log in the background and posts a LogRead or LogFailed event.
 func (l *Log) read(e effect.ReadLog) {
 	l.goroutines.Go(func() {
 		ctx, cancel := context.WithTimeout(l.ctx, l.settings.Timeout)
@@ -80,17 +85,19 @@
 	})
 }
 
-// disableWait has a read that is made again answer at once.
+// disableWait makes a retried read return immediately.
 func disableWait(req *http.Request) {
 	query := req.URL.Query()
 	query.Set("wait_ms", "0")
 	req.URL.RawQuery = query.Encode()
 }
 
+// readEvent translates the response to a read from offset from.
 func readEvent(from int64, r platform.Read) event.LogRead {
 	e := event.LogRead{First: r.First, AtEnd: r.Next <= from}
 	for _, rec := range r.Records {
-		// A record that cannot be decoded is skipped by every process alike.
+		// A record that cannot be decoded yields an empty envelope, which all processes skip
+		// alike.
 		envelope, _ := record.Decode([]byte(rec.Data))
 		envelope.Parse()
 		e.Records = append(e.Records, event.LogRecord{Offset: rec.Offset, At: rec.Time(), Envelope: envelope})
@@ -99,6 +106,7 @@
 	return e
 }
 
+// append appends an envelope in the background and posts an AppendEnded event.
 func (l *Log) append(e effect.Append) {
 	l.goroutines.Go(func() {
 		offset, err := l.appendOnce(e.Envelope)
@@ -110,6 +118,7 @@
 	})
 }
 
+// appendOnce appends an envelope and returns its offset.
 func (l *Log) appendOnce(e record.Envelope) (int64, error) {
 	data, err := json.Marshal(e)
 	if err != nil {
@@ -117,13 +126,14 @@
 	}
 	ctx, cancel := context.WithTimeout(l.ctx, l.settings.Timeout)
 	defer cancel()
-	// Readers drop an envelope that they have read, so it may be appended again.
+	// Readers ignore a second copy of an envelope, so the append may be retried.
 	ctx = httpclient.WithRetry(ctx, httpclient.Retry{})
 	var answer platform.Appended
 	err = l.client.Post(ctx, l.settings.LogURL+"/v1/append", platform.Append{ID: e.ID, Data: string(data)}, &answer)
 	return answer.Offset, err
 }
 
+// readBoxes reads the list of boxes at intervals until the adapter is closed.
 func (l *Log) readBoxes() {
 	ticker := time.NewTicker(l.settings.BoxesInterval)
 	defer ticker.Stop()
@@ -137,6 +147,7 @@
 	}
 }
 
+// readBoxesOnce reads the list of boxes and posts a BoxesRead event. Failures are only logged.
 func (l *Log) readBoxesOnce() {
 	ctx, cancel := context.WithTimeout(l.ctx, l.settings.Timeout)
 	defer cancel()
--- a/services/runtime/loop.go
+++ b/services/runtime/loop.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package runtime runs the reducer as a process: one loop feeds it events with
-// the present time, and adapters carry out its effects and report back.
+// Package runtime runs the core reducer as a process: a single loop passes events with the current
+// time to the reducer, and adapters execute the effects it returns and post their results as
+// events.
 package runtime
 
 import (
@@ -19,15 +20,15 @@
 	"github.com/sourcegraph/conc"
 )
 
-// tickInterval is the time between two ticks of the reducer: the most that a
-// decision which no event sets off waits.
+// tickInterval is the time between two ticks of the reducer, and thus the maximum delay of a
+// decision that no event triggers.
 const tickInterval = 25 * time.Millisecond
 
-// eventBufferSize is how many events may wait for the loop.
+// eventBufferSize is the number of events that are buffered for the loop.
 const eventBufferSize = 1024
 
-// Adapters carry out effects. Each must return at once; what takes time goes on
-// in goroutines of the adapter's own.
+// Adapters holds the adapters that execute effects. Their methods must not block the loop: an
+// adapter runs slow work in goroutines of its own.
 type Adapters struct {
 	Requests *Requests
 	Log      *Log
@@ -35,10 +36,10 @@
 	Peers    *Peers
 }
 
-// Loop runs a reducer. Close ends it.
+// Loop runs a reducer. Close terminates it.
 type Loop struct {
 	core *core.Core
-	// now tells the present time to the reducer and the adapters.
+	// now returns the current time for the reducer and the adapters.
 	now        func() time.Time
 	log        logrus.FieldLogger
 	adapters   Adapters
@@ -53,7 +54,7 @@
 	stopOnce   sync.Once
 }
 
-// NewLoop returns a loop that does not run yet. now tells the present time.
+// NewLoop returns a loop for c that Run starts. now returns the current time.
 func NewLoop(c *core.Core, log logrus.FieldLogger, now func() time.Time) *Loop {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Loop{
@@ -70,8 +71,8 @@
 	l.goroutines.Go(l.run)
 }
 
-// Post hands an event to the reducer. It waits while the loop is behind, and
-// does nothing once the loop has ended.
+// Post sends an event to the reducer. It blocks while the event buffer is full and drops the event
+// if the loop has terminated.
 func (l *Loop) Post(e event.Event) {
 	select {
 	case l.events <- e:
@@ -79,7 +80,8 @@
 	}
 }
 
-// Query runs f beside the reducer. It returns false if the loop has ended.
+// Query runs f in the loop's goroutine, between events, and waits for it. It returns false without
+// running f if the loop has terminated.
 func (l *Loop) Query(f func(now time.Time, c *core.Core)) bool {
 	done := make(chan struct{})
 	wrapped := func(now time.Time, c *core.Core) {
@@ -95,24 +97,25 @@
 	return true
 }
 
-// Stop begins a planned stop.
+// Stop starts a planned shutdown. Stopped reports its end.
 func (l *Loop) Stop() {
 	l.stopping.Store(true)
 	l.Post(event.Stop{})
 }
 
-// IsStopping says whether a planned stop has begun.
+// IsStopping reports whether a planned shutdown has started.
 func (l *Loop) IsStopping() bool { return l.stopping.Load() }
 
-// Stopped is closed when a planned stop is complete.
+// Stopped returns a channel that is closed when a planned shutdown is complete.
 func (l *Loop) Stopped() <-chan struct{} { return l.stopped }
 
-// Close ends the loop and waits for it.
+// Close terminates the loop and waits for it.
 func (l *Loop) Close() {
 	l.cancel()
 	l.goroutines.Wait()
 }
 
+// run processes events, queries and ticks until the loop is closed.
 func (l *Loop) run() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -130,12 +133,14 @@
 	}
 }
 
+// handle passes an event to the reducer and executes the resulting effects.
 func (l *Loop) handle(e event.Event) {
 	for _, eff := range l.core.Handle(l.now(), e) {
 		l.apply(eff)
 	}
 }
 
+// apply passes an effect to the adapter that executes it.
 func (l *Loop) apply(e effect.Effect) {
 	switch e := e.(type) {
 	case effect.SendRequest:
--- a/services/runtime/peers.go
+++ b/services/runtime/peers.go
@@ -25,14 +25,14 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// The times of the peers' protocol.
+// Timeouts of connections and calls to other entry boxes.
 const (
 	peerDialTimeout = time.Second
 	helloTimeout    = time.Second
 	fetchTimeout    = 5 * time.Second
 )
 
-// Peers is the adapter for other entry boxes: it serves them and calls them.
+// Peers is the adapter for other entry boxes (peers): it serves their calls and calls them.
 type Peers struct {
 	loop       *Loop
 	requests   *Requests
@@ -42,11 +42,11 @@
 	goroutines conc.WaitGroup
 
 	mu sync.Mutex
-	// greeting holds the peers to which a heartbeat is under way.
+	// hellosInFlight holds the addresses of the peers with an unanswered heartbeat.
 	hellosInFlight map[string]bool
 }
 
-// NewPeers returns the adapter and starts to serve peers on listener.
+// NewPeers returns the adapter and starts serving peers on listener.
 func NewPeers(listener net.Listener, s Connections, loop *Loop, requests *Requests) *Peers {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &Peers{loop: loop, requests: requests, ctx: ctx, cancel: cancel, hellosInFlight: map[string]bool{}}
@@ -58,14 +58,14 @@
 	return p
 }
 
-// Close ends all connections and waits for what is under way.
+// Close closes all connections and waits for the calls in progress.
 func (p *Peers) Close() {
 	p.cancel()
 	p.links.Close()
 	p.goroutines.Wait()
 }
 
-// handle serves one call of a peer.
+// handle serves one call from a peer.
 func (p *Peers) handle(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
 	switch req.Method {
 	case peer.MethodHello:
@@ -90,6 +90,7 @@
 	}
 }
 
+// decodeParams decodes the parameters of a call.
 func decodeParams[T any](req *jsonrpc2.Request) (T, error) {
 	var v T
 	if req.Params == nil {
@@ -101,7 +102,7 @@
 	return v, nil
 }
 
-// serveForwarded runs a request that a peer passed on.
+// serveForwarded serves a caller's request that a peer has forwarded.
 func (p *Peers) serveForwarded(ctx context.Context, f peer.Forward) (*peer.Answer, error) {
 	key, err := request.ParseKey(f.Key)
 	if err != nil {
@@ -119,15 +120,17 @@
 	}, nil
 }
 
-// call calls a peer.
+// call calls a peer. If the call was certainly not sent, the error carries verdict.NotRun.
 func (p *Peers) call(ctx context.Context, address string, c peering.Call) error {
 	_, err := p.links.Call(ctx, address, c)
-	if failed, ok := errors.AsType[*peering.NoAnswerError](err); ok && !failed.Sent {
+	if noAnswer, ok := errors.AsType[*peering.NoAnswerError](err); ok && !noAnswer.Sent {
 		return verdict.Wrap(verdict.NotRun, err)
 	}
 	return err
 }
 
+// sendHello sends a heartbeat to a peer in the background, unless the previous one is still
+// unanswered.
 func (p *Peers) sendHello(e effect.SendHello) {
 	p.mu.Lock()
 	busy := p.hellosInFlight[e.Address]
@@ -150,6 +153,8 @@
 	})
 }
 
+// fetchSnapshot fetches a peer's snapshot in the background and posts a SnapshotRead event. Failures
+// are only logged.
 func (p *Peers) fetchSnapshot(e effect.FetchSnapshot) {
 	p.goroutines.Go(func() {
 		ctx, cancel := context.WithTimeout(p.ctx, fetchTimeout)
@@ -164,6 +169,7 @@
 	})
 }
 
+// forward forwards a caller's request to a peer in the background and posts a ForwardEnded event.
 func (p *Peers) forward(e effect.Forward) {
 	k := p.requests.get(e.ID)
 	if k == nil {
@@ -174,7 +180,7 @@
 		defer cancel()
 		in := &k.incoming
 		var answer peer.Answer
-		// Not idempotent: a request that may have run is not sent again.
+		// The call is not marked as idempotent: a request that may have run must not be sent again.
 		err := p.call(ctx, e.Address, peering.Call{Method: peer.MethodForward, Result: &answer, Params: peer.Forward{
 			Pool: in.Pool, Class: in.Class, Key: in.Key.String(), Method: in.Method, Path: in.Path,
 			Header: in.Header, Body: in.Body, Budget: e.Timeout.Milliseconds(), Delegated: e.Delegated,
@@ -189,6 +195,7 @@
 	})
 }
 
+// forwardedResult translates a peer's answer to a forwarded request.
 func forwardedResult(a peer.Answer) Result {
 	header := a.Header
 	if header == nil {
--- a/services/runtime/publish.go
+++ b/services/runtime/publish.go
@@ -13,7 +13,7 @@
 	"saddlevane/models/record"
 )
 
-// publishWaiters are operators who wait for the log's decision.
+// publishWaiters holds the calls of Publish that wait for the decision about their file.
 type publishWaiters struct {
 	mu      *sync.Mutex
 	next    *uint64
@@ -24,6 +24,7 @@
 	return publishWaiters{mu: &sync.Mutex{}, next: new(uint64), waiting: map[uint64]chan effect.PublishResult{}}
 }
 
+// add registers a call and returns its ID and the channel that receives its result.
 func (p publishWaiters) add() (uint64, chan effect.PublishResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -39,6 +40,7 @@
 	delete(p.waiting, id)
 }
 
+// answer sends a result to the call that waits for it, if there still is one.
 func (p publishWaiters) answer(e effect.AnswerPublish) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,18 +50,18 @@
 	}
 }
 
-// Publish asks for a file to come into force and waits for the log's decision,
-// at most for patience.
-func (l *Loop) Publish(ctx context.Context, p record.Publish, patience time.Duration) effect.PublishResult {
+// Publish requests that a file be put into force and waits for the decision until timeout has
+// passed. The outcome is effect.Unknown if ctx or the loop ends first.
+func (l *Loop) Publish(ctx context.Context, p record.Publish, timeout time.Duration) effect.PublishResult {
 	p.Parse()
 	id, result := l.publishers.add()
 	defer l.publishers.remove(id)
-	l.Post(event.PublishAsked{Waiter: id, Publish: p, Timeout: patience})
+	l.Post(event.PublishAsked{Waiter: id, Publish: p, Timeout: timeout})
 	select {
 	case r := <-result:
 		return r
 	case <-ctx.Done():
 	case <-l.ctx.Done():
 	}
-	return effect.PublishResult{Outcome: effect.Unknown, Reasons: []string{"the answer was not waited for"}}
+	return effect.PublishResult{Outcome: effect.Unknown, Reasons: []string{"the call ended before the decision was known"}}
 }
--- a/services/runtime/requests.go
+++ b/services/runtime/requests.go
@@ -19,33 +19,37 @@
 	"github.com/sourcegraph/conc"
 )
 
-// RequestSettings bound callers' requests.
+// RequestSettings limits callers' requests.
 type RequestSettings struct {
-	MaxAnswerBytes   int64
-	MaxPending       int
+	// MaxAnswerBytes is the maximum size of a target's response, in bytes.
+	MaxAnswerBytes int64
+	// MaxPending is the maximum number of unanswered requests.
+	MaxPending int
+	// MaxRetainedBytes limits the bodies of the answers that are retained for repeated requests.
 	MaxRetainedBytes int64
-	// Connections bounds the open connections to targets.
+	// Connections holds the timeouts of the open connections to targets.
 	Connections Connections
 }
 
-// Incoming is a caller's request with all that is passed on to a target.
+// Incoming is a caller's request with everything that is forwarded to a target.
 type Incoming struct {
 	Pool   string
 	Class  string
 	Key    request.Key
 	Method string
-	// Path is what follows the class in the caller's URL, with the query.
+	// Path is the part of the caller's URL after the class, including the query.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Peer says that another entry box passed the request on, Delegated that it
-	// only wants it sent to a target here.
+	// Forwarded means that another entry box has forwarded the request, Delegated that this box
+	// must send it to one of its own targets.
 	Forwarded, Delegated bool
-	// Budget is how long the caller still waits, or 0 for the class's deadline.
+	// Budget is how long the caller will still wait, or 0 for the deadline of the class.
 	Budget time.Duration
 }
 
-// digest hashes all that makes a request what it is.
+// digest hashes the pool, class, method, path and body, by which a repeated request with the same
+// key is compared with the first one.
 func (in *Incoming) digest() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -57,7 +61,7 @@
 	return d.Sum64()
 }
 
-// Result is the final answer to a caller.
+// Result is the final answer to a caller's request.
 type Result struct {
 	ID      request.ID
 	Status  int
@@ -66,12 +70,12 @@
 	Body    []byte
 	Target  string
 	Waited  time.Duration
-	// Refusal is set if no target gave the answer.
+	// Refusal is set if the answer does not come from a target.
 	Refusal *request.Refusal
 }
 
-// Requests is the adapter that keeps callers' requests and exchanges them with
-// targets.
+// Requests is the adapter for callers' requests: it holds them while they are pending, sends them
+// to targets and retains answers for repeated requests.
 type Requests struct {
 	settings   RequestSettings
 	loop       *Loop
@@ -83,12 +87,13 @@
 	mu      sync.Mutex
 	lastID  request.ID
 	pending map[request.ID]*pendingRequest
-	// order holds the requests whose answers are kept, oldest first.
+	// retained holds the requests whose answers are retained, oldest first.
 	retained      []request.ID
 	retainedBytes int64
 }
 
-// pendingRequest is what the adapter has of one request.
+// pendingRequest is the state of one request. After its answer was delivered it may remain, with
+// retainedBytes above 0, to answer repeated requests.
 type pendingRequest struct {
 	incoming      Incoming
 	done          chan Result
@@ -105,15 +110,15 @@
 	}
 }
 
-// Close ends what is under way and waits for it.
+// Close cancels the exchanges in progress and waits for their goroutines.
 func (r *Requests) Close() {
 	r.cancel()
 	r.goroutines.Wait()
 	r.targets.close()
 }
 
-// Serve takes a caller's request and waits for its final answer. It returns
-// false if the caller left first.
+// Serve processes a caller's request and waits for its final answer. It returns false if ctx is
+// cancelled first, that is, if the caller disconnects.
 func (r *Requests) Serve(ctx context.Context, in Incoming) (Result, bool) {
 	id, k, ok := r.add(in)
 	if !ok {
@@ -135,6 +140,7 @@
 	}
 }
 
+// tooManyRefusal returns the refusal of a request beyond MaxPending.
 func tooManyRefusal() request.Refusal {
 	return request.Refusal{
 		Status: http.StatusServiceUnavailable, Verdict: verdict.NotRun,
@@ -142,10 +148,13 @@
 	}
 }
 
+// refusalResult returns the result for a refused request.
 func refusalResult(id request.ID, f request.Refusal) Result {
 	return Result{ID: id, Status: f.Status, Verdict: f.Verdict, Refusal: &f}
 }
 
+// add assigns an ID to a request and registers it. It returns false if MaxPending requests are
+// unanswered.
 func (r *Requests) add(in Incoming) (request.ID, *pendingRequest, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -158,12 +167,14 @@
 	return r.lastID, k, true
 }
 
+// get returns a registered request, or nil.
 func (r *Requests) get(id request.ID) *pendingRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.pending[id]
 }
 
+// send sends a request to a target in the background and posts a TargetAnswered event.
 func (r *Requests) send(e effect.SendRequest) {
 	k := r.get(e.ID)
 	if k == nil {
@@ -184,6 +195,7 @@
 	})
 }
 
+// recordAnswer stores the answer of one attempt until it is delivered or dropped.
 func (r *Requests) recordAnswer(id request.ID, attempt int, result Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -192,7 +204,8 @@
 	}
 }
 
-// deliver gives the answer of one attempt to whoever asked for it.
+// deliver sends the answer of one attempt of request e.From to the caller of e.To, which may be a
+// repetition of e.From.
 func (r *Requests) deliver(e effect.Deliver) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -216,6 +229,7 @@
 	}
 }
 
+// answerOf returns the stored answer that e refers to.
 func (r *Requests) answerOf(e effect.Deliver) (Result, bool) {
 	from := r.pending[e.From]
 	if from == nil {
@@ -225,8 +239,8 @@
 	return result, ok
 }
 
-// retainAnswer counts a kept answer once, and drops the oldest ones if all
-// together exceed their bound.
+// retainAnswer marks the answers of a request as retained, unless they are already, and drops the
+// oldest retained requests while the total exceeds MaxRetainedBytes.
 func (r *Requests) retainAnswer(id request.ID) {
 	k := r.pending[id]
 	if k == nil || k.retainedBytes > 0 {
@@ -244,6 +258,7 @@
 	}
 }
 
+// drop removes a request with its answers. The caller holds r.mu.
 func (r *Requests) drop(id request.ID) {
 	if k := r.pending[id]; k != nil {
 		r.retainedBytes -= k.retainedBytes
@@ -254,6 +269,7 @@
 	}
 }
 
+// refuse sends a refusal to the caller and removes the request.
 func (r *Requests) refuse(e effect.Refuse) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -263,6 +279,7 @@
 	}
 }
 
+// forget removes a request with its answers.
 func (r *Requests) forget(id request.ID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/services/runtime/result.go
+++ b/services/runtime/result.go
@@ -13,8 +13,8 @@
 	"saddlevane/models/request"
 )
 
-// ResultHeader returns the header of the answer to a caller: a target's own, or
-// that of a refusal, with what saddlevane adds.
+// ResultHeader returns the header of the response to a caller: the target's header without
+// droppedHeaders, and the headers that saddlevane adds to all responses and to refusals.
 func ResultHeader(r Result) http.Header {
 	header := http.Header{}
 	for name, values := range r.Header {
@@ -37,6 +37,7 @@
 	return header
 }
 
+// refusalHeader adds the headers of a refusal.
 func refusalHeader(header http.Header, f *request.Refusal) {
 	header.Set("Content-Type", "application/json")
 	if f.RetryAfter > 0 {
@@ -48,18 +49,19 @@
 	}
 }
 
-// headerRetryMillis is Retry-After in milliseconds, for callers that can come
-// back sooner than after a whole second.
+// headerRetryMillis carries the value of Retry-After in milliseconds, for callers that can retry
+// earlier than after a whole second.
 const headerRetryMillis = "Saddlevane-Retry-After-Ms"
 
-// refusalBody is the body of an answer that no target gave.
+// refusalBody is the JSON body of a refusal.
 type refusalBody struct {
 	request.Refusal
 	RetryAfter int64  `json:"retry_after_ms,omitempty"`
 	Key        string `json:"key,omitempty"`
 }
 
-// ResultBody returns the body of the answer to a caller.
+// ResultBody returns the body of the response to a caller: the target's, or a JSON description of
+// the refusal.
 func ResultBody(r Result) []byte {
 	if r.Refusal == nil {
 		return r.Body
--- a/services/runtime/silent_test.go
+++ b/services/runtime/silent_test.go
@@ -36,14 +36,15 @@
 )
 
 const (
-	// requestDeadline is that of requests of the tests; a target answers at once.
+	// requestDeadline is the deadline of the tests' requests. The target answers immediately.
 	requestDeadline = 600 * time.Millisecond
-	// callTimeout bounds calls to the log of the tests, readWait how long a read waits.
+	// callTimeout bounds calls to the log, readWait how long a read waits for records.
 	callTimeout = 3 * time.Second
 	readWait    = 300 * time.Millisecond
-	// overdueAfter is how late an answer of the log may be.
+	// overdueAfter is how late a response of the log may be before the call is retried.
 	overdueAfter = 100 * time.Millisecond
-	// maxPublishTime is well below what runs out of its time.
+	// maxPublishTime is well below callTimeout: a publication that takes longer has waited for a
+	// call that timed out.
 	maxPublishTime = callTimeout / 2
 )
 
@@ -56,14 +57,14 @@
       - {name: c, priority: normal, deadline: 600ms, queue: 100}
 `
 
-// platformLog plays the platform's log.
+// platformLog is an in-memory implementation of the platform's log.
 type platformLog struct {
 	mu      sync.Mutex
 	records []platform.Record
 	changed chan struct{}
 }
 
-// append takes a record in.
+// append appends a record and returns its offset.
 func (l *platformLog) append(data string) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,7 +75,8 @@
 	return offset
 }
 
-// recordsFrom returns the records from an offset on, and what is closed once there are more.
+// recordsFrom returns the records starting at an offset, and a channel that is closed once there are
+// more.
 func (l *platformLog) recordsFrom(offset int64) (platform.Read, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,7 +84,7 @@
 	return platform.Read{Next: next, Records: l.records[min(offset, next):]}, l.changed
 }
 
-// read answers a read, which waits for records.
+// read serves a read. If there are no records, it waits for some.
 func (l *platformLog) read(w http.ResponseWriter, r *http.Request) {
 	offset, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
@@ -99,20 +101,21 @@
 	httpjson.Write(w, http.StatusOK, answer)
 }
 
-// boxHarness is one entry box, its platform and one target.
+// boxHarness runs one entry box with a simulated platform and one target.
 type boxHarness struct {
 	t        *testing.T
 	loop     *runtime.Loop
 	requests *runtime.Requests
 	log      *platformLog
-	// logProxy and targetProxy stand before the log and the target.
+	// logProxy and targetProxy forward the connections of the box to the log and the target.
 	logProxy, targetProxy *forward.Proxy
-	// gate, if set, is what requests at the target wait for.
+	// gate, if set, holds requests at the target until the expected number has arrived. It is
+	// protected by mu.
 	mu   sync.Mutex
 	gate *sync.WaitGroup
 }
 
-// newBoxHarness starts a box that has a target in a pool.
+// newBoxHarness starts a box with a target in a pool and waits until a request succeeds.
 func newBoxHarness(t *testing.T) *boxHarness {
 	t.Helper()
 	r := &boxHarness{t: t, log: &platformLog{changed: make(chan struct{})}, logProxy: forward.New(), targetProxy: forward.New()}
@@ -141,7 +144,7 @@
 	return r
 }
 
-// serve has a handler answer behind a forwarder and returns its address.
+// serve starts a server behind a proxy and returns the proxy's address.
 func (r *boxHarness) serve(f *forward.Proxy, h http.Handler) string {
 	r.t.Helper()
 	server := httptest.NewServer(h)
@@ -204,7 +207,7 @@
 	}
 }
 
-// publish has a file come into force.
+// publish publishes a file and waits until it is accepted.
 func (r *boxHarness) publish(name, data string) {
 	r.t.Helper()
 	poll.WaitOn(r.t, func(poll.LogT) poll.Result {
@@ -217,7 +220,7 @@
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(10*time.Millisecond))
 }
 
-// serveTarget is how the target answers.
+// serveTarget is the target's handler. It waits for the gate, if there is one.
 func (r *boxHarness) serveTarget(w http.ResponseWriter, req *http.Request) {
 	_, _ = io.Copy(io.Discard, req.Body)
 	r.mu.Lock()
@@ -230,8 +233,8 @@
 	httpjson.Write(w, http.StatusOK, struct{}{})
 }
 
-// sendRequest makes one request, which may not be repeated: it is refused with the key that it
-// then bears.
+// sendRequest sends one request, which is not idempotent: if it is first refused with an idempotency
+// key, it is sent again with that key.
 func (r *boxHarness) sendRequest() runtime.Result {
 	in := runtime.Incoming{
 		Pool: "p", Class: "c", Method: http.MethodPost, Path: "/x", Header: http.Header{}, Body: []byte("x"), Budget: requestDeadline,
@@ -244,7 +247,8 @@
 	return result
 }
 
-// openTargetConnections opens some connections to the target.
+// openTargetConnections opens count connections to the target by holding as many requests there at
+// the same time.
 func (r *boxHarness) openTargetConnections(count int) {
 	r.t.Helper()
 	gate := &sync.WaitGroup{}
@@ -260,7 +264,7 @@
 	r.mu.Unlock()
 }
 
-// sendRequests makes some requests at once.
+// sendRequests sends count requests concurrently and returns their results.
 func (r *boxHarness) sendRequests(count int) []runtime.Result {
 	results := make([]runtime.Result, count)
 	var calls sync.WaitGroup
@@ -271,20 +275,17 @@
 	return results
 }
 
-// Symptom: after connections to a target had gone silent its requests failed one after
-// the other, and it got none for seconds though it was well; after those to the log had,
-// files came into force seconds late.
+// Guards against two failures when open connections stop transferring data without a reset while new
+// ones work:
 //
-// Sequence: the open connections go silent, without a reset; new ones work.
-//
-// Cause: each silent connection in the pool cost a request its whole time, and three
-// such failures in a row took the target out; the only requests that may probe it went
-// to silent connections too. Reads of the log and appends waited out their time.
-//
-// What settled it: reading the code of the older mode beside the record of the other.
+//   - Each such connection to a target in the pool cost a request its whole time. Three failures in a
+//     row ejected the healthy target for seconds, and the requests that probe an ejected target went
+//     to dead connections too.
+//   - Reads and appends on dead connections to the log waited for their whole timeout, so files came
+//     into force seconds late.
 func TestUnresponsiveConnectionsOfRequestMode(t *testing.T) {
-	t.Run("a pool of them to a target costs one request", testUnresponsivePoolCostsOneRequest)
-	t.Run("requests under way on them do not take the target out", testRequestsInFlightDoNotEjectTarget)
+	t.Run("a pool of unresponsive connections to a target costs one request", testUnresponsivePoolCostsOneRequest)
+	t.Run("requests in flight on unresponsive connections do not eject the target", testRequestsInFlightDoNotEjectTarget)
 	t.Run("the log is read and written", testLogIsReadAndWritten)
 }
 
--- a/services/runtime/target.go
+++ b/services/runtime/target.go
@@ -23,10 +23,10 @@
 	"saddlevane/modules/httpjson"
 )
 
-// errUnterminatedAnswer says that an answer may lack its end.
-var errUnterminatedAnswer = errors.New("the answer's end cannot be told")
+// errUnterminatedAnswer means that a response may be truncated: its end is not marked.
+var errUnterminatedAnswer = errors.New("response has neither a content length nor a transfer encoding: it may be truncated")
 
-// targetRefusedError is a target's own word that it did not run a request.
+// targetRefusedError means that a target has reported that it did not run a request.
 type targetRefusedError struct{ leaving bool }
 
 func (e *targetRefusedError) Error() string {
@@ -36,26 +36,26 @@
 	return "the target refused the request"
 }
 
-// unresponsiveConnError says that a request had no answer on a connection that had carried others:
-// that may be silent, and the target well.
+// unresponsiveConnError means that a request got no response on a reused connection. The connection
+// may be dead while the target is healthy.
 type unresponsiveConnError struct{ err error }
 
-// Error returns what went wrong.
+// Error returns the message of the wrapped error.
 func (e *unresponsiveConnError) Error() string { return e.err.Error() }
 
-// Unwrap returns what went wrong.
+// Unwrap returns the wrapped error.
 func (e *unresponsiveConnError) Unwrap() error { return e.err }
 
-// refusalCause returns what a target said of itself.
+// refusalCause reports whether err is a target's refusal because the target is leaving or busy.
 func refusalCause(err error) (leaving, busy bool) {
-	if said, ok := errors.AsType[*targetRefusedError](err); ok {
-		return said.leaving, !said.leaving
+	if refusal, ok := errors.AsType[*targetRefusedError](err); ok {
+		return refusal.leaving, !refusal.leaving
 	}
 	return false, false
 }
 
-// targetClient exchanges requests with targets over HTTP. It keeps one pool of
-// connections for each bound on connections to a target.
+// targetClient sends requests to targets over HTTP. It has one transport with its connection pools
+// for each limit on the number of connections to a target.
 type targetClient struct {
 	maxAnswerBytes int64
 	settings       httpclient.Settings
@@ -63,19 +63,21 @@
 	pools          map[int]*httpclient.Transport
 }
 
-// newTargetClient returns a client of targets. A request that has no answer gives up only
-// connections that carry none: those under way may have run and are not sent again, so
-// they keep their time.
+// newTargetClient returns a client of targets. A request without a response discards only idle
+// connections: requests in flight on the others may have run and cannot be sent again, so they keep
+// the rest of their time.
 func newTargetClient(maxAnswer int64, c Connections, loop *Loop) *targetClient {
 	return &targetClient{maxAnswerBytes: maxAnswer, pools: map[int]*httpclient.Transport{}, settings: httpclient.Settings{
 		To: "target", DialTimeout: targetDialTimeout, IdleTimeout: c.IdleTimeout, Discard: conntrack.SilentAndIdle, Now: loop.now, Hooks: loop.connectionHooks(),
 	}}
 }
 
-// targetDialTimeout bounds the opening of a connection to a target: a packet that is lost is
-// sent again after 1 s and 3 s.
+// targetDialTimeout bounds the opening of a connection to a target. It allows two retransmissions
+// of a lost packet, which follow after 1 s and 3 s.
 const targetDialTimeout = 5 * time.Second
 
+// transport returns the transport for targets with a limit on their connections, and creates it on
+// first use.
 func (t *targetClient) transport(connections int) *httpclient.Transport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -87,6 +89,7 @@
 	return t.pools[connections]
 }
 
+// close closes the idle connections of all transports.
 func (t *targetClient) close() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,9 +98,9 @@
 	}
 }
 
-// exchange sends a request to a target and reads the whole answer. The error
-// says whether the request may have run: only if no connection was had, or by
-// the target's own word, it surely was not.
+// exchange sends a request to a target and reads the complete response. The error carries a verdict
+// on whether the request may have run: it is verdict.NotRun only if no connection was obtained or
+// the target reports that it did not run the request.
 func (t *targetClient) exchange(ctx context.Context, e effect.SendRequest, in *Incoming) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.Timeout)
 	defer cancel()
@@ -123,6 +126,7 @@
 	return t.readAnswer(e, resp)
 }
 
+// readAnswer translates a target's response.
 func (t *targetClient) readAnswer(e effect.SendRequest, resp *http.Response) (Result, error) {
 	if resp.Header.Get(request.HeaderVerdict) == string(verdict.NotRun) {
 		return Result{}, verdict.Wrap(verdict.NotRun, &targetRefusedError{leaving: resp.Header.Get(request.HeaderLeaving) != ""})
@@ -139,12 +143,13 @@
 	}, nil
 }
 
-// isDelimited says whether the answer's end was marked, so that a connection that
-// broke off would have been noticed.
+// isDelimited reports whether the end of the response is marked, so that a broken connection is
+// detected.
 func isDelimited(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
 
+// newTargetRequest returns the HTTP request for one attempt of a caller's request.
 func newTargetRequest(ctx context.Context, e effect.SendRequest, in *Incoming) (*http.Request, error) {
 	url := "http://" + e.Address + "/" + in.Class + in.Path
 	req, err := http.NewRequestWithContext(ctx, in.Method, url, nil)
@@ -165,9 +170,10 @@
 	return req, nil
 }
 
-// setBody sets the body so that the transport sends it again by itself only if
-// it has surely written nothing the first time. It would repeat a request
-// without a body, or a GET with GetBody, whenever a connection breaks.
+// setBody sets the body of a request such that the transport retries it on its own only if it has
+// certainly written nothing the first time. If a connection breaks, the transport would always
+// retry a request without a body, and a GET, HEAD, OPTIONS or TRACE request with GetBody, so the
+// body is always set and these methods get no GetBody.
 func setBody(req *http.Request, body []byte) {
 	open := func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(body)), nil }
 	req.Body, _ = open()
@@ -179,8 +185,8 @@
 	}
 }
 
-// droppedHeaders are headers that concern one connection only, or that would let
-// the transport send a request twice.
+// droppedHeaders are the headers that are not passed on: those that concern a single connection, and
+// those that allow the transport to send a request twice.
 var droppedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te",
 	"Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
--- a/services/runtime/workers.go
+++ b/services/runtime/workers.go
@@ -16,7 +16,7 @@
 	"github.com/sourcegraph/conc"
 )
 
-// maxReportBytes bounds a worker's report, in bytes.
+// maxReportBytes is the maximum size of a worker's report, in bytes.
 const maxReportBytes = 4 << 20
 
 // Workers is the adapter for the platform's workers.
@@ -29,9 +29,9 @@
 	goroutines conc.WaitGroup
 }
 
-// NewWorkers returns the adapter. One exchange takes at most timeout. An exchange is not
-// made again: its number must exceed those that the worker has seen, so the second would
-// be refused though the first was carried out.
+// NewWorkers returns the adapter. timeout bounds each exchange. An exchange is not retried: its
+// number must exceed all that the worker has seen, so a retry would be refused although the first
+// attempt was carried out.
 func NewWorkers(timeout time.Duration, c Connections, loop *Loop) *Workers {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Workers{
@@ -40,12 +40,13 @@
 	}
 }
 
-// Close ends what is under way and waits for it.
+// Close cancels the exchanges in progress and waits for their goroutines.
 func (w *Workers) Close() {
 	w.cancel()
 	w.goroutines.Wait()
 }
 
+// sync exchanges a sync for a worker's report in the background and posts a WorkerAnswered event.
 func (w *Workers) sync(e effect.SyncWorker) {
 	sentAt := w.loop.now()
 	w.goroutines.Go(func() {
@@ -64,9 +65,9 @@
 	})
 }
 
-// wrongWorkerError says that another worker answered at an address.
+// wrongWorkerError means that another worker than the expected one answered at an address.
 type wrongWorkerError struct{ want, got string }
 
 func (e *wrongWorkerError) Error() string {
-	return "the answer is of worker " + strconv.Quote(e.got) + ", not " + strconv.Quote(e.want)
+	return "the address belongs to worker " + strconv.Quote(e.got) + ", not " + strconv.Quote(e.want)
 }
