--- a/services/dispatch/advice.go
+++ b/services/dispatch/advice.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// compareNames orders workers by name; two lives of one worker compare equal.
+// compareNames orders workers by name; two incarnations of one worker compare equal.
 func compareNames(a, b *worker) int { return cmp.Compare(a.Name, b.Name) }
 
 // releaseHolds releases the capacity that was held until the call's answer.
@@ -171,8 +171,8 @@
 	a := &s.advice
 	a.RecordAnswer()
 	firstAsked := map[*worker]bool{}
-	// The answer applies to the lives of the workers at the time of the call; a worker that has
-	// restarted since is skipped.
+	// The answer applies to the incarnations of the workers at the time of the call; a worker that
+	// has restarted since is skipped.
 	asked := map[string]*worker{}
 	for _, w := range c.workers {
 		if _, known := a.IsEligible(w); !known {
--- a/services/dispatch/ask.go
+++ b/services/dispatch/ask.go
@@ -23,19 +23,20 @@
 )
 
 const (
-	// maxWorkersAsked is the most workers with room that advice for one step is requested on at a
-	// time.
+	// maxWorkersAsked is the maximum number of workers about which advice is requested for the
+	// unplaced tasks of one step at a time.
 	maxWorkersAsked = 60
-	// askFactor is the number of suitable slots to expect on the named workers for each unplaced
-	// task.
+	// askFactor is how many slots on suitable workers a request for advice should be expected to
+	// find for each unplaced task.
 	askFactor = 1.5
-	// minSlotsPerWorker is the number of slots that a named worker without any room counts for.
+	// minSlotsPerWorker is the number of slots for which a named worker without free capacity
+	// counts, because it may have some soon.
 	minSlotsPerWorker = 0.3
 )
 
 // requestAdvice calls the advice service for a step and some workers. It returns nil if the boxes
 // already have as many calls in flight as they should. Calls for late steps are made only through a
-// box without any.
+// box that has no call in flight.
 func (h *holderState) requestAdvice(now time.Time, s *step, q *job.Advice, workers []*worker) *adviceCall {
 	callTime := q.BaseTime + time.Duration(len(workers))*q.TimePerWorker
 	class := h.callClass(now, s)
@@ -116,7 +117,7 @@
 }
 
 // unaskedByFreeCapacity returns the candidates whose suitability for the step is neither known nor
-// requested, those with the most room first.
+// requested, those with the most available processors first.
 func (s *step) unaskedByFreeCapacity(candidates []*worker) []*worker {
 	var all []*worker
 	for _, w := range candidates {
@@ -146,10 +147,10 @@
 			if s.advice.IsKnownOrPending(w) {
 				continue
 			}
-			room := w.slots(s, w.available())
-			if room == 0 {
+			freeSlots := w.slots(s, w.available())
+			if freeSlots == 0 {
 				full = append(full, w)
-			} else if !yield(w, room) {
+			} else if !yield(w, freeSlots) {
 				return
 			}
 		}
@@ -178,9 +179,10 @@
 	return requested
 }
 
-// requestAdviceForUnplacedTasks requests advice on as many unknown workers as should have room for the
-// step's unplaced tasks, on those with room first. If few have room it names some more, which may
-// have room soon. It returns false if no call was made.
+// requestAdviceForUnplacedTasks requests advice on as many candidates as should have room for the
+// step's unplaced tasks, leaving out those whose suitability is known or already requested. It names
+// candidates with room first; if few have room, it names some more, which may have room soon. It
+// returns false if no call was made.
 func (h *holderState) requestAdviceForUnplacedTasks(now time.Time, r rankedStep, candidates []*worker) bool {
 	s := r.step
 	if !h.advisers.HasFreeBox(now, maps.Keys(h.core.members), r.queue.Advice.BaseTime, advisers.MaxQueueTime) {
@@ -188,20 +190,20 @@
 		return false
 	}
 	missing := askFactor * float64(s.unplacedTasks) / h.estimates.SuitableShare(r.queue.Name)
-	least := advisers.MinWorkersPerCall(r.queue.Advice)
+	minWorkers := advisers.MinWorkersPerCall(r.queue.Advice)
 	var named []*worker
-	for w, room := range s.unaskedRotated(candidates) {
-		if len(named) == maxWorkersAsked || len(named) >= least && missing <= 0 {
+	for w, freeSlots := range s.unaskedRotated(candidates) {
+		if len(named) == maxWorkersAsked || len(named) >= minWorkers && missing <= 0 {
 			break
 		}
 		named = append(named, w)
-		missing -= max(minSlotsPerWorker, float64(room))
+		missing -= max(minSlotsPerWorker, float64(freeSlots))
 	}
 	return h.requestAdviceOn(now, r, named)
 }
 
-// requestAdviceOnFreeWorkers requests advice on those of some workers that have room now. It returns false
-// if no call was made.
+// requestAdviceOnFreeWorkers requests advice on those of the given workers that have room for a task
+// of the step now. It returns false if no call was made.
 func (h *holderState) requestAdviceOnFreeWorkers(now time.Time, r rankedStep, workers []*worker) bool {
 	var withRoom []*worker
 	for _, w := range workers {
--- a/services/dispatch/attempts.go
+++ b/services/dispatch/attempts.go
@@ -18,10 +18,11 @@
 	worker *worker
 	state  attemptState
 	// stateSince is when the attempt entered its state; for a stop, when the stop was last
-	// ordered or was confirmed.
+	// ordered, or when it was confirmed.
 	stateSince time.Time
-	// renewalsSent is how many renewals the holder had sent by then: the answer to an earlier
-	// renewal does not prove that the worker does not have the run.
+	// renewalsSent is the number of the last renewal that the holder had sent to any worker when
+	// the attempt entered its state. The answer to that renewal or an earlier one does not prove
+	// that the worker does not have the run.
 	renewalsSent int64
 	// stopConfirmed is set once the worker has confirmed the stop, and for adopted runs.
 	stopConfirmed bool
@@ -32,8 +33,8 @@
 	// sent. The order is idempotent.
 	checkpoint, ticket string
 	orderCount         int
-	// figure is the load that the worker last reported, see order.Running: for a serving task
-	// its tail latency in milliseconds, else the processors in use in thousandths of one.
+	// measurement is the load that the worker last reported, see order.Running: for a serving
+	// task its tail latency in milliseconds, else the processors in use in thousandths of one.
 	measurement int64
 	// pace is the percentage of full speed at which the run works, or unknownPace;
 	// paceOrdered is set while the order of another pace is unanswered.
@@ -46,7 +47,7 @@
 	// reportedAt is when the worker last reported the run as running.
 	reportedAt time.Time
 	// markedForStop is set if the attempt is to be stopped for a gang that has reserved its
-	// room.
+	// capacity.
 	markedForStop bool
 	// stopRequestedAt is when the stop was first ordered.
 	stopRequestedAt time.Time
@@ -61,9 +62,9 @@
 	// under the earlier holder.
 	onlyLogged bool
 	// fromEarlierIncarnation is set if the start was ordered from an earlier incarnation of
-	// the worker: if the present one does not report the run, it never begins.
+	// the worker: if the current one does not report the run, the run never begins.
 	fromEarlierIncarnation bool
-	// workedUntilUnresponsive is how long the run had been at work when its worker became
+	// workedUntilUnresponsive is how long the run had been running when its worker became
 	// unresponsive under an earlier holder; it is valid if workedUntilUnresponsiveKnown is set.
 	workedUntilUnresponsive      time.Duration
 	workedUntilUnresponsiveKnown bool
@@ -86,8 +87,8 @@
 	attemptRunning attemptState = "running"
 	// attemptUnconfirmed means that the start order got no answer, so that the run may exist.
 	attemptUnconfirmed attemptState = "unsure"
-	// attemptStopping means that the stop was ordered. The room stays taken until the run has
-	// ended.
+	// attemptStopping means that the stop was ordered. The capacity stays in use until the run
+	// has ended.
 	attemptStopping attemptState = "stopping"
 )
 
@@ -99,7 +100,7 @@
 	return order.Run{Task: job.TaskID{StepID: a.step.id, Index: a.index}, Number: a.run}
 }
 
-// assign allocates an attempt's room on its worker and makes it the current attempt of its
+// assign allocates an attempt's capacity on its worker and makes it the current attempt of its
 // task.
 func (h *holderState) assign(now time.Time, a *attempt) {
 	a.worker.attempts[a.runID()] = a
@@ -115,7 +116,7 @@
 	h.trackSuspect(now, a)
 }
 
-// unassign frees an attempt's room on its worker. If it is still the current attempt of its
+// unassign frees an attempt's capacity on its worker. If it is still the current attempt of its
 // task, the task has to be placed again unless it is done.
 func (h *holderState) unassign(a *attempt) {
 	a.untrackSuspect()
--- a/services/dispatch/calls.go
+++ b/services/dispatch/calls.go
@@ -80,7 +80,7 @@
 		h.core.reply(e.Call, cancelUnsureAnswer)
 		return
 	}
-	h.finishJob(now, j, job.Cancelled, "a caller asked for it")
+	h.finishJob(now, j, job.Cancelled, "a caller cancelled it")
 	j.cancelCalls = append(j.cancelCalls, e.Call)
 	h.markDirty(j)
 }
--- a/services/dispatch/caps.go
+++ b/services/dispatch/caps.go
@@ -94,9 +94,9 @@
 // not reported: the longest lease that platforms grant, plus a takeover.
 const leftoverLifetime = 30 * time.Second
 
-// setUnreportedUsage sets, for each workspace, the resources of tasks that may run on workers whose running
-// tasks are not all known. The total is bounded by the capacity of these workers, and by the tasks
-// whose location is unknown.
+// setUnreportedUsage sets, for each workspace, the resources of tasks that may run on workers whose
+// running tasks are not all known. They are at most the resources of the tasks whose worker is not
+// known, and at most the capacity of these workers.
 func (h *holderState) setUnreportedUsage() {
 	var capacity resource.Vector
 	for _, w := range h.workersByName() {
--- a/services/dispatch/caps_test.go
+++ b/services/dispatch/caps_test.go
@@ -103,7 +103,7 @@
 // maxCap returns the highest cap under which a start that is carried out now may have been ordered,
 // for each resource separately. 0 means that there is no cap.
 func (w *world) maxCap(name string) resource.Vector {
-	most := w.config.Workspaces[name].Cap
+	limit := w.config.Workspaces[name].Cap
 	window := time.Second
 	if w.lateOrderShare > 0 {
 		window = maxOrderDelay
@@ -113,15 +113,15 @@
 			continue
 		}
 		former := f.caps[name].Cap
-		if most.Processors == 0 || former.Processors == 0 {
-			former.Processors, most.Processors = 0, 0
+		if limit.Processors == 0 || former.Processors == 0 {
+			former.Processors, limit.Processors = 0, 0
 		}
-		if most.Memory == 0 || former.Memory == 0 {
-			former.Memory, most.Memory = 0, 0
+		if limit.Memory == 0 || former.Memory == 0 {
+			former.Memory, limit.Memory = 0, 0
 		}
-		most = most.Max(former)
+		limit = limit.Max(former)
 	}
-	return most
+	return limit
 }
 
 // checkCap reports a violation if a start brings a workspace above its cap.
@@ -138,9 +138,9 @@
 			}
 		}
 	}
-	most := w.maxCap(name)
-	if most.Processors > 0 && running.Processors > most.Processors || most.Memory > 0 && running.Memory > most.Memory {
-		w.violationf("start of %v exceeds a cap: workspace %s has %v running, its cap is %v", s.Task, name, running, most)
+	limit := w.maxCap(name)
+	if limit.Processors > 0 && running.Processors > limit.Processors || limit.Memory > 0 && running.Memory > limit.Memory {
+		w.violationf("start of %v exceeds a cap: workspace %s has %v running, its cap is %v", s.Task, name, running, limit)
 	}
 }
 
--- a/services/dispatch/choice.go
+++ b/services/dispatch/choice.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// gangCandidateFactor times its tasks is the number of slots for which a gang should know
-	// eligible workers, so that it does not have to wait for particular ones. The factor grows by
+	// gangCandidateFactor is how many slots on eligible workers should be known for each task of a
+	// gang, so that it does not have to wait for particular workers. The factor grows by
 	// gangCandidateGrowth for each second that the gang has waited.
 	gangCandidateFactor = 2
 	gangCandidateGrowth = 0.5
@@ -22,7 +22,8 @@
 	// much of the workers' capacity is free: no other step needs the advice calls then.
 	maxGangCandidateFactor          = 3.5
 	maxAmpleCapacityCandidateFactor = 12
-	// widenInterval is the minimum time between two checks whether a gang knows enough workers.
+	// widenInterval is the minimum time between two checks whether enough eligible workers are known
+	// for a gang.
 	widenInterval = 200 * time.Millisecond
 )
 
@@ -46,7 +47,7 @@
 	return largest
 }
 
-// wantedSlots returns the number of task slots for which a gang should know eligible workers.
+// wantedSlots returns the number of task slots on eligible workers that should be known for a gang.
 func (s *step) wantedSlots(now time.Time, ampleRoom bool) float64 {
 	factor := float64(gangCandidateFactor)
 	if !s.openedAt.IsZero() {
@@ -59,25 +60,25 @@
 	return min(factor, maxFactor) * float64(len(s.tasks))
 }
 
-// missingSlots returns how many of the wanted slots are not covered by the candidates yet. A
-// candidate known to be eligible counts with all slots it has when empty, one whose answer is
-// pending with the share of them that is expected to be suitable.
-func (s *step) missingSlots(tasks float64, candidates []*worker, suitableShare float64) float64 {
+// missingSlots returns how many of the wanted slots are not covered by the candidates yet. It is
+// negative if they cover more. A candidate known to be eligible counts with all slots that it has
+// when empty, and one whose answer is pending with the share of them expected to be suitable.
+func (s *step) missingSlots(wanted float64, candidates []*worker, suitableShare float64) float64 {
 	for _, w := range candidates {
 		slots := float64(s.slotsWhenEmpty(w.Capacity))
 		switch eligible, known := s.advice.IsEligible(w); {
 		case known && eligible:
-			tasks -= slots
+			wanted -= slots
 		case !known && s.advice.IsPending(w):
-			tasks -= slots * suitableShare
+			wanted -= slots * suitableShare
 		}
 	}
-	return tasks
+	return wanted
 }
 
 // widenCandidates requests advice on more workers for a gang until the workers known to be
 // eligible, and those expected to be by pending answers, have the slots that wantedSlots returns.
-// The longer a gang has waited, the more workers it asks about.
+// The longer a gang has waited, the more workers advice is requested on.
 func (h *holderState) widenCandidates(now time.Time, r rankedStep, candidates []*worker, ampleRoom bool) {
 	s := r.step
 	if now.Before(s.nextWidenAt) {
--- a/services/dispatch/confirm.go
+++ b/services/dispatch/confirm.go
@@ -12,8 +12,8 @@
 	"saddlevane/models/stream"
 )
 
-// handleJournalAppendEnded handles the end of the append in flight. ErrDuplicateSequence means that an earlier
-// attempt of the same append succeeded.
+// handleJournalAppendEnded handles the end of the append in flight. ErrDuplicateSequence means that
+// an earlier attempt of the same append succeeded.
 func (h *holderState) handleJournalAppendEnded(now time.Time, e exchange.AppendEnded) {
 	j := &h.journal
 	if j.batch == nil || !j.batch.sent || e.Number != j.batch.append.Writer.Number() {
@@ -44,9 +44,9 @@
 
 // replyUnsure replies to the callers waiting for a batch that the outcome is unknown.
 func (h *holderState) replyUnsure(b *batch) {
-	for _, s := range b.newJobs {
-		h.replyToCalls(s.acceptCalls, exchange.Answer{Outcome: exchange.MaybeDone, Reason: "the log has not confirmed the job"})
-		s.acceptCalls = nil
+	for _, tj := range b.newJobs {
+		h.replyToCalls(tj.acceptCalls, exchange.Answer{Outcome: exchange.MaybeDone, Reason: "the log has not confirmed the job"})
+		tj.acceptCalls = nil
 	}
 	for i := range b.progressEntries {
 		p := &b.progressEntries[i]
@@ -72,18 +72,18 @@
 // refuseQueued replies to the callers waiting for a later append. Jobs that have not been in any
 // append are dropped, so they never run.
 func (h *holderState) refuseQueued() {
-	for _, s := range h.journal.unloggedJobs {
-		for _, call := range s.acceptCalls {
+	for _, tj := range h.journal.unloggedJobs {
+		for _, call := range tj.acceptCalls {
 			h.replyUnavailable(call, "the log is currently not accepting records")
 		}
-		s.acceptCalls = nil
-		s.state = job.Cancelled
-		delete(h.jobs, s.id)
+		tj.acceptCalls = nil
+		tj.state = job.Cancelled
+		delete(h.jobs, tj.id)
 	}
 	h.journal.unloggedJobs = nil
-	for _, s := range h.journal.dirtyJobs {
-		h.replyToCalls(s.cancelCalls, cancelUnsureAnswer)
-		s.cancelCalls = nil
+	for _, tj := range h.journal.dirtyJobs {
+		h.replyToCalls(tj.cancelCalls, cancelUnsureAnswer)
+		tj.cancelCalls = nil
 	}
 }
 
@@ -99,13 +99,13 @@
 	for _, r := range b.workerRecords {
 		r.worker.recorded = r.worker.recorded || r.number == r.worker.recordCount
 	}
-	for _, s := range b.newJobs {
-		s.accepted = true
-		h.replyToCalls(s.acceptCalls, exchange.Answer{Outcome: exchange.OK, State: s.state})
-		s.acceptCalls = nil
-		h.core.logEvent("job accepted", logField("job", string(s.id)), logField("queue", s.queue), logField("workspace", s.workspace), logField("claim", h.epoch),
-			logField("took", now.Sub(s.acceptedAt).String()), logField("open_steps", len(h.openSteps)))
-		h.openInstances(now, s)
+	for _, tj := range b.newJobs {
+		tj.accepted = true
+		h.replyToCalls(tj.acceptCalls, exchange.Answer{Outcome: exchange.OK, State: tj.state})
+		tj.acceptCalls = nil
+		h.core.logEvent("job accepted", logField("job", string(tj.id)), logField("queue", tj.queue), logField("workspace", tj.workspace), logField("claim", h.epoch),
+			logField("took", now.Sub(tj.acceptedAt).String()), logField("open_steps", len(h.openSteps)))
+		h.openInstances(now, tj)
 	}
 	for _, p := range b.progressEntries {
 		h.handleProgressAppended(now, p)
@@ -119,9 +119,9 @@
 func (h *holderState) handleProgressAppended(now time.Time, p progressEntry) {
 	p.job.reportedState = p.state
 	h.replyToCalls(p.cancelCalls, exchange.Answer{Outcome: exchange.OK, State: p.state})
-	for _, n := range p.ends {
-		n.MarkLogged()
-		h.renewSoon(now, n.Worker())
+	for _, report := range p.ends {
+		report.MarkLogged()
+		h.renewSoon(now, report.Worker())
 	}
 	if p.state.IsFinal() {
 		h.closeJob(p.job)
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -8,27 +8,30 @@
 // out. It does no I/O and reads no clock.
 //
 // Core is the state that every process has; the files claim, handover, outage and
-// move decide which box holds the cell. holderState is the additional state of the
-// holder, and these files work on it:
+// relocate decide which box holds the cell. holderState (holderstate) is the additional
+// state of the holder, and these files work on it:
 //
-//   - load restores what earlier holders wrote to the log, journal and confirm write
-//     new state;
+//   - restore rebuilds the state that earlier holders wrote to the log; journal appends
+//     new state to the log, and appended handles the results of these appends;
 //   - calls and status answer callers and operators, overview logs a summary of the
 //     cell;
 //   - jobs, instances and progress keep the jobs, their instances, steps and tasks;
+//     caps limits what a workspace uses and how many jobs it submits;
 //   - plan ranks the open steps (rank) and places their tasks (placement, fit,
-//     room); where there is no room it preempts tasks of lower rank (preempt), reserves
-//     room for a gang (reserve) or drains workers for it (keep);
-//   - ask and choice decide about which workers to ask the advice service, advice
-//     tracks the calls to it;
-//   - runtimes and speed learn from answers and run ends how many workers suit a step,
-//     how long steps take, and which workers are slow; remaining estimates how much
-//     time a step still needs;
+//     capacity); for tasks without capacity it preempts tasks of lower rank (preempt),
+//     reserves capacity for a gang (reserve) or drains workers (drain);
+//   - advicerequests and candidates choose the workers about which the advice service is
+//     asked, advice tracks the calls to it and their answers;
+//   - runtimes and speed learn how long steps take and which workers are slow, remaining
+//     estimates how much time a step still needs;
 //   - attempts, starts, stops, reports and ends track the runs on the workers, stall
-//     moves runs that make no progress, throttle sets the pace of tasks that fill idle
-//     processors;
-//   - workers, listing, lease and gone track the workers themselves, suspects runs
-//     tasks that are suspected of crashing workers on separate workers;
+//     stops runs that make no progress, throttle sets the pace of fillers, the tasks
+//     that use idle processors;
+//   - workers, listing and lease track the workers, incarnations their restarts;
+//     lostworkers releases what ran on a worker that is lost, unresponsive records in
+//     the log what may run on a worker that does not answer, inheritedstarts restores
+//     the starts that earlier holders ordered;
+//   - suspects runs tasks that are suspected of crashing workers on separate workers;
 //   - delay computes what made a job late.
 package dispatch
 
--- a/services/dispatch/ends.go
+++ b/services/dispatch/ends.go
@@ -22,7 +22,7 @@
 )
 
 // handleRunEnd applies the end of a run that a worker has reported. The end is acknowledged
-// once the log has its effect, or at once if it has none.
+// once the log has its effect, or at once if it has no effect.
 func (h *holderState) handleRunEnd(now time.Time, w *worker, end order.End, report *ends.Report[*worker]) {
 	a := w.attempts[end.Run]
 	s := h.findStep(end.Task.StepID)
@@ -92,7 +92,7 @@
 // counts for all members.
 func (h *holderState) completeTask(now time.Time, s *step, end order.End) {
 	if s.doneTasks == len(s.tasks) {
-		// The other members of the gang succeed as well.
+		// All members of a gang report their success; only the first report counts.
 		return
 	}
 	if s.spec.Gang {
@@ -194,7 +194,8 @@
 }
 
 // excludeFailingWorker counts the failure of a job on a worker, and excludes the worker from
-// new starts when excludeAfter different jobs have failed on it in a row.
+// new starts when excludeAfter different jobs have failed on it in a row. From then on each failure
+// of another job excludes it again, until a task succeeds there.
 func (h *holderState) excludeFailingWorker(now time.Time, w *worker, id job.ID) {
 	if w.lastFailed == id || !h.isEnabled(mechanism.Exclusion) {
 		return
--- a/services/dispatch/fit.go
+++ b/services/dispatch/fit.go
@@ -54,8 +54,9 @@
 	return slots.FillInOrder(allocations, h.placeable(s))
 }
 
-// candidates returns the workers that have room for a step. Avoided workers get no gang members.
-// For steps that are not short, slow workers rank the same as others.
+// candidates returns the workers that have room for a step. Workers whose slowness is
+// learned.Avoided get no gang members. For steps that are not short, workers whose slowness is
+// learned.Slow rank the same as others.
 func (h *holderState) candidates(now time.Time, s *step, eligible []*worker) []candidate {
 	candidates := make([]candidate, 0, len(eligible))
 	short := h.expectedTime(s) <= maxShortStep
--- a/services/dispatch/gangs_test.go
+++ b/services/dispatch/gangs_test.go
@@ -219,23 +219,16 @@
 	assert.DeepEqual(t, slices.Sorted(slices.Values(askedWorkers)), []string{"w0", "w1", "w2", "w3"})
 }
 
-// Symptom: two thirds of the processors were free, and nearly all of these were reserved for 46
-// gangs, none of which started. Jobs that had been accepted never ran.
+// Gangs without room reserve capacity and request tickets. A request takes at least 0.6 s, a ticket
+// is valid for 1.4 s, and after 3 s the gang releases its reservation and starts over. 46 gangs
+// blocked each other for two reasons: a request left out tickets that would expire before its answer,
+// and a gang's capacity counted as free only when all capacity reserved on its workers was free,
+// also that of other gangs whose preempted tasks had not ended. None of the gangs started, two
+// thirds of the processors were free but nearly all reserved, and accepted jobs never ran.
 //
-// Sequence: gangs without room reserve capacity and request tickets, which takes at least 0.6 s;
-// each ticket is valid for 1.4 s. A gang requests expired tickets again, but other tickets of it
-// expire before the answer comes. After 3 s it releases its reservation and starts over, as do all
-// other gangs. Meanwhile the capacity that one gang has reserved on a worker counts as used until
-// the tasks preempted there for another gang have ended.
-//
-// Cause: a ticket request left out the tickets that would expire before its answer, and the
-// capacity of a gang counted as free only when all capacity reserved on its workers was free, so
-// the gangs waited for each other.
-//
-// Evidence: the log line `a gang gives room back` in a run with 1,100 workers. Nearly all
-// reservations were released for lack of tickets, for 1 to 53 of their 7 to 68 workers, with no
-// task left to stop. In 2 s such reservations kept 61,800 processor-seconds idle, while those of
-// gangs that started kept 7,600 idle.
+// In such a run with 1,100 workers, nearly all reservations were released for lack of tickets, for 1
+// to 53 of their 7 to 68 workers, when no task was left to stop. In 2 s they kept 61,800
+// processor-seconds idle, those of gangs that started kept 7,600 idle.
 func TestGangsDoNotDeadlock(t *testing.T) {
 	for seed := int64(500); seed < 503; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/services/dispatch/gone.go
+++ b/services/dispatch/gone.go
@@ -10,7 +10,8 @@
 	"saddlevane/services/blame"
 )
 
-// handleWorkerUnresponsive records that a worker stopped answering at now.
+// handleWorkerUnresponsive records that a worker stopped answering at now. If a likely suspect runs
+// alone on the worker, that does not count as a sign that other workers crash from the same cause.
 func (h *holderState) handleWorkerUnresponsive(now time.Time, w *worker) {
 	w.presence.RecordUnresponsive(now, h.core.settings.RenewWait+renewMargin)
 	if w.isolatedAttempts == 0 {
@@ -18,8 +19,8 @@
 	}
 }
 
-// endingOf returns how the incarnation of an unresponsive worker ended. Over says that the
-// incarnation itself has ended, not only its lease.
+// endingOf returns how the incarnation of an unresponsive worker ended. over is true if the
+// incarnation itself has ended, and false if only its lease has.
 func (h *holderState) endingOf(now time.Time, w *worker, over bool) exchange.Ending {
 	if w.presence.UnresponsiveSince().IsZero() {
 		h.handleWorkerUnresponsive(now, w)
@@ -27,17 +28,18 @@
 	return w.presence.Ending(over)
 }
 
-// loseAttempts frees the tasks of an incarnation that has certainly ended them. Later is the
-// incarnation that has replaced it, or nil: attempts that it may still start are moved to it.
+// loseAttempts releases the attempts of an incarnation that certainly no longer runs them, so that
+// their tasks can be started elsewhere. later is the incarnation that has replaced it, or nil;
+// attempts that the later incarnation may still start are moved to it.
 func (h *holderState) loseAttempts(now time.Time, w, later *worker, ending exchange.Ending, reason string) {
 	lost := exchange.TasksLost{Ending: ending, Tasks: len(w.attempts)}
-	silentAt := w.presence.UnresponsiveSince()
+	unresponsiveSince := w.presence.UnresponsiveSince()
 	var suspects []blame.RunningTask
 	if ending == exchange.Crashed {
-		suspects = h.tasksAtCrash(w, silentAt)
+		suspects = h.tasksAtCrash(w, unresponsiveSince)
 	}
 	for _, a := range w.sortedAttempts() {
-		lost.Worked += a.maxWorkTime(silentAt)
+		lost.Worked += a.maxWorkTime(unresponsiveSince)
 		a.task().lostRuns++
 		if later != nil && a.mayStartOnSuccessor() {
 			h.moveToSuccessor(now, a, later)
@@ -51,17 +53,17 @@
 	}
 }
 
-// workTime returns how long the attempt had been running when its worker stopped answering at
-// silentAt, and whether that is known.
-func (a *attempt) workTime(silentAt time.Time) (time.Duration, bool) {
+// workTime returns how long the attempt had been running when its worker stopped answering, at
+// unresponsiveSince, and whether that is known.
+func (a *attempt) workTime(unresponsiveSince time.Time) (time.Duration, bool) {
 	if a.firstOrderedAt.IsZero() {
 		return a.workedUntilUnresponsive, a.workedUntilUnresponsiveKnown
 	}
-	return a.maxWorkTime(silentAt), true
+	return a.maxWorkTime(unresponsiveSince), true
 }
 
-// detectionDelay returns how late it may have been detected that the worker stopped answering.
-// While no renewal waits at the worker, a crash is detected only by the next one.
+// detectionDelay returns how long the worker may have been unresponsive before that was detected.
+// While no renewal waits at the worker, a crash is detected only by the next renewal.
 func (w *worker) detectionDelay() time.Duration {
 	if w.unresponsive.detectionDelay > 0 || w.aliveAt.IsZero() {
 		return w.unresponsive.detectionDelay
@@ -69,8 +71,8 @@
 	return max(0, w.presence.UnresponsiveSince().Sub(w.aliveAt))
 }
 
-// maxWorkTime returns how long the attempt had been running at a time at most, or 0 if an earlier
-// holder started it.
+// maxWorkTime returns the longest time that the attempt can have been running at the given time, or
+// 0 if an earlier holder started it.
 func (a *attempt) maxWorkTime(at time.Time) time.Duration {
 	if a.firstOrderedAt.IsZero() {
 		return 0
--- a/services/dispatch/handover.go
+++ b/services/dispatch/handover.go
@@ -24,8 +24,8 @@
 
 // continueStop releases the claim once no caller waits for the log, at the latest halfway
 // through the grace period, and reports the end of the stop after the grace period. Other
-// records need not be waited for: workers report ends until the log has them. A holder under
-// load that waited for these too was never done, and went on refusing callers for half of its
+// records need not be waited for: workers report ends until the log has them. When a
+// holder under load waited for these too, it never finished waiting and refused callers for half of its
 // grace period.
 func (c *Core) continueStop(now time.Time) {
 	if !c.authority.IsStopping() || c.stopped {
--- a/services/dispatch/hidden.go
+++ b/services/dispatch/hidden.go
@@ -13,8 +13,8 @@
 
 // If a worker crashes while no box holds the cell, only the log shows which tasks ran there.
 
-// needsStartRecord reports whether a start is to be recorded in the log: not if its task is done or
-// its job has ended.
+// needsStartRecord reports whether a start has to be recorded in the log. It does not if its task is
+// done or its job has ended.
 func (h *holderState) needsStartRecord(s recent.Start) bool {
 	st := h.findStep(s.Task.StepID)
 	return st != nil && !st.job.state.IsFinal() && !st.tasks[s.Task.Index].done
@@ -29,9 +29,9 @@
 	h.inheritedStarts = starts
 }
 
-// takeInheritedStarts returns the tasks that earlier holders had started on a worker which has not reported
-// to this holder, as far as they may have been running there when it crashed. It then forgets these
-// starts.
+// takeInheritedStarts returns the tasks that earlier holders started on a worker and that may have
+// been running there when it crashed. It then forgets these starts. There are none for a worker that
+// has reported to this holder.
 func (h *holderState) takeInheritedStarts(w *worker, crashedAt time.Time) []blame.RunningTask {
 	var all []blame.RunningTask
 	for _, s := range h.inheritedStarts.StartedOn(w.Incarnation) {
--- a/services/dispatch/holding.go
+++ b/services/dispatch/holding.go
@@ -58,7 +58,7 @@
 	endedJobs []*trackedJob
 
 	// workers has the current incarnation of each worker by name; formerWorkers has what is
-	// kept about workers that are gone.
+	// kept about workers that were removed.
 	workers       map[string]*worker
 	formerWorkers presence.FormerWorkers
 	// sortedWorkers caches the workers in the order of their names; it is nil after a change.
@@ -66,7 +66,7 @@
 	// submitPass is the pass that is shared by early advice requests for jobs which are
 	// submitted at about the same time.
 	submitPass *pass
-	// reservations tracks the room that is reserved for gangs.
+	// reservations tracks the capacity that is reserved for gangs.
 	reservations *reservations.Tracker
 	// knownPools has the pools that a configuration or a job has named; foreignEntries has
 	// the entries of the worker list that do not describe a worker.
@@ -80,9 +80,11 @@
 	unreportedWorkers map[string]bool
 
 	// advisers distributes calls to the advice service among the boxes.
-	advisers  *advisers.Balancer[*adviceCall]
+	advisers *advisers.Balancer[*adviceCall]
+	// estimates are learned from earlier runs and advice: run times, stop times, the share of
+	// workers suitable for a step, and the speed of the fleet.
 	estimates *learned.Estimates
-	// usage sums up what the tasks of each workspace take, workspaceShares limits the rate of
+	// usage sums up the resources of the tasks of each workspace, workspaceShares limits the rate of
 	// new jobs of each workspace, and leftoverUsage is what may still run of jobs that ended
 	// under earlier holders, by workspace.
 	usage           *workspaces.Usage
--- a/services/dispatch/jobs.go
+++ b/services/dispatch/jobs.go
@@ -19,8 +19,8 @@
 type trackedJob struct {
 	id    job.ID
 	queue string
-	// workspace is the workspace that owns the job, or empty. beyondShare is set if the job
-	// was more than the workspace's share.
+	// workspace is the workspace that owns the job, or empty. beyondShare is set if the workspace
+	// exceeded its share when the job was submitted.
 	workspace   string
 	beyondShare bool
 	// acceptedQueue is the configuration of the queue at the time when the job was accepted.
@@ -79,7 +79,7 @@
 	tasks    []task
 	// unplacedTasks counts the tasks that are neither placed nor done.
 	unplacedTasks int
-	// doneTasks counts the tasks that have succeeded, placedTasks the attempts that have room
+	// doneTasks counts the tasks that have succeeded, placedTasks the attempts that use capacity
 	// on a worker.
 	doneTasks   int
 	placedTasks int
@@ -90,7 +90,7 @@
 	// capReached is set if in the last plan the cap of the workspace did not allow all waiting
 	// tasks.
 	capReached bool
-	// explainedAt is when it was last logged why the step waits.
+	// explainedAt is the time of the last log line about why the step waits.
 	explainedAt time.Time
 	// openedAt is when the step was opened.
 	openedAt time.Time
@@ -100,19 +100,19 @@
 	preemptedAt time.Time
 	// failedOn has the workers on which a task of the step has failed.
 	failedOn map[*worker]bool
-	// notBefore is the earliest time of the next start. It is set after a start was refused or
-	// when a task is started too often.
+	// notBefore is the earliest time of the next start. It is set after a start was refused,
+	// after a gang's reservation has failed, and when a task is started too often.
 	notBefore time.Time
 	advice    advice
-	// nextReserveAt is the earliest time of the next search for room to reserve.
+	// nextReserveAt is the earliest time of the next search for capacity to reserve.
 	nextReserveAt time.Time
-	// reservation is the room that is reserved for a gang, or nil.
+	// reservation is the capacity that is reserved for a gang, or nil.
 	reservation *reservation
 	// longestRun is the longest uninterrupted run of a task that succeeded; interrupted is set
 	// if not all tasks succeeded in one run.
 	longestRun  time.Duration
 	interrupted bool
-	// waitSum is for how long the step waited for each cause before its first start, counted
+	// waitSum is how long the step has waited before its first start, by cause. It is counted
 	// until waitSumUntil.
 	waitSum      delays.Totals
 	waitSumUntil time.Time
--- a/services/dispatch/journal.go
+++ b/services/dispatch/journal.go
@@ -81,7 +81,7 @@
 
 // hasWaitingCallers reports whether a submitted job or a cancellation waits for the log.
 func (j *journal) hasWaitingCallers() bool {
-	if len(j.unloggedJobs) > 0 || slices.ContainsFunc(j.dirtyJobs, func(s *trackedJob) bool { return len(s.cancelCalls) > 0 }) {
+	if len(j.unloggedJobs) > 0 || slices.ContainsFunc(j.dirtyJobs, func(tj *trackedJob) bool { return len(tj.cancelCalls) > 0 }) {
 		return true
 	}
 	return j.batch != nil && (len(j.batch.newJobs) > 0 ||
@@ -151,10 +151,10 @@
 func (j *journal) addNewJobs(b *batch) int {
 	size := 0
 	for len(j.unloggedJobs) > 0 && size < maxBatchBytes {
-		s := j.unloggedJobs[0]
+		tj := j.unloggedJobs[0]
 		j.unloggedJobs = j.unloggedJobs[1:]
-		b.newJobs = append(b.newJobs, s)
-		size += b.addRecord(kept.Submission{Queue: s.acceptedQueue, Submission: *s.submission, Accepted: s.acceptedUnixMilli}.Record())
+		b.newJobs = append(b.newJobs, tj)
+		size += b.addRecord(kept.Submission{Queue: tj.acceptedQueue, Submission: *tj.submission, Accepted: tj.acceptedUnixMilli}.Record())
 	}
 	return size
 }
@@ -165,22 +165,22 @@
 	j := &h.journal
 	dirty := j.dirtyJobs
 	j.dirtyJobs = nil
-	for _, s := range dirty {
-		if h.jobs[s.id] != s {
+	for _, tj := range dirty {
+		if h.jobs[tj.id] != tj {
 			// The job was refused before it was part of any append.
-			s.progressPending = false
+			tj.progressPending = false
 			continue
 		}
-		if size >= maxBatchBytes || !s.accepted && !slices.Contains(b.newJobs, s) {
-			j.dirtyJobs = append(j.dirtyJobs, s)
+		if size >= maxBatchBytes || !tj.accepted && !slices.Contains(b.newJobs, tj) {
+			j.dirtyJobs = append(j.dirtyJobs, tj)
 			continue
 		}
-		s.progressPending = false
-		b.progressEntries = append(b.progressEntries, progressEntry{job: s, state: s.state, ends: s.unloggedEnds, cancelCalls: s.cancelCalls})
-		s.unloggedEnds, s.cancelCalls = nil, nil
-		size += b.addRecord(kept.ProgressRecord(s.id, s.progress(h.blame)))
-		if s.state.IsFinal() {
-			b.append.Records = append(b.append.Records, kept.DropSubmission(s.id))
+		tj.progressPending = false
+		b.progressEntries = append(b.progressEntries, progressEntry{job: tj, state: tj.state, ends: tj.unloggedEnds, cancelCalls: tj.cancelCalls})
+		tj.unloggedEnds, tj.cancelCalls = nil, nil
+		size += b.addRecord(kept.ProgressRecord(tj.id, tj.progress(h.blame)))
+		if tj.state.IsFinal() {
+			b.append.Records = append(b.append.Records, kept.DropSubmission(tj.id))
 		}
 	}
 }
--- a/services/dispatch/keep.go
+++ b/services/dispatch/keep.go
@@ -24,7 +24,8 @@
 	maxShortStep = time.Second
 )
 
-// usableWorkers returns the eligible workers that a step may use. Gangs get no avoided workers.
+// usableWorkers returns the eligible workers that a step may use. Gangs get no workers whose
+// slowness is learned.Avoided.
 func (h *holderState) usableWorkers(p *pass, r rankedStep) []*worker {
 	short := h.expectedTime(r.step) <= maxShortStep
 	var workers []*worker
@@ -54,8 +55,8 @@
 // the largest worker.
 const largeTaskSlots = 2
 
-// isLarge reports whether each worker of the set has room for at most one of a step's tasks at a time.
-// Such tasks find no room while smaller tasks come and go.
+// isLarge reports whether each worker of the set has room for at most one of a step's tasks at a
+// time. Smaller tasks use the capacity that becomes free before it is enough for such a task.
 func (set *workerSet) isLarge(s *step) bool {
 	return set.maxCapacity.FitCount(s.spec.Reserved(), job.MaxTasks) < largeTaskSlots
 }
--- a/services/dispatch/late_test.go
+++ b/services/dispatch/late_test.go
@@ -70,7 +70,8 @@
 	assert.Equal(t, len(effectsOf[exchange.StartRun](effects)), 1, "the answer to the renewal in flight shows that the run is gone")
 }
 
-// A refusal means that the job has not run. A known job may have run.
+// A refused submission means that the job has not run. Submitting a known job again must not be
+// refused, because that job may have run.
 func TestOverloadedHolderRefusesOnlyUnknownJobs(t *testing.T) {
 	d := oneWorker(t)
 	d.submitAndLog(oneStep("known", "quick", 1, false))
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -16,8 +16,8 @@
 	"saddlevane/services/lateness"
 )
 
-// maxLeaseDuration returns the duration of a lease, by the holder's clock, on the slowest worker
-// clock allowed.
+// maxLeaseDuration returns how long a lease can last on the holder's clock, if the worker's clock is
+// as slow as allowed.
 func (h *holderState) maxLeaseDuration() time.Duration {
 	return lateness.MaxLeaseDuration(h.core.settings.Lease)
 }
@@ -44,7 +44,8 @@
 	}
 }
 
-// renewSoon schedules the worker's next renewal for when it may have reported some more ends.
+// renewSoon moves the worker's next renewal forward to minRenewIntervalAfterEnds from now, so that one
+// answer can report several ends. It does nothing after a failed renewal.
 func (h *holderState) renewSoon(now time.Time, w *worker) {
 	if at := now.Add(minRenewIntervalAfterEnds); at.Before(w.renewAt) && w.failedRenewals == 0 {
 		w.renewAt = at
@@ -80,10 +81,11 @@
 	})
 }
 
-// canAcknowledgeEnds reports whether the ends of runs may be acknowledged to the worker. That is
-// the case if the known incarnation is certainly the current one or, at least, no later one has
-// ended a task: the worker answered the last renewal, and has reported every task started on it
-// that may have ended.
+// canAcknowledgeEnds reports whether a renewal may acknowledge ends of runs. A later incarnation of
+// the worker may receive the renewal and would take the acknowledgement for one of its own ends,
+// which have the same numbers. That cannot happen if the worker answered the last renewal, no other
+// incarnation is listed, and every task started on the worker that may have ended by now has been
+// reported: a later incarnation, if there is one, then has no ends.
 func (h *holderState) canAcknowledgeEnds(now time.Time, w *worker) bool {
 	if w.failedRenewals > 0 || w.incarnations.HasCandidate() {
 		return false
@@ -96,8 +98,8 @@
 	return true
 }
 
-// mayRenew reports whether leases may be extended. The next holder relies on it that the leases
-// given by this one expire after its authority has ended.
+// mayRenew reports whether leases may be extended. The next holder relies on this holder not
+// extending any lease after its authority has ended.
 func (h *holderState) mayRenew(now time.Time) bool {
 	return h.core.authority.IsHolder(now) && !h.invitePending
 }
@@ -181,10 +183,10 @@
 	// renewWaitShare is the part of the usual time of the worker's shortest task for which a
 	// renewal may wait there: if an answer is lost, the ends in it stay unknown until the next one.
 	renewWaitShare = 0.5
-	// minRenewWait is the least such wait.
+	// minRenewWait is the minimum of that wait.
 	minRenewWait = 200 * time.Millisecond
-	// renewMargin is how much longer than its wait a renewal may take: answers arrive within some
-	// milliseconds.
+	// renewMargin is how much longer than its wait a renewal may take until it times out. Answers
+	// usually arrive within some milliseconds.
 	renewMargin = 200 * time.Millisecond
 )
 
@@ -211,9 +213,9 @@
 	reasonLaterHolder      = "a worker has seen a later holder"
 )
 
-// handleSuperseded handles an answer saying that the incarnation meant has ended, or that the
+// handleSuperseded handles an answer saying that the addressed incarnation has ended, or that the
 // worker has seen a later holder, which ends this holder's authority. It returns false for any
-// other answer. Renewal is the number of the renewal, or 0 for other orders.
+// other answer. renewal is the number of the renewal, or 0 for other orders.
 func (h *holderState) handleSuperseded(now time.Time, w *worker, a order.Answer, renewal int64) bool {
 	switch {
 	case a.Outcome == order.WrongIncarnation:
@@ -227,8 +229,9 @@
 	}
 }
 
-// handleRenewFailed schedules another renewal after a failed one: soon, and ever less often for a
-// worker that runs nothing.
+// handleRenewFailed schedules another renewal after a failed one: at once after the first failure,
+// later at intervals of renewRetryDelay, which grow up to maxIdleRenewRetryDelay for a worker
+// without attempts.
 func (h *holderState) handleRenewFailed(now time.Time, w *worker, e exchange.RenewEnded) {
 	w.failedRenewals++
 	if len(w.overdue) < maxOverdueRenewals {
@@ -248,6 +251,7 @@
 		// In most cases a single answer was lost, so the next renewal is sent at once.
 		w.renewAt = now
 		if e.Answer.Reason == order.ConnectionClosed || e.Answer.Outcome == order.NotDone {
+			// The worker may have restarted.
 			w.incarnations.RaiseFence(h.renewalsSent)
 		}
 		h.renew(now, w)
@@ -299,7 +303,7 @@
 	h.renew(now, w)
 }
 
-// sweepWorkers sends the renewals that are due and frees the tasks of workers whose lease has
+// sweepWorkers sends the renewals that are due and releases the attempts of workers whose lease has
 // expired.
 func (h *holderState) sweepWorkers(now time.Time) {
 	h.dropMissing(now)
@@ -318,8 +322,8 @@
 	}
 }
 
-// handleLeaseExpired frees the tasks of a worker whose lease has expired, so that it has certainly
-// ended them.
+// handleLeaseExpired releases the attempts of a worker whose lease has expired: the worker has
+// certainly ended their runs.
 func (h *holderState) handleLeaseExpired(now time.Time, w *worker) {
 	if len(w.attempts) > 0 || w.reported || h.unreportedWorkers[w.Name] {
 		h.core.logEvent("worker's lease has run out", logField("worker", w.Incarnation.String()), logField("tasks", len(w.attempts)),
--- a/services/dispatch/listing.go
+++ b/services/dispatch/listing.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// handleOtherIncarnationListed handles an entry of another incarnation of a worker. It may be an
-// earlier or a later one, so a renewal asks the worker.
+// handleOtherIncarnationListed handles an entry of another incarnation of a worker, which may be
+// earlier or later than the known one. The answer to a renewal shows which of them is running.
 func (h *holderState) handleOtherIncarnationListed(now time.Time, w *worker, o order.Worker) {
 	if !w.incarnations.HasCandidate() {
 		return
--- a/services/dispatch/lives.go
+++ b/services/dispatch/lives.go
@@ -26,11 +26,11 @@
 // the users' protocol says "seconds".
 const maxOrderDelay = 15 * time.Second
 
-// currentWorker returns the worker of that name if life is, as far as the holder can determine, its
-// current incarnation, else nil.
-func (h *holderState) currentWorker(life order.Incarnation) *worker {
-	w := h.workers[life.Name]
-	if w == nil || w.DiffersFrom(life) {
+// currentWorker returns the worker with the name in id if id is, as far as the holder can determine,
+// its current incarnation, else nil.
+func (h *holderState) currentWorker(id order.Incarnation) *worker {
+	w := h.workers[id.Name]
+	if w == nil || w.DiffersFrom(id) {
 		return nil
 	}
 	return w
@@ -48,12 +48,12 @@
 	if listed {
 		n.presence.RecordEntry(o.Leaving)
 	}
-	how := h.endingOf(now, w, true)
+	ending := h.endingOf(now, w, true)
 	h.core.logEvent("worker has started again", logField("worker", w.Incarnation.String()), logField("life", n.Incarnation.String()), logField("tasks", len(w.attempts)),
-		logField("how", string(how)), logField("listed", listed))
+		logField("how", string(ending)), logField("listed", listed))
 	h.workers[n.Name] = n
 	h.sortedWorkers = nil
-	h.loseAttempts(now, w, n, how, reasonRestarted)
+	h.loseAttempts(now, w, n, ending, reasonRestarted)
 	n.fencePending = true
 	n.leaseExpiresBy = now.Add(maxOrderDelay + h.maxForeignLease())
 	h.applyEnds(now, n, e.Report.Ended)
@@ -82,8 +82,8 @@
 // the run.
 func (a *attempt) mayStartOnSuccessor() bool { return a.reportedAt.IsZero() || a.orderCount > 1 }
 
-// moveToSuccessor places an attempt on a later incarnation of its worker, which may have started it
-// or may still do so, until that incarnation reports what it runs.
+// moveToSuccessor places an attempt on a later incarnation of its worker, which may have started the
+// run or may still do so. The attempt stays there until that incarnation reports what it runs.
 func (h *holderState) moveToSuccessor(now time.Time, a *attempt, successor *worker) {
 	h.unassign(a)
 	n := &attempt{
@@ -121,19 +121,19 @@
 
 // setBirthTime sets the birth time of an incarnation that was known by name only, and corrects its
 // record in the log.
-func (h *holderState) setBirthTime(w *worker, life order.Incarnation) {
-	if w.BornUnixMilli != 0 || life.BornUnixMilli == 0 {
+func (h *holderState) setBirthTime(w *worker, id order.Incarnation) {
+	if w.BornUnixMilli != 0 || id.BornUnixMilli == 0 {
 		return
 	}
-	w.Incarnation = life
+	w.Incarnation = id
 	if w.recorded || w.recordPending {
 		w.recorded, w.recordPending = false, false
 		h.recordWorker(w)
 	}
 }
 
-// handleWrongIncarnation handles an answer saying that the incarnation meant is not at the worker's
-// address.
+// handleWrongIncarnation handles an answer saying that the addressed incarnation is not at the
+// worker's address.
 func (h *holderState) handleWrongIncarnation(now time.Time, w *worker) {
 	next, listed := w.incarnations.Candidate()
 	h.handleWorkerTerminated(now, w, reasonOtherIncarnation)
--- a/services/dispatch/lives_test.go
+++ b/services/dispatch/lives_test.go
@@ -197,8 +197,8 @@
 	assert.Equal(t, len(effectsOf[exchange.StartRun](append(effects, d.submitAndLog(oneStep("j", "quick", 1, false))...))), 1)
 }
 
-// A new holder learns of a run on an unresponsive worker from the log, and of a later run of the
-// same task from another worker.
+// A new holder restores a run on an unresponsive worker from the log, that worker restarts, and
+// another worker reports a later run of the same task. The later run must continue as the only one.
 func TestRunMovedToSuccessorYieldsToLaterRunOfItsTask(t *testing.T) {
 	d := newHarness(t)
 	fence := d.claimCell(time.Second)
--- a/services/dispatch/look_test.go
+++ b/services/dispatch/look_test.go
@@ -13,9 +13,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// The worker answers a renewal before a start reaches it. A holder that is late handles both
-// answers at once, with a time before that at which the renewal was sent. The report does not list
-// the run, but the task must not be started a second time.
+// A worker answers a renewal before a start order reaches it, so its report does not list the run.
+// A holder that is late may handle the answer to the start with a time before that at which the
+// renewal was sent, so the times do not show that the report is older than the run. The task must
+// not be started a second time.
 func TestRenewalSentBeforeStartDoesNotProveAbsence(t *testing.T) {
 	d, renewals := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	starts := effectsOf[exchange.StartRun](d.submitAndLog(oneStep("j", "quick", 1, false)))
--- a/services/dispatch/move.go
+++ b/services/dispatch/move.go
@@ -35,12 +35,12 @@
 func (c *Core) inviteLargest(reachable []string) {
 	h := c.holding
 	largest := c.members.LargestAt(reachable)
-	reason := "it is larger"
+	reason := "the other box is larger"
 	switch {
 	case largest.Box == "" || h.invitePending || h.shuttingDown:
 		return
 	case !c.authority.IsLogReachable():
-		reason = "the log answers it and not this box"
+		reason = "the log answers the other box but not this one"
 	case !authority.IsMuchLarger(largest, c.self):
 		return
 	}
--- a/services/dispatch/overview.go
+++ b/services/dispatch/overview.go
@@ -16,7 +16,7 @@
 const overviewInterval = 2 * time.Second
 
 // answeringByRack counts the answering workers of each rack. Workers that do not answer are left
-// out because they cannot crash.
+// out because no further crash of them can be detected.
 func (h *holderState) answeringByRack() map[string]int {
 	n := map[string]int{}
 	for _, w := range h.workersByName() {
--- a/services/dispatch/placement.go
+++ b/services/dispatch/placement.go
@@ -9,8 +9,8 @@
 	"saddlevane/services/slots"
 )
 
-// placeStep starts as many waiting tasks of a step as possible, or requests the advice that this
-// needs. It returns false if tasks remain unplaced for lack of capacity.
+// placeStep starts as many waiting tasks of a step as possible, or requests the advice that is
+// needed for that. It returns false if tasks remain unplaced for lack of capacity.
 func (h *holderState) placeStep(p *pass, r rankedStep) bool {
 	s := r.step
 	defer func() { s.advice.prioritized = false }()
--- a/services/dispatch/plan.go
+++ b/services/dispatch/plan.go
@@ -19,8 +19,8 @@
 	// ampleFreeCapacity is set if much of the workers' capacity is free, so that preempted tasks are placed
 	// again at once.
 	ampleFreeCapacity bool
-	// drained counts the workers that are being drained, that is kept free of other tasks until
-	// they are empty.
+	// drained counts the workers that are being drained for a step: until they are empty, they get
+	// no new tasks of other steps, except short ones.
 	drained int
 	// victimRanks caches the ranks of the steps whose tasks may be preempted, because the tasks of
 	// one step are on many workers.
--- a/services/dispatch/preempt.go
+++ b/services/dispatch/preempt.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// capacityWithoutStops returns the room that a step has on workers, without further stops, once all
-// attempts that are being stopped have ended.
+// capacityWithoutStops returns for how many more tasks of a step each worker has room, without
+// further stops, once all attempts that are being stopped have ended.
 func (s *step) capacityWithoutStops(now time.Time, workers []*worker) []preemption {
 	var all []preemption
 	for _, w := range workers {
--- a/services/dispatch/remaining_test.go
+++ b/services/dispatch/remaining_test.go
@@ -74,7 +74,7 @@
 	for i := range 8 {
 		w.advanceWithProgress(400*time.Millisecond, 10*(i+1))
 	}
-	// After 3.2 s a fifth of the work is left. Started again, the task would be late.
+	// After 3.2 s a fifth of the work is left. If the task were started again, it would be late.
 	assert.Equal(t, len(w.submitCompetitor("k")), 0)
 }
 
@@ -83,7 +83,7 @@
 	for i := range 8 {
 		w.advanceWithProgress(400*time.Millisecond, 3*(i+1))
 	}
-	// At this speed it ends in 10 s.
+	// At this speed the task ends in 10 s.
 	stops := w.submitCompetitor("k")
 	assert.Check(t, len(stops) > 0 && stops[0].Order.Run == w.run, "%v", stops)
 }
@@ -93,7 +93,7 @@
 	for i := range 24 {
 		w.advanceWithProgress(400*time.Millisecond, 4*(i+1))
 	}
-	// It is late and ends within 0.4 s, so that a stop would not free its room any sooner.
+	// The task is late and ends within 0.4 s, so a stop would not free its capacity any sooner.
 	assert.Equal(t, len(w.submitCompetitor("k")), 0)
 }
 
--- a/services/dispatch/reports.go
+++ b/services/dispatch/reports.go
@@ -12,7 +12,7 @@
 	"saddlevane/services/delays"
 )
 
-// applyReport updates what the holder assumes of a worker to the worker's report.
+// applyReport updates the state of a worker and its attempts from the worker's report.
 func (h *holderState) applyReport(now time.Time, w *worker, e exchange.RenewEnded) {
 	h.applyEnds(now, w, e.Report.Ended)
 	clear(w.orphans)
@@ -30,7 +30,7 @@
 	h.moveStalled(now, w)
 }
 
-// applyEnds applies the ends of runs in a report that are new.
+// applyEnds applies those ends of runs in a report that were not reported before.
 func (h *holderState) applyEnds(now time.Time, w *worker, all []order.End) {
 	for _, end := range all {
 		if report, isNew := w.reportedEnds.Add(w, end.Number); isNew {
@@ -108,13 +108,14 @@
 
 // applyAbsence handles an attempt that a report does not list. A renewal sent before the attempt
 // entered its current state proves nothing, since the worker may have answered it before. A run
-// that is being stopped is listed as running until its end is reported.
+// that is being stopped is listed as running until its end is reported, so one that is not listed
+// after its stop was confirmed never started.
 func (h *holderState) applyAbsence(now time.Time, a *attempt, renewal int64) {
 	if a.state == attemptStarting || renewal <= a.renewalsSent {
 		return
 	}
 	if a.fromEarlierIncarnation {
-		h.loseAttempt(now, a, "the worker's current incarnation has not started it")
+		h.loseAttempt(now, a, "the worker's current incarnation has not started the run")
 		return
 	}
 	if a.state == attemptUnconfirmed {
@@ -123,9 +124,9 @@
 	}
 	switch {
 	case a.state == attemptRunning:
-		h.loseAttempt(now, a, "the worker no longer has it")
+		h.loseAttempt(now, a, "the worker no longer reports the run")
 	case a.stopConfirmed:
-		h.loseAttempt(now, a, "it was stopped before it started")
+		h.loseAttempt(now, a, "the run was stopped before it started")
 	}
 }
 
--- a/services/dispatch/reserve.go
+++ b/services/dispatch/reserve.go
@@ -259,7 +259,7 @@
 
 // requestTicketsInEqualCalls requests tickets in as few calls as possible, all of about the same
 // size, so that their answers arrive at about the same time. It returns false if a call could not
-// be made.
+// be made. After a failed call it makes no calls until the retry is due, and returns true.
 func (h *holderState) requestTicketsInEqualCalls(now time.Time, r rankedStep, workers []*worker) bool {
 	if now.Before(r.step.advice.retryAt) {
 		return true
--- a/services/dispatch/runtimes.go
+++ b/services/dispatch/runtimes.go
@@ -40,8 +40,8 @@
 	return h.estimates.ExpectedRunTime(s.job.queue, s.spec.Estimate.Duration())
 }
 
-// recordRunTime records that a task of a step succeeds at now. Only uninterrupted runs that this
-// holder started and saw running show how long a step takes.
+// recordRunTime records that a task of a step succeeds at now. Only an uninterrupted run that this
+// holder started, and whose start the worker confirmed, shows how long a step takes.
 func (s *step) recordRunTime(now time.Time, a *attempt) {
 	if a == nil || a.adopted || a.resumed || a.state != attemptRunning {
 		s.interrupted = true
--- a/services/dispatch/settings.go
+++ b/services/dispatch/settings.go
@@ -29,22 +29,22 @@
 	// StopGrace is how long a process that is stopping still serves calls.
 	StopGrace time.Duration
 	// ConfigPropagation is how long a change of the configuration may take until it is in force
-	// everywhere. ShareWindow is for how long the unused share of a workspace accumulates.
+	// everywhere. ShareWindow is how long the unused share of a workspace accumulates.
 	ConfigPropagation, ShareWindow time.Duration
 	// Disabled has the parts of the policy that are switched off.
 	Disabled map[mechanism.Mechanism]bool
 }
 
 const (
-	// unresponsiveTimeout is for how long, beyond RenewWait, a worker may leave renewals
-	// unanswered before no tasks are started on it.
+	// unresponsiveTimeout is how long, in addition to RenewWait, a worker may leave renewals
+	// unanswered until it gets no more tasks.
 	unresponsiveTimeout = 1500 * time.Millisecond
 	// startAnswerTimeout is how long a worker may take to answer a start before it gets no
 	// more starts. Answers usually take a few milliseconds.
 	startAnswerTimeout = 100 * time.Millisecond
-	// stopRetryDelay is after which time an unanswered stop is sent again.
+	// stopRetryDelay is the time after which an unanswered stop is sent again.
 	stopRetryDelay = 300 * time.Millisecond
-	// renewRetryDelay is after which time a failed renewal is sent again.
+	// renewRetryDelay is the time after which a failed renewal is sent again.
 	renewRetryDelay = 150 * time.Millisecond
 	// maxIdleRenewRetryDelay is the upper bound of that time for a worker that runs nothing.
 	maxIdleRenewRetryDelay = 2 * time.Second
@@ -53,21 +53,20 @@
 	// minRenewIntervalAfterEnds is the minimum time between two renewals at a worker that
 	// reported ends, so that one answer reports several ends.
 	minRenewIntervalAfterEnds = 20 * time.Millisecond
-	// renewDelayWhileUnlogged is after which time a worker is renewed again whose reported
-	// ends cannot be written to the log at present.
+	// renewDelayWhileUnlogged is the time until the next renewal of a worker whose last reported
+	// end is not in the log yet.
 	renewDelayWhileUnlogged = 400 * time.Millisecond
 	// noHolderRetryAfter is the retry time that callers get from a box that does not hold the
 	// cell.
 	noHolderRetryAfter = 600 * time.Millisecond
-	// appendRetryDelay is after which time a failed append is sent again.
+	// appendRetryDelay is the time after which a failed append is sent again.
 	appendRetryDelay = 60 * time.Millisecond
 	// leaseWaitDivisor limits the timeout of calls to workers, which grows while most answers
 	// are late, to a third of the lease: after a renewal whose answer is lost there is still
 	// time for another one.
 	leaseWaitDivisor = 3
-	// configMargin is subtracted from ConfigPropagation: a configuration that was not
-	// confirmed in that time is no longer relied on this much earlier, because a call may be
-	// in transit for as long.
+	// configMargin is subtracted from ConfigPropagation to get the time for which a configuration
+	// counts as current after it was last read, because a call may be in transit for that long.
 	configMargin = 300 * time.Millisecond
 	// runsPerEpoch is the range of run numbers of each claim. Run numbers start at the epoch
 	// times runsPerEpoch, so that they rise from one claim to the next.
--- a/services/dispatch/shrink_test.go
+++ b/services/dispatch/shrink_test.go
@@ -84,7 +84,7 @@
 }
 
 // A gang's reservation on a worker whose capacity shrinks below it can never be used. It was kept
-// for its 3 s, and with it the reservations on all other workers of the gang.
+// until the limit of 3 s, together with the gang's reservations on all other workers.
 func TestReservationThatNoLongerFitsIsReleased(t *testing.T) {
 	d, _ := newHolder(t,
 		order.Worker{Incarnation: order.Incarnation{Name: "v"}, Address: "v", Pool: pool, Capacity: workerCapacity}, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
--- a/services/dispatch/silence.go
+++ b/services/dispatch/silence.go
@@ -21,12 +21,12 @@
 
 // unresponsiveRecord describes the log's record of a worker that does not answer.
 type unresponsiveRecord struct {
-	// written is true if the log has such a record or is about to, writtenAt is when the last one
-	// was added to the journal.
+	// written is true if the log has such a record or the journal is about to append one. writtenAt
+	// is when the last one was added to the journal.
 	written   bool
 	writtenAt time.Time
-	// detectionDelay is how late an earlier holder may have detected that the worker stopped
-	// answering.
+	// detectionDelay is how long the worker may have been unresponsive before an earlier holder
+	// detected that.
 	detectionDelay time.Duration
 }
 
@@ -40,13 +40,14 @@
 )
 
 // refreshUnresponsiveRecord records in the log what may run on a worker that does not answer, and
-// updates that record at intervals.
+// updates that record at intervals. It writes no first record of a worker that has not reported to
+// this holder, because what may run there is not known.
 func (h *holderState) refreshUnresponsiveRecord(now time.Time, w *worker) {
-	again := w.unresponsive.written
+	hasRecord := w.unresponsive.written
 	switch {
-	case w.failedRenewals < failedRenewalsBeforeRecord, !again && !w.reported:
+	case w.failedRenewals < failedRenewalsBeforeRecord, !hasRecord && !w.reported:
 		return
-	case again && (now.Sub(w.unresponsive.writtenAt) < unresponsiveRecordInterval || h.journal.isFailing(now)):
+	case hasRecord && (now.Sub(w.unresponsive.writtenAt) < unresponsiveRecordInterval || h.journal.isFailing(now)):
 		return
 	}
 	h.recordUnresponsive(now, w)
@@ -71,9 +72,9 @@
 }
 
 // recordedWorkTime returns how long the attempt had been running at a time, for the log, or -1 if
-// that is unknown. Without it, a crash followed by a takeover counted as one after at least a lease
-// of work, which is hardly evidence: a task that crashes its workers was given up only after seven
-// crashes.
+// that is unknown. When the log did not have this time, the next holder assumed that the attempt had
+// run for at least a lease before the crash. Such a crash is hardly evidence against a task, so one
+// that crashed its workers was given up only after seven crashes.
 func (a *attempt) recordedWorkTime(at time.Time) job.Milliseconds {
 	if worked, known := a.workTime(at); known {
 		return job.Milliseconds(worked.Milliseconds())
--- a/services/dispatch/starts.go
+++ b/services/dispatch/starts.go
@@ -42,10 +42,10 @@
 
 // limitStartRate delays a step if one of its tasks is started too often.
 func (h *holderState) limitStartRate(now time.Time, a *attempt) {
-	if again, often := a.task().startLimit.RecordStart(now); often {
-		a.step.delayStart(again)
+	if notBefore, tooOften := a.task().startLimit.RecordStart(now); tooOften {
+		a.step.delayStart(notBefore)
 		h.core.logEvent("a task is started too often and waits", logField("job", string(a.step.job.id)),
-			logField("task", a.runID().Task.String()), logField("run", a.run), logField("wait", again.Sub(now).String()))
+			logField("task", a.runID().Task.String()), logField("run", a.run), logField("wait", notBefore.Sub(now).String()))
 	}
 }
 
@@ -119,7 +119,7 @@
 }
 
 // maxStartTries is how often an unanswered start is sent in all. In most cases only the
-// order or its answer was lost, and a worker that has the run already reports that.
+// order or its answer was lost, and a worker that already has the run reports it.
 const maxStartTries = 4
 
 // notDoneExclusion is how long a worker that did not carry out a start gets no more starts.
@@ -132,8 +132,8 @@
 		!a.step.job.state.IsFinal() && h.mayRenew(now)
 }
 
-// handleStartUnconfirmed handles a start of which it is not known whether it was carried
-// out. It sends the order again if it may; else the attempt keeps its room until the
+// handleStartUnconfirmed handles a start that may or may not have been carried out. It sends
+// the order again if that is allowed; otherwise the attempt keeps its capacity until the
 // worker's next report shows whether the run exists.
 func (h *holderState) handleStartUnconfirmed(now time.Time, a *attempt, answer order.Answer) {
 	if h.canRetryStart(now, a) && answer.Outcome == order.Unknown {
--- a/services/dispatch/status.go
+++ b/services/dispatch/status.go
@@ -31,7 +31,7 @@
 	return s
 }
 
-// addHolderStatus adds what only the holder knows.
+// addHolderStatus adds the parts of the status that only the holder has.
 func (h *holderState) addHolderStatus(now time.Time, s *job.CellStatus) {
 	s.Jobs = map[job.State]int{}
 	for _, j := range h.jobs {
--- a/services/dispatch/stops.go
+++ b/services/dispatch/stops.go
@@ -10,7 +10,7 @@
 	"saddlevane/models/order"
 )
 
-// stopAttempt orders a worker to stop an attempt. Its room stays taken until it has ended.
+// stopAttempt orders a worker to stop an attempt, which keeps its capacity until its run has ended.
 func (h *holderState) stopAttempt(now time.Time, a *attempt) {
 	if a.state == attemptStopping {
 		return
@@ -53,8 +53,8 @@
 	}
 }
 
-// handleStopEnded applies the answer to a stop order. The attempt keeps its room until a
-// report contains the end of the run.
+// handleStopEnded applies the answer to a stop order. The attempt keeps its capacity until
+// a report contains the end of the run.
 func (h *holderState) handleStopEnded(now time.Time, e exchange.StopEnded) {
 	w := h.currentWorker(e.Worker)
 	if w == nil || e.Epoch != h.epoch {
--- a/services/dispatch/suspects.go
+++ b/services/dispatch/suspects.go
@@ -46,7 +46,7 @@
 	return s.spec.Gang && h.blame.SuspectCount(s.id) > 0
 }
 
-// isWaitingSuspect reports whether a waiting task is a suspect that must be tried apart. Gangs are
+// isWaitingSuspect reports whether a task waits and is a suspect that must be tried apart. Gangs are
 // handled as a whole by isSuspectedGang.
 func (h *holderState) isWaitingSuspect(s *step, index int) bool {
 	t := &s.tasks[index]
@@ -219,8 +219,8 @@
 	return shortest
 }
 
-// trackSuspect updates the counters of the worker if an attempt is of a suspect, and records the
-// trial for the next holder.
+// trackSuspect updates the worker's counters if an attempt runs a suspect. It also records the start
+// of any task that has a blame record, for the next holder.
 func (h *holderState) trackSuspect(now time.Time, a *attempt) {
 	if !h.recordTrial(now, a.step, a.index, a.worker) {
 		return
@@ -301,8 +301,8 @@
 	}
 }
 
-// canPrepareTrial reports whether a worker is kept free for a suspect or may be. Only few workers
-// are at a time.
+// canPrepareTrial reports whether a worker is or may be kept free for a suspect. Only a few workers
+// are kept free at the same time.
 func (h *holderState) canPrepareTrial(s *step, index int) bool {
 	dedicated := 0
 	for _, w := range h.workersByName() {
@@ -419,16 +419,16 @@
 // isBetterForTrial reports whether a candidate is a better worker for the trial of a suspect than
 // another.
 func (c candidate) isBetterForTrial(o candidate, alone bool) bool {
-	beside := 0
+	byAttempts := 0
 	if alone {
-		beside = cmp.Compare(len(c.Worker.attempts), len(o.Worker.attempts))
+		byAttempts = cmp.Compare(len(c.Worker.attempts), len(o.Worker.attempts))
 	}
-	return cmp.Or(cmp.Compare(c.unticketed, o.unticketed), beside, c.compare(o)) < 0
+	return cmp.Or(cmp.Compare(c.unticketed, o.unticketed), byAttempts, c.compare(o)) < 0
 }
 
 // hasPendingProgress reports whether the log does not have the latest progress of a job yet.
-func (j *journal) hasPendingProgress(s *trackedJob) bool {
-	return s.progressPending || j.batch != nil && slices.ContainsFunc(j.batch.progressEntries, func(b progressEntry) bool { return b.job == s })
+func (j *journal) hasPendingProgress(tj *trackedJob) bool {
+	return tj.progressPending || j.batch != nil && slices.ContainsFunc(j.batch.progressEntries, func(b progressEntry) bool { return b.job == tj })
 }
 
 // suspectReason explains why a suspect of the step waits, or returns "" if the step has no
--- a/services/dispatch/throttle.go
+++ b/services/dispatch/throttle.go
@@ -69,7 +69,7 @@
 	w.fillPace, w.throttledAt = next, now
 }
 
-// sendPace orders the worker's pace for each of its fillers that runs at another pace.
+// sendPace orders w.fillPace for each of the worker's fillers that runs at another pace.
 func (h *holderState) sendPace(now time.Time, w *worker) {
 	for _, a := range w.sortedAttempts() {
 		if a.step.spec.Filler && a.state == attemptRunning && a.pace != w.fillPace && !a.paceOrdered {
--- a/services/dispatch/throttle_test.go
+++ b/services/dispatch/throttle_test.go
@@ -25,7 +25,7 @@
 // newSharedWorker returns a worker on which both tasks have started.
 func newSharedWorker(t *testing.T) *sharedWorker {
 	t.Helper()
-	d, looks := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
+	d, renewals := newHolder(t, order.Worker{Incarnation: order.Incarnation{Name: "w"}, Address: "w", Pool: pool, Capacity: workerCapacity})
 	s := oneStep("j", "quick", 1, false)
 	s.Steps[0].Service, s.Steps[0].TailTarget = true, 100
 	s.Steps = append(s.Steps, job.Step{Tasks: 1, Need: defaultNeed, Filler: true})
@@ -34,7 +34,7 @@
 	for _, start := range starts {
 		d.handle(exchange.StartEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Run: start.Order.Run, Answer: order.Answer{Outcome: order.CarriedOut}})
 	}
-	w := &sharedWorker{harness: d, renewal: looks["w"], serving: starts[0].Order.Run, filler: starts[1].Order.Run}
+	w := &sharedWorker{harness: d, renewal: renewals["w"], serving: starts[0].Order.Run, filler: starts[1].Order.Run}
 	if w.serving.Task.Step != 0 {
 		w.serving, w.filler = w.filler, w.serving
 	}
--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -48,7 +48,7 @@
 	// orphans are runs that this holder would not have started. What they use is unknown, so no
 	// task is started on the worker while it has any.
 	orphans map[order.Run]bool
-	// committed is the capacity reserved for steps that wait for tickets.
+	// committed is the capacity held for steps that wait for tickets or reserved for gangs.
 	committed resource.Vector
 	// gangReservations is the part of committed that is reserved for gangs, in the order in which
 	// it was reserved.
@@ -90,19 +90,21 @@
 	// change.
 	fillPace    int
 	throttledAt time.Time
-	// speed is the learned speed of tasks on the worker.
+	// speed is the learned speed of tasks on the worker, compared with their expected run times.
 	speed learned.Speed
-	// drainedFor is the gang for which the worker is drained. Short steps may use it meanwhile.
+	// drainedFor is the gang, or the step with large tasks, for which the worker is drained. Apart
+	// from that step, only short steps may use the worker meanwhile.
 	drainedFor *step
 	// prevDrainedFor is the value of drainedFor in the previous planning pass.
 	prevDrainedFor *step
-	// failedJobs counts consecutive failed ends of different jobs.
+	// failedJobs counts the different jobs whose tasks failed on the worker in a row. lastFailed is
+	// the last of them.
 	failedJobs int
 	lastFailed job.ID
-	// suspectAttempts counts the attempts of suspect tasks on the worker, isolatedAttempts those of
-	// them beside which nothing may be started.
+	// suspectAttempts counts the attempts of suspect tasks on the worker. isolatedAttempts counts
+	// those of them that must run alone: nothing else may be started on the worker meanwhile.
 	suspectAttempts, isolatedAttempts int
-	// prepared is the trial of a likely suspect for which the worker is kept idle, or nil.
+	// trialPreparation is set while the worker is kept free for the trial of a likely suspect.
 	trialPreparation *trialPreparation
 	// excludedUntil is when the worker may get starts again.
 	excludedUntil time.Time
@@ -186,10 +188,10 @@
 
 // handleWorkerTerminated removes a worker whose incarnation has certainly ended, and frees its
 // tasks.
-func (h *holderState) handleWorkerTerminated(now time.Time, w *worker, why string) {
-	how := h.endingOf(now, w, true)
-	h.core.logEvent("worker is gone", logField("worker", w.Incarnation.String()), logField("reason", why), logField("tasks", len(w.attempts)), logField("how", string(how)))
-	h.loseAttempts(now, w, nil, how, why)
+func (h *holderState) handleWorkerTerminated(now time.Time, w *worker, reason string) {
+	ending := h.endingOf(now, w, true)
+	h.core.logEvent("worker is gone", logField("worker", w.Incarnation.String()), logField("reason", reason), logField("tasks", len(w.attempts)), logField("how", string(ending)))
+	h.loseAttempts(now, w, nil, ending, reason)
 	delete(h.unreportedWorkers, w.Name)
 	h.removeWorker(now, w)
 }
