--- a/models/box/box.go
+++ b/models/box/box.go
@@ -51,7 +51,8 @@
 	Boxes []Box `json:"boxes"`
 }
 
-// MaxBoxes limits the length of a list. It exceeds the number of boxes that the two-year target sets.
+// MaxBoxes limits the length of a list. It exceeds the number of boxes that the platform is
+// designed for.
 const MaxBoxes = 100_000
 
 // UnmarshalJSON returns an error unless the entry has a name, a domain, a known role, a known state and
--- a/models/claim/claim.go
+++ b/models/claim/claim.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package claim defines the record by which a box becomes the holder of a cell's workers. Each record
-// is self-contained, so the newest one is enough to know the holder.
+// Package claim defines the record by which a box becomes the holder of a cell's workers. Each
+// record is self-contained, so the newest one is enough to determine the holder.
 package claim
 
 import "fmt"
--- a/models/exchange/effects.go
+++ b/models/exchange/effects.go
@@ -156,7 +156,7 @@
 	Waiting int       `json:"waiting,omitempty"`
 	// Explanation is set if the call asked for it.
 	Explanation *job.Explanation `json:"explanation,omitempty"`
-	// Holder is the newest claim that the box knows, if it does not hold the cell itself.
+	// Holder is the newest claim known to the box, if it does not hold the cell itself.
 	Holder *claim.Claim `json:"holder,omitempty"`
 	// LogReachable is set if the box can reach the log.
 	LogReachable bool `json:"steady,omitempty"`
--- a/models/job/explain.go
+++ b/models/job/explain.go
@@ -42,7 +42,7 @@
 	LogAnswers bool     `json:"log_answers"`
 	Config     int64    `json:"config"`
 	Members    []string `json:"members"`
-	// Only the holder sets the fields below: OpenSteps counts the steps that are not done,
+	// The fields below are set by the holder only. OpenSteps counts the steps that are not done,
 	// UnsettledWorkers the workers of earlier holders that have not reported their runs yet, and
 	// AppendsFailing is set while appends to the log fail.
 	Jobs             map[State]int  `json:"jobs,omitempty"`
@@ -52,7 +52,7 @@
 	Workers          []WorkerStatus `json:"workers,omitempty"`
 	Processors       string         `json:"processors,omitempty"`
 	ProcessorsUsed   string         `json:"processors_used,omitempty"`
-	// Relays maps each entry box to the number of workers whose orders it carries.
+	// Relays maps each entry box to the number of workers to which it relays orders.
 	Relays map[string]int `json:"relays,omitempty"`
 	// Workspaces lists the usage and the cap of each workspace.
 	Workspaces []WorkspaceStatus `json:"workspaces,omitempty"`
--- a/models/job/job.go
+++ b/models/job/job.go
@@ -120,8 +120,7 @@
 	Queue string `json:"queue"`
 	// Workspace is the workspace that owns the job, or empty if it was submitted without a key.
 	Workspace string `json:"workspace,omitempty"`
-	// Spec is passed to the workers unchanged and tells them what to run. It is not interpreted
-	// here.
+	// Spec defines what the workers run. It is passed to them unchanged and is not interpreted here.
 	Spec   string `json:"spec"`
 	Steps  []Step `json:"steps"`
 	Repeat Repeat `json:"repeat,omitzero"`
--- a/models/mechanism/mechanism.go
+++ b/models/mechanism/mechanism.go
@@ -33,7 +33,7 @@
 	DividedAdvice Mechanism = "divided-advice"
 	// RepeatedStarts resends start orders that are not answered.
 	RepeatedStarts Mechanism = "repeated-starts"
-	// OverdueStarts sends no starts to a worker with overdue answers.
+	// OverdueStarts sends no starts to a worker whose answers to earlier starts are overdue.
 	OverdueStarts Mechanism = "owed-answers"
 	// ShortRenewals limits how long a worker may delay its answer to a renewal, depending on its
 	// shortest task.
--- a/models/order/order.go
+++ b/models/order/order.go
@@ -111,7 +111,7 @@
 	GangIncomplete EndStatus = "alone"
 )
 
-// Outcome tells whether an order was carried out, as far as that is known when its call has ended.
+// Outcome states whether an order was carried out, as far as that is known when its call has ended.
 type Outcome string
 
 // The outcomes. WrongIncarnation means that another incarnation than the intended one runs at the
--- a/models/record/record.go
+++ b/models/record/record.go
@@ -31,8 +31,8 @@
 	Failed     *Tasks      `json:"failed,omitempty"`
 	Checkpoint *Checkpoint `json:"checkpoint,omitempty"`
 	Forget     *Forget     `json:"forget,omitempty"`
-	// Mark changes nothing. A process that reads its own mark knows that it has read everything
-	// that was in the log before.
+	// Mark changes nothing. A process that reads its own mark has read everything that was in the
+	// log before.
 	Mark *Mark `json:"mark,omitempty"`
 }
 
--- a/models/resource/vector.go
+++ b/models/resource/vector.go
@@ -82,6 +82,7 @@
 	)
 }
 
+// share returns part/whole, or 0 if whole is not positive.
 func share(part, whole int64) float64 {
 	if whole <= 0 {
 		return 0
--- a/models/spec/parse.go
+++ b/models/spec/parse.go
@@ -120,6 +120,7 @@
 	}
 }
 
+// checkFile checks all fields of a file.
 func (c *checker) checkFile(f *File) {
 	c.checkName("name", f.Name, nil)
 	c.checkRacks(f.Racks)
@@ -143,6 +144,7 @@
 	c.checkSettlements(f.Settled)
 }
 
+// checkRacks checks the racks. Their names and those of their workers must be unique.
 func (c *checker) checkRacks(racks []Rack) {
 	names, workers := map[string]string{}, map[string]string{}
 	for i, r := range racks {
@@ -159,6 +161,7 @@
 	}
 }
 
+// checkTeams checks the teams. Their names must be unique.
 func (c *checker) checkTeams(teams []Team) {
 	names := map[string]string{}
 	for i, t := range teams {
@@ -170,6 +173,8 @@
 	}
 }
 
+// checkPools checks the pools and their classes. The names of pools, and of the classes of a pool,
+// must be unique.
 func (c *checker) checkPools(pools []Pool) {
 	names := map[string]string{}
 	for i, p := range pools {
@@ -187,6 +192,7 @@
 	}
 }
 
+// checkClass checks the class at path. Seen is as in checkName.
 func (c *checker) checkClass(path string, k Class, seen map[string]string) {
 	c.checkName(path+".name", k.Name, seen)
 	if k.Priority == "" {
@@ -198,6 +204,7 @@
 	c.checkRange(path+".queue", k.Queue, 1, maxQueue)
 }
 
+// checkWork checks the common fields of the service, job or gang at path. Seen is as in checkName.
 func (c *checker) checkWork(path string, w *Work, seen map[string]string) {
 	c.checkName(path+".name", w.Name, seen)
 	c.checkName(path+".team", w.Team, nil)
@@ -213,6 +220,7 @@
 	}
 }
 
+// checkBatch checks the fields of the job or gang at path that only jobs and gangs have.
 func (c *checker) checkBatch(path string, b *Batch) {
 	if b.Expected < 0 {
 		c.fail(path+".expected", "want 0s or more, got %s", b.Expected)
@@ -220,6 +228,7 @@
 	c.checkRange(path+".retries", b.Retries, 0, maxRetries)
 }
 
+// checkSettlements checks the settlements of tasks.
 func (c *checker) checkSettlements(settled []Settlement) {
 	for i, s := range settled {
 		path := indexed("settled", i)
--- a/models/status/status.go
+++ b/models/status/status.go
@@ -49,16 +49,19 @@
 	Phase  string `json:"phase"`
 	Holder string `json:"holder"`
 	// Workers counts all workers of the shard, Held those whose lease this process has.
-	Workers     int     `json:"workers"`
-	Held        int     `json:"held"`
-	Running     int     `json:"running"`
-	Waiting     int     `json:"waiting"`
-	Packed      float64 `json:"packed"`
-	Starts      int64   `json:"starts"`
-	Lost        int64   `json:"lost"`
-	Preemptions int64   `json:"preemptions"`
-	Takeovers   int64   `json:"takeovers"`
-	Duplicates  int64   `json:"duplicates"`
+	Workers int `json:"workers"`
+	Held    int `json:"held"`
+	Running int `json:"running"`
+	Waiting int `json:"waiting"`
+	// Packed is the reserved fraction of the capacity of the workers.
+	Packed float64 `json:"packed"`
+	// The fields below count events since the process started: starts of tasks, tasks lost without
+	// an outcome, preempted tasks, takeovers of the shard, and tasks found on two workers.
+	Starts      int64 `json:"starts"`
+	Lost        int64 `json:"lost"`
+	Preemptions int64 `json:"preemptions"`
+	Takeovers   int64 `json:"takeovers"`
+	Duplicates  int64 `json:"duplicates"`
 }
 
 // Pool is a pool as one process sees it.
--- a/models/verdict/verdict.go
+++ b/models/verdict/verdict.go
@@ -9,7 +9,7 @@
 	"fmt"
 )
 
-// Verdict tells whether a request has run at its target, as far as that is known.
+// Verdict states whether a request has run at its target, as far as that is known.
 type Verdict string
 
 // The verdicts. A refused request gets NotRun, one whose answer was lost MayHaveRun, and one whose
--- a/services/advisers/advisers.go
+++ b/services/advisers/advisers.go
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: MIT
 
 // Package advisers distributes calls to the advice service over the entry boxes, because the
-// service handles one call at a time from each box. Advice is which workers may run a step, with
-// tickets for those that may.
+// service handles one call at a time from each box. Advice names the workers that may run a step,
+// with a ticket for each of them.
 package advisers
 
 import (
--- a/services/authority/authority.go
+++ b/services/authority/authority.go
@@ -20,12 +20,12 @@
 
 // Settings holds the timing of claims and renewals.
 type Settings struct {
-	// Renew is the time between two renewals of the claim.
+	// RenewInterval is the time between two renewals of the claim.
 	RenewInterval time.Duration
 	// HoldFor is how long a holder may act, counted from when it sent the last
 	// renewal that is known to be in the log.
 	HoldFor time.Duration
-	// ClaimAfter is how long a box must have read no renewal before it claims. It
+	// ClaimAfter is how long a box must not have read any renewal before it claims. It
 	// exceeds HoldFor by the most that two monotonic clocks may drift apart in that time.
 	ClaimAfter time.Duration
 }
--- a/services/authority/authority_test.go
+++ b/services/authority/authority_test.go
@@ -45,11 +45,11 @@
 	return nil, nil, now
 }
 
-// Guards against two boxes holding the cell at once for up to the duration of a pledge.
-// The log appends the claim of a box, but the answer is lost, and the retry is answered
-// that the stream has moved. Before the box reads its own claim, the former holder, which
-// cannot reach the log, asks for a pledge. The box used to give it, because it had no
-// append in flight any more.
+// TestBoxWithUnconfirmedClaimRefusesPledge guards against two boxes holding the cell at once for up
+// to the duration of a pledge. The log appends the claim of a box, but the answer is lost, and the
+// retry is answered that the end of the stream has moved. Before the box reads its own claim, the
+// former holder, which cannot reach the log, asks for a pledge. The box used to give it, because it
+// had no append in flight any more.
 func TestBoxWithUnconfirmedClaimRefusesPledge(t *testing.T) {
 	a, claimed, now := newClaimingBox(t)
 	a.AppendEnded(now, claimed.Claim.Renewal, 0, &stream.EndMismatchError{End: 2})
--- a/services/blame/background.go
+++ b/services/blame/background.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// priorRate is the crash rate of a worker, per second, assumed before anything was observed,
-	// and priorSeconds the number of worker-seconds for which that assumption counts. With 600 s,
+	// priorRate is the crash rate of a worker, per second, that is assumed before anything was
+	// observed, and priorSeconds the weight of that assumption, in worker-seconds. With 600 s,
 	// 24 workers that each crashed every 29 s were still estimated to crash every 60 s after half a
 	// minute.
 	priorRate    = 1.0 / 3600
 	priorSeconds = 100.0
-	// rackPriorSeconds is the number of worker-seconds for which the overall rate counts in the
+	// rackPriorSeconds is the weight, in worker-seconds, of the overall rate in the estimate of the
 	// rate of a rack.
 	rackPriorSeconds = 600.0
 	// decayTime is the time in which the weight of an observation falls to 1/e. recentDecayTime is
@@ -28,10 +28,11 @@
 	// within seconds.
 	decayTime       = 10 * time.Minute
 	recentDecayTime = 20 * time.Second
-	// commonCauseWindow is the longest time between the silences of two workers that have a common
-	// cause. simultaneousWindow is the same if both crashes are detected at once: a pending lease
-	// renewal fails at once, while others run into their timeout. simultaneousShare is the share of
-	// common-cause crashes that is assumed to be detected at once.
+	// commonCauseWindow is the longest time between the moments at which two workers stop answering
+	// for a common cause. simultaneousWindow is the same if both crashes are detected at once: a
+	// pending lease renewal fails at once, while a later call fails after its timeout.
+	// simultaneousShare is the share of common-cause crashes that is assumed to be detected at
+	// once.
 	commonCauseWindow  = 1500 * time.Millisecond
 	simultaneousWindow = 150 * time.Millisecond
 	simultaneousShare  = 0.5
@@ -100,7 +101,7 @@
 	at          time.Time
 	incarnation order.Incarnation
 	rack        string
-	// weight is the probability that none of its tasks caused the silence.
+	// weight is the probability that none of its tasks is the reason.
 	weight float64
 }
 
@@ -137,11 +138,14 @@
 	}
 }
 
+// advance decays the exposure by the factor keep and adds the time passed for the given number of
+// workers.
 func (e *exposure) advance(keep float64, passed time.Duration, workers int) {
 	e.Crashes *= keep
 	e.Seconds = e.Seconds*keep + passed.Seconds()*float64(workers)
 }
 
+// rackExposure returns the exposure of a rack, which it adds if there is none.
 func (b *Background) rackExposure(name string) *exposure {
 	if b.racks == nil {
 		b.racks = map[string]*exposure{}
@@ -170,17 +174,17 @@
 
 // RecordUnresponsive records that a worker has stopped answering. risk is the probability that its
 // suspects caused that.
-func (b *Background) RecordUnresponsive(now time.Time, life order.Incarnation, rack string, risk float64) {
-	b.unresponsiveWorkers = append(b.unresponsiveWorkers, unresponsiveWorker{at: now, incarnation: life, rack: rack, weight: 1 - risk})
+func (b *Background) RecordUnresponsive(now time.Time, incarnation order.Incarnation, rack string, risk float64) {
+	b.unresponsiveWorkers = append(b.unresponsiveWorkers, unresponsiveWorker{at: now, incarnation: incarnation, rack: rack, weight: 1 - risk})
 }
 
 // RecordResponsive records that a worker has answered again, so it had not crashed.
-func (b *Background) RecordResponsive(life order.Incarnation) {
-	b.unresponsiveWorkers = slices.DeleteFunc(b.unresponsiveWorkers, func(s unresponsiveWorker) bool { return s.incarnation == life })
+func (b *Background) RecordResponsive(incarnation order.Incarnation) {
+	b.unresponsiveWorkers = slices.DeleteFunc(b.unresponsiveWorkers, func(s unresponsiveWorker) bool { return s.incarnation == incarnation })
 }
 
 // rate returns the overall rate at which a worker crashes for reasons other than its tasks, per
-// second: the recent rate if that is higher.
+// second. It is the recent rate if that is higher than the long-term one.
 func (b *Background) rate() float64 { return max(b.all.rate(), b.recent.rate()) }
 
 // rate returns the rate at which a worker crashes, per second.
@@ -191,27 +195,27 @@
 // Hazard returns the hazard, per second, of a crash of a worker at a time for reasons other than
 // its tasks. It follows from the rate of its rack and rises if other workers stopped answering at
 // about the same time.
-func (b *Background) Hazard(at time.Time, life order.Incarnation, rack string) float64 {
-	alone, simultaneous, nearby := b.hazards(at, life, rack)
+func (b *Background) Hazard(at time.Time, incarnation order.Incarnation, rack string) float64 {
+	alone, simultaneous, nearby := b.hazards(at, incarnation, rack)
 	return alone + simultaneous + nearby
 }
 
 // IndependentProbability returns the probability that a crash which no task caused has no common
 // cause with other crashes that were detected at once. Only independent crashes count towards the
 // rate: a rack that loses power is one event, however many workers it has.
-func (b *Background) IndependentProbability(at time.Time, life order.Incarnation, rack string) float64 {
-	alone, simultaneous, _ := b.hazards(at, life, rack)
+func (b *Background) IndependentProbability(at time.Time, incarnation order.Incarnation, rack string) float64 {
+	alone, simultaneous, _ := b.hazards(at, incarnation, rack)
 	return alone / (alone + simultaneous)
 }
 
 // hazards returns the hazards, per second, of a crash of a worker: by itself (alone), by a common
 // cause with crashes that are detected at once (simultaneous), and by a common cause with crashes
 // that are detected at about the same time (nearby).
-func (b *Background) hazards(at time.Time, life order.Incarnation, rack string) (alone, simultaneous, nearby float64) {
+func (b *Background) hazards(at time.Time, incarnation order.Incarnation, rack string) (alone, simultaneous, nearby float64) {
 	all := b.rate()
 	r := b.rackExposure(rack)
 	alone = (r.Crashes + all*rackPriorSeconds) / (r.Seconds + rackPriorSeconds)
-	ofAll, ofRack := peerGroup{incarnation: life, workers: b.total, rate: all}, peerGroup{incarnation: life, rack: rack, workers: b.workers[rack], rate: alone}
+	ofAll, ofRack := peerGroup{incarnation: incarnation, workers: b.total, rate: all}, peerGroup{incarnation: incarnation, rack: rack, workers: b.workers[rack], rate: alone}
 	simultaneous = simultaneousShare * max(b.commonCauseHazard(at, simultaneousWindow, ofAll),
 		b.commonCauseHazard(at, simultaneousWindow, ofRack))
 	nearby = (1 - simultaneousShare) * max(b.commonCauseHazard(at, commonCauseWindow, ofAll),
@@ -219,8 +223,8 @@
 	return alone, simultaneous, nearby
 }
 
-// peerGroup describes the workers of a rack, or all workers if rack is empty, to which a worker
-// belongs. rate is how often each crashes, per second.
+// peerGroup describes the group of workers to which a worker belongs: those of a rack, or all if
+// rack is empty. rate is how often each of them crashes, per second.
 type peerGroup struct {
 	incarnation order.Incarnation
 	rack        string
@@ -229,8 +233,8 @@
 }
 
 // commonCauseHazard returns the additional hazard, per second, of a crash of a worker because
-// others of its group stopped answering within some time of it. A single other one is no sign of a
-// common cause, and neither are as many as the rate explains.
+// others of its group stopped answering within the given time before or after it. A single other
+// worker is no sign of a common cause, and neither is a number of workers that the rate explains.
 func (b *Background) commonCauseHazard(at time.Time, within time.Duration, of peerGroup) float64 {
 	n := 0.0
 	for _, s := range b.unresponsiveWorkers {
--- a/services/blame/bench_test.go
+++ b/services/blame/bench_test.go
@@ -24,7 +24,7 @@
 				task := job.TaskID{StepID: job.StepID{Job: "j", Step: worker}, Index: i}
 				tasks = append(tasks, blame.RunningTask{Task: task, Run: 1, Worked: time.Duration(i) * 100 * time.Millisecond})
 			}
-			tr.RecordCrash(now, blame.Crash{Incarnation: life("w"), Rack: "r", At: now, TasksKnown: true, Tasks: tasks})
+			tr.RecordCrash(now, blame.Crash{Incarnation: incarnation("w"), Rack: "r", At: now, TasksKnown: true, Tasks: tasks})
 		}
 	}
 }
--- a/services/blame/blame.go
+++ b/services/blame/blame.go
@@ -18,7 +18,7 @@
 // All crashes under a task are assessed together, and again whenever the background rate is better
 // known. While each crash was assessed only once, with the rate known at the time, 26 of 1,800
 // simulated cells failed a job that crashes nothing, where each of 24 workers crashed every 7 s to
-// 60 s; with reassessment none of 1,200 did (services/dispatch, rates_test.go).
+// 60 s; with reassessment none of 1,200 did (TestBothErrorsOfBlame in services/dispatch).
 package blame
 
 import (
@@ -48,8 +48,9 @@
 	// manyCrashes is the number of crashes from which a task is tried alone whatever its odds.
 	manyCrashes = 3
 
-	// A run clears its task once it has been running for more than clearFactor times the longest
-	// time at work before a crash, plus clearMargin.
+	// clearFactor and clearMargin determine when a run clears its task of suspicion: once it has
+	// been running for more than clearFactor times the longest work time before a crash, plus
+	// clearMargin.
 	clearFactor = 2
 	clearMargin = 2 * time.Second
 
@@ -131,10 +132,10 @@
 type Suspect struct {
 	// Prior is the blame of the task before this crash.
 	Prior job.Blame
-	// Worked is how long the task had been running, and Time says how exactly that is known.
+	// Worked is how long the task had been running. TimeBound says whether that is exact or a bound.
 	Worked    time.Duration
 	TimeBound job.TimeBound
-	// Late is the longest time by which the crash may have been detected too late.
+	// DetectionDelay is the longest time that may have passed between the crash and its detection.
 	DetectionDelay time.Duration
 	// Alone is set if no other task had started on the worker shortly before.
 	Alone bool
@@ -144,7 +145,7 @@
 	Workers int
 }
 
-// crash returns the crash as recorded for this suspect.
+// crash returns the crash as it is stored in the blame of the suspect, without hazards.
 func (s Suspect) crash() job.Crash {
 	return job.Crash{
 		Worked: job.Milliseconds(s.Worked.Milliseconds()), Bound: s.TimeBound, DetectionDelay: job.Milliseconds(min(s.Worked, s.DetectionDelay).Milliseconds()), Workers: s.Workers,
--- a/services/blame/blame_test.go
+++ b/services/blame/blame_test.go
@@ -59,9 +59,10 @@
 	}
 }
 
-// Guards against thresholds that rise with the number of crashes: a guilty task had odds of 86,800
-// after its fifth crash and was started a sixth time, because odds of 10,000 were enough after four
-// crashes where workers crash often, but 100,000 were required after five.
+// TestMoreCrashesNeverNeedHigherOdds guards against thresholds that rise with the number of
+// crashes: a guilty task had odds of 86,800 after its fifth crash and was started a sixth time,
+// because odds of 10,000 were enough after four crashes where workers crash often, but 100,000 were
+// required after five.
 func TestMoreCrashesNeverNeedHigherOdds(t *testing.T) {
 	for _, odds := range []float64{300, 1e3, 1e4, 5e4, 86_800} {
 		guilty := false
@@ -73,8 +74,9 @@
 	}
 }
 
-// A job that crashes nothing was given up after six crashes, beside workers that each crashed every
-// 29 s, after a long calm:
+// TestManyCrashesWithLowOddsAreNotGuilty guards against giving up an innocent job. A job that
+// crashes nothing was given up after six crashes, beside workers that each crashed every 29 s,
+// after a long time with few crashes:
 //
 //	26.745 a worker crashed under a task job=job54 crashes=5 odds=23       crashes_otherwise_every=31.1s
 //	32.143 a worker crashed under a task job=job54 crashes=6 odds=3.62e+03 crashes_otherwise_every=51.7s
@@ -122,17 +124,17 @@
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	var b blame.Background
 	b.ObserveWorkers(now, map[string]int{"r1": 4, "r2": 20})
-	calm := b.Hazard(now, life("a"), "r1")
-	b.RecordUnresponsive(now, life("b"), "r2", 0)
-	assert.Equal(t, b.Hazard(now, life("a"), "r1"), calm, "a single other crash is no sign of a common cause")
-	b.RecordUnresponsive(now, life("c"), "r1", 0)
-	b.RecordUnresponsive(now, life("d"), "r1", 0)
-	together := b.Hazard(now, life("a"), "r1")
+	calm := b.Hazard(now, incarnation("a"), "r1")
+	b.RecordUnresponsive(now, incarnation("b"), "r2", 0)
+	assert.Equal(t, b.Hazard(now, incarnation("a"), "r1"), calm, "a single other crash is no sign of a common cause")
+	b.RecordUnresponsive(now, incarnation("c"), "r1", 0)
+	b.RecordUnresponsive(now, incarnation("d"), "r1", 0)
+	together := b.Hazard(now, incarnation("a"), "r1")
 	assert.Check(t, together > 100*calm, "%v, %v", together, calm)
-	assert.Check(t, b.Hazard(now, life("e"), "r2") < together, "the common cause affects one rack")
-	b.RecordResponsive(life("c"))
-	b.RecordResponsive(life("d"))
-	assert.Equal(t, b.Hazard(now, life("a"), "r1"), calm, "the other workers had not crashed")
+	assert.Check(t, b.Hazard(now, incarnation("e"), "r2") < together, "the common cause affects one rack")
+	b.RecordResponsive(incarnation("c"))
+	b.RecordResponsive(incarnation("d"))
+	assert.Equal(t, b.Hazard(now, incarnation("a"), "r1"), calm, "the other workers had not crashed")
 }
 
 func TestCrashRateIsLearnedPerRack(t *testing.T) {
@@ -145,7 +147,7 @@
 	for range 6 {
 		b.AddCrash("bad", 1)
 	}
-	bad, good := b.Hazard(now, life("x"), "bad"), b.Hazard(now, life("y"), "good")
+	bad, good := b.Hazard(now, incarnation("x"), "bad"), b.Hazard(now, incarnation("y"), "good")
 	assert.Check(t, bad > 0.004 && bad < 0.01, "%v; 6 crashes in 600 worker-seconds are 0.01", bad)
 	assert.Check(t, good < 0.001, "%v", good)
 }
@@ -162,11 +164,12 @@
 	}
 }
 
-// While no lease renewal is pending at a worker, its crash is detected by the next one, up to 0.5 s
-// later. When the detection time was taken as exact, a crash at 0.6 s detected at 1 s counted in
-// favour of the task, as if a run had worked on beyond the point of the earlier crashes. Beside
-// workers that crash every 29 s, a guilty task was started a sixth time in 14 of 300 simulated
-// cells then, and in 3 with the delay taken into account, with the same seeds.
+// TestLateDetectedCrashDoesNotLowerOdds guards against taking the detection time of a crash as its
+// exact time. While no lease renewal is pending at a worker, its crash is detected by the next one,
+// up to 0.5 s later. Taken as exact, a crash at 0.6 s detected at 1 s counted in favour of the
+// task, as if a run had worked on beyond the point of the earlier crashes. Beside workers that
+// crash every 29 s, a guilty task was started a sixth time in 14 of 300 simulated cells then, and
+// in 3 with the delay taken into account, with the same seeds.
 func TestLateDetectedCrashDoesNotLowerOdds(t *testing.T) {
 	var exact, late job.Blame
 	for _, worked := range []time.Duration{610 * time.Millisecond, time.Second, 605 * time.Millisecond, 608 * time.Millisecond} {
@@ -205,7 +208,7 @@
 	for n := range 3 {
 		now = now.Add(5 * time.Second)
 		tr.ObserveWorkers(now, map[string]int{"r": 24})
-		tr.RecordCrash(now, blame.Crash{Incarnation: life("w"), Rack: "r", At: now, TasksKnown: true, Tasks: []blame.RunningTask{{Task: task, Run: int64(n), Worked: 12 * time.Millisecond, Alone: true}}})
+		tr.RecordCrash(now, blame.Crash{Incarnation: incarnation("w"), Rack: "r", At: now, TasksKnown: true, Tasks: []blame.RunningTask{{Task: task, Run: int64(n), Worked: 12 * time.Millisecond, Alone: true}}})
 	}
 	assert.Check(t, blame.IsGuilty(tr.Blame(task)), "%+v", tr.Blame(task))
 	assert.Equal(t, tr.LearnedRate().All.Crashes, 0.0, "all three crashes are attributed to the task")
@@ -228,8 +231,9 @@
 	assert.Check(t, json.Unmarshal([]byte(`{"all":{"crashes":-1,"seconds":5}}`), &learned) != nil)
 }
 
-// An earlier holder had meant to try a task on a worker. If the worker reports that it does not run
-// the task, its crash must not count against the task.
+// TestTrialThatDidNotStartIsNotBlamed checks a trial that an earlier holder had logged for a
+// worker. If the worker reports that it does not run the task, its crash must not count against the
+// task.
 func TestTrialThatDidNotStartIsNotBlamed(t *testing.T) {
 	task := job.TaskID{StepID: job.StepID{Job: "j"}}
 	for _, runs := range []bool{false, true} {
@@ -237,11 +241,11 @@
 		before := assessRepeatedly(1, true, time.Second, rareCrashHazard)
 		before.LastStartWorkers, before.LastStartUnixMilli = []string{"w"}, 1_000
 		tr.Restore(task, before)
-		tr.RecordReport(life("w"), func(job.TaskID) bool { return runs })
-		findings := tr.RecordCrash(time.Unix(5, 0), blame.Crash{Incarnation: life("w"), At: time.Unix(5, 0), UnixMilli: 5_000, TasksKnown: true})
+		tr.RecordReport(incarnation("w"), func(job.TaskID) bool { return runs })
+		findings := tr.RecordCrash(time.Unix(5, 0), blame.Crash{Incarnation: incarnation("w"), At: time.Unix(5, 0), UnixMilli: 5_000, TasksKnown: true})
 		assert.Equal(t, len(findings) == 1, runs)
 	}
 }
 
-// life returns a life of the named worker.
-func life(name string) order.Incarnation { return order.Incarnation{Name: name} }
+// incarnation returns an incarnation of the named worker.
+func incarnation(name string) order.Incarnation { return order.Incarnation{Name: name} }
--- a/services/blame/docket.go
+++ b/services/blame/docket.go
@@ -23,14 +23,14 @@
 
 // Tracker holds the blame of tasks. A gang is tracked as one task, which stands for all members.
 type Tracker struct {
-	// Background is the rate at which workers crash for reasons other than their tasks.
+	// Background estimates the rate at which workers crash for reasons other than their tasks.
 	Background
 
 	tasks map[job.TaskID]*taskRecord
 	// suspectCounts holds the number of suspects by step.
 	suspectCounts map[job.StepID]int
-	// earlierStarts holds the tasks that earlier holders had started, by the worker's life
-	// (order.Life.String).
+	// earlierStarts holds the tasks that earlier holders had started, keyed by the string
+	// form of the worker's incarnation.
 	earlierStarts map[string][]job.TaskID
 	// pendingGiveUps holds the tasks whose jobs are about to be given up, the earliest due first.
 	pendingGiveUps []pendingGiveUp
@@ -105,9 +105,9 @@
 	}
 }
 
-// RecordStart records that a task was started on a worker at a time, in milliseconds since 1970. It
-// reports whether the task is blamed, in which case the start has to be logged.
-func (tr *Tracker) RecordStart(t job.TaskID, life order.Incarnation, unixMilli int64) bool {
+// RecordStart records that a task was started on a worker at unixMilli, in milliseconds since 1970.
+// It reports whether the task is blamed, in which case the start has to be logged.
+func (tr *Tracker) RecordStart(t job.TaskID, incarnation order.Incarnation, unixMilli int64) bool {
 	b := tr.Blame(t)
 	if b.Crashes == 0 {
 		return false
@@ -115,15 +115,15 @@
 	if b.LastStartUnixMilli != unixMilli {
 		b.LastStartWorkers, b.LastStartUnixMilli = nil, unixMilli
 	}
-	b.LastStartWorkers = append(slices.Clone(b.LastStartWorkers), life.String())
+	b.LastStartWorkers = append(slices.Clone(b.LastStartWorkers), incarnation.String())
 	tr.setBlame(t, b)
 	return true
 }
 
-// RecordReport drops the starts by earlier holders on a worker that has reported its tasks, if the
-// task is not among them: it cannot crash the worker.
-func (tr *Tracker) RecordReport(life order.Incarnation, runs func(job.TaskID) bool) {
-	worker := life.String()
+// RecordReport drops those starts by earlier holders on a worker whose tasks are not among the ones
+// that the worker has reported. Such a task does not run there, so it cannot crash the worker.
+func (tr *Tracker) RecordReport(incarnation order.Incarnation, runs func(job.TaskID) bool) {
+	worker := incarnation.String()
 	tried := slices.DeleteFunc(tr.earlierStarts[worker], func(t job.TaskID) bool { return !runs(t) })
 	if tr.earlierStarts[worker] = tried; len(tried) == 0 {
 		delete(tr.earlierStarts, worker)
@@ -160,7 +160,7 @@
 	// Gang is set if the task stands for a gang. The run of a gang ends with the first crash, so
 	// further crashes under the same run have the same cause and do not count.
 	Gang bool
-	// Worked, Time, Late, Alone and Workers are as in Suspect.
+	// Worked, TimeBound, DetectionDelay, Alone and Workers are as in Suspect.
 	Worked         time.Duration
 	TimeBound      job.TimeBound
 	DetectionDelay time.Duration
@@ -199,8 +199,8 @@
 	backgroundWeight float64
 }
 
-// backgroundHazard returns the hazard, per second, of a crash that none of the tasks caused, from
-// what is now known of other workers.
+// backgroundHazard returns the hazard, per second, of a crash that none of the tasks caused. It
+// depends on what has been observed of other workers so far, so it may change after the crash.
 func (a *assessment) backgroundHazard(b *Background) float64 {
 	hazard := b.Hazard(a.crash.At, a.crash.Incarnation, a.crash.Rack)
 	if !a.crash.TasksKnown {
@@ -209,7 +209,7 @@
 	return hazard
 }
 
-// reassess returns the blame of the tasks after the crash, from what is now known of other workers.
+// reassess returns the blame of the tasks after the crash, with the present backgroundHazard.
 func (a *assessment) reassess(b *Background) []job.Blame {
 	return Assess(a.suspects, a.backgroundHazard(b))
 }
@@ -270,8 +270,8 @@
 	return Reassess(b, tr.Background.rate())
 }
 
-// tasksOn returns the tasks that were on a worker, each once, including those that an earlier
-// holder had started there.
+// tasksOn returns the tasks that were on a crashed worker, each once, including those that an
+// earlier holder had started there.
 func (tr *Tracker) tasksOn(c Crash) []RunningTask {
 	var all []RunningTask
 	add := func(next RunningTask) {
@@ -287,17 +287,17 @@
 	for _, t := range c.Tasks {
 		add(t)
 	}
-	life := c.Incarnation.String()
-	for _, t := range tr.earlierStarts[life] {
-		if b := tr.Blame(t); slices.Contains(b.LastStartWorkers, life) {
+	incarnation := c.Incarnation.String()
+	for _, t := range tr.earlierStarts[incarnation] {
+		if b := tr.Blame(t); slices.Contains(b.LastStartWorkers, incarnation) {
 			add(StartedByEarlierHolder(t, b.LastStartUnixMilli, c.UnixMilli, len(b.LastStartWorkers)))
 		}
 	}
-	delete(tr.earlierStarts, life)
+	delete(tr.earlierStarts, incarnation)
 	return all
 }
 
-// elapsedAfterClockStep is taken as the time at work if, by the clocks of two boxes, a task was
+// elapsedAfterClockStep is the assumed work time if, by the clocks of two boxes, a task was
 // started after its worker crashed. It is long enough that the task gets little blame.
 const elapsedAfterClockStep = 10 * time.Second
 
@@ -312,8 +312,10 @@
 	return r
 }
 
-// merge adds what next says of the same task on the same worker: next is another member of the
-// gang, or the start of a run in the log that the worker is known to have had.
+// merge merges next, another record of the same task on the same worker, into o: next is another
+// member of the gang, or the logged start of a run that the worker is also known to have had. A
+// work time that is only a lower bound is replaced by that of next. Of two times with the same
+// bound, the longer one counts.
 func (o *RunningTask) merge(next RunningTask) {
 	o.Alone = o.Alone && (next.Alone || next.TimeBound == job.AtMost)
 	if o.TimeBound == job.AtLeast {
@@ -330,8 +332,8 @@
 // known yet, and they make a common cause more likely.
 type pendingGiveUp struct {
 	task job.TaskID
-	// assessment is the assessment of the crash and index the task's place in it. assessment is nil
-	// if an earlier holder findings the task guilty.
+	// assessment is the assessment of the crash, and index the index of the task in it. It is nil
+	// if an earlier holder found the task guilty.
 	assessment *assessment
 	index      int
 	due        time.Time
--- a/services/blame/evidence.go
+++ b/services/blame/evidence.go
@@ -63,6 +63,7 @@
 // logTimeRange is the natural logarithm of maxCrashTime/timeResolution.
 var logTimeRange = math.Log(float64(maxCrashTime) / float64(timeResolution))
 
+// makePoints returns the points from 0 to maxCrashTime with their priors.
 func makePoints() []point {
 	all := []point{{prior: 1 / logTimeRange}}
 	for at := float64(timeResolution); at < float64(maxCrashTime); at *= pointRatio {
@@ -99,10 +100,11 @@
 	return posteriorOf(before, 0).hazard(c)
 }
 
-// firstCrashHazard returns the hazard, per second, of the first crash under a task, for which all
-// points together give the same value as no knowledge of a point. With this shortcut, the crash of
-// a rack of 48 workers with 40 tasks each is assessed in 29 ms rather than 181 ms, under other load
-// (BenchmarkRackCrash), so that a holder with a fifth of a core is blocked for less time.
+// firstCrashHazard returns the hazard, per second, of the first crash under a task if the task is
+// guilty. For the first crash, the sum over all points equals the hazard without a known point, so
+// the points are not evaluated. With this shortcut, the crash of a rack of 48 workers with 40
+// tasks each is assessed in 29 ms rather than 181 ms, under other load (BenchmarkRackCrash), so
+// that a holder with a fifth of a core is blocked for less time.
 func firstCrashHazard(c job.Crash) float64 {
 	return perWorker(c, uninformedHazard(c.Worked.Duration()))
 }
@@ -154,7 +156,7 @@
 	return perWorker(c, sum/all)
 }
 
-// perWorker returns the part of a task's hazard that falls to each of its workers.
+// perWorker returns the share of a task's hazard for each of its workers.
 func perWorker(c job.Crash, hazard float64) float64 { return hazard / float64(max(1, c.Workers)) }
 
 // hazardAt returns the hazard, per second, of a crash by a task that crashes its workers at point
@@ -175,20 +177,20 @@
 	return closeShare*p.density(c, p.closeSpan()) + (1-closeShare)*p.density(c, p.aroundSpan())
 }
 
-// closeSpan returns the distance from the point within which a crash counts as close to it, and
-// aroundSpan the distance within which a crash counts as one at the point at all.
+// closeSpan returns the distance from the point within which a crash counts as close to it.
 func (p point) closeSpan() time.Duration { return max(timeResolution, p.at/closeDivisor) }
 
+// aroundSpan returns the distance from the point within which a crash counts as one at the point.
 func (p point) aroundSpan() time.Duration { return max(minAroundSpan, p.at/aroundDivisor) }
 
 // density returns the probability density, per second, of a crash that is uniformly distributed
 // within span of the point and may have been detected late.
 func (p point) density(c job.Crash, span time.Duration) float64 {
-	worked, late := c.Worked.Duration(), c.DetectionDelay.Duration()
-	if worked < p.at-span || worked-late > p.at+span {
+	worked, delay := c.Worked.Duration(), c.DetectionDelay.Duration()
+	if worked < p.at-span || worked-delay > p.at+span {
 		return 0
 	}
-	return 1 / (span + min(span, p.at) + late).Seconds()
+	return 1 / (span + min(span, p.at) + delay).Seconds()
 }
 
 // uninformedHazard returns the hazard, per second, of a crash by a guilty task of which nothing
--- a/services/core/core.go
+++ b/services/core/core.go
@@ -157,6 +157,7 @@
 	return ids
 }
 
+// requestArrived passes a request to the router, or refuses it while no files are in force.
 func (c *Core) requestArrived(now time.Time, a request.Arrival) []effect.Effect {
 	if !c.reader.inForce {
 		return []effect.Effect{effect.Refuse{To: a.ID, Refusal: notReadyRefusal()}}
@@ -180,6 +181,7 @@
 	return c.router.SetPeers(now, c.members.Live(now), peers)
 }
 
+// boxesRead updates all components to the platform's box list.
 func (c *Core) boxesRead(now time.Time, l box.List) []effect.Effect {
 	c.members.SetBoxes(now, l)
 	for _, h := range ordered.MapFunc(c.holders, spec.ShardID.Compare) {
@@ -232,6 +234,8 @@
 	return effects
 }
 
+// workerAnswered passes the result of a Sync to the holders of all shards. Holders that have not
+// sent it ignore it.
 func (c *Core) workerAnswered(now time.Time, e event.WorkerAnswered) {
 	for _, h := range ordered.MapFunc(c.holders, spec.ShardID.Compare) {
 		h.WorkerAnswered(now, e)
--- a/services/core/core_test.go
+++ b/services/core/core_test.go
@@ -177,9 +177,9 @@
 	}
 }
 
-// Each node is stopped and restarted while tasks that may not be repeated are running. All
-// of them must finish: a planned change of holders must not leave a task whose intent is
-// recorded, but whose start was never sent.
+// TestPlannedStopLeavesNoTaskUnknown stops and restarts each node while tasks that may not be
+// repeated are running. All of them must finish: a planned change of holders must not leave a task
+// whose intent is recorded, but whose start was never sent.
 func TestPlannedStopLeavesNoTaskUnknown(t *testing.T) {
 	for seed := range uint64(40) {
 		w := newSettledWorld(t, seed)
@@ -200,8 +200,9 @@
 	}
 }
 
-// After one worker of each shard has died, the gang cannot fit any more. If it still
-// prevented smaller tasks from overtaking it, the jobs would never finish.
+// TestGangThatCannotFitDoesNotBlockOthers removes one worker of each shard, so that the gang cannot
+// fit any more. If the gang still prevented smaller tasks from overtaking it, the jobs would never
+// finish.
 func TestGangThatCannotFitDoesNotBlockOthers(t *testing.T) {
 	w := newSettledWorld(t, 3)
 	large := strings.Replace(workFile, "count: 2, resources: {processors: 1, memory: 1GiB}, command: [sleep, 900ms]",
@@ -217,8 +218,8 @@
 	assert.Equal(t, s["once"].Done, 20)
 }
 
-// A task of a gang that the next holder finds stopped is both queued for a retry and
-// counted as never started, so it could be placed twice.
+// TestRequeuedGangMemberStartsOnce guards against placing a task twice: a task of a gang that the
+// next holder finds stopped is both queued for a retry and counted as never started.
 func TestRequeuedGangMemberStartsOnce(t *testing.T) {
 	for seed := range uint64(60) {
 		w := newSettledWorld(t, seed)
@@ -235,8 +236,8 @@
 	}
 }
 
-// A job with one retry is stopped by drains before an attempt fails. The stopped attempts
-// must not count, so that the job still has its retry.
+// TestStoppedAttemptsDoNotCountAsRetries stops a job with one retry by drains before an attempt
+// fails. The stopped attempts must not count, so that the job still has its retry.
 func TestStoppedAttemptsDoNotCountAsRetries(t *testing.T) {
 	w := newSettledWorld(t, 5)
 	one := "name: one\njobs:\n  - {name: one, team: t, count: 1, resources: {processors: 1}, command: [sleep, 2s], repeatable: true, retries: 1}\n"
@@ -284,9 +285,9 @@
 	return "w9"
 }
 
-// Workers are removed from the files while their tasks run, and the holder is paused before
-// it reads that. The next holder must still adopt these workers, or it would start their
-// tasks again elsewhere.
+// TestNextHolderAdoptsWorkersRemovedFromFiles removes workers from the files while their tasks run,
+// and pauses the holder before it reads that. The next holder must still adopt these workers, or it
+// would start their tasks again elsewhere.
 func TestNextHolderAdoptsWorkersRemovedFromFiles(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newSettledWorld(t, seed)
@@ -312,9 +313,9 @@
 	}
 }
 
-// A paused holder is resumed without access to the log or its peers, after another box has
-// taken its shard over. It reaches some of the workers and acquires their leases, and must
-// not start tasks that run on the others.
+// TestResumedHolderWithoutLogStartsNoTaskOfLaterHolder resumes a paused holder without access to
+// the log or its peers, after another box has taken its shard over. It reaches some of the workers
+// and acquires their leases, and must not start tasks that run on the others.
 func TestResumedHolderWithoutLogStartsNoTaskOfLaterHolder(t *testing.T) {
 	for seed := range uint64(150) {
 		w := newSettledWorld(t, seed)
@@ -335,9 +336,9 @@
 	}
 }
 
-// Injects random faults and checks that no task runs twice at the same time, that no task
-// that may not be repeated starts twice, and that no file in force goes back to an older
-// revision. After the faults have ended, all work must end too.
+// TestNoTaskRunsTwiceAndNoFileRevertsUnderRandomFaults injects random faults and checks that no
+// task runs twice at the same time, that no task that may not be repeated starts twice, and that no
+// file in force goes back to an older revision. After the faults have ended, all work must end too.
 func TestNoTaskRunsTwiceAndNoFileRevertsUnderRandomFaults(t *testing.T) {
 	total := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/services/core/reader.go
+++ b/services/core/reader.go
@@ -25,8 +25,8 @@
 	// caughtUp is set when the end of the log has been read since the process started or
 	// last found that records are missing.
 	caughtUp bool
-	// seek is set while the records that follow the ledger's position have been deleted
-	// from the log: it reads from the oldest remaining record until it finds a checkpoint.
+	// checkpointSearch is set while the records that follow the ledger's position have been deleted
+	// from the log: it reads from the oldest remaining record on until it has found a checkpoint.
 	checkpointSearch *ledger.Ledger
 	reading          bool
 	lastFailure      string
@@ -105,7 +105,7 @@
 }
 
 // logRead handles the records of a read. If records are missing before the first one, it
-// begins to seek a checkpoint.
+// begins to search for a checkpoint.
 func (c *Core) logRead(now time.Time, e event.LogRead) []effect.Effect {
 	r := &c.reader
 	r.reading, r.lastFailure, r.failures = false, "", 0
--- a/services/core/status.go
+++ b/services/core/status.go
@@ -73,7 +73,7 @@
 	return all
 }
 
-// Explain says why a task is in its state. The name is "name/index" or "name@born/index".
+// Explain returns why a task is in its state. The name is "name/index" or "name@born/index".
 // It returns false if this process has no state of the task.
 func (c *Core) Explain(name string) (status.Explanation, bool) {
 	key, ok := c.findTask(name)
--- a/services/core/world_test.go
+++ b/services/core/world_test.go
@@ -60,11 +60,12 @@
 	paused      bool
 	// delayed holds the events that arrived during a pause.
 	delayed []event.Event
-	// dropsLogCalls and dropsPeerCalls drop the calls of this node to the log and to its peers.
+	// dropsLogCalls and dropsPeerCalls are set while the calls of this node to the log and to its
+	// peers are dropped.
 	dropsLogCalls, dropsPeerCalls bool
 	// unreachableWorkers names the workers that this node cannot reach.
 	unreachableWorkers map[string]bool
-	// highest is the highest revision of each file seen in force.
+	// highestRevision is the highest revision of each file that was in force at this node.
 	highestRevision map[string]int64
 }
 
--- a/services/delays/delays.go
+++ b/services/delays/delays.go
@@ -22,7 +22,7 @@
 	Takeover Cause = "takeover"
 	// Advice means that the job waited for an answer of the advice service.
 	Advice Cause = "advice"
-	// NoCapacity means that no worker had room.
+	// NoCapacity means that no worker had enough free capacity.
 	NoCapacity Cause = "room"
 	// Cap means that the job's workspace had reached its cap.
 	Cap Cause = "cap"
--- a/services/delays/interruption.go
+++ b/services/delays/interruption.go
@@ -5,7 +5,8 @@
 
 import "saddlevane/models/order"
 
-// InterruptionCause returns the cause of the delay by a run that ended without success.
+// InterruptionCause returns the cause of the delay that results from a run that did not succeed,
+// given how the run ended.
 func InterruptionCause(how order.EndStatus) Cause {
 	switch how {
 	case order.Failed:
--- a/services/jobrun/calls.go
+++ b/services/jobrun/calls.go
@@ -160,8 +160,8 @@
 	holds, holder := l.view.holdsCell, l.holder()
 	logAnswers := l.now().Sub(l.view.logReadAt) < disconnectedAfter
 	l.mu.Unlock()
-	// A box that has released the cell knows the next holder, but need not be asked while the
-	// log answers: this box then reads the next claim itself.
+	// A holder that has released the cell can report the next holder. It is not asked while the log
+	// answers, because this box then reads the next claim itself.
 	if holds || holder.Box == l.self.Box || holder.Address == "" || holder.Released && logAnswers {
 		return l.postAndWait(ctx, r.event)
 	}
--- a/services/jobrun/cut_test.go
+++ b/services/jobrun/cut_test.go
@@ -96,7 +96,7 @@
 	disconnected.Store(true)
 	first.loop.Stop()
 	waitUntil(t, "the second box holds the cell", second.holdsCell)
-	// For half a second the box cannot detect that the log rejects it.
+	// For half a second the box does not detect that the log rejects its calls.
 	waitServed(t, withoutLog, jobrun.Request{Submit: submission("after")}, "")
 	for i := range 20 {
 		a := withoutLog.loop.Serve(context.Background(), jobrun.Request{Submit: submission(fmt.Sprint("j", i))})
--- a/services/jobrun/follow.go
+++ b/services/jobrun/follow.go
@@ -79,6 +79,7 @@
 	return f.loop.platform.Log.Read(ctx, f.name, next, f.wait)
 }
 
+// followConfig posts each new configuration to the reducer, and the end of each successful read.
 func (l *Loop) followConfig() {
 	l.follow(l.ctx, follower{
 		loop: l, name: stream.Config, wait: configReadWait, handlePage: l.handleConfigPage, handleError: l.readErrorLogger(stream.Config),
@@ -97,6 +98,7 @@
 	}
 }
 
+// followClaims posts the records of the stream of claims to the reducer, and failures to read it.
 func (l *Loop) followClaims() {
 	l.follow(l.ctx, follower{
 		loop: l, name: stream.Claims, wait: l.settings.ReadWait,
@@ -107,6 +109,7 @@
 	})
 }
 
+// followMembers posts the announcements of entry boxes to the reducer.
 func (l *Loop) followMembers() {
 	l.follow(l.ctx, follower{loop: l, name: stream.Boxes, wait: rareReadWait, handlePage: l.handleMembersPage, handleError: l.readErrorLogger(stream.Boxes)})
 }
--- a/services/jobrun/keys_test.go
+++ b/services/jobrun/keys_test.go
@@ -116,8 +116,8 @@
 
 const oneTask = `{"spec":"x","steps":[{"count":1,"cpu":500,"memMb":64}]}`
 
-// Calls with a missing or wrong key were served, whatever the key. Keys must not appear in any log
-// line, metric, dump or answer either.
+// TestCallersAreAuthorizedByWorkspaceKey guards against serving calls with a missing or wrong key.
+// Keys must not appear in any log line, metric, dump or answer either.
 func TestCallersAreAuthorizedByWorkspaceKey(t *testing.T) {
 	on := newKeyedPlatform(t, 1, map[string]string{"key-of-a": "a", "key-of-b": "b", "key-taken": "a"})
 	var lines safeBuffer
@@ -185,9 +185,10 @@
 	assert.Check(t, strings.Contains(lines.String(), "call refused"))
 }
 
-// A box that could not read the log went on to judge keys by its last configuration: it accepted
-// keys that had been revoked and rejected keys that had just been issued as unknown. It cannot
-// decide either case, so it must answer 503.
+// TestBoxWithStaleConfigAuthorizesNoKeys guards against authorizing keys by an outdated
+// configuration. A box that could not read the log went on to use its last one: it accepted keys
+// that had been revoked and rejected keys that had just been issued as unknown. It cannot decide
+// either case, so it must answer 503.
 func TestBoxWithStaleConfigAuthorizesNoKeys(t *testing.T) {
 	on := newKeyedPlatform(t, 1, map[string]string{"k1": "a"})
 	b := startBoxVia(t, on.Platform, "a", io.Discard, func(address string) string { return address })
--- a/services/jobrun/late_test.go
+++ b/services/jobrun/late_test.go
@@ -18,9 +18,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// Ends of runs that were reported in late answers were dropped, so that finished tasks were started
-// again elsewhere; see TestEndInLateAnswerCounts in package dispatch. Here every answer to a renewal
-// takes longer than the holder waits for it, as on a congested link.
+// TestRunEndsAreReceivedWhenEveryRenewalIsLate guards against dropping the ends of runs that are
+// reported in late answers, so that finished tasks are started again elsewhere; see
+// TestEndInLateAnswerCounts in package dispatch. Here every answer to a renewal takes longer than
+// the holder waits for it, as on a congested link.
 func TestRunEndsAreReceivedWhenEveryRenewalIsLate(t *testing.T) {
 	on, err := memory.New(config(), 8)
 	assert.NilError(t, err)
@@ -43,9 +44,10 @@
 	}
 }
 
-// The notice that a renewal is overdue copied the variable that the answer was written to, a data
-// race if the answer arrived at that moment. Each now has a variable of its own. The test does not
-// synchronize the two goroutines, so that the race detector sees what they share.
+// TestRenewalAnswerDoesNotRaceWithOverdueNotice guards against a data race: the notice that a
+// renewal is overdue copied the variable that the answer was written to, possibly at the same
+// moment. Each now has a variable of its own. The test does not synchronize the two goroutines, so
+// that the race detector sees what they share.
 func TestRenewalAnswerDoesNotRaceWithOverdueNotice(t *testing.T) {
 	on, err := memory.New(config(), 2)
 	assert.NilError(t, err)
--- a/services/jobrun/load.go
+++ b/services/jobrun/load.go
@@ -107,7 +107,7 @@
 // applyOverload sets RetryAfter on a submission that must not be accepted as a new job: either
 // the gate rejects it because this box is overloaded, or it has waited so long that the
 // forwarding box has already answered that there was no answer in time. It doesn't drop the
-// submission, since only the reducer can tell whether the job is new. Other events are
+// submission, since only the reducer can determine whether the job is new. Other events are
 // returned unchanged.
 func (l *Loop) applyOverload(now time.Time, waited time.Duration, e exchange.Event) exchange.Event {
 	s, ok := e.(exchange.Submitted)
--- a/services/jobrun/loop.go
+++ b/services/jobrun/loop.go
@@ -59,10 +59,11 @@
 	CallTimeout time.Duration
 	// PeerTimeout bounds a call to another entry box.
 	PeerTimeout time.Duration
-	// Relays limits from how many workers on other boxes relay orders, and to how many each.
+	// Relays limits the use of other boxes as relays of orders: the number of workers from which
+	// on they are used, and the number of workers per box.
 	Relays relay.Limits
-	// Probe is how long a link to another entry box may be silent before it is probed, Answer
-	// how long it may stay silent after that before it is closed.
+	// ProbeAfter is how long a link to another entry box may receive nothing before it is probed,
+	// AnswerTimeout how long it may then receive nothing before it is closed.
 	ProbeAfter, AnswerTimeout time.Duration
 }
 
--- a/services/jobrun/metrics.go
+++ b/services/jobrun/metrics.go
@@ -65,6 +65,7 @@
 // call.
 var callBuckets = []float64{0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 3}
 
+// newMetrics returns the metrics of a process, registered in a registry of their own.
 func newMetrics() *Metrics {
 	m := &Metrics{
 		registry:           prometheus.NewRegistry(),
@@ -126,22 +127,28 @@
 // Gatherer returns the gatherer that the metrics endpoint serves.
 func (m *Metrics) Gatherer() prometheus.Gatherer { return m.registry }
 
+// recordCall counts a caller's call and records its duration.
 func (m *Metrics) recordCall(call string, outcome exchange.Outcome, took time.Duration) {
 	m.calls.WithLabelValues(call, string(outcome)).Inc()
 	m.callTime.WithLabelValues(call).Observe(took.Seconds())
 }
 
+// recordOrder counts an order to a worker by its outcome.
 func (m *Metrics) recordOrder(kind string, a order.Answer) {
 	m.orders.WithLabelValues(kind, string(a.Outcome)).Inc()
 }
 
+// recordLostTasks counts tasks that were lost with their worker and adds up how long they had been
+// running.
 func (m *Metrics) recordLostTasks(e exchange.TasksLost) {
 	m.tasksLost.WithLabelValues(string(e.Ending)).Add(float64(e.Tasks))
 	m.lostWorkTime.WithLabelValues(string(e.Ending)).Add(e.Worked.Seconds())
 }
 
+// recordEnd counts a reported end of a run.
 func (m *Metrics) recordEnd(how order.EndStatus) { m.ends.WithLabelValues(string(how)).Inc() }
 
+// recordAppend counts an append to the log by its result and records its duration.
 func (m *Metrics) recordAppend(p exchange.Purpose, took time.Duration, err error) {
 	m.appends.WithLabelValues(string(p), appendResult(err)).Inc()
 	m.logTime.WithLabelValues(string(p)).Observe(took.Seconds())
@@ -201,6 +208,7 @@
 	m.jobsOverShare.WithLabelValues(outcome).Inc()
 }
 
+// recordAdvice counts a call to the advice service by its result.
 func (m *Metrics) recordAdvice(err error) {
 	switch {
 	case err == nil:
@@ -212,6 +220,7 @@
 	}
 }
 
+// recordUnanswered counts a call that timed out.
 func (m *Metrics) recordUnanswered(u conntrack.Unanswered) {
 	connection := "new"
 	if u.Reused {
@@ -220,6 +229,7 @@
 	m.unanswered.WithLabelValues(u.To, connection).Inc()
 }
 
+// recordGivenUpLink counts a link to another entry box that was closed.
 func (m *Metrics) recordGivenUpLink(to, reason string) {
 	m.connectionsGivenUp.WithLabelValues(to, reason).Inc()
 }
--- a/services/jobrun/notes.go
+++ b/services/jobrun/notes.go
@@ -41,6 +41,7 @@
 	at    time.Time
 }
 
+// newLogWriter returns a log writer whose goroutine is running.
 func newLogWriter(log *logrus.Entry, now func() time.Time) *logWriter {
 	w := &logWriter{log: log, now: now, queue: make(chan logLine, logQueueSize), written: map[string]int{}, dropped: map[string]int{}}
 	w.tasks.Go(w.run)
--- a/services/jobrun/orders.go
+++ b/services/jobrun/orders.go
@@ -81,7 +81,7 @@
 	l.post(exchange.StartEnded{Worker: e.Worker, Epoch: e.Epoch, Run: e.Order.Run, Answer: answer})
 }
 
-// throttleRun orders a worker to change the pace of a run.
+// throttleRun orders a worker to change the speed of a run.
 func (l *Loop) throttleRun(e exchange.ThrottleRun) {
 	ctx, cancel := context.WithTimeout(l.ctx, e.Timeout)
 	defer cancel()
--- a/services/jobrun/peers.go
+++ b/services/jobrun/peers.go
@@ -121,7 +121,8 @@
 	case err == nil:
 		p.recordAnswer(address, a.Outcome == exchange.HeldElsewhere)
 	case noAnswer != nil && noAnswer.BoxUnresponsive && ctx.Err() == nil:
-		// If the caller's own context has ended, the missing answer says nothing about the box.
+		// If the caller's own context has ended, the missing answer does not show that the box is
+		// unresponsive.
 		p.markUnresponsive(address)
 	}
 	return answerAfterRetry(a, retried)
--- a/services/jobrun/reborn_test.go
+++ b/services/jobrun/reborn_test.go
@@ -18,14 +18,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// Jobs of the test before and after its workers start again, and how long their tasks work.
+// The number of jobs before and after the workers restart, and how long their tasks run.
 const (
 	jobsPerRound = 8
 	taskDuration = 20 * time.Millisecond
 )
 
-// A worker that restarts under the same name numbers the ends of its runs from the beginning again.
-// Ends with repeated numbers must not be taken for those of the worker's earlier incarnation.
+// TestFinishedTaskIsNotStartedAgainAfterWorkerRestart covers a worker that restarts under the same
+// name and numbers the ends of its runs from the beginning again. Ends with repeated numbers must
+// not be taken for those of the worker's earlier incarnation.
 func TestFinishedTaskIsNotStartedAgainAfterWorkerRestart(t *testing.T) {
 	on, err := standin.New(1)
 	assert.NilError(t, err)
--- a/services/jobrun/service_test.go
+++ b/services/jobrun/service_test.go
@@ -48,11 +48,12 @@
 	return c
 }
 
-// Open connections to the log or to the advice service may go silent without a reset while new ones
-// work. Appends, reads and calls for advice waited until their timeout on such connections instead of
-// being retried, so the outcome of submissions was unknown for a second and boxes did not learn for
-// 1.4 s who held the cell. Calls for advice that a box made for the holder had no timeout at all: they
-// exceeded the holder's and stayed in the box forever.
+// TestCallsSucceedAfterPlatformConnectionsGoSilent covers open connections to the log or to the
+// advice service that go silent without a reset while new ones work. Appends, reads and calls for
+// advice waited until their timeout on such connections instead of being retried, so the outcome of
+// submissions was unknown for a second and boxes did not read for 1.4 s which box held the cell.
+// Calls for advice that a box made for the holder had no timeout at all: they exceeded the holder's
+// timeout and stayed in the box forever.
 func TestCallsSucceedAfterPlatformConnectionsGoSilent(t *testing.T) {
 	t.Run("to the log", testSilentLog)
 	t.Run("to the advice service", testSilentAdvice)
--- a/services/jobrun/silent_test.go
+++ b/services/jobrun/silent_test.go
@@ -26,11 +26,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// Open connections between boxes may go silent without a reset while new ones work. A forwarded request
-// that timed out closed its connection, and requests were forwarded again 0.7 s later. A call for advice
-// that timed out left the connection in use, in the end after 36 s of silence, so the holder's calls
-// through every other box timed out in rounds of 5.5 s until the holder ended. The time spent in calls
-// for advice, summed over concurrent calls, fell from 40 s to 2 s in 2 s, and accepted jobs never ran
+// TestAdviceResumesAfterPeerConnectionsGoSilent covers open connections between boxes that go
+// silent without a reset while new ones work. A forwarded request that timed out closed its
+// connection, and requests were forwarded again 0.7 s later. A call for advice that timed out left
+// the connection in use, in the end after 36 s without any data, so the holder's calls through
+// every other box timed out in rounds of 5.5 s until the holder ended. The time spent in calls for
+// advice, summed over concurrent calls, fell from 40 s to 2 s in 2 s, and accepted jobs never ran
 // although most workers had free capacity.
 func TestAdviceResumesAfterPeerConnectionsGoSilent(t *testing.T) {
 	on, err := memory.New(adviceConfig(), 2)
@@ -50,11 +51,11 @@
 	}
 }
 
-// After connections between boxes went silent, a timed-out call on an old connection was taken for a
-// holder that does not answer, and callers were refused although the holder answered on new
-// connections. A holder whose log did not answer lost the cell: its requests for pledges timed out in
-// every round, since they left the silent connections in use, although the other boxes would have
-// pledged not to claim.
+// TestCellWithSilentPeerConnections guards against two consequences of connections between boxes
+// that went silent. A timed-out call on an old connection was taken for a holder that does not
+// answer, and callers were refused although the holder answered on new connections. A holder whose
+// log did not answer lost the cell: its requests for pledges timed out in every round, since they
+// left the silent connections in use, although the other boxes would have pledged not to claim.
 func TestCellWithSilentPeerConnections(t *testing.T) {
 	t.Run("refuses no caller while its holder answers", func(t *testing.T) {
 		links := newForwarder(t)
--- a/services/jobrun/suspended_test.go
+++ b/services/jobrun/suspended_test.go
@@ -16,9 +16,10 @@
 	"gotest.tools/v3/poll"
 )
 
-// Go's monotonic clock stops while the machine is suspended. A holder whose machine had been suspended
-// for some seconds found its authority hardly aged, although another box had taken over the cell, and
-// went on to renew leases and start tasks beside it.
+// TestHolderLosesAuthorityWhenItsMachineIsSuspended guards against two holders that act at the same
+// time. Go's monotonic clock stops while the machine is suspended. For a holder whose machine had
+// been suspended for some seconds, its authority had hardly aged, although another box had taken
+// over the cell, and it went on to renew leases and start tasks beside that box.
 func TestHolderLosesAuthorityWhenItsMachineIsSuspended(t *testing.T) {
 	on := newPlatform(t)
 	var suspended atomic.Int64
--- a/services/kept/kept.go
+++ b/services/kept/kept.go
@@ -238,7 +238,7 @@
 		var w KnownWorker
 		err := json.Unmarshal(r.Value, &w)
 		if err == nil && w.Name == "" {
-			err = fmt.Errorf("record of a worker without a name")
+			err = fmt.Errorf("name of the worker is empty")
 		}
 		if err != nil {
 			s.addUnread(r.Key, err)
--- a/services/learned/lessons.go
+++ b/services/learned/lessons.go
@@ -12,7 +12,8 @@
 const (
 	// defaultSuitableShare is assumed for a queue without any advice so far.
 	defaultSuitableShare = 0.4
-	// minSuitableShare is a lower bound, which limits how many workers are asked about at once.
+	// minSuitableShare is the lower bound of the share that is used. It limits the number of workers
+	// that are named in one call for advice.
 	minSuitableShare = 0.1
 	// smoothingFactor is the weight of one observation in an exponential moving average.
 	smoothingFactor = 0.05
@@ -26,7 +27,8 @@
 	suitableShares map[string]float64
 	// stopTime is the average time from the order to stop a task until its end is reported.
 	stopTime time.Duration
-	// fleetLogRatio is the mean over all workers of what Speed.meanLogRatio is for one.
+	// fleetLogRatio is the mean logarithm of actual by expected run time over the tasks of all
+	// workers.
 	fleetLogRatio float64
 	// runTimes holds what is known of the run times of the steps, by queue.
 	runTimes map[string]*RunTimes
@@ -39,7 +41,8 @@
 	return &Estimates{suitableShares: map[string]float64{}, runTimes: map[string]*RunTimes{}, stopTime: defaultStopTime}
 }
 
-// ObserveAdvice records that of the workers asked about for a step of a queue, suitable were suitable.
+// ObserveAdvice records an answer of the advice service for a step of a queue: the number of workers
+// in the call, and how many of them were suitable.
 func (e *Estimates) ObserveAdvice(queue string, asked, suitable int) {
 	if asked == 0 {
 		return
@@ -64,7 +67,8 @@
 // StopTime returns the average time from the order to stop a task until its end is reported.
 func (e *Estimates) StopTime() time.Duration { return e.stopTime }
 
-// FleetLogRatio returns the mean over all workers of the logarithm of actual by expected run time.
+// FleetLogRatio returns the mean logarithm of actual by expected run time over the tasks of all
+// workers.
 func (e *Estimates) FleetLogRatio() float64 { return e.fleetLogRatio }
 
 // ObserveSpeed records the ratio of actual to expected run time of a task on any worker.
--- a/services/learned/runtimes.go
+++ b/services/learned/runtimes.go
@@ -15,8 +15,8 @@
 
 // RunTimes predicts the run times of a queue's steps from the estimates of those who submit them.
 // It is a least-squares line from the logarithm of the estimate to the logarithm of the time that
-// the step took. Where estimates say little, the line is flat, and all steps are expected to take
-// the usual time of the queue's steps.
+// the step took. Where the times hardly depend on the estimates, the line is flat, and all steps
+// are expected to take the usual time of the queue's steps.
 type RunTimes struct {
 	// weight is the number of observations that the statistics stand for.
 	weight float64
@@ -53,8 +53,8 @@
 const (
 	// encodedLength is the number of statistics that are logged for a queue.
 	encodedLength = 6
-	// priorWeight is the number of observations for which the initial assumption counts that
-	// estimates are correct.
+	// priorWeight is the weight, in observations, of the initial assumption that estimates are
+	// correct.
 	priorWeight = 6
 	// priorVariance is the variance of the logarithms in that assumption: estimates differ by a
 	// factor of about 1.6.
--- a/services/ledger/cell.go
+++ b/services/ledger/cell.go
@@ -43,6 +43,7 @@
 	l.cell = c
 }
 
+// addFile adds the racks, teams, pools and drained boxes of a file. A retired file has none.
 func (c *cell) addFile(f *spec.File) {
 	if f.Retired {
 		return
@@ -61,6 +62,7 @@
 	}
 }
 
+// addRack adds a rack to its shard and to the sums.
 func (c *cell) addRack(r spec.Rack) {
 	c.racks[r.Name] = r
 	sc := c.shards[r.ShardID()]
--- a/services/ledger/former.go
+++ b/services/ledger/former.go
@@ -19,6 +19,7 @@
 // its rack; the map must not be modified.
 func (l *Ledger) FormerWorkers(shard spec.ShardID) map[string]string { return l.formerWorkers[shard] }
 
+// addFormerWorker adds a worker of a rack to the former workers of a shard.
 func (l *Ledger) addFormerWorker(shard spec.ShardID, worker, rack string) {
 	if l.formerWorkers[shard] == nil {
 		l.formerWorkers[shard] = map[string]string{}
@@ -77,6 +78,7 @@
 	return Change{FilesChanged: true}
 }
 
+// snapshotFormerWorkers returns all former workers, sorted by shard and name.
 func (l *Ledger) snapshotFormerWorkers() []record.FormerWorker {
 	var all []record.FormerWorker
 	for id, workers := range l.formerWorkers {
--- a/services/ledger/homes.go
+++ b/services/ledger/homes.go
@@ -27,8 +27,8 @@
 	return all
 }
 
-// canFit reports whether a shard, if it were empty, would have room for one task of o,
-// or for all of them if o is a gang, within the team's quota in that shard.
+// canFit reports whether one task of o, or all of them if o is a gang, would fit on a shard
+// if it were empty, within the team's quota in that shard.
 func (c *cell) canFit(id spec.ShardID, sc *shardCell, o *Object) bool {
 	need, count := o.work.Resources, 1
 	if o.kind == KindGang {
--- a/services/ledger/ledger.go
+++ b/services/ledger/ledger.go
@@ -158,6 +158,7 @@
 // and revisions at 1, so that revision 0 can mean none.
 func revisionAt(offset int64) int64 { return offset + 1 }
 
+// applyEntry applies one entry of a record that was appended at the given time.
 func (l *Ledger) applyEntry(revision int64, at time.Time, e record.Entry) Change {
 	switch {
 	case e.Publish != nil:
--- a/services/ledger/ledger_test.go
+++ b/services/ledger/ledger_test.go
@@ -91,11 +91,11 @@
 	assert.Equal(t, e.PublicationID(), "one")
 }
 
-// Guards against refusing a publication because of itself ("replaces revision 0, but 9 is
-// in force"). The first box appends it but cannot answer any more, so it is sent to a
-// second box, which has not read that record yet and appends the publication again.
-// The second box then restores its ledger from a peer that has read the first record, and
-// reads its own record after that. The publication ID identifies both records as one.
+// TestPublicationAppendedByTwoBoxesTakesEffectOnce guards against refusing a publication because of
+// itself ("replaces revision 0, but 9 is in force"). The first box appends it but cannot answer any
+// more, so it is sent to a second box, which has not read that record yet and appends the
+// publication again. The second box then restores its ledger from a peer that has read the first
+// record, and reads its own record after that. The publication ID identifies both records as one.
 func TestPublicationAppendedByTwoBoxesTakesEffectOnce(t *testing.T) {
 	log, l := newLogWithJob(t)
 	revision := log.publish("x", "more", 0, strings.ReplaceAll(strings.ReplaceAll(jobFile, "work", "more"), "name: j", "name: k")) + 1
--- a/services/ledger/progress.go
+++ b/services/ledger/progress.go
@@ -51,13 +51,16 @@
 	return p.intents.Contains(uint32(index)) && !p.rerun.Contains(uint32(index))
 }
 
+// addIntents records the intent to start the tasks from from up to, but not including, to.
 func (p *Progress) addIntents(from, to uint64) {
 	p.intents.AddRange(from, to)
 	p.rerun.RemoveRange(from, to)
 }
 
+// addDone records that the tasks from from up to, but not including, to have succeeded.
 func (p *Progress) addDone(from, to uint64) { p.done.AddRange(from, to) }
 
+// addFailed records that the tasks from from up to, but not including, to have failed permanently.
 func (p *Progress) addFailed(from, to uint64) { p.failed.AddRange(from, to) }
 
 // Progress returns the progress of the tasks of id, which is empty if the log has no
--- a/services/ledger/publish.go
+++ b/services/ledger/publish.go
@@ -235,10 +235,12 @@
 	Repeatable bool
 }
 
+// immutableFieldsOf returns the immutable fields of o.
 func immutableFieldsOf(o *Object) immutableFields {
 	return immutableFields{o.kind, o.work.Count, o.work.Command, o.work.Domains, o.Repeatable()}
 }
 
+// sameImmutableFields reports whether a and b have the same immutable fields.
 func sameImmutableFields(a, b *Object) bool {
 	return reflect.DeepEqual(immutableFieldsOf(a), immutableFieldsOf(b))
 }
--- a/services/ledger/snapshot.go
+++ b/services/ledger/snapshot.go
@@ -36,6 +36,7 @@
 	return s
 }
 
+// snapshotFile returns the state of the file in force under name.
 func (l *Ledger) snapshotFile(name string) record.File {
 	e := l.files[name]
 	f := record.File{Name: name, Revision: e.revision, Publication: e.publicationID, Data: e.data}
@@ -71,6 +72,7 @@
 	return l, nil
 }
 
+// restoreFile brings a file of a snapshot into force, with the state of its objects.
 func (l *Ledger) restoreFile(f *record.File) error {
 	file, _, problems := spec.Parse(f.Name, []byte(f.Data))
 	if len(problems) > 0 {
@@ -113,7 +115,7 @@
 func SplitCheckpoint(id string, s record.Snapshot) []record.Checkpoint {
 	parts := []record.Checkpoint{{ID: id, Snapshot: record.Snapshot{Next: s.Next}}}
 	size := 0
-	partWithRoom := func(bytes int) *record.Snapshot {
+	partWithSpace := func(bytes int) *record.Snapshot {
 		if size > 0 && size+bytes > maxPartBytes {
 			parts = append(parts, record.Checkpoint{ID: id, Snapshot: record.Snapshot{Next: s.Next}})
 			size = 0
@@ -122,19 +124,19 @@
 		return &parts[len(parts)-1].Snapshot
 	}
 	for _, f := range s.Files {
-		p := partWithRoom(len(f.Data) + objectBytes*len(f.Objects))
+		p := partWithSpace(len(f.Data) + objectBytes*len(f.Objects))
 		p.Files = append(p.Files, f)
 	}
 	for _, f := range s.Former {
-		p := partWithRoom(objectBytes)
+		p := partWithSpace(objectBytes)
 		p.Former = append(p.Former, f)
 	}
 	for _, c := range s.Claims {
-		p := partWithRoom(objectBytes)
+		p := partWithSpace(objectBytes)
 		p.Claims = append(p.Claims, c)
 	}
 	for _, g := range s.Progress {
-		p := partWithRoom(rangeBytes * (1 + len(g.Intents) + len(g.Done) + len(g.Failed) + len(g.Rerun)))
+		p := partWithSpace(rangeBytes * (1 + len(g.Intents) + len(g.Done) + len(g.Failed) + len(g.Rerun)))
 		p.Progress = append(p.Progress, g)
 	}
 	for i := range parts {
--- a/services/overload/gate_test.go
+++ b/services/overload/gate_test.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// Callers that are refused at the same time must not retry at the same time.
+// TestRetryTimesOfRefusedJobsAreSpread checks that callers which are refused at the same time do
+// not retry at the same time.
 func TestRetryTimesOfRefusedJobsAreSpread(t *testing.T) {
 	g := &overload.Gate{}
 	now := updateRepeatedly(g, time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC), 100, time.Second)
@@ -115,8 +116,9 @@
 	assert.Equal(t, changes, 2)
 }
 
-// Data that waits for the processor or in a saturated link is in none of the holder's queues,
-// so that the queueing times do not show the overload.
+// TestSlowWorkerAnswersCauseRefusals checks that response times show overload too. Data that waits
+// for the processor or in a saturated link is in none of the holder's queues, so that the queueing
+// times do not show it.
 func TestSlowWorkerAnswersCauseRefusals(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for took, refusing := range map[time.Duration]bool{30 * ms: false, 450 * ms: false, 900 * ms: true} {
--- a/services/placement/index.go
+++ b/services/placement/index.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package placement finds workers with room for tasks. It keeps the workers in a grid by their free
-// processors and memory, so that a search considers only workers that almost certainly have room,
-// tightest first, and its cost does not grow with the number of workers.
+// Package placement finds workers with enough free capacity for tasks. It keeps the workers in a
+// grid by their free processors and memory, so that a search considers only workers that almost
+// certainly have enough, those with the least first, and its cost does not grow with the number of
+// workers.
 package placement
 
 import (
@@ -13,9 +14,10 @@
 	"saddlevane/models/resource"
 )
 
-// Each side of the grid has three buckets for each doubling from 1/128 of the largest worker on,
-// and one for less. Most workers of a full shard have little free, so the buckets have to be narrow
-// there.
+// The grid has gridSize buckets for free processors and as many for free memory. Amounts are
+// fractions of the largest worker: there are three buckets per doubling from 1/128 to 1, and one for
+// less than 1/128. Most workers of a full shard have little free capacity, so the buckets for small
+// amounts have to be narrow.
 const (
 	bucketsPerDoubling = 3
 	doublings          = 7
@@ -24,7 +26,7 @@
 
 // The limits of one search.
 const (
-	// maxCandidates is the number of workers with room after which the search stops.
+	// maxCandidates is the number of workers with enough free capacity after which the search stops.
 	maxCandidates = 12
 	// maxCellScan is the maximum number of workers considered in one grid cell.
 	maxCellScan = 48
@@ -36,9 +38,11 @@
 	rack     string
 	capacity resource.Vector
 	free     resource.Vector
-	index    *Index
-	cell     int
-	pos      int
+	// index is the index that holds the worker, or nil, cell its grid cell and pos its position in
+	// the cell.
+	index *Index
+	cell  int
+	pos   int
 }
 
 // NewNode returns a worker that is in no index and has all its capacity free.
@@ -77,6 +81,7 @@
 // Clear releases all reserved resources.
 func (n *Node) Clear() { n.setFree(n.capacity) }
 
+// setFree sets the free resources and moves the worker to the grid cell for them.
 func (n *Node) setFree(free resource.Vector) {
 	n.free = free
 	if n.index == nil {
@@ -91,9 +96,11 @@
 // Index is a set of workers on which tasks may be placed.
 type Index struct {
 	// largest is the elementwise maximum of the capacities of all workers ever added.
-	largest    resource.Vector
-	cells      [gridSize * gridSize][]*Node
-	size       int
+	largest resource.Vector
+	cells   [gridSize * gridSize][]*Node
+	size    int
+	// scanOffset is where the scan of a cell begins. It changes with each search, so that searches
+	// do not always compare the same workers.
 	scanOffset int
 }
 
@@ -121,7 +128,7 @@
 	x.size--
 }
 
-// enlarge grows the grid to the given capacity, and moves the workers to their new cells.
+// enlarge extends the grid to the given capacity, and moves the workers to their new cells.
 func (x *Index) enlarge(capacity resource.Vector) {
 	if capacity.Processors <= x.largest.Processors && capacity.Memory <= x.largest.Memory {
 		return
@@ -138,6 +145,7 @@
 	}
 }
 
+// cellOf returns the index of the grid cell for a worker with v free.
 func (x *Index) cellOf(v resource.Vector) int {
 	return bucketOf(int64(v.Processors), int64(x.largest.Processors))*gridSize + bucketOf(int64(v.Memory), int64(x.largest.Memory))
 }
@@ -145,6 +153,7 @@
 // bucketBounds holds the lower bounds of the buckets, as fractions of the largest worker.
 var bucketBounds = makeBucketBounds()
 
+// makeBucketBounds returns bucketBounds.
 func makeBucketBounds() [gridSize]float64 {
 	var all [gridSize]float64
 	for i := 1; i < gridSize; i++ {
@@ -171,11 +180,13 @@
 	return low
 }
 
+// link appends a worker to a grid cell.
 func (x *Index) link(n *Node, cell int) {
 	n.cell, n.pos = cell, len(x.cells[cell])
 	x.cells[cell] = append(x.cells[cell], n)
 }
 
+// unlink removes a worker from its grid cell, whose last worker takes its position.
 func (x *Index) unlink(n *Node) {
 	cell := x.cells[n.cell]
 	last := len(cell) - 1
@@ -191,6 +202,7 @@
 // offset is a distance in the grid, in buckets.
 type offset struct{ processors, memory int }
 
+// makeOffsetsByDistance returns offsetsByDistance.
 func makeOffsetsByDistance() []offset {
 	var all []offset
 	for p := range gridSize {
@@ -202,9 +214,9 @@
 	return all
 }
 
-// Best returns the worker with room for need and the lowest score, or nil if no worker has room. It
-// compares a bounded number of workers, tightest first. Only if none of those has room does it
-// consider all workers that might.
+// Best returns the worker with the lowest score among those with enough free capacity for need, or
+// nil if there is none. It compares a bounded number of workers, those with the least free capacity
+// first. Only if none of them has enough, it considers all workers.
 func (x *Index) Best(need resource.Vector, score func(*Node) float64) *Node {
 	if n := x.search(need, score, maxCellScan); n != nil {
 		return n
@@ -212,6 +224,7 @@
 	return x.search(need, score, x.size)
 }
 
+// search is Best with at most scan workers considered per grid cell.
 func (x *Index) search(need resource.Vector, score func(*Node) float64, scan int) *Node {
 	var best *Node
 	bestScore, compared := 0.0, 0
--- a/services/planning/budget.go
+++ b/services/planning/budget.go
@@ -2,10 +2,10 @@
 // SPDX-License-Identifier: MIT
 
 // Package planning limits the processor time of a holder's plans according to the duration of
-// earlier plans. A plan is one pass over the waiting steps that looks for room for them. No event
-// is handled during a plan, and events such as lease renewals and ends of runs keep leases valid
-// and free room. On a box of 0.19 processors with a backlog and 1,100 workers, plans took up to
-// 0.5 s each without a pause between them, and leases expired meanwhile.
+// earlier plans. A plan is one pass over the waiting steps that looks for free capacity for them.
+// No event is handled during a plan, and events such as lease renewals and ends of runs keep leases
+// valid and free capacity. On a box of 0.19 processors with a backlog and 1,100 workers, plans took
+// up to 0.5 s each without a pause between them, and leases expired meanwhile.
 package planning
 
 import "time"
@@ -17,8 +17,8 @@
 	// targetDuration is the longest duration that a plan should have. It delays the events
 	// that are queued during the plan by as much.
 	targetDuration = 20 * time.Millisecond
-	// maxMissLimit is the upper bound of the miss limit, the number of steps without room
-	// after which a plan ends. If that many higher-ranked steps find no room, a search
+	// maxMissLimit is the upper bound of the miss limit, the number of steps that do not fit on the
+	// workers after which a plan ends. If that many higher-ranked steps do not fit, a search
 	// through thousands of further steps costs more than it gains. minMissLimit is the lower
 	// bound.
 	maxMissLimit = 300
@@ -55,7 +55,7 @@
 // New returns a budget with the maximum miss limit.
 func New() Budget { return Budget{missLimit: maxMissLimit} }
 
-// MissLimit returns the number of steps without room after which a plan ends.
+// MissLimit returns the number of steps that do not fit on the workers after which a plan ends.
 func (b *Budget) MissLimit() int { return int(b.missLimit) }
 
 // IsFullPlan reports whether the plan with the given number tries all steps regardless of the
--- a/services/presence/former.go
+++ b/services/presence/former.go
@@ -5,22 +5,22 @@
 
 import "time"
 
-// formerRetention is how long the lives of a worker that is gone are kept. It is longer than an
-// order may be in transit.
+// formerRetention is how long the incarnations of a worker that is gone are kept. It is longer than
+// an order may be in transit.
 const formerRetention = time.Minute
 
-// FormerWorkers holds the lives of workers that are gone, by name, since a worker may come back
-// under its name. The zero value holds none.
+// FormerWorkers holds the incarnations of workers that are gone, by name, since a worker may come
+// back under its name. The zero value holds none.
 type FormerWorkers struct{ workers map[string]formerWorker }
 
-// formerWorker holds the lives of a worker that has been gone since some time.
+// formerWorker holds the incarnations of a worker that has been gone since some time.
 type formerWorker struct {
 	incarnations *Incarnations
 	since        time.Time
 }
 
-// Take removes and returns the lives kept under the name of a worker that is listed, or returns new
-// ones if there are none.
+// Take removes and returns the incarnations kept under the name of a worker that is listed, or
+// returns new ones if there are none.
 func (f *FormerWorkers) Take(name string) *Incarnations {
 	known, ok := f.workers[name]
 	if !ok {
@@ -30,12 +30,12 @@
 	return known.incarnations
 }
 
-// Add keeps the lives of a worker that is gone.
-func (f *FormerWorkers) Add(now time.Time, name string, lives *Incarnations) {
+// Add keeps the incarnations of a worker that is gone.
+func (f *FormerWorkers) Add(now time.Time, name string, incarnations *Incarnations) {
 	if f.workers == nil {
 		f.workers = map[string]formerWorker{}
 	}
-	f.workers[name] = formerWorker{incarnations: lives, since: now}
+	f.workers[name] = formerWorker{incarnations: incarnations, since: now}
 }
 
 // Expire drops the workers that have been gone for more than formerRetention.
--- a/services/presence/lives.go
+++ b/services/presence/lives.go
@@ -9,32 +9,32 @@
 	"saddlevane/models/order"
 )
 
-// maxPastIncarnations bounds the ended lives that are kept of a worker. They are needed because the worker
-// list may be read late, or again.
+// maxPastIncarnations bounds the ended incarnations that are kept of a worker. They are needed
+// because the worker list may be read late, or again.
 const maxPastIncarnations = 16
 
-// Incarnations determines which of the lives (incarnations) that a worker has had under its name is the
-// current one. The answers of the worker decide: a life that answers a call began after all lives
-// that were known when the call was made. A list entry of another life may be older or newer than
-// the known one. It only makes that life a candidate, so the worker is called, and nothing is
-// started on it until it has answered.
+// Incarnations determines which of the incarnations that a worker has had under its name is the
+// current one. The answers of the worker decide: an incarnation that answers a call began after all
+// incarnations that were known when the call was made. A list entry of another incarnation may be
+// older or newer than the known one. It only makes that incarnation a candidate, so the worker is
+// called, and nothing is started on it until it has answered.
 //
 // Calls are numbered by the caller in the order in which they are made.
 type Incarnations struct {
-	// candidate is the entry of another life that has not been confirmed or refuted by an answer,
-	// or nil. candidateReadAfter is the number of the last call made before it was read.
+	// candidate is the entry of another incarnation that has not been confirmed or refuted by an
+	// answer, or nil. candidateReadAfter is the number of the last call made before it was read.
 	candidate          *order.Worker
 	candidateReadAfter int64
-	// past holds lives that have ended, the latest last.
+	// past holds incarnations that have ended, the latest last.
 	past []order.Incarnation
 	// fenceRaises counts how often the fence number of the worker was raised. fenceRaisedAfter is
-	// the number of the last call made before it was last raised for the current life, or 0.
+	// the number of the last call made before it was last raised for the current incarnation, or 0.
 	fenceRaises      int64
 	fenceRaisedAfter int64
 }
 
-// HasCandidate reports whether an entry of another life was read that no answer has confirmed or
-// refuted yet.
+// HasCandidate reports whether an entry of another incarnation was read that no answer has
+// confirmed or refuted yet.
 func (l *Incarnations) HasCandidate() bool { return l.candidate != nil }
 
 // fencesPerClaim bounds how often the fence number of a worker is raised under one claim, so that
@@ -43,7 +43,7 @@
 
 // Fence returns the fence number of orders to the worker under a claim. Once a worker has received
 // a higher number, it refuses orders with a lower one, such as those still in transit to an earlier
-// life.
+// incarnation.
 func (l *Incarnations) Fence(claim int64) int64 { return claim*fencesPerClaim + l.fenceRaises }
 
 // RaiseFence raises the fence number of the worker. Once the worker has received a call with a
@@ -55,13 +55,13 @@
 
 // IsFencedByLaterHolder reports whether an order was refused because of a later holder, rather than
 // because this holder has raised the fence number since. call is the number of the call, or 0 if it
-// has none; if the fence was raised for the current life, such a refusal is inconclusive, the
+// has none; if the fence was raised for the current incarnation, such a refusal is inconclusive, the
 // result is false, and the next numbered call decides.
 func (l *Incarnations) IsFencedByLaterHolder(a order.Answer, call int64) bool {
 	return a.Outcome == order.Refused && a.Reason == order.Fenced && (l.fenceRaisedAfter == 0 || call > l.fenceRaisedAfter)
 }
 
-// Candidate returns the entry of another life, if there is one.
+// Candidate returns the entry of another incarnation, if there is one.
 func (l *Incarnations) Candidate() (order.Worker, bool) {
 	if l.candidate == nil {
 		return order.Worker{}, false
@@ -70,7 +70,8 @@
 }
 
 // RecordEntry records a list entry of the worker that was read after the given number of calls. It
-// reports whether the entry is that of the known life.
+// reports whether the entry is that of the known incarnation. The entry of any other incarnation
+// becomes the candidate, unless that incarnation is known to have ended.
 func (l *Incarnations) RecordEntry(known order.Incarnation, entry order.Worker, calls int64) bool {
 	switch {
 	case !known.DiffersFrom(entry.Incarnation):
@@ -89,14 +90,15 @@
 // RecordEntryRemoved records that no list entry has the worker's name any more.
 func (l *Incarnations) RecordEntryRemoved() { l.candidate = nil }
 
-// PrecedesCandidate reports whether a call was made before the entry of another life was read, so
-// that a life that has ended since may have answered it.
+// PrecedesCandidate reports whether a call was made before the entry of another incarnation was
+// read, so that an incarnation that has ended since may have answered it.
 func (l *Incarnations) PrecedesCandidate(call int64) bool {
 	return l.candidate != nil && call <= l.candidateReadAfter
 }
 
-// RecordAnswer records that the life by has answered a call. The call was made after the known life
-// became known. It reports whether the known life has ended.
+// RecordAnswer records that the incarnation by has answered a call that was made after known became
+// the known incarnation. It reports whether the known incarnation has ended, which it has if by is
+// another one.
 func (l *Incarnations) RecordAnswer(known, by order.Incarnation, call int64) bool {
 	if known.DiffersFrom(by) {
 		l.End(known)
@@ -109,8 +111,9 @@
 	return false
 }
 
-// Successor returns the worker whose life by has replaced that of former, and whether its own list
-// entry was read. Otherwise the result has the address and resources of former.
+// Successor returns the worker in its incarnation by, which has replaced that of former, and whether
+// the list entry of this incarnation was read. The address and resources are those of the candidate,
+// or of former if there is no candidate.
 func (l *Incarnations) Successor(former order.Worker, by order.Incarnation) (o order.Worker, listed bool) {
 	if l.candidate == nil {
 		former.Incarnation = by
@@ -122,16 +125,16 @@
 	return o, listed
 }
 
-// End records that the known life has ended, and raises the fence number for the next one.
+// End records that the known incarnation has ended, and raises the fence number for the next one.
 func (l *Incarnations) End(known order.Incarnation) {
 	l.addPast(known)
 	l.fenceRaises++
 	l.fenceRaisedAfter = 0
 }
 
-// addPast adds a life to those that are not the current one.
-func (l *Incarnations) addPast(life order.Incarnation) {
-	l.past = append(l.past, life)
+// addPast adds an incarnation to those that are not the current one.
+func (l *Incarnations) addPast(incarnation order.Incarnation) {
+	l.past = append(l.past, incarnation)
 	if len(l.past) > maxPastIncarnations {
 		l.past = l.past[1:]
 	}
--- a/services/presence/lives_test.go
+++ b/services/presence/lives_test.go
@@ -12,16 +12,21 @@
 	"gotest.tools/v3/assert"
 )
 
-// life returns a life of one worker. Clocks may step back, so a larger number need not be later.
-func life(born int64) order.Incarnation { return order.Incarnation{Name: "w", BornUnixMilli: born} }
+// incarnation returns an incarnation of one worker. Clocks may step back, so a larger number need
+// not be later.
+func incarnation(born int64) order.Incarnation {
+	return order.Incarnation{Name: "w", BornUnixMilli: born}
+}
 
-func entry(born int64) order.Worker { return order.Worker{Incarnation: life(born), Address: "a"} }
+func entry(born int64) order.Worker {
+	return order.Worker{Incarnation: incarnation(born), Address: "a"}
+}
 
 func TestOnlyAnswersDetermineCurrentIncarnation(t *testing.T) {
 	var l presence.Incarnations
-	known := life(500)
+	known := incarnation(500)
 	assert.Check(t, l.RecordEntry(known, entry(500), 1))
-	assert.Check(t, !l.RecordEntry(known, entry(900), 7), "the entry may be of an earlier life")
+	assert.Check(t, !l.RecordEntry(known, entry(900), 7), "the entry may be of an earlier incarnation")
 	assert.Check(t, l.HasCandidate())
 	assert.Check(t, !l.RecordAnswer(known, known, 7), "this call was made before the entry was read")
 	assert.Check(t, l.HasCandidate())
@@ -29,41 +34,41 @@
 	assert.Check(t, !l.HasCandidate(), "the entry was old")
 	assert.Check(t, !l.RecordEntry(known, entry(900), 9))
 	assert.Check(t, !l.HasCandidate(), "the entry is known to be old")
-	assert.Check(t, l.RecordAnswer(known, life(100), 10), "a smaller number may be the later life")
+	assert.Check(t, l.RecordAnswer(known, incarnation(100), 10), "a smaller number may be the later incarnation")
 	assert.Equal(t, l.Fence(3), int64(3_000_001))
-	assert.Check(t, !l.RecordEntry(life(100), entry(500), 11) && !l.HasCandidate(), "the list is outdated")
+	assert.Check(t, !l.RecordEntry(incarnation(100), entry(500), 11) && !l.HasCandidate(), "the list is outdated")
 }
 
 func TestSuccessorUsesEntryIfRead(t *testing.T) {
 	var l presence.Incarnations
-	o, listed := l.Successor(entry(1), life(2))
-	assert.Check(t, !listed && o.Incarnation == life(2) && o.Address == "a")
+	o, listed := l.Successor(entry(1), incarnation(2))
+	assert.Check(t, !listed && o.Incarnation == incarnation(2) && o.Address == "a")
 	next := entry(3)
 	next.Address = "b"
-	l.RecordEntry(life(2), next, 0)
-	o, listed = l.Successor(entry(2), life(3))
+	l.RecordEntry(incarnation(2), next, 0)
+	o, listed = l.Successor(entry(2), incarnation(3))
 	assert.Check(t, listed && o.Address == "b")
 	assert.Check(t, !l.HasCandidate())
-	l.RecordEntry(life(3), entry(4), 0)
+	l.RecordEntry(incarnation(3), entry(4), 0)
 	l.RecordEntryRemoved()
 	assert.Check(t, !l.HasCandidate())
 }
 
 func TestNameIsOneIncarnationWithoutBirthTimes(t *testing.T) {
 	var l presence.Incarnations
-	assert.Check(t, l.RecordEntry(life(0), entry(5), 0) && l.RecordEntry(life(5), entry(0), 0))
-	assert.Check(t, !l.RecordAnswer(life(0), life(5), 1) && !l.RecordAnswer(life(5), life(0), 2))
+	assert.Check(t, l.RecordEntry(incarnation(0), entry(5), 0) && l.RecordEntry(incarnation(5), entry(0), 0))
+	assert.Check(t, !l.RecordAnswer(incarnation(0), incarnation(5), 1) && !l.RecordAnswer(incarnation(5), incarnation(0), 2))
 	assert.Equal(t, l.Fence(3), int64(3_000_000))
 }
 
 func TestPastIncarnationsAreBounded(t *testing.T) {
 	var l presence.Incarnations
 	for i := int64(1); i < 1000; i++ {
-		assert.Check(t, l.RecordAnswer(life(i), life(i+1), i))
+		assert.Check(t, l.RecordAnswer(incarnation(i), incarnation(i+1), i))
 	}
 	assert.Equal(t, l.Fence(1), int64(1_000_999))
-	l.RecordEntry(life(1000), entry(999), 0)
-	assert.Check(t, !l.HasCandidate(), "the latest lives are kept")
-	l.RecordEntry(life(1000), entry(1), 0)
-	assert.Check(t, l.HasCandidate(), "the oldest life is forgotten, so the worker is called again")
+	l.RecordEntry(incarnation(1000), entry(999), 0)
+	assert.Check(t, !l.HasCandidate(), "the latest incarnations are kept")
+	l.RecordEntry(incarnation(1000), entry(1), 0)
+	assert.Check(t, l.HasCandidate(), "the oldest incarnation is forgotten, so the worker is called again")
 }
--- a/services/presence/presence.go
+++ b/services/presence/presence.go
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: MIT
 
 // Package presence tracks the workers of the cell: whether the platform lists a worker and whether
-// the worker answers, how its life ended once it does neither, and which of its lives is the
-// current one.
+// the worker answers, how its incarnation ended once it does neither, and which of its
+// incarnations is the current one.
 package presence
 
 import (
@@ -12,7 +12,8 @@
 	"saddlevane/models/exchange"
 )
 
-// Presence holds what was observed of one life of a worker. The zero value was never listed.
+// Presence holds what was observed of one incarnation of a worker. The zero value is that of a
+// worker that was never listed.
 type Presence struct {
 	// listed is set while the platform lists the worker. If missingSince is set, the entry is
 	// missing since then but may come back: it may have lapsed because of an outage of the log.
@@ -63,19 +64,19 @@
 	p.unresponsiveSince, p.wasHealthy = now, !gone && !p.leaving
 }
 
-// RecordAnswer records an answer and reports whether the worker had been silent.
+// RecordAnswer records an answer and reports whether the worker had been unresponsive.
 func (p *Presence) RecordAnswer() bool {
-	silent := !p.unresponsiveSince.IsZero()
+	unresponsive := !p.unresponsiveSince.IsZero()
 	p.unresponsiveSince = time.Time{}
-	return silent
+	return unresponsive
 }
 
 // UnresponsiveSince returns the time since which the worker has not answered, or the zero time if it
 // answers.
 func (p *Presence) UnresponsiveSince() time.Time { return p.unresponsiveSince }
 
-// Ending returns how the life of a silent worker ended. over is set if the life is known to have
-// ended; otherwise only its lease is known to have run out.
+// Ending returns how the incarnation of an unresponsive worker ended. over is set if the
+// incarnation is known to have ended; otherwise only its lease is known to have run out.
 func (p *Presence) Ending(over bool) exchange.Ending {
 	switch {
 	case !p.wasHealthy:
--- a/services/ranking/ranking.go
+++ b/services/ranking/ranking.go
@@ -17,8 +17,8 @@
 	"saddlevane/modules/ordered"
 )
 
-// Tier groups steps by what their results are still worth. It decides before all other criteria
-// except Rank.AdviceExpiring.
+// Tier classifies steps by what their results are still worth. It takes precedence over all other
+// criteria except Rank.AdviceExpiring.
 type Tier int
 
 // The tiers, in order: steps on time go before late ones, and both before hopeless ones.
@@ -35,8 +35,9 @@
 	// MaxLateFactor is how many times its objective a job may take and still be of use to its
 	// caller, as the users have defined.
 	MaxLateFactor = 3
-	// overdueAfter is how long a job whose result is no longer of use gives way to all others
-	// before its steps count as late again, so that every accepted job is done eventually.
+	// overdueAfter is how long the steps of a job rank as Hopeless, counted from MaxLateFactor times
+	// its objective after it fell due. After that they rank as Late, so that every accepted job is
+	// done eventually.
 	overdueAfter = 12 * time.Second
 )
 
@@ -52,7 +53,7 @@
 func (t Times) Deadline() time.Time { return t.DueAt.Add(t.Objective) }
 
 // IsOverdue reports whether the result of the job has been of no use for overdueAfter. Its steps
-// then go before all other late ones, which bounds how long the order can hold a step back.
+// then go before other late ones, which bounds how long a step can be delayed by others.
 func (t Times) IsOverdue(now time.Time) bool {
 	return now.Sub(t.DueAt) > MaxLateFactor*t.Objective+overdueAfter
 }
@@ -90,8 +91,8 @@
 
 // Compare orders steps for a plan; the result is negative if r goes before other. Hopeless steps
 // are ordered by deadline in a backlog as well, since finishing one of them sooner gains nothing:
-// with the least work first, a job waited 10.3 s for room in a full cell of 6 workers. The names
-// come last, so that the order is always the same.
+// with the least work first, a job waited 10.3 s for free capacity in a full cell of 6 workers. The
+// names come last, so that the order is always the same.
 func (r Rank) Compare(other Rank, backlog bool) int {
 	byWork := 0
 	if backlog && r.Tier != Hopeless {
--- a/services/ranking/ranking_test.go
+++ b/services/ranking/ranking_test.go
@@ -34,10 +34,10 @@
 	}
 }
 
-// Guards against ordering a backlog by deadline. When large and small jobs of one kind had gathered
-// while there was no room, the one with the earliest deadline was always placed next, and all of
-// them finished slightly late: the jobs of a random load earned 0.721 of their value, and 0.745
-// with the least work first.
+// TestBacklogOrdersByLeastWork guards against ordering a backlog by deadline. When large and small
+// jobs of one kind had gathered while there was no free capacity, the one with the earliest
+// deadline was always placed next, and all of them finished slightly late: the jobs of a random
+// load earned 0.721 of their value, and 0.745 with the least work first.
 func TestBacklogOrdersByLeastWork(t *testing.T) {
 	wanted := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	rank := func(id job.ID, after time.Duration, work float64) ranking.Rank {
@@ -65,11 +65,11 @@
 	assert.Check(t, !ranking.IsBacklog(resource.Vector{Processors: 1000}, resource.Vector{}))
 }
 
-// Guards against a hopeless job waiting behind smaller hopeless ones. A backlog of 60 steps had
-// built up while connections were silent, and the cell of 6 workers was full for 10 s afterwards. A
-// job whose result was no longer of use waited 10.3 s for room, because smaller ones went before it
-// although none of them gained anything. It had not ended 10.45 s after the last silence, the
-// guaranteed time.
+// TestHopelessStepsKeepDeadlineOrderInBacklog guards against a hopeless job waiting behind smaller
+// hopeless ones. A backlog of 60 steps had built up while connections were silent, and the cell of
+// 6 workers was full for 10 s afterwards. A job whose result was no longer of use waited 10.3 s for
+// free capacity, because smaller ones went before it although none of them gained anything. It had
+// not ended 10.45 s after the last connection was silent, the guaranteed time.
 //
 //	03:34:09 state of the cell free=1 processors=80 steps_late=28 steps_hopeless=11
 //	03:34:14 job ended job=job212 age=12.51s delays=map[room:10.3s takeover:1.45s]
--- a/services/recent/recent.go
+++ b/services/recent/recent.go
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: MIT
 
 // Package recent records in the log which tasks were started last, and on which workers. If a
-// worker crashes while no box holds the cell, nobody sees what ran there, and a task that crashes
-// its workers would be started again as if nothing had happened. With the records, the next holder
+// worker crashes while no box holds the cell, no box observes what ran there, and a task that
+// crashes its workers would be started again without any blame. With the records, the next holder
 // attributes the crash to the tasks that were started there last.
 //
 // The starts are added to appends that are made anyway, or are appended on their own after
@@ -30,7 +30,8 @@
 	// idle cell, a task that crashes its worker after half a second is thus recorded before the
 	// crash.
 	FlushAfter = 100 * time.Millisecond
-	// Slots is the number of records that the log keeps, which cover the last 3 s or more.
+	// Slots is the number of records that the log keeps. At one record per MinInterval they cover
+	// at least the last 3 s.
 	Slots = 128
 	// maxStarts bounds the starts in a record. At 4,000 starts/s all of them are recorded, at
 	// higher rates a part, so that a record, at about 60 bytes per start, stays under 6 kB.
@@ -42,13 +43,13 @@
 	Task   job.TaskID `json:"t"`
 	Run    int64      `json:"n"`
 	Worker string     `json:"w"`
-	// Born distinguishes the lives of the worker; see order.Life.
+	// Born distinguishes the incarnations of the worker; see order.Incarnation.
 	Born int64 `json:"b,omitempty"`
 	// UnixMilli is when the start was ordered, in milliseconds since 1970.
 	UnixMilli int64 `json:"m"`
 }
 
-// incarnation returns the life of the worker on which the task was started.
+// incarnation returns the incarnation of the worker on which the task was started.
 func (s Start) incarnation() order.Incarnation {
 	return order.Incarnation{Name: s.Worker, BornUnixMilli: s.Born}
 }
@@ -105,7 +106,7 @@
 	return slot, starts
 }
 
-// LoggedStarts holds the starts that were recorded in the log, by the worker's life.
+// LoggedStarts holds the starts that were recorded in the log, by the worker's incarnation.
 type LoggedStarts struct{ byIncarnation map[order.Incarnation][]Start }
 
 // Read returns the last start of each task in the records, and an error for each record that could
@@ -132,6 +133,7 @@
 	return logged, errs
 }
 
+// decode decodes a record, and returns an error if it contains an invalid start.
 func decode(record []byte) ([]Start, error) {
 	var starts []Start
 	if err := json.Unmarshal(record, &starts); err != nil {
@@ -145,18 +147,20 @@
 	return starts, nil
 }
 
+// compare orders starts by job, instance, step and task index.
 func (s Start) compare(other Start) int {
 	return cmp.Or(cmp.Compare(s.Task.Job, other.Task.Job), cmp.Compare(s.Task.Instance, other.Task.Instance),
 		cmp.Compare(s.Task.Step, other.Task.Step), cmp.Compare(s.Task.Index, other.Task.Index))
 }
 
-// StartedOn returns the last starts of the tasks that were started last on a life of a worker.
-func (l LoggedStarts) StartedOn(life order.Incarnation) []Start {
-	if life.BornUnixMilli == 0 {
-		return l.byIncarnation[life]
+// StartedOn returns, for each task whose last start was on the given incarnation of a worker, that
+// start.
+func (l LoggedStarts) StartedOn(incarnation order.Incarnation) []Start {
+	if incarnation.BornUnixMilli == 0 {
+		return l.byIncarnation[incarnation]
 	}
 	// Records of an earlier release have the worker's name only.
-	return slices.Concat(l.byIncarnation[life], l.byIncarnation[order.Incarnation{Name: life.Name}])
+	return slices.Concat(l.byIncarnation[incarnation], l.byIncarnation[order.Incarnation{Name: incarnation.Name}])
 }
 
 // WorkerCount returns the number of workers on which a gang was started, given its step, and 1 for
@@ -174,8 +178,9 @@
 	return n
 }
 
-// Forget drops the starts on a life of a worker, once the worker itself has reported what it runs.
-func (l LoggedStarts) Forget(life order.Incarnation) {
-	delete(l.byIncarnation, life)
-	delete(l.byIncarnation, order.Incarnation{Name: life.Name})
+// Forget drops the starts on an incarnation of a worker, once the worker itself has reported what
+// it runs.
+func (l LoggedStarts) Forget(incarnation order.Incarnation) {
+	delete(l.byIncarnation, incarnation)
+	delete(l.byIncarnation, order.Incarnation{Name: incarnation.Name})
 }
--- a/services/recent/recent_test.go
+++ b/services/recent/recent_test.go
@@ -66,8 +66,8 @@
 	assert.NilError(t, err)
 	logged, errs := recent.Read([][]byte{data})
 	assert.Equal(t, len(errs), 0)
-	life := order.Incarnation{Name: "w", BornUnixMilli: 400}
-	assert.DeepEqual(t, logged.StartedOn(life), []recent.Start{later, before})
-	logged.Forget(life)
+	incarnation := order.Incarnation{Name: "w", BornUnixMilli: 400}
+	assert.DeepEqual(t, logged.StartedOn(incarnation), []recent.Start{later, before})
+	logged.Forget(incarnation)
 	assert.DeepEqual(t, logged.StartedOn(order.Incarnation{Name: "w", BornUnixMilli: 500}), []recent.Start{first})
 }
--- a/services/reservations/reservations.go
+++ b/services/reservations/reservations.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package reservations accounts for the room that is kept idle for gangs that cannot start
-// immediately: how much is reserved for which step, since when, and how each reservation ended.
+// Package reservations tracks the capacity that is reserved, and thus stays idle, for gangs that
+// cannot start immediately: how much is reserved for which step, since when, and how each
+// reservation ended.
 package reservations
 
 import (
@@ -17,14 +18,14 @@
 
 // The outcomes of a reservation.
 const (
-	// Started means that the gang was started in the reserved room.
+	// Started means that the gang was started on the reserved capacity.
 	Started Outcome = "started"
 	// TicketsNotRequested means that no box was available to request the tickets for the
 	// start.
 	TicketsNotRequested Outcome = "unasked"
 	// TicketsNotReceived means that the requested tickets did not arrive in time.
 	TicketsNotReceived Outcome = "unticketed"
-	// Occupied means that the tasks in the reserved room did not end in time.
+	// Occupied means that the tasks that occupied the reserved capacity did not end in time.
 	Occupied Outcome = "occupied"
 	// WorkerUnusable means that a worker of the reservation no longer accepts the tasks.
 	WorkerUnusable Outcome = "unusable"
--- a/services/shard/failure.go
+++ b/services/shard/failure.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// blame attributes a failure to the worker or the object. Consecutive failures of different
+// blame records a failure against the worker and the object. Consecutive failures of different
 // objects on one worker quarantine the worker; failures of one object on different workers
 // delay the object.
 func (h *Holder) blame(now time.Time, w *workerState, o *object) {
--- a/services/shard/plan.go
+++ b/services/shard/plan.go
@@ -26,7 +26,7 @@
 	SpreadPenalty float64
 }
 
-// DefaultPolicy returns the policy that performed best in measurements.
+// DefaultPolicy returns the policy that gave the best results in measurements.
 func DefaultPolicy() Policy {
 	return Policy{BatchWeights: placement.DefaultWeights(), ServiceWeights: placement.DefaultWeights(), SpreadPenalty: 10}
 }
@@ -44,8 +44,8 @@
 	now         time.Time
 	remaining   int
 	unplaceable []resource.Vector
-	// closedRank is the rank of the long-waiting gang of the highest priority. Objects of
-	// this or a lower priority may no longer overtake it.
+	// closedRank is the rank of the highest priority with a gang that has waited for
+	// GangOvertakeTimeout. Objects of this or a lower priority may no longer overtake the gang.
 	closedRank int
 }
 
--- a/services/shard/preempt.go
+++ b/services/shard/preempt.go
@@ -23,11 +23,11 @@
 // need about that long to stop. After that, more tasks may be preempted.
 const preemptRetryDelay = 500 * time.Millisecond
 
-// preemption is a set of tasks on one worker that would have to stop to make room for one
-// urgent task.
+// preemption is a set of tasks on one worker that would have to stop to free the resources
+// for one urgent task.
 type preemption struct{ victims []*attempt }
 
-// preemptFor makes room for the waiting tasks of an urgent object. It stops, with a
+// preemptFor frees resources for the waiting tasks of an urgent object. It stops, with a
 // checkpoint, tasks of jobs of the lowest priority that may be repeated, using the workers
 // where the fewest have to stop.
 func (h *Holder) preemptFor(now time.Time, o *object, need resource.Vector) {
@@ -77,7 +77,7 @@
 	return all
 }
 
-// selectVictims returns tasks on w that would have to stop to make room for need, or nil if
+// selectVictims returns tasks on w that would have to stop to free the resources need, or nil if
 // stopping tasks is not enough or not necessary.
 func selectVictims(w *workerState, need resource.Vector) []*attempt {
 	free := w.node.Free()
--- a/services/shard/retry.go
+++ b/services/shard/retry.go
@@ -22,8 +22,10 @@
 	queued map[int]bool
 }
 
+// len returns the number of queued retries.
 func (r *retries) len() int { return len(r.queue) }
 
+// has reports whether a retry of the task is queued.
 func (r *retries) has(index int) bool { return r.queued[index] }
 
 // pushBack adds t at the end, unless a retry of the task is queued already.
--- a/services/shard/status.go
+++ b/services/shard/status.go
@@ -163,7 +163,7 @@
 	return all
 }
 
-// Explain says in a sentence why a task is in its state. It returns false if this process
+// Explain returns one sentence on why a task is in its state. It returns false if this process
 // does not hold the shard or the task is not assigned to the shard.
 func (h *Holder) Explain(key task.Key) (status.Explanation, bool) {
 	o, ok := h.objects[key.Object]
--- a/services/slots/slots.go
+++ b/services/slots/slots.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package slots allocates the tasks of a step to workers that each have room for some of them.
+// Package slots allocates the tasks of a step to workers that each have free capacity for some
+// of them.
 package slots
 
 import (
@@ -14,7 +15,8 @@
 	"saddlevane/modules/ordered"
 )
 
-// Allocation is the number of tasks of a step that a worker has room for, or gets.
+// Allocation is a worker with the number of tasks of a step that it has free capacity for, or that
+// are allocated to it.
 type Allocation[W any] struct {
 	Worker W
 	Tasks  int
@@ -35,8 +37,8 @@
 }
 
 // FillInOneGroup allocates all wanted tasks to workers of the same group, such as a rack. Group
-// returns the name of a worker's group. Of the groups with enough room the first by name is used.
-// If there is none, the result is nil and false.
+// returns the name of a worker's group. Of the groups with enough free capacity, the first by name
+// is used. If there is none, the result is nil and false.
 func FillInOneGroup[W any](available []Allocation[W], wanted int, group func(W) string) ([]Allocation[W], bool) {
 	groups := map[string][]Allocation[W]{}
 	for _, a := range available {
--- a/services/turns/turns.go
+++ b/services/turns/turns.go
@@ -5,11 +5,11 @@
 // for them.
 //
 // If the boxes cannot make all the calls that steps need, the call time is divided evenly between
-// queues. Otherwise a queue whose calls are long or often without success keeps the other queues
-// from starting anything: with four boxes and three queues, jobs had not started a minute after
-// they were accepted. Dividing the calls raised the value of the results by 0.019 (standard error
-// 0.007, 12 pairs of days). Within a queue, steps that are already late get a smaller share, but
-// each of them gets a call eventually.
+// queues. Otherwise a queue whose calls take long, or often find no suitable worker, prevents the
+// other queues from starting any task: with four boxes and three queues, jobs had not started a
+// minute after they were accepted. Dividing the calls raised the value of the results by 0.019
+// (standard error 0.007, 12 pairs of days). Within a queue, steps that are already late get a
+// smaller share, but each of them gets a call eventually.
 package turns
 
 import (
@@ -41,11 +41,11 @@
 }
 
 const (
-	// usageDecayTime is the time in which the usage decays to 1/e. It corresponds to some
-	// calls of the longest kind.
+	// usageDecayTime is the time in which the usage decays to 1/e. A few calls of the longest
+	// kind take about this time.
 	usageDecayTime = 4 * time.Second
-	// deferredFor is how long a class counts as waiting after it could not make a call. It
-	// corresponds to some plans.
+	// deferredFor is how long a class counts as waiting after it could not make a call. A
+	// few plans take about this time.
 	deferredFor = 300 * time.Millisecond
 	// lateCallWeight multiplies the duration of calls for late steps. By the users' rules a
 	// late result is worth a fifth of one that is on time.
--- a/services/workspaces/caps.go
+++ b/services/workspaces/caps.go
@@ -12,20 +12,20 @@
 
 // Usage tracks the resources that the tasks of each workspace take. It is updated by each event
 // that changes it, so that the cost of a start does not depend on the size of the cell. A task
-// counts from the order to start it until its end is known, including while it is being stopped,
-// while it is not known whether it has started, and while its worker is out of reach.
+// counts from the order to start it until its end is known. This includes the time while it is being
+// stopped, while it is not known whether it has started, and while its worker is unreachable.
 type Usage struct {
 	used map[string]resource.Vector
-	// unreported holds the resources that tasks may take of which it is not known whether they run:
-	// after a takeover, those on workers that have not reported yet.
+	// unreported holds the resources of tasks that may or may not run: after a takeover, those on
+	// workers that have not reported yet.
 	unreported map[string]resource.Vector
 }
 
 // NewUsage returns the usage of a cell in which nothing runs.
 func NewUsage() *Usage { return &Usage{used: map[string]resource.Vector{}} }
 
-// Add adds the resources of a task of the named workspace that takes them from now on, or to which
-// they are promised. Tasks without a workspace are not counted.
+// Add adds the resources of a task of the named workspace, when the task is ordered to start or the
+// resources are promised to it. Tasks without a workspace are not counted.
 func (u *Usage) Add(name string, v resource.Vector) {
 	if name != "" {
 		u.used[name] = u.used[name].Plus(v)
@@ -42,15 +42,15 @@
 	}
 }
 
-// SetUnreported sets, by workspace, the resources that tasks may take of which it is not known
-// whether they run.
+// SetUnreported sets, by workspace, the resources of the tasks that may or may not run, because
+// their workers have not reported yet.
 func (u *Usage) SetUnreported(by map[string]resource.Vector) { u.unreported = by }
 
-// SetUnreportedWithin is like SetUnreported, with the resources of each workspace limited to room.
+// SetUnreportedWithin is like SetUnreported, with the resources of each workspace limited to limit.
 // It changes the values of by.
-func (u *Usage) SetUnreportedWithin(by map[string]resource.Vector, room resource.Vector) {
+func (u *Usage) SetUnreportedWithin(by map[string]resource.Vector, limit resource.Vector) {
 	for name, v := range by {
-		by[name] = v.Min(room)
+		by[name] = v.Min(limit)
 	}
 	u.SetUnreported(by)
 }
@@ -73,11 +73,12 @@
 	}
 }
 
-func remaining[N ~int64](most, used N) N {
-	if most == 0 {
+// remaining returns the part of a limit that is not used, or unlimited if there is no limit.
+func remaining[N ~int64](limit, used N) N {
+	if limit == 0 {
 		return unlimited
 	}
-	return max(0, most-used)
+	return max(0, limit-used)
 }
 
 // FitsCap reports whether tasks that need the given resources together fit the cap of a workspace
--- a/services/workspaces/keys.go
+++ b/services/workspaces/keys.go
@@ -5,10 +5,10 @@
 // key belongs to (keys), how much of the workers' resources the tasks of a workspace may take
 // (caps), and which jobs exceed its share (shares). It does no I/O and reads no clock.
 //
-// A call is authorized twice: by the box that receives it, which sees the key, and by the holder,
-// which has the last word. The one with the newer configuration is right. A box that is cut off
-// from the log may still accept a key that has been removed, or may not accept one that has been
-// added. So a box says whether it knew its configuration to be current, and if neither box did, the
+// A call is authorized twice: by the box that receives it, which has the key itself, and then by
+// the holder. The decision by the newer configuration applies. A box that is cut off from the log
+// may still accept a key that has been removed, or may not accept one that has been added. So a box
+// reports whether its configuration was known to be current. If that is so for neither box, the
 // call is answered with the verdict Undetermined.
 package workspaces
 
@@ -119,7 +119,7 @@
 }
 
 // KeyOwner returns the workspace to which the key with a digest belongs. The digest reveals nothing
-// of the key, and it is also compared in constant time.
+// of the key. It is compared in constant time nevertheless.
 func KeyOwner(c *job.Config, d workspace.Digest) (string, bool) {
 	k, found := c.Keys[d]
 	if !found || subtle.ConstantTimeCompare(k.Digest[:], d[:]) != 1 {
--- a/services/workspaces/keys_test.go
+++ b/services/workspaces/keys_test.go
@@ -29,7 +29,7 @@
 	return c
 }
 
-// Guards against calls that are served whatever key they carry.
+// TestAuthorizeAtBox guards against calls that are served whatever key they carry.
 func TestAuthorizeAtBox(t *testing.T) {
 	c := configOf(t, 5, map[string]string{"k1": "a"})
 	for _, x := range []struct {
@@ -64,8 +64,8 @@
 	}
 }
 
-// A key must not be readable in messages between boxes, nor in the printed form of a caller, a
-// digest or a configuration.
+// TestKeysAreNotExposed checks that a key is not readable in messages between boxes, nor in the
+// printed form of a caller, a digest or a configuration.
 func TestKeysAreNotExposed(t *testing.T) {
 	c := configOf(t, 5, map[string]string{"secret-key": "a"})
 	caller, _ := workspaces.AuthorizeAtBox(c, true, "q", []string{"secret-key"})
@@ -100,7 +100,8 @@
 	assert.NilError(t, c.SetWorkspaces([]workspace.Workspace{{Name: "a", Keys: []workspace.Digest{d, d}}}))
 }
 
-// Authorizing a key takes 0.32 µs with 20 workspaces, within a call that takes a millisecond.
+// BenchmarkAuthorizeAtBox measures the authorization of a key. It takes 0.32 µs with 20 workspaces,
+// within a call that takes a millisecond.
 func BenchmarkAuthorizeAtBox(b *testing.B) {
 	keys := map[string]string{}
 	for i := range 20 {
--- a/services/workspaces/shares.go
+++ b/services/workspaces/shares.go
@@ -18,6 +18,7 @@
 	buckets map[string]*bucket
 }
 
+// bucket is the token bucket of one workspace, as of the time at.
 type bucket struct {
 	tokens float64
 	at     time.Time
@@ -56,14 +57,14 @@
 // refill adds the tokens gained since the last call and returns the bucket of a workspace. If the
 // clock was set back, none are added.
 func (s *ShareLimiter) refill(now time.Time, w workspace.Workspace) *bucket {
-	most := math.Max(minBurst, w.Weight*s.window.Seconds())
+	capacity := math.Max(minBurst, w.Weight*s.window.Seconds())
 	b := s.buckets[w.Name]
 	if b == nil {
-		b = &bucket{tokens: most, at: now}
+		b = &bucket{tokens: capacity, at: now}
 		s.buckets[w.Name] = b
 	}
 	passed := math.Max(0, now.Sub(b.at).Seconds())
-	b.tokens = math.Min(most, b.tokens+w.Weight*passed)
+	b.tokens = math.Min(capacity, b.tokens+w.Weight*passed)
 	b.at = now
 	return b
 }
--- a/services/workspaces/shares_test.go
+++ b/services/workspaces/shares_test.go
@@ -21,7 +21,8 @@
 	return resource.Vector{Processors: resource.Millis(cores) * resource.Processor}
 }
 
-// A workspace may submit the jobs of one window at once, and its weight per second from then on.
+// TestShareAccumulatesOverWindow checks that a workspace may submit the jobs of one window at once,
+// and its weight per second from then on.
 func TestShareAccumulatesOverWindow(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	w := workspace.Workspace{Name: "a", Weight: 4}
