--- a/cmd/saddlevanectl/losses.go
+++ b/cmd/saddlevanectl/losses.go
@@ -45,7 +45,7 @@
 
 // printLosses prints the losses by queue, by workspace if there are any, and by time.
 func (t *tool) printLosses(l *joblog.Losses) error {
-	report := lossReport{Queues: l.Queues(), Workspaces: l.Workspaces(), Spans: l.Spans(), Torn: l.Torn}
+	report := lossReport{Queues: l.Queues(), Workspaces: l.Workspaces(), Spans: l.Spans(), Torn: l.TornLines}
 	return t.print(report, func() {
 		t.printLossTable("QUEUE", report.Queues, func(q joblog.QueueLoss) string { return q.Queue })
 		if len(report.Workspaces) > 0 {
@@ -56,8 +56,8 @@
 			spans.row(s.Begin.UTC().Format(time.TimeOnly), s.Count, s.Reason)
 		}
 		spans.flush()
-		if l.Torn > 0 {
-			fmt.Fprintf(t.out, "# %d lines were torn\n", l.Torn)
+		if l.TornLines > 0 {
+			fmt.Fprintf(t.out, "# %d lines were torn\n", l.TornLines)
 		}
 	})
 }
--- a/cmd/saddlevanectl/trace.go
+++ b/cmd/saddlevanectl/trace.go
@@ -68,7 +68,7 @@
 		}
 		fmt.Fprintln(t.out)
 	}
-	if h.Torn > 0 || h.Foreign > 0 {
-		fmt.Fprintf(t.out, "# %d lines were torn and %d are of something else\n", h.Torn, h.Foreign)
+	if h.TornLines > 0 || h.ForeignLines > 0 {
+		fmt.Fprintf(t.out, "# %d lines were torn and %d are of something else\n", h.TornLines, h.ForeignLines)
 	}
 }
--- a/modules/joblog/joblog.go
+++ b/modules/joblog/joblog.go
@@ -31,9 +31,9 @@
 type History struct {
 	Lines []Line
 	// Torn counts lines that look like a daemon's but could not be decoded.
-	Torn int
+	TornLines int
 	// Foreign counts lines that were not written by a daemon.
-	Foreign int
+	ForeignLines int
 }
 
 // maxLine is the maximum length of a line in bytes. A longer line counts as torn.
@@ -78,17 +78,17 @@
 func (h *History) addLine(text, job string) {
 	brace := strings.IndexByte(text, '{')
 	if brace < 0 {
-		h.Foreign++
+		h.ForeignLines++
 		return
 	}
 	var fields map[string]any
 	if len(text) > maxLine || json.Unmarshal([]byte(text[brace:]), &fields) != nil {
-		h.Torn++
+		h.TornLines++
 		return
 	}
 	message, _ := fields[fieldMessage].(string)
 	if message == "" {
-		h.Foreign++
+		h.ForeignLines++
 		return
 	}
 	if message != messageLeftOut && !isAboutJob(fields, job) {
--- a/modules/joblog/joblog_test.go
+++ b/modules/joblog/joblog_test.go
@@ -40,8 +40,8 @@
 func TestTornAndForeignLinesAreCounted(t *testing.T) {
 	var h joblog.History
 	assert.NilError(t, h.Read(strings.NewReader(lines), "j1"))
-	assert.Equal(t, h.Torn, 1)
-	assert.Equal(t, h.Foreign, 2)
+	assert.Equal(t, h.TornLines, 1)
+	assert.Equal(t, h.ForeignLines, 2)
 }
 
 func FuzzRead(f *testing.F) {
--- a/modules/joblog/losses.go
+++ b/modules/joblog/losses.go
@@ -30,7 +30,7 @@
 	// workspaces holds the losses of each workspace.
 	workspaces map[string]*QueueLoss
 	// Torn counts lines that look like a daemon's but could not be decoded.
-	Torn int
+	TornLines int
 }
 
 // QueueLoss holds the losses of one queue or one workspace.
@@ -84,7 +84,7 @@
 		}
 		var line lossLine
 		if json.Unmarshal([]byte(text[brace:]), &line) != nil {
-			l.Torn++
+			l.TornLines++
 			return
 		}
 		l.addLine(line)
--- a/modules/joblog/losses_test.go
+++ b/modules/joblog/losses_test.go
@@ -42,5 +42,5 @@
 		{Begin: at(10), Reason: "job failed", Count: 1},
 		{Begin: at(10), Reason: "submit unavailable: entry box", Count: 2},
 	})
-	assert.Equal(t, l.Torn, 1)
+	assert.Equal(t, l.TornLines, 1)
 }
--- a/services/jobrun/connections.go
+++ b/services/jobrun/connections.go
@@ -14,10 +14,10 @@
 // a call on one of them had no answer.
 const reasonNoAnswer = "no answer"
 
-// ConnectionsGivenUp counts connections that were closed because a call had no answer. It logs
+// LogDiscardedConnections counts connections that were closed because a call had no answer. It logs
 // them if more than the connection of that call was closed.
-func (l *Loop) ConnectionsGivenUp(g conntrack.Discarded) {
-	l.metrics.connectionsGivenUp.WithLabelValues(g.To, reasonNoAnswer).Add(float64(g.Count))
+func (l *Loop) LogDiscardedConnections(g conntrack.Discarded) {
+	l.metrics.connectionsDiscarded.WithLabelValues(g.To, reasonNoAnswer).Add(float64(g.Count))
 	if g.Count < 2 {
 		return
 	}
@@ -63,9 +63,9 @@
 	}})
 }
 
-// linkGivenUp logs and counts a link to another entry box that was closed because it was silent.
-func (l *Loop) linkGivenUp(g peering.Discarded) {
-	l.metrics.recordGivenUpLink(g.To, string(g.Reason))
+// logDiscardedLink logs and counts a link to another entry box that was closed because it was silent.
+func (l *Loop) logDiscardedLink(g peering.Discarded) {
+	l.metrics.recordDiscardedLink(g.To, string(g.Reason))
 	l.logWriter.write(exchange.LogEvent{Message: "a link to an entry box was given up", Fields: []exchange.LogField{
 		{Name: "address", Value: g.Address},
 		{Name: "reason", Value: g.Reason},
--- a/services/jobrun/metrics.go
+++ b/services/jobrun/metrics.go
@@ -34,9 +34,9 @@
 	unanswered *prometheus.CounterVec
 	// callsRetried counts retried calls, by destination and by which attempt was answered.
 	callsRetried *prometheus.CounterVec
-	// connectionsGivenUp counts connections that were closed as silent, by destination.
-	connectionsGivenUp *prometheus.CounterVec
-	connectionsOpen    *prometheus.GaugeVec
+	// connectionsDiscarded counts connections that were closed as silent, by destination.
+	connectionsDiscarded *prometheus.CounterVec
+	connectionsOpen      *prometheus.GaugeVec
 	// bytes counts transferred bytes, by destination and direction.
 	bytes *prometheus.CounterVec
 	// queueWait is how long events wait in the loop's queue.
@@ -68,17 +68,17 @@
 // newMetrics returns the metrics of a process, registered in a registry of their own.
 func newMetrics() *Metrics {
 	m := &Metrics{
-		registry:           prometheus.NewRegistry(),
-		calls:              counter("job_calls_total", "Callers' calls about jobs, by what they ask and how they ended.", "call", "outcome"),
-		callTime:           histogram("job_call_seconds", "Time to answer a caller's call about a job.", "call"),
-		orders:             counter("worker_orders_total", "Orders to workers, by kind and fate.", "order", "fate"),
-		ends:               counter("task_ends_reported_total", "Ends that workers told of, repeats included.", "how"),
-		appends:            counter("log_appends_total", "Appends to the log, by purpose and result.", "purpose", "result"),
-		logTime:            histogram("log_append_seconds", "Time of an append to the log.", "purpose"),
-		advice:             counter("advice_calls_total", "Calls for advice, by result.", "result"),
-		unanswered:         counter("calls_unanswered_total", "Calls that ran out of their time, by what was called and whether the connection had carried earlier calls.", "to", "connection"),
-		callsRetried:       counter("calls_made_again_total", "Calls that were made again on a new connection, by what was called and on which connection they were answered.", "to", "answered"),
-		connectionsGivenUp: counter("connections_given_up_total", "Open connections that were closed because they were silent, by what they lead to and why.", "to", "reason"),
+		registry:             prometheus.NewRegistry(),
+		calls:                counter("job_calls_total", "Callers' calls about jobs, by what they ask and how they ended.", "call", "outcome"),
+		callTime:             histogram("job_call_seconds", "Time to answer a caller's call about a job.", "call"),
+		orders:               counter("worker_orders_total", "Orders to workers, by kind and fate.", "order", "fate"),
+		ends:                 counter("task_ends_reported_total", "Ends that workers told of, repeats included.", "how"),
+		appends:              counter("log_appends_total", "Appends to the log, by purpose and result.", "purpose", "result"),
+		logTime:              histogram("log_append_seconds", "Time of an append to the log.", "purpose"),
+		advice:               counter("advice_calls_total", "Calls for advice, by result.", "result"),
+		unanswered:           counter("calls_unanswered_total", "Calls that ran out of their time, by what was called and whether the connection had carried earlier calls.", "to", "connection"),
+		callsRetried:         counter("calls_made_again_total", "Calls that were made again on a new connection, by what was called and on which connection they were answered.", "to", "answered"),
+		connectionsDiscarded: counter("connections_given_up_total", "Open connections that were closed because they were silent, by what they lead to and why.", "to", "reason"),
 		connectionsOpen: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "saddlevane_connections_open", Help: "Open connections, by what they lead to.",
 		}, []string{"to"}),
@@ -110,7 +110,7 @@
 		Name: "saddlevane_worker_entries_refused_total", Help: "Entries of the list of workers that name no worker, as they changed.",
 	})
 	m.registry.MustRegister(m.refusedCalls, m.workspaces, m.jobsOverShare, m.entriesRefused, m.tasksLost, m.lostWorkTime, m.jobsGivenUp, m.crashesBlamed, collectors.NewGoCollector(), m.calls, m.callTime, m.orders, m.ends, m.appends, m.logTime, m.advice, m.unanswered,
-		m.callsRetried, m.connectionsGivenUp, m.connectionsOpen, m.bytes, m.queueWait, m.passTime, m.overloadRefusals)
+		m.callsRetried, m.connectionsDiscarded, m.connectionsOpen, m.bytes, m.queueWait, m.passTime, m.overloadRefusals)
 	return m
 }
 
@@ -229,9 +229,9 @@
 	m.unanswered.WithLabelValues(u.To, connection).Inc()
 }
 
-// recordGivenUpLink counts a link to another entry box that was closed.
-func (m *Metrics) recordGivenUpLink(to, reason string) {
-	m.connectionsGivenUp.WithLabelValues(to, reason).Inc()
+// recordDiscardedLink counts a link to another entry box that was closed.
+func (m *Metrics) recordDiscardedLink(to, reason string) {
+	m.connectionsDiscarded.WithLabelValues(to, reason).Inc()
 }
 
 // recordBytes counts received (in) and sent (out) bytes.
--- a/services/runtime/connections.go
+++ b/services/runtime/connections.go
@@ -42,7 +42,7 @@
 
 // connectionHooks returns hooks that log timeouts, discarded connections and retries.
 func (l *Loop) connectionHooks() httpclient.Hooks {
-	return httpclient.Hooks{OnUnanswered: l.logUnanswered, OnDiscard: l.logConnectionsGivenUp, OnRetry: l.logRepeatedCall}
+	return httpclient.Hooks{OnUnanswered: l.logUnanswered, OnDiscard: l.logDiscardedConnections, OnRetry: l.logRetriedCall}
 }
 
 // logUnanswered logs a call that timed out without a response.
@@ -53,22 +53,22 @@
 	}).Debug("a call had no answer")
 }
 
-// logConnectionsGivenUp logs that connections were discarded because a call had no response.
-func (l *Loop) logConnectionsGivenUp(g conntrack.Discarded) {
+// logDiscardedConnections logs that connections were discarded because a call had no response.
+func (l *Loop) logDiscardedConnections(g conntrack.Discarded) {
 	l.log.WithFields(logrus.Fields{
 		"to": g.To, "address": g.Address, "count": g.Count, "heard_ago": g.SilentFor.String(),
 	}).Info("connections were given up")
 }
 
-// logRepeatedCall logs a call that was retried.
-func (l *Loop) logRepeatedCall(a httpclient.RetriedCall) {
+// logRetriedCall logs a call that was retried.
+func (l *Loop) logRetriedCall(a httpclient.RetriedCall) {
 	l.log.WithFields(logrus.Fields{
 		"to": a.To, "address": a.Address, "call": a.Call, "answered_on": string(a.AnsweredOn), "took": a.Took.String(),
 	}).Debug("a call was made again")
 }
 
-// logLinkGivenUp logs a link to another entry box that was closed as unresponsive.
-func (l *Loop) logLinkGivenUp(g peering.Discarded) {
+// logDiscardedLink logs a link to another entry box that was closed as unresponsive.
+func (l *Loop) logDiscardedLink(g peering.Discarded) {
 	l.log.WithFields(logrus.Fields{
 		"address": g.Address, "reason": g.Reason, "open_for": g.OpenFor.String(), "heard_ago": g.SilentFor.String(), "calls": g.Calls,
 	}).Info("a link to an entry box was given up")
--- a/services/runtime/peers.go
+++ b/services/runtime/peers.go
@@ -52,7 +52,7 @@
 	p := &Peers{loop: loop, requests: requests, ctx: ctx, cancel: cancel, hellosInFlight: map[string]bool{}}
 	p.links = peering.New(ctx, listener, peering.Settings{
 		DialTimeout: peerDialTimeout, ProbeAfter: s.ProbeAfter, AnswerTimeout: s.AnswerTimeout, Now: loop.now, OnUnanswered: loop.logUnanswered,
-		OnDiscard: loop.logLinkGivenUp, OnAcceptError: loop.logAcceptFailure,
+		OnDiscard: loop.logDiscardedLink, OnAcceptError: loop.logAcceptFailure,
 	}, p.handle)
 	p.links.Serve()
 	return p
