--- a/cmd/saddlevaned/jobs.go
+++ b/cmd/saddlevaned/jobs.go
@@ -206,7 +206,7 @@
 	bytes := sync.OnceValue(func() func(in, out int) { return d.loop.ByteCounter(to) })
 	return httpclient.Hooks{
 		OnUnanswered: func(u conntrack.Unanswered) { d.loop.CallUnanswered(u) },
-		OnDiscard:    func(g conntrack.Discarded) { d.loop.LogDiscardedConnections(g) },
+		OnDiscard:    func(g conntrack.Discarded) { d.loop.ConnectionsDiscarded(g) },
 		OnRetry:      func(a httpclient.RetriedCall) { d.loop.CallRetried(a) },
 		OnOpen:       func(delta int) { d.loop.ConnectionsChanged(to, delta) },
 		OnBytes:      func(in, out int) { bytes()(in, out) },
--- a/services/jobrun/connections.go
+++ b/services/jobrun/connections.go
@@ -14,9 +14,9 @@
 // a call on one of them had no answer.
 const reasonNoAnswer = "no answer"
 
-// LogDiscardedConnections counts connections that were closed because a call had no answer. It logs
+// ConnectionsDiscarded counts connections that were closed because a call had no answer. It logs
 // them if more than the connection of that call was closed.
-func (l *Loop) LogDiscardedConnections(g conntrack.Discarded) {
+func (l *Loop) ConnectionsDiscarded(g conntrack.Discarded) {
 	l.metrics.connectionsDiscarded.WithLabelValues(g.To, reasonNoAnswer).Add(float64(g.Count))
 	if g.Count < 2 {
 		return
@@ -63,8 +63,8 @@
 	}})
 }
 
-// logDiscardedLink logs and counts a link to another entry box that was closed because it was silent.
-func (l *Loop) logDiscardedLink(g peering.Discarded) {
+// linkDiscarded logs and counts a link to another entry box that was closed because it was silent.
+func (l *Loop) linkDiscarded(g peering.Discarded) {
 	l.metrics.recordDiscardedLink(g.To, string(g.Reason))
 	l.logWriter.write(exchange.LogEvent{Message: "a link to an entry box was given up", Fields: []exchange.LogField{
 		{Name: "address", Value: g.Address},
--- a/services/jobrun/connections_test.go
+++ b/services/jobrun/connections_test.go
@@ -38,7 +38,7 @@
 	p.loop.ConnectionsChanged("log", 1)
 	p.loop.ConnectionsChanged("log", 1)
 	p.loop.ConnectionsChanged("log", -1)
-	p.loop.LogDiscardedConnections(conntrack.Discarded{To: "worker", Count: 3, SilentFor: time.Second})
+	p.loop.ConnectionsDiscarded(conntrack.Discarded{To: "worker", Count: 3, SilentFor: time.Second})
 	p.loop.CallRetried(httpclient.RetriedCall{To: "log", AnsweredOn: httpclient.OnNew})
 	got := p.metricValues(t)
 	assert.Equal(t, got["saddlevane_connections_open to=log"], 1.0)
--- a/services/jobrun/peers.go
+++ b/services/jobrun/peers.go
@@ -51,7 +51,7 @@
 	p.relayServer = relay.NewServer(loop.now, loop.platform.Workers, loop.batchSender(methodCarried))
 	p.links = peering.New(ctx, listener, peering.Settings{
 		DialTimeout: loop.settings.PeerTimeout, ProbeAfter: loop.settings.ProbeAfter, AnswerTimeout: loop.settings.AnswerTimeout, Now: loop.now,
-		OnUnanswered: loop.CallUnanswered, OnDiscard: loop.logDiscardedLink, OnAcceptError: loop.linkNotAccepted,
+		OnUnanswered: loop.CallUnanswered, OnDiscard: loop.linkDiscarded, OnAcceptError: loop.linkNotAccepted,
 		OnOpen:  func(delta int) { loop.ConnectionsChanged(peering.PeerName, delta) },
 		OnBytes: loop.ByteCounter(peering.PeerName),
 	}, p.handle)
