--- a/modules/setting/box.go
+++ b/modules/setting/box.go
@@ -40,8 +40,8 @@
 func defaultBox() Box { return Box{Processors: 1, LinkMbps: 1000} }
 
 func (b *Box) check(c *checker) {
-	c.name("box.name", b.Name)
-	c.name("box.domain", b.Domain)
+	c.checkName("box.name", b.Name)
+	c.checkName("box.domain", b.Domain)
 	checkRange(c, "box.processors", b.Processors, 0.001, 1024)
 	checkRange(c, "box.link_mbps", b.LinkMbps, 0.001, 1e6)
 	checkRange(c, "box.memory_mb", b.MemoryMiB, 0, 1<<30)
@@ -73,13 +73,13 @@
 }
 
 func (l *Listen) check(c *checker) {
-	c.address("listen.callers", l.Callers)
-	c.address("listen.operators", l.Operators)
-	c.address("listen.peers", l.Peers)
+	c.checkAddress("listen.callers", l.Callers)
+	c.checkAddress("listen.operators", l.Operators)
+	c.checkAddress("listen.peers", l.Peers)
 	if l.Advertise != "" {
-		c.address("listen.advertise", l.Advertise)
+		c.checkAddress("listen.advertise", l.Advertise)
 	}
 	if l.Callers == l.Operators || l.Callers == l.Peers || l.Operators == l.Peers {
-		c.fail("listen", "the three addresses must differ")
+		c.addProblem("listen", "the three addresses must differ")
 	}
 }
--- a/modules/setting/check.go
+++ b/modules/setting/check.go
@@ -22,46 +22,46 @@
 	problems  strictyaml.Problems
 }
 
-func (c *checker) fail(key, format string, args ...any) {
+func (c *checker) addProblem(key, format string, args ...any) {
 	c.problems = append(c.problems, strictyaml.Problem{
 		File: cmp.Or(c.file, "settings"), Position: c.positions.Of(key), Path: key, Reason: fmt.Sprintf(format, args...),
 	})
 }
 
-func (c *checker) name(key, value string) {
+func (c *checker) checkName(key, value string) {
 	if !namePattern.MatchString(value) {
-		c.fail(key, "want a name of at most 63 characters from a-z, 0-9 and '-', got %q", value)
+		c.addProblem(key, "want a name of at most 63 characters from a-z, 0-9 and '-', got %q", value)
 	}
 }
 
-func (c *checker) address(key, value string) {
+func (c *checker) checkAddress(key, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		c.fail(key, "want an IP address and port, got %q", value)
+		c.addProblem(key, "want an IP address and port, got %q", value)
 	}
 }
 
-func (c *checker) url(key, value string) {
+func (c *checker) checkURL(key, value string) {
 	u, err := url.Parse(value)
 	if err != nil || u.Scheme != "http" {
-		c.fail(key, "want an address such as http://192.0.2.1:80, got %q", value)
+		c.addProblem(key, "want an address such as http://192.0.2.1:80, got %q", value)
 		return
 	}
 	if _, err := netip.ParseAddrPort(u.Host); err != nil {
-		c.fail(key, "want an IP address and port, got %q", u.Host)
+		c.addProblem(key, "want an IP address and port, got %q", u.Host)
 	}
 }
 
 // checkRange reports a value outside the range from minimum to maximum, both included.
 func checkRange[T cmp.Ordered](c *checker, key string, got, minimum, maximum T) {
 	if got < minimum || got > maximum {
-		c.fail(key, "want %v to %v, got %v", minimum, maximum, got)
+		c.addProblem(key, "want %v to %v, got %v", minimum, maximum, got)
 	}
 }
 
 // checkBelow reports a value that is not smaller than the value of another setting.
 func checkBelow[T cmp.Ordered](c *checker, key string, got T, otherKey string, other T) {
 	if got >= other {
-		c.fail(key, "%v must be less than %s (%v)", got, otherKey, other)
+		c.addProblem(key, "%v must be less than %s (%v)", got, otherKey, other)
 	}
 }
 
--- a/modules/setting/jobs.go
+++ b/modules/setting/jobs.go
@@ -79,10 +79,10 @@
 	if !j.Enabled {
 		return
 	}
-	c.address("jobs.ready", j.ReadyAddress)
-	c.address("jobs.log", j.LogAddress)
+	c.checkAddress("jobs.ready", j.ReadyAddress)
+	c.checkAddress("jobs.log", j.LogAddress)
 	if j.AdviceAddress != "" {
-		c.address("jobs.advice", j.AdviceAddress)
+		c.checkAddress("jobs.advice", j.AdviceAddress)
 	}
 	checkRange(c, "jobs.lease", j.Lease, 100*time.Millisecond, time.Minute)
 	checkRange(c, "jobs.lease_most", j.MaxLease, 100*time.Millisecond, time.Hour)
--- a/modules/setting/log.go
+++ b/modules/setting/log.go
@@ -15,9 +15,9 @@
 	switch l.Level {
 	case "debug", "info", "warning", "error":
 	default:
-		c.fail("log.level", "want debug, info, warning or error, got %q", l.Level)
+		c.addProblem("log.level", "want debug, info, warning or error, got %q", l.Level)
 	}
 	if l.Format != "json" && l.Format != "text" {
-		c.fail("log.format", "want json or text, got %q", l.Format)
+		c.addProblem("log.format", "want json or text, got %q", l.Format)
 	}
 }
--- a/modules/setting/peers.go
+++ b/modules/setting/peers.go
@@ -26,6 +26,6 @@
 	checkRange(c, "peers.dead_after", p.DeadAfter, 20*time.Millisecond, 10*time.Minute)
 	checkBelow(c, "peers.heartbeat", 2*p.Heartbeat, "peers.dead_after", p.DeadAfter)
 	for i, seed := range p.Seeds {
-		c.address("peers.seeds["+strconv.Itoa(i)+"]", seed)
+		c.checkAddress("peers.seeds["+strconv.Itoa(i)+"]", seed)
 	}
 }
--- a/modules/setting/platform.go
+++ b/modules/setting/platform.go
@@ -30,8 +30,8 @@
 }
 
 func (p *Platform) check(c *checker) {
-	c.url("platform.log", p.LogURL)
-	c.url("platform.boxes", p.BoxesURL)
+	c.checkURL("platform.log", p.LogURL)
+	c.checkURL("platform.boxes", p.BoxesURL)
 	checkRange(c, "platform.timeout", p.Timeout, 10*time.Millisecond, time.Minute)
 	checkRange(c, "platform.wait", p.ReadWait, 0, time.Minute)
 	checkBelow(c, "platform.wait", p.ReadWait, "platform.timeout", p.Timeout)
--- a/modules/setting/policy.go
+++ b/modules/setting/policy.go
@@ -29,6 +29,6 @@
 	checkRange(c, "policy.balance", p.Balance, 0, 1000)
 	checkRange(c, "policy.spread", p.Spread, 0, 1000)
 	if p.Routing != RoutingShared && p.Routing != RoutingPlain {
-		c.fail("policy.routing", "want %s or %s, got %q", RoutingShared, RoutingPlain, p.Routing)
+		c.addProblem("policy.routing", "want %s or %s, got %q", RoutingShared, RoutingPlain, p.Routing)
 	}
 }
--- a/services/routing/finish.go
+++ b/services/routing/finish.go
@@ -83,7 +83,7 @@
 	return r.complete(q, func(a request.Arrival) effect.Effect {
 		r.count(a, f.Verdict, f.Status)
 		return effect.Refuse{To: a.ID, Refusal: f}
-	}, keptResult{refusal: &f})
+	}, storedResult{refusal: &f})
 }
 
 func (r *Router) deliver(q *pending) []effect.Effect {
@@ -91,12 +91,12 @@
 	return r.complete(q, func(a request.Arrival) effect.Effect {
 		r.count(a, verdict.Ran, http.StatusOK)
 		return effect.Deliver{To: a.ID, From: q.arrival.ID, Attempt: q.attempt, Waited: waited, Retain: q.keyed != nil}
-	}, keptResult{from: q.arrival.ID, attempt: q.attempt})
+	}, storedResult{from: q.arrival.ID, attempt: q.attempt})
 }
 
 // complete answers a request and all attached arrivals with the same key. The
 // result of a keyed request is stored in the key table.
-func (r *Router) complete(q *pending, answer func(request.Arrival) effect.Effect, result keptResult) []effect.Effect {
+func (r *Router) complete(q *pending, answer func(request.Arrival) effect.Effect, result storedResult) []effect.Effect {
 	q.state = stageEnded
 	waiters := []request.Arrival{q.arrival}
 	if q.keyed != nil {
--- a/services/routing/keys.go
+++ b/services/routing/keys.go
@@ -36,14 +36,14 @@
 	// that is sent to a target.
 	waiters []request.Arrival
 	ended   bool
-	result  keptResult
+	result  storedResult
 	// removed reports whether the entry was removed before it expired.
 	removed bool
 }
 
-// keptResult is the result of a keyed request: a refusal, or a target's answer.
+// storedResult is the result of a keyed request: a refusal, or a target's answer.
 // An answer is stored by the adapters; from and attempt identify it.
-type keptResult struct {
+type storedResult struct {
 	from    request.ID
 	attempt int
 	refusal *request.Refusal
@@ -72,7 +72,7 @@
 
 // complete stores the result of a request and returns the arrivals that wait for
 // it.
-func (t *keyTable) complete(k *keyedRequest, result keptResult) []request.Arrival {
+func (t *keyTable) complete(k *keyedRequest, result storedResult) []request.Arrival {
 	waiters := k.waiters
 	k.waiters, k.ended, k.result = nil, true, result
 	return waiters
--- a/services/runtime/loop.go
+++ b/services/runtime/loop.go
@@ -40,18 +40,18 @@
 type Loop struct {
 	core *core.Core
 	// now returns the current time for the reducer and the adapters.
-	now        func() time.Time
-	log        logrus.FieldLogger
-	adapters   Adapters
-	publishers publishWaiters
-	events     chan event.Event
-	queries    chan func(time.Time, *core.Core)
-	ctx        context.Context
-	cancel     context.CancelFunc
-	goroutines conc.WaitGroup
-	stopping   atomic.Bool
-	stopped    chan struct{}
-	stopOnce   sync.Once
+	now            func() time.Time
+	log            logrus.FieldLogger
+	adapters       Adapters
+	publishWaiters publishWaiters
+	events         chan event.Event
+	queries        chan func(time.Time, *core.Core)
+	ctx            context.Context
+	cancel         context.CancelFunc
+	goroutines     conc.WaitGroup
+	stopping       atomic.Bool
+	stopped        chan struct{}
+	stopOnce       sync.Once
 }
 
 // NewLoop returns a loop for c that Run starts. now returns the current time.
@@ -61,7 +61,7 @@
 		core: c, log: log, now: now, events: make(chan event.Event, eventBufferSize),
 		queries: make(chan func(time.Time, *core.Core)),
 		ctx:     ctx, cancel: cancel, stopped: make(chan struct{}),
-		publishers: newPublishers(),
+		publishWaiters: newPublishWaiters(),
 	}
 }
 
@@ -164,7 +164,7 @@
 	case effect.FetchSnapshot:
 		l.adapters.Peers.fetchSnapshot(e)
 	case effect.AnswerPublish:
-		l.publishers.answer(e)
+		l.publishWaiters.answer(e)
 	case effect.Stopped:
 		l.stopOnce.Do(func() { close(l.stopped) })
 	}
--- a/services/runtime/publish.go
+++ b/services/runtime/publish.go
@@ -20,7 +20,7 @@
 	waiting map[uint64]chan effect.PublishResult
 }
 
-func newPublishers() publishWaiters {
+func newPublishWaiters() publishWaiters {
 	return publishWaiters{mu: &sync.Mutex{}, next: new(uint64), waiting: map[uint64]chan effect.PublishResult{}}
 }
 
@@ -54,8 +54,8 @@
 // passed. The outcome is effect.Unknown if ctx or the loop ends first.
 func (l *Loop) Publish(ctx context.Context, p record.Publish, timeout time.Duration) effect.PublishResult {
 	p.Parse()
-	id, result := l.publishers.add()
-	defer l.publishers.remove(id)
+	id, result := l.publishWaiters.add()
+	defer l.publishWaiters.remove(id)
 	l.Post(event.PublishAsked{Waiter: id, Publish: p, Timeout: timeout})
 	select {
 	case r := <-result:
