--- a/routers/jobs.go
+++ b/routers/jobs.go
@@ -35,7 +35,7 @@
 	r.GET("/v1/jobs/:id", j.state)
 	r.DELETE("/v1/jobs/:id", j.cancel)
 	r.GET("/v1/jobs/:id/explain", j.explain)
-	r.GET("/v1/queues/:name", j.queueStatus)
+	r.GET("/v1/queues/:name", j.countWaitingJobs)
 	r.GET("/v1/cell", j.cellStatus)
 	r.GET("/v1/version", j.version)
 	r.GET("/healthz", handleHealth)
@@ -78,7 +78,7 @@
 	j.writeAnswer(w, j.loop.Serve(r.Context(), jobrun.Request{Explain: job.ID(p.ByName("id"))}))
 }
 
-func (j *Jobs) queueStatus(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
+func (j *Jobs) countWaitingJobs(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	j.writeAnswer(w, j.loop.Serve(r.Context(), jobrun.Request{Count: p.ByName("name")}))
 }
 
--- a/services/jobrun/reborn_test.go
+++ b/services/jobrun/reborn_test.go
@@ -40,7 +40,7 @@
 		restartable = append(restartable, w)
 	}
 	workers := platform.NewWorkers(newClient(t, "worker"))
-	log := platform.NewLog(on.Log(), newClient(t, "log"))
+	log := platform.NewLog(on.LogAddress(), newClient(t, "log"))
 	p := startBoxVia(t, jobrun.Platform{
 		Log:     jobrun.Log{Append: log.Append, Read: log.Read, Newest: log.Newest},
 		Workers: relay.WorkerCalls{Renew: workers.Renew, Start: workers.Start, Stop: workers.Stop, Throttle: workers.Throttle},
--- a/services/jobrun/service_test.go
+++ b/services/jobrun/service_test.go
@@ -69,7 +69,7 @@
 	assert.NilError(t, on.Configure(standin.Queue{Name: "q", Host: "h.example", Prefix: "/q/", Attempts: 2}))
 	links := newForwarder(t)
 	workers := platform.NewWorkers(newClient(t, "worker"))
-	log := platform.NewLog(via(t, links)(on.Log()), newClient(t, "log"))
+	log := platform.NewLog(via(t, links)(on.LogAddress()), newClient(t, "log"))
 	p := startBoxVia(t, jobrun.Platform{
 		Log:     jobrun.Log{Append: log.Append, Read: log.Read, Newest: log.Newest},
 		Workers: relay.WorkerCalls{Renew: workers.Renew, Start: workers.Start, Stop: workers.Stop, Throttle: workers.Throttle},
--- a/tests/soak/faults.go
+++ b/tests/soak/faults.go
@@ -145,7 +145,7 @@
 		{"is slow", standin.LogFaults{Delay: logDelay}},
 	}
 	chosen := all[f.rng.Intn(len(all))]
-	f.apply("log", chosen.what, duration, func() { f.rig.platform.SetLog(chosen.fault) }, func() { f.rig.platform.SetLog(standin.LogFaults{}) })
+	f.apply("log", chosen.what, duration, func() { f.rig.platform.SetLogFaults(chosen.fault) }, func() { f.rig.platform.SetLogFaults(standin.LogFaults{}) })
 }
 
 // restart restarts the daemon of a box, and panics if it can't be started.
--- a/tests/soak/rig.go
+++ b/tests/soak/rig.go
@@ -159,7 +159,7 @@
 	}
 	listen := cell.FreeAddress()
 	peers, errPeers := r.addForwarder(peerProxyName(i), r.proxies.GetOrStart(peerProxyName(i), listen))
-	log, errLog := r.addForwarder(logProxyName(i), r.proxies.GetOrStart(logProxyName(i), r.platform.Log()))
+	log, errLog := r.addForwarder(logProxyName(i), r.proxies.GetOrStart(logProxyName(i), r.platform.LogAddress()))
 	advice, errAdvice := r.addForwarder(adviceProxyName(i), b.advice.Address())
 	callers, errCallers := r.addForwarder(callersProxyName(i), b.operators)
 	if err := errors.Join(errPeers, errLog, errAdvice, errCallers); err != nil {
