--- a/cmd/saddlevane-bench/jobs.go
+++ b/cmd/saddlevane-bench/jobs.go
@@ -39,8 +39,8 @@
 	completionPeriod = 20 * time.Second
 )
 
-// benchJobs runs the reducer against simulated cells in virtual time and prints what became of
-// the submitted jobs.
+// benchJobs runs the reducer against simulated cells in virtual time and prints how many of
+// the submitted jobs completed on time, late or not at all, and at what cost.
 func benchJobs(out io.Writer, o jobOptions) error {
 	disabled, err := mechanism.Parse(strings.FieldsFunc(o.disabled, func(r rune) bool { return r == ',' }))
 	if err != nil {
--- a/cmd/saddlevaned/jobs.go
+++ b/cmd/saddlevaned/jobs.go
@@ -206,8 +206,8 @@
 	bytes := sync.OnceValue(func() func(in, out int) { return d.loop.ByteCounter(to) })
 	return httpclient.Hooks{
 		OnUnanswered: func(u conntrack.Unanswered) { d.loop.CallUnanswered(u) },
-		OnDiscard:    func(g conntrack.Discarded) { d.loop.ConnectionsDiscarded(g) },
-		OnRetry:      func(a httpclient.RetriedCall) { d.loop.CallRetried(a) },
+		OnDiscard:    func(c conntrack.Discarded) { d.loop.ConnectionsDiscarded(c) },
+		OnRetry:      func(r httpclient.RetriedCall) { d.loop.CallRetried(r) },
 		OnOpen:       func(delta int) { d.loop.ConnectionsChanged(to, delta) },
 		OnBytes:      func(in, out int) { bytes()(in, out) },
 	}
--- a/modules/httpclient/httpclient_test.go
+++ b/modules/httpclient/httpclient_test.go
@@ -61,8 +61,8 @@
 		To: "service", DialTimeout: time.Second, IdleTimeout: time.Minute, MinOverdue: overdueAfter, MaxIdlePerHost: 16, Now: time.Now,
 		Hooks: httpclient.Hooks{
 			OnUnanswered: func(u conntrack.Unanswered) { r.locked(func() { r.unanswered = append(r.unanswered, u) }) },
-			OnDiscard:    func(g conntrack.Discarded) { r.locked(func() { r.discarded = append(r.discarded, g) }) },
-			OnRetry:      func(a httpclient.RetriedCall) { r.locked(func() { r.retried = append(r.retried, a) }) },
+			OnDiscard:    func(d conntrack.Discarded) { r.locked(func() { r.discarded = append(r.discarded, d) }) },
+			OnRetry:      func(c httpclient.RetriedCall) { r.locked(func() { r.retried = append(r.retried, c) }) },
 			OnOpen:       func(delta int) { r.open.Add(int64(delta)) },
 		},
 	}
@@ -79,6 +79,7 @@
 	return r
 }
 
+// locked calls f while holding the lock.
 func (r *rig) locked(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/modules/joblog/joblog.go
+++ b/modules/joblog/joblog.go
@@ -30,9 +30,9 @@
 // History holds the lines found for a job.
 type History struct {
 	Lines []Line
-	// Torn counts lines that look like a daemon's but could not be decoded.
+	// TornLines counts lines that look like a daemon's but could not be decoded.
 	TornLines int
-	// Foreign counts lines that were not written by a daemon.
+	// ForeignLines counts lines that were not written by a daemon.
 	ForeignLines int
 }
 
--- a/modules/joblog/losses.go
+++ b/modules/joblog/losses.go
@@ -29,7 +29,7 @@
 	interval time.Duration
 	// workspaces holds the losses of each workspace.
 	workspaces map[string]*QueueLoss
-	// Torn counts lines that look like a daemon's but could not be decoded.
+	// TornLines counts lines that look like a daemon's but could not be decoded.
 	TornLines int
 }
 
@@ -141,8 +141,8 @@
 	return ""
 }
 
-// addLate distributes a late job over the causes of its delay and returns the cause with the
-// longest delay.
+// addLate distributes a late job over the causes of its delay, in proportion to their durations,
+// and returns the cause with the longest delay.
 func (q *QueueLoss) addLate(line lossLine) string {
 	total, longest := time.Duration(0), ""
 	for _, cause := range slices.Sorted(maps.Keys(line.Delays)) {
@@ -162,7 +162,7 @@
 	return longest
 }
 
-// countLoss counts one loss.
+// countLoss counts a loss for a reason in the interval that contains at.
 func (l *Losses) countLoss(at time.Time, reason string) {
 	begin := at.Truncate(l.interval)
 	if l.spans[begin] == nil {
@@ -185,6 +185,7 @@
 // Workspaces returns the losses of each workspace, sorted by name.
 func (l *Losses) Workspaces() []QueueLoss { return sortedByName(l.workspaces) }
 
+// sortedByName returns the losses of a map, sorted by its keys.
 func sortedByName(losses map[string]*QueueLoss) []QueueLoss {
 	var all []QueueLoss
 	for _, name := range slices.Sorted(maps.Keys(losses)) {
--- a/modules/setting/check.go
+++ b/modules/setting/check.go
@@ -22,24 +22,28 @@
 	problems  strictyaml.Problems
 }
 
+// addProblem records a problem with the value of a key.
 func (c *checker) addProblem(key, format string, args ...any) {
 	c.problems = append(c.problems, strictyaml.Problem{
 		File: cmp.Or(c.file, "settings"), Position: c.positions.Of(key), Path: key, Reason: fmt.Sprintf(format, args...),
 	})
 }
 
+// checkName reports a value that does not match namePattern.
 func (c *checker) checkName(key, value string) {
 	if !namePattern.MatchString(value) {
 		c.addProblem(key, "want a name of at most 63 characters from a-z, 0-9 and '-', got %q", value)
 	}
 }
 
+// checkAddress reports a value that is not an IP address with a port.
 func (c *checker) checkAddress(key, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		c.addProblem(key, "want an IP address and port, got %q", value)
 	}
 }
 
+// checkURL reports a value that is not an http URL whose host is an IP address with a port.
 func (c *checker) checkURL(key, value string) {
 	u, err := url.Parse(value)
 	if err != nil || u.Scheme != "http" {
@@ -65,6 +69,8 @@
 	}
 }
 
+// check checks all sections. The section of the platform is not used, and not checked, if jobs are
+// enabled.
 func (s *Settings) check(c *checker) {
 	s.Box.check(c)
 	s.Listen.check(c)
--- a/routers/callers.go
+++ b/routers/callers.go
@@ -44,6 +44,8 @@
 	return r
 }
 
+// serve serves a caller's request to a pool. It writes no response if the caller has
+// disconnected.
 func (c *Callers) serve(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	in, refused := c.parseRequest(r, p)
 	if refused != nil {
@@ -85,6 +87,8 @@
 	return &request.Refusal{Status: status, Verdict: verdict.NotRun, Reason: reason}
 }
 
+// writeResult writes the answer to a caller's request. While the box is stopping, it
+// also closes the connection.
 func (c *Callers) writeResult(w http.ResponseWriter, result runtime.Result) {
 	for name, values := range runtime.ResultHeader(result) {
 		w.Header()[name] = values
@@ -105,6 +109,7 @@
 	Key string `json:"key"`
 }
 
+// issueKey responds with a new key for a request that may not be repeated.
 func (c *Callers) issueKey(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	var key request.Key
 	if !c.loop.Query(func(now time.Time, core *core.Core) { key = core.IssueKey(now) }) {
--- a/routers/jobs.go
+++ b/routers/jobs.go
@@ -66,18 +66,22 @@
 	j.writeAnswer(w, j.loop.Serve(r.Context(), jobrun.Request{Submit: &s}))
 }
 
+// state responds with the state of a job.
 func (j *Jobs) state(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	j.writeAnswer(w, j.loop.Serve(r.Context(), jobrun.Request{State: job.ID(p.ByName("id"))}))
 }
 
+// cancel cancels a job.
 func (j *Jobs) cancel(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	j.writeAnswer(w, j.loop.Serve(r.Context(), jobrun.Request{Cancel: job.ID(p.ByName("id"))}))
 }
 
+// explain responds with the reasons for the state of a job.
 func (j *Jobs) explain(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	j.writeAnswer(w, j.loop.Serve(r.Context(), jobrun.Request{Explain: job.ID(p.ByName("id"))}))
 }
 
+// countWaitingJobs responds with the number of waiting jobs of a queue.
 func (j *Jobs) countWaitingJobs(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	j.writeAnswer(w, j.loop.Serve(r.Context(), jobrun.Request{Count: p.ByName("name")}))
 }
--- a/routers/metrics.go
+++ b/routers/metrics.go
@@ -46,6 +46,7 @@
 	return registry
 }
 
+// newCollector returns a collector with the descriptions of its metrics.
 func newCollector(loop *runtime.Loop) *collector {
 	desc := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("saddlevane_"+name, help, labels, nil)
--- a/routers/operators.go
+++ b/routers/operators.go
@@ -62,6 +62,7 @@
 	}
 }
 
+// file responds with the file in force under a name.
 func (o *Operators) file(w http.ResponseWriter, _ *http.Request, p httprouter.Params) {
 	var f status.File
 	found := false
@@ -73,6 +74,7 @@
 	httpjson.Write(w, http.StatusOK, f)
 }
 
+// publish publishes the body as a file and waits for the outcome, up to publishTimeout.
 func (o *Operators) publish(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	replaces, err := strconv.ParseInt(r.URL.Query().Get("replaces"), 10, 64)
 	if err != nil || replaces < 0 {
@@ -114,6 +116,7 @@
 	}
 }
 
+// explain responds with the reasons for the state of a task that this box holds.
 func (o *Operators) explain(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var e status.Explanation
 	found := false
--- a/services/relay/codec.go
+++ b/services/relay/codec.go
@@ -13,10 +13,10 @@
 	"saddlevane/models/order"
 )
 
-// Orders and results are packed: numbers as varints, texts with their lengths as prefix.
-// As JSON objects, a renewal and its answer took 610 bytes of a holder's link, half of them
-// field names (120 idle workers, 2 s, message overhead included). As JSON arrays, the
-// answer of a worker with five tasks took 48 µs to decode (BenchmarkRenewal).
+// Orders and results are packed: numbers as varints, strings prefixed with their lengths.
+// Encoded as JSON objects, a renewal and its answer occupied 610 bytes on a holder's link,
+// half of them field names (120 idle workers, 2 s, message overhead included). Encoded as JSON
+// arrays, the answer of a worker with five tasks took 48 µs to decode (BenchmarkRenewal).
 
 // The kinds of orders.
 const (
@@ -80,13 +80,16 @@
 // packer is a buffer to which values are appended in packed form.
 type packer []byte
 
+// number appends v as a varint.
 func (p *packer) number(v int64) { *p = binary.AppendVarint(*p, v) }
 
+// text appends s, prefixed with its length in bytes.
 func (p *packer) text(s string) {
 	*p = binary.AppendUvarint(*p, uint64(len(s)))
 	*p = append(*p, s...)
 }
 
+// run appends the identity of a run. unpacker.run reads the same fields in the same order.
 func (p *packer) run(r order.Run) {
 	p.text(string(r.Task.Job))
 	p.number(int64(r.Task.Instance))
@@ -95,6 +98,7 @@
 	p.number(r.Number)
 }
 
+// order appends an order: the fields of all orders, its kind, and the fields of that kind.
 func (p *packer) order(o Order) {
 	p.number(int64(o.ID))
 	p.text(o.Worker.Name)
@@ -128,6 +132,7 @@
 	}
 }
 
+// result appends a result. A 0 or 1 after the answer's fields says whether a report follows.
 func (p *packer) result(result Result) {
 	p.number(int64(result.ID))
 	p.number(int64(result.Answer.Clock))
@@ -180,6 +185,7 @@
 // or length.
 var errTruncated = errors.New("packed data is truncated or invalid")
 
+// fail records the first error and drops the remaining data.
 func (u *unpacker) fail(err error) {
 	if u.err == nil {
 		u.err = err
--- a/services/relay/relay_test.go
+++ b/services/relay/relay_test.go
@@ -31,6 +31,7 @@
 	batches int
 }
 
+// update calls f, which changes or reads the link, under the lock.
 func (r *relayLink) update(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/services/relay/roster.go
+++ b/services/relay/roster.go
@@ -21,8 +21,8 @@
 	// MinWorkers is the number of workers from which on a cell uses relays. With fewer, the
 	// holder's own connections cost less than the messages to relays.
 	MinWorkers int
-	// WorkersPerRelay is the number of workers for which one box should relay orders, or 0
-	// to use no relays. A relay passes on about 5 orders per second for each worker.
+	// WorkersPerRelay is the maximum number of workers for which one box should relay orders,
+	// or 0 to use no relays. A relay passes on about 5 orders per second for each worker.
 	WorkersPerRelay int
 }
 
--- a/services/routing/admit.go
+++ b/services/routing/admit.go
@@ -63,8 +63,8 @@
 	return effects
 }
 
-// drop refuses a request and removes its key. If an earlier attempt may have run,
-// the answer says so and the key stays.
+// drop refuses a request and removes its key, if it has one. If an earlier attempt
+// may have run, the answer reports this and the key is kept.
 func (r *Router) drop(now time.Time, q *pending, f request.Refusal) []effect.Effect {
 	if q.mayHaveRun {
 		return r.completeUnknown(q, f.Reason)
@@ -82,11 +82,13 @@
 	return effects
 }
 
+// refuse counts a refused request and returns the effect that sends the refusal.
 func (r *Router) refuse(a request.Arrival, f request.Refusal) []effect.Effect {
 	r.count(a, f.Verdict, f.Status)
 	return []effect.Effect{effect.Refuse{To: a.ID, Refusal: f}}
 }
 
+// count increments the counter of ended requests with the request's pool and class.
 func (r *Router) count(a request.Arrival, v verdict.Verdict, status int) {
 	if _, known := r.pools[a.Pool]; !known {
 		// Callers choose these names, so a counter per unknown name would let them
@@ -107,6 +109,7 @@
 	return request.Refusal{Status: status, Verdict: verdict.NotRun, Reason: reason, RetryAfter: retryAfter}
 }
 
+// refuseWaiting refuses all waiting requests of a pool.
 func (r *Router) refuseWaiting(now time.Time, p *pool, reason string) []effect.Effect {
 	var effects []effect.Effect
 	for _, c := range p.byPriority {
--- a/services/routing/finish.go
+++ b/services/routing/finish.go
@@ -30,7 +30,7 @@
 }
 
 // statusCallerLeft is the status under which requests of disconnected callers are
-// counted. It is never received by anyone.
+// counted. It is never received, because the callers are no longer connected.
 const statusCallerLeft = 499
 
 // Answered handles the end of an attempt: the request is answered, retried or
@@ -72,6 +72,8 @@
 	return q.pool.budget.spend()
 }
 
+// refuseAfterFailure refuses a request whose last attempt failed, with the failure as
+// the reason.
 func (r *Router) refuseAfterFailure(now time.Time, q *pending, e event.TargetAnswered) []effect.Effect {
 	wait := max(q.pool.expectedWait(now, q.class), r.policy.MinRetryAfter)
 	return r.drop(now, q, notRunRefusal(http.StatusServiceUnavailable, e.Reason, wait))
@@ -86,6 +88,7 @@
 	}, storedResult{refusal: &f})
 }
 
+// deliver answers a request with the response of its current attempt.
 func (r *Router) deliver(q *pending) []effect.Effect {
 	waited := q.sentAt.Sub(q.arrivedAt)
 	return r.complete(q, func(a request.Arrival) effect.Effect {
--- a/services/routing/keys.go
+++ b/services/routing/keys.go
@@ -49,12 +49,15 @@
 	refusal *request.Refusal
 }
 
+// newKeyTable returns an empty table of at most limit entries. Keys expire ttl after
+// they were issued.
 func newKeyTable(limit int, ttl time.Duration, newKey func(now time.Time) ulid.ULID) *keyTable {
 	return &keyTable{limit: limit, ttl: ttl, newKey: newKey, entries: map[request.Key]*keyedRequest{}}
 }
 
 func (t *keyTable) isFull() bool { return len(t.entries) >= t.limit }
 
+// add adds an entry for the first arrival with a key.
 func (t *keyTable) add(a request.Arrival) *keyedRequest {
 	k := &keyedRequest{key: a.Key, digest: a.Digest, waiters: []request.Arrival{a}}
 	t.entries[a.Key] = k
--- a/services/routing/pool.go
+++ b/services/routing/pool.go
@@ -30,6 +30,8 @@
 	return &pool{name: name, classes: map[string]*class{}, targets: map[string]*target{}}
 }
 
+// setSpec replaces the settings and the classes of the pool. Classes that remain keep their
+// queues and statistics.
 func (p *pool) setSpec(s spec.Pool) {
 	p.spec, p.retired = s, false
 	previous := p.classes
@@ -51,6 +53,8 @@
 	p.sortClasses()
 }
 
+// sortClasses rebuilds byPriority from the current classes and from removed ones with
+// waiting requests.
 func (p *pool) sortClasses() {
 	previous := p.byPriority
 	p.byPriority = nil
@@ -73,6 +77,8 @@
 	})
 }
 
+// setTargets replaces the targets by those listed. A target whose address has changed is a
+// new one.
 func (p *pool) setTargets(listed map[string]Target) {
 	for name, l := range listed {
 		t := p.targets[name]
@@ -260,6 +266,7 @@
 	return nil
 }
 
+// pop removes the first request that still waits from the queue and returns it, or nil.
 func (c *class) pop() *pending {
 	q := c.peek()
 	if q == nil {
@@ -301,6 +308,7 @@
 // ewmaDivisor is the inverse of the weight of a new sample.
 const ewmaDivisor = 16
 
+// add adds a sample. The first one sets the average and half of it as the deviation.
 func (s *durationEWMA) add(d time.Duration) {
 	if s.value == 0 {
 		s.value, s.deviation = d, d/2
@@ -364,6 +372,7 @@
 	initialized bool
 }
 
+// earn adds the fraction of a token that one new request earns. The budget starts full.
 func (b *retryBudget) earn(s Settings) {
 	if !b.initialized {
 		b.tokens, b.initialized = s.RetryBurst, true
@@ -371,6 +380,7 @@
 	b.tokens = min(b.tokens+s.RetryRatio, s.RetryBurst)
 }
 
+// spend takes the token for a retry and reports whether there was one.
 func (b *retryBudget) spend() bool {
 	if b.tokens < 1 {
 		return false
--- a/services/routing/router.go
+++ b/services/routing/router.go
@@ -180,6 +180,7 @@
 	return r.dispatchAll(now)
 }
 
+// shareSlots sets the limit of each target to this box's share of the target's slots.
 func (r *Router) shareSlots() {
 	for _, p := range r.pools {
 		for _, t := range p.targets {
@@ -191,6 +192,7 @@
 // IsIdle reports whether all requests have been answered.
 func (r *Router) IsIdle() bool { return len(r.requests) == 0 }
 
+// dispatchAll dispatches the waiting requests of all pools, in the order of their names.
 func (r *Router) dispatchAll(now time.Time) []effect.Effect {
 	var effects []effect.Effect
 	for _, name := range sortedNames(r.pools) {
@@ -218,6 +220,7 @@
 	}
 }
 
+// send starts the next attempt at a request and returns the effect that sends it to t.
 func (r *Router) send(now time.Time, q *pending, t *target) effect.Effect {
 	q.attempt++
 	q.target, q.sentAt, q.state = t, now, stageSent
--- a/services/routing/router_test.go
+++ b/services/routing/router_test.go
@@ -86,6 +86,7 @@
 	return d
 }
 
+// setTargets replaces the platform's list of targets.
 func (d *driver) setTargets(names ...string) {
 	var all []routing.Target
 	for _, n := range names {
@@ -94,6 +95,7 @@
 	d.apply(d.r.SetTargets(d.now, all))
 }
 
+// arrive lets a request of a class arrive and returns its ID.
 func (d *driver) arrive(class string, key request.Key) request.ID {
 	d.next++
 	id := d.next
@@ -102,6 +104,7 @@
 	return id
 }
 
+// answer ends the i-th open attempt with a verdict.
 func (d *driver) answer(i int, v verdict.Verdict) { d.answerOn(i, v, false) }
 
 // answerOn ends the i-th open attempt with a verdict. silent marks an attempt
@@ -116,6 +119,8 @@
 	d.apply(d.r.Answered(d.now, event.TargetAnswered{ID: s.ID, Attempt: s.Attempt, Target: s.Target, Verdict: v, Reason: "test", Silent: silent}))
 }
 
+// apply records effects and checks the invariants: no target exceeds its slots, and no
+// request that may not be repeated is sent after it may have run.
 func (d *driver) apply(effects []effect.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -144,6 +149,7 @@
 	}
 }
 
+// recordAnswer records that a request was answered, which must happen only once.
 func (d *driver) recordAnswer(id request.ID) {
 	if d.ended[id] {
 		d.t.Fatalf("request %d was answered twice", id)
--- a/services/routing/target.go
+++ b/services/routing/target.go
@@ -31,6 +31,8 @@
 	probing              bool
 }
 
+// isLeaving reports whether the target is leaving according to the platform's list or
+// its own recent report. It then gets no new requests.
 func (t *target) isLeaving(now time.Time) bool {
 	return t.listedLeaving || now.Before(t.reportedLeavingUntil)
 }
@@ -71,6 +73,8 @@
 	}
 }
 
+// recordFailure counts a failure. EjectAfter consecutive failures eject the target for
+// EjectFor. Each further failure doubles this time, up to MaxEjectFor.
 func (t *target) recordFailure(now time.Time, s Settings) {
 	t.failures++
 	if t.failures < s.EjectAfter && !t.isEjected() {
--- a/services/runtime/connections.go
+++ b/services/runtime/connections.go
@@ -54,23 +54,23 @@
 }
 
 // logDiscardedConnections logs that connections were discarded because a call had no response.
-func (l *Loop) logDiscardedConnections(g conntrack.Discarded) {
+func (l *Loop) logDiscardedConnections(d conntrack.Discarded) {
 	l.log.WithFields(logrus.Fields{
-		"to": g.To, "address": g.Address, "count": g.Count, "heard_ago": g.SilentFor.String(),
+		"to": d.To, "address": d.Address, "count": d.Count, "heard_ago": d.SilentFor.String(),
 	}).Info("connections were given up")
 }
 
 // logRetriedCall logs a call that was retried.
-func (l *Loop) logRetriedCall(a httpclient.RetriedCall) {
+func (l *Loop) logRetriedCall(r httpclient.RetriedCall) {
 	l.log.WithFields(logrus.Fields{
-		"to": a.To, "address": a.Address, "call": a.Call, "answered_on": string(a.AnsweredOn), "took": a.Took.String(),
+		"to": r.To, "address": r.Address, "call": r.Call, "answered_on": string(r.AnsweredOn), "took": r.Took.String(),
 	}).Debug("a call was made again")
 }
 
-// logDiscardedLink logs a link to another entry box that was closed as unresponsive.
-func (l *Loop) logDiscardedLink(g peering.Discarded) {
+// logDiscardedLink logs a link to another entry box that was discarded as unresponsive.
+func (l *Loop) logDiscardedLink(d peering.Discarded) {
 	l.log.WithFields(logrus.Fields{
-		"address": g.Address, "reason": g.Reason, "open_for": g.OpenFor.String(), "heard_ago": g.SilentFor.String(), "calls": g.Calls,
+		"address": d.Address, "reason": d.Reason, "open_for": d.OpenFor.String(), "heard_ago": d.SilentFor.String(), "calls": d.Calls,
 	}).Info("a link to an entry box was given up")
 }
 
--- a/services/runtime/peers.go
+++ b/services/runtime/peers.go
@@ -180,7 +180,7 @@
 		defer cancel()
 		in := &k.incoming
 		var answer peer.Answer
-		// The call is not marked as idempotent: a request that may have run must not be sent again.
+		// The call is not marked as idempotent: a request that may have run must not be retried.
 		err := p.call(ctx, e.Address, peering.Call{Method: peer.MethodForward, Result: &answer, Params: peer.Forward{
 			Pool: in.Pool, Class: in.Class, Key: in.Key.String(), Method: in.Method, Path: in.Path,
 			Header: in.Header, Body: in.Body, Budget: e.Timeout.Milliseconds(), Delegated: e.Delegated,
--- a/services/runtime/publish.go
+++ b/services/runtime/publish.go
@@ -34,6 +34,7 @@
 	return *p.next, result
 }
 
+// remove removes a call that no longer waits.
 func (p publishWaiters) remove(id uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/services/runtime/target.go
+++ b/services/runtime/target.go
@@ -63,9 +63,9 @@
 	pools          map[int]*httpclient.Transport
 }
 
-// newTargetClient returns a client of targets. A request without a response discards only idle
-// connections: requests in flight on the others may have run and cannot be sent again, so they keep
-// the rest of their time.
+// newTargetClient returns a client of targets. When a request gets no response, the client discards
+// only idle connections besides the request's own. Requests in flight on the others may have run, so
+// they must not be retried, and each may still be answered until its own timeout.
 func newTargetClient(maxAnswer int64, c Connections, loop *Loop) *targetClient {
 	return &targetClient{maxAnswerBytes: maxAnswer, pools: map[int]*httpclient.Transport{}, settings: httpclient.Settings{
 		To: "target", DialTimeout: targetDialTimeout, IdleTimeout: c.IdleTimeout, Discard: conntrack.SilentAndIdle, Now: loop.now, Hooks: loop.connectionHooks(),
--- a/tests/cell/cell.go
+++ b/tests/cell/cell.go
@@ -121,6 +121,7 @@
 	return c, nil
 }
 
+// start starts the stand-ins, publishes the list of boxes and starts the daemons.
 func (c *Cell) start(ctx context.Context) error {
 	c.LogAddress, c.BoxesAddress = FreeAddress(), FreeAddress()
 	c.createBoxes()
@@ -166,6 +167,7 @@
 // ConnectionsPerTarget is the number of connections that each target accepts.
 const ConnectionsPerTarget = 60
 
+// newMember returns a worker or target with a free address, behind its proxy if there is one.
 func (c *Cell) newMember(d Domain, name string, role box.Role, rack string) *Member {
 	address := FreeAddress()
 	m := &Member{
@@ -178,6 +180,7 @@
 	return m
 }
 
+// startStandins starts the stand-ins for the log, the list of boxes, the workers and the targets.
 func (c *Cell) startStandins() error {
 	o := c.options
 	if _, err := c.startStandin("log", "-role", "log", "-listen", c.LogAddress, "-retention", orDefault(o.Retention, 24*time.Hour).String()); err != nil {
@@ -224,6 +227,7 @@
 	return nil
 }
 
+// startGroup starts one process that simulates the members of a group.
 func (c *Cell) startGroup(role, name string, group []*Member) error {
 	data, err := json.Marshal(group)
 	if err != nil {
@@ -240,6 +244,7 @@
 	return err
 }
 
+// startStandin starts one stand-in process, which Close kills.
 func (c *Cell) startStandin(name string, args ...string) (*Process, error) {
 	p, err := StartProcess(c.options.Dir, name, c.options.Binaries.Standin, args...)
 	if err != nil {
@@ -249,12 +254,14 @@
 	return p, nil
 }
 
+// addProcess adds a process to those that Close kills.
 func (c *Cell) addProcess(p *Process) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.processes = append(c.processes, p)
 }
 
+// waitForStandins waits until all stand-ins accept connections.
 func (c *Cell) waitForStandins(ctx context.Context) error {
 	addresses := []string{c.LogAddress, c.BoxesAddress}
 	for _, m := range append(append([]*Member{}, c.workers...), c.targets...) {
@@ -292,6 +299,7 @@
 	return nil
 }
 
+// writeSettings writes the settings file of an entry box.
 func (c *Cell) writeSettings(e *Entry) error {
 	e.settings = filepath.Join(c.options.Dir, e.Name+".yaml")
 	sections := map[string][]string{
@@ -345,6 +353,7 @@
 // Targets returns the targets.
 func (c *Cell) Targets() []*Member { return c.targets }
 
+// orDefault returns d, or other if d is 0.
 func orDefault(d, other time.Duration) time.Duration {
 	if d == 0 {
 		return other
--- a/tests/integration/main_test.go
+++ b/tests/integration/main_test.go
@@ -24,6 +24,7 @@
 
 func TestMain(m *testing.M) { os.Exit(run(m)) }
 
+// run builds the programs, the daemon with the race detector, and runs the tests.
 func run(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "saddlevane-test-")
 	if err != nil {
@@ -97,6 +98,7 @@
 	return f
 }
 
+// showLogs logs the last 4000 bytes of each daemon's output, the queue and the status.
 func (f *fixture) showLogs() {
 	paths, _ := filepath.Glob(filepath.Join(f.dir, "entry-*.log"))
 	for _, p := range paths {
@@ -163,6 +165,8 @@
 	})
 }
 
+// revisionOn returns the revision of a file that is in force on a box, or 0 if none is or the box
+// does not respond.
 func revisionOn(ctx context.Context, e *cell.Entry, name string) int64 {
 	s, err := e.Status(ctx)
 	if err != nil || !s.InForce {
--- a/tests/soak/rig.go
+++ b/tests/soak/rig.go
@@ -274,9 +274,9 @@
 }
 
 // SocketCounts returns the number of sockets that the process of each box has open, by box
-// name. Sockets of callers are left out: boxes rely on the kernel to detect stalled callers.
-// Here it can't, since the kernel still acknowledges packets for the sockets of the
-// forwarder.
+// name. Sockets of callers are left out: boxes rely on the kernel to detect stalled callers,
+// which it cannot do behind a forwarder, because it still acknowledges packets for the
+// forwarder's sockets.
 func (r *Rig) SocketCounts() (map[string]int, error) {
 	all := map[string]int{}
 	for _, b := range r.boxes {
