--- a/cmd/saddlevaned/daemon.go
+++ b/cmd/saddlevaned/daemon.go
@@ -71,7 +71,7 @@
 	select {
 	case <-d.loop.Stopped():
 	case <-signals:
-		d.log.Warning("stopped at once by a second signal")
+		d.log.Warning("stopped immediately by a second signal")
 	}
 	d.shutdown(s.Stop.MaxStopTime)
 	d.log.Info("stopped")
@@ -163,7 +163,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if err := d.callers.Shutdown(ctx); err != nil {
-		d.log.WithError(err).Warning("callers were cut off")
+		d.log.WithError(err).Warning("callers were disconnected before their requests ended")
 	}
 	d.drain(ctx)
 	_ = d.operators.Shutdown(ctx)
--- a/modules/joblog/joblog_test.go
+++ b/modules/joblog/joblog_test.go
@@ -18,7 +18,7 @@
 {"box":"a","msg":"task start ordered","job":"j10","task":"j10.0.0.3","time":"2026-01-02T03:04:06Z"}
 {"box":"a","msg":"lines were left out","of":"task ended","count":3,"time":"2026-01-02T03:04:07Z"}
 {"box":"a","msg":"lines were left out","of":"task ended","count":3,"time":"2026-01-02T03:04:01Z"}
-{"box":"a","msg":"advice failed","step":"j1.0.0","time":"2026-01-02T03:04:05Z"}
+{"box":"a","msg":"advice call failed","step":"j1.0.0","time":"2026-01-02T03:04:05Z"}
 {"box":"a","msg":"task ended","job":"j1","ti
 panic: something else
 {"not":"ours"}
@@ -32,7 +32,7 @@
 	for _, l := range h.Lines {
 		got = append(got, l.Box+": "+l.Message)
 	}
-	assert.DeepEqual(t, got, []string{"a: advice failed", "a: task start ordered", "a: lines were left out", "b: task ended"})
+	assert.DeepEqual(t, got, []string{"a: advice call failed", "a: task start ordered", "a: lines were left out", "b: task ended"})
 	assert.Check(t, h.Lines[2].Gap)
 	assert.DeepEqual(t, h.Lines[3].Fields, []string{"job=j1", "outcome=done", "task=j1.0.0.3"})
 }
--- a/services/dispatch/advice.go
+++ b/services/dispatch/advice.go
@@ -160,7 +160,7 @@
 		return
 	}
 	h.advisers.RecordFailure(now, e.Box)
-	h.core.logEvent("advice failed", logField("step", s.id.String()), logField("asked_from", e.Box), logField("problem", e.Failure))
+	h.core.logEvent("advice call failed", logField("step", s.id.String()), logField("asked_from", e.Box), logField("problem", e.Failure))
 }
 
 // recordAdvice records which of the workers in an answer are eligible for a step, and their
--- a/services/dispatch/confirm.go
+++ b/services/dispatch/confirm.go
@@ -36,7 +36,7 @@
 	j.nextSendAt = now.Add(appendRetryDelay)
 	if j.failingSince.IsZero() {
 		j.failingSince = now
-		h.core.logEvent("the log does not keep records", logField("error", err.Error()))
+		h.core.logEvent("appending to the log failed", logField("error", err.Error()))
 	}
 	h.replyUnsure(j.batch)
 	h.refuseWhileFailing(now)
@@ -93,7 +93,7 @@
 	b := j.batch
 	j.batch = nil
 	if !j.failingSince.IsZero() {
-		h.core.logEvent("the log keeps records again", logField("after", now.Sub(j.failingSince).String()))
+		h.core.logEvent("appending to the log works again", logField("after", now.Sub(j.failingSince).String()))
 		j.failingSince = time.Time{}
 	}
 	for _, r := range b.workerRecords {
--- a/services/dispatch/crash_test.go
+++ b/services/dispatch/crash_test.go
@@ -42,7 +42,7 @@
 			all = append(all, reason)
 		}
 		sentences := strings.Join(all, "; ")
-		assert.Check(t, strings.Contains(sentences, "it is tried apart"), sentences)
+		assert.Check(t, strings.Contains(sentences, "it is started apart from other suspects"), sentences)
 		assert.Check(t, strings.Contains(sentences, "workers crashed under task guilty.0.0.0"), sentences)
 		w.requireNoViolations()
 	})
--- a/services/dispatch/crashcases_test.go
+++ b/services/dispatch/crashcases_test.go
@@ -157,7 +157,7 @@
 	next := effectsOf[exchange.Renew](d.handle(exchange.RenewEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Renewal: waiting[0].Renewal, Answer: broken}))
 	assert.Equal(t, len(next), 1)
 	lost := d.handle(exchange.RenewEnded{Worker: order.Incarnation{Name: "w"}, Epoch: 1, Renewal: next[0].Renewal, Answer: order.Answer{Outcome: order.WrongIncarnation}})
-	assert.DeepEqual(t, logFieldValues(lost, "a worker crashed under a task", "late"), []any{"0s"})
+	assert.DeepEqual(t, logFieldValues(lost, "worker crashed while running a task", "late"), []any{"0s"})
 }
 
 // logFieldValues returns the values of a field in all log events with a message.
--- a/services/dispatch/ends.go
+++ b/services/dispatch/ends.go
@@ -205,7 +205,7 @@
 	if w.failedJobs >= excludeAfter {
 		w.failedJobs = excludeAfter - 1
 		w.excludedUntil = now.Add(excludeFor)
-		h.core.logEvent("worker is left out because different jobs fail on it",
+		h.core.logEvent("worker is excluded because different jobs fail on it",
 			logField("worker", w.Incarnation.String()), logField("until", w.excludedUntil.UTC()))
 	}
 }
--- a/services/dispatch/gangs_test.go
+++ b/services/dispatch/gangs_test.go
@@ -251,7 +251,7 @@
 			t.Logf("all jobs had ended after %v", w.now.Sub(began))
 			w.requireNoViolations()
 			assert.Equal(t, w.incompleteGangEnds, 0)
-			t.Logf("gangs released %d reservations without starting", w.countLines("a gang gives room back"))
+			t.Logf("gangs released %d reservations without starting", w.countLines("gang reservation released without a start"))
 		})
 	}
 }
--- a/services/dispatch/hidden.go
+++ b/services/dispatch/hidden.go
@@ -24,7 +24,7 @@
 func (h *holderState) restoreStarts(records [][]byte) {
 	starts, unread := recent.Read(records)
 	for _, err := range unread {
-		h.core.logEvent("kept starts could not be read", logField("error", err.Error()))
+		h.core.logEvent("recorded starts could not be read", logField("error", err.Error()))
 	}
 	h.inheritedStarts = starts
 }
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -244,7 +244,7 @@
 			w.aliveAt = now
 		}
 		h.handleWorkerUnresponsive(now, w)
-		h.core.logEvent("worker does not answer", logField("worker", w.Incarnation.String()), logField("problem", e.Answer.Problem), logField("tasks", len(w.attempts)))
+		h.core.logEvent("worker stopped responding", logField("worker", w.Incarnation.String()), logField("problem", e.Answer.Problem), logField("tasks", len(w.attempts)))
 	}
 	w.renewAt = now.Add(renewRetryDelay)
 	if w.failedRenewals == 1 {
@@ -264,7 +264,7 @@
 // handleRenewed applies the worker's report and schedules the next renewal.
 func (h *holderState) handleRenewed(now time.Time, w *worker, e exchange.RenewEnded) {
 	if w.failedRenewals > 0 {
-		h.core.logEvent("worker answers again", logField("worker", w.Incarnation.String()), logField("failures", w.failedRenewals))
+		h.core.logEvent("worker responds again", logField("worker", w.Incarnation.String()), logField("failures", w.failedRenewals))
 	}
 	w.failedRenewals = 0
 	w.reportedEnds.ConfirmAck()
@@ -288,7 +288,7 @@
 		delete(h.unreportedWorkers, w.Name)
 		h.recordWorker(w)
 		if inherited && len(h.unreportedWorkers) == 0 {
-			h.core.logEvent("all workers of earlier holders have told what they run", logField("claim", h.epoch), logField("took", now.Sub(h.startedAt).String()))
+			h.core.logEvent("all workers of earlier holders have reported their runs", logField("claim", h.epoch), logField("took", now.Sub(h.startedAt).String()))
 		}
 	}
 	h.planDue = true
@@ -326,7 +326,7 @@
 // certainly ended their runs.
 func (h *holderState) handleLeaseExpired(now time.Time, w *worker) {
 	if len(w.attempts) > 0 || w.reported || h.unreportedWorkers[w.Name] {
-		h.core.logEvent("worker's lease has run out", logField("worker", w.Incarnation.String()), logField("tasks", len(w.attempts)),
+		h.core.logEvent("worker lease expired", logField("worker", w.Incarnation.String()), logField("tasks", len(w.attempts)),
 			logField("lapsed_for", now.Sub(w.leaseExpiresBy).String()), logField("how", string(h.endingOf(now, w, w.incarnations.HasCandidate()))))
 	}
 	h.loseAttempts(now, w, nil, h.endingOf(now, w, w.incarnations.HasCandidate()), "the worker's lease has expired")
--- a/services/dispatch/listing.go
+++ b/services/dispatch/listing.go
@@ -37,7 +37,7 @@
 // keeps its tasks.
 func (h *holderState) reportForeign(l order.Listing) {
 	for _, r := range h.foreignEntries.Update(l) {
-		h.core.logEvent("an entry names no worker", logField("entry", r.Entry), logField("reason", r.Reason), logField("known", h.workers[r.Entry] != nil))
+		h.core.logEvent("entry does not describe a worker", logField("entry", r.Entry), logField("reason", r.Reason), logField("known", h.workers[r.Entry] != nil))
 		h.core.emit(exchange.EntryRefused{})
 	}
 }
@@ -95,7 +95,7 @@
 	if !w.incarnations.HasCandidate() {
 		return
 	}
-	h.core.logEvent("another life of a worker is listed", logField("worker", w.Incarnation.String()), logField("life", o.Incarnation.String()))
+	h.core.logEvent("another incarnation of the worker is listed", logField("worker", w.Incarnation.String()), logField("life", o.Incarnation.String()))
 	if h.phase != phaseActive || w.pendingRenewal != 0 && !w.incarnations.PrecedesCandidate(w.pendingRenewal) {
 		return
 	}
--- a/services/dispatch/lives.go
+++ b/services/dispatch/lives.go
@@ -49,7 +49,7 @@
 		n.presence.RecordEntry(o.Leaving)
 	}
 	ending := h.endingOf(now, w, true)
-	h.core.logEvent("worker has started again", logField("worker", w.Incarnation.String()), logField("life", n.Incarnation.String()), logField("tasks", len(w.attempts)),
+	h.core.logEvent("worker restarted", logField("worker", w.Incarnation.String()), logField("life", n.Incarnation.String()), logField("tasks", len(w.attempts)),
 		logField("how", string(ending)), logField("listed", listed))
 	h.workers[n.Name] = n
 	h.sortedWorkers = nil
--- a/services/dispatch/load.go
+++ b/services/dispatch/load.go
@@ -19,7 +19,7 @@
 		return
 	}
 	if e.Err != nil {
-		h.core.logEvent("reading the jobs failed", logField("error", e.Err.Error()))
+		h.core.logEvent("failed to load jobs", logField("error", e.Err.Error()))
 		h.core.emit(exchange.LoadJobs{Epoch: h.epoch})
 		return
 	}
@@ -27,7 +27,7 @@
 	h.phase = phaseActive
 	h.blame.ObserveWorkers(now, h.answeringByRack())
 	h.planDue = true
-	h.core.logEvent("serves the cell's jobs", logField("claim", h.epoch), logField("jobs", len(h.jobs)),
+	h.core.logEvent("started scheduling the cell's jobs", logField("claim", h.epoch), logField("jobs", len(h.jobs)),
 		logField("workers_to_ask", len(h.unreportedWorkers)), logField("took", now.Sub(h.startedAt).String()))
 	h.renewAll(now)
 }
@@ -37,13 +37,13 @@
 func (h *holderState) restoreState(now time.Time, records []stream.Record) {
 	state := kept.Decode(records)
 	for _, u := range state.Unread {
-		h.core.logEvent("a kept record could not be read", logField("key", u.Key), logField("error", u.Reason))
+		h.core.logEvent("failed to decode a logged record", logField("key", u.Key), logField("error", u.Reason))
 	}
 	if err := h.estimates.Restore(state.RunTimes); err != nil {
-		h.core.logEvent("kept run times could not be read", logField("error", err.Error()))
+		h.core.logEvent("failed to decode logged run times", logField("error", err.Error()))
 	}
 	if err := h.blame.RestoreRate(state.CrashRate); err != nil {
-		h.core.logEvent("the kept rate of crashes could not be read", logField("error", err.Error()))
+		h.core.logEvent("failed to decode the logged crash rate", logField("error", err.Error()))
 	}
 	h.restoreStarts(state.RecentStarts)
 	for _, k := range state.Jobs {
--- a/services/dispatch/move.go
+++ b/services/dispatch/move.go
@@ -45,7 +45,7 @@
 		return
 	}
 	h.invitePending = true
-	c.logEvent("invites another box to take the cell over", logField("claim", h.epoch), logField("box", largest.Box),
+	c.logEvent("inviting another box to take over the cell", logField("claim", h.epoch), logField("box", largest.Box),
 		logField("address", largest.Address),
 		logField("reason", reason), logField("size", c.self.Size), logField("its_size", largest.Size), logField("could", len(reachable)))
 	c.emit(exchange.Invite{Epoch: h.epoch, Address: largest.Address})
--- a/services/dispatch/overview.go
+++ b/services/dispatch/overview.go
@@ -60,7 +60,7 @@
 	h.core.emit(exchange.WorkspaceUsage{All: all})
 	for _, ws := range all {
 		if ws.Capped > 0 {
-			h.core.logEvent("a workspace waits for its cap", logField("workspace", ws.Name), logField("steps", ws.Capped),
+			h.core.logEvent("workspace has reached its cap", logField("workspace", ws.Name), logField("steps", ws.Capped),
 				logField("used", ws.Used), logField("cap", ws.Cap))
 		}
 	}
--- a/services/dispatch/plan.go
+++ b/services/dispatch/plan.go
@@ -131,7 +131,7 @@
 	s.explainedAt = p.now
 	eligible := r.eligibleWorkers(h.workersFor(p, s, r.queue.Pool))
 	_, placed := h.fit(p.now, s, eligible)
-	h.core.logEvent("gang waits for room", logField("job", string(s.job.id)), logField("step", s.id.String()), logField("tasks", len(s.tasks)),
+	h.core.logEvent("gang waits for capacity", logField("job", string(s.job.id)), logField("step", s.id.String()), logField("tasks", len(s.tasks)),
 		logField("need", s.spec.Need.Processors.String()), logField("room_for", placed), logField("workers_asked", s.advice.knownCount()),
 		logField("workers_suited", len(eligible)), logField("gangs_reserving", h.reservations.Len()), logField("tier", int(r.Tier)),
 		logField("slack", h.slack(p.now, s).String()))
--- a/services/dispatch/preempt.go
+++ b/services/dispatch/preempt.go
@@ -92,7 +92,7 @@
 // logPreemption logs how many tasks are stopped for a step, if any.
 func (h *holderState) logPreemption(p *pass, s *step, stopped, workers int) {
 	if stopped > 0 {
-		h.core.logEvent("tasks are stopped for a step", logField("job", string(s.job.id)), logField("step", s.id.String()),
+		h.core.logEvent("tasks preempted for a step", logField("job", string(s.job.id)), logField("step", s.id.String()),
 			logField("stopped", stopped), logField("workers", workers), logField("slack", h.slack(p.now, s).String()), logField("claim", h.epoch))
 	}
 }
--- a/services/dispatch/reports.go
+++ b/services/dispatch/reports.go
@@ -102,7 +102,7 @@
 
 // stopOrphan stops a run that this holder would not have started.
 func (h *holderState) stopOrphan(now time.Time, w *worker, run order.Run) {
-	h.core.logEvent("a run that should not be there is stopped", logField("task", run.Task.String()), logField("run", run.Number), logField("worker", w.Incarnation.String()))
+	h.core.logEvent("stopping unexpected run", logField("task", run.Task.String()), logField("run", run.Number), logField("worker", w.Incarnation.String()))
 	h.sendStop(now, w, run)
 }
 
--- a/services/dispatch/reserve.go
+++ b/services/dispatch/reserve.go
@@ -175,7 +175,7 @@
 	for _, c := range s.advice.calls {
 		due = ordered.Later(due, c.due)
 	}
-	h.core.logEvent("a gang gives room back", logField("job", string(s.job.id)), logField("step", s.id.String()),
+	h.core.logEvent("gang reservation released without a start", logField("job", string(s.job.id)), logField("step", s.id.String()),
 		logField("reason", string(outcome)),
 		logField("tasks", len(s.tasks)), logField("workers", len(s.reservation.allocations)), logField("without_ticket", len(stale)),
 		logField("calls", len(s.advice.calls)), logField("tickets_due_in", due.Sub(now).String()), logField("to_stop", len(s.reservation.victims)),
--- a/services/dispatch/shrink_test.go
+++ b/services/dispatch/shrink_test.go
@@ -109,7 +109,7 @@
 	shrunk := resource.Vector{Processors: 50 * resource.Processor, Memory: workerCapacity.Memory}
 	released := 0
 	for _, n := range effectsOf[exchange.LogEvent](append(d.handle(resizedEntry("w", shrunk)), d.advance(50*time.Millisecond)...)) {
-		if n.Message == "a gang gives room back" {
+		if n.Message == "gang reservation released without a start" {
 			released++
 		}
 	}
--- a/services/dispatch/stall.go
+++ b/services/dispatch/stall.go
@@ -54,7 +54,7 @@
 		if !h.isStalled(a) || a.step.spec.Gang && !h.isGangStalled(a.step) {
 			continue
 		}
-		h.core.logEvent("a run stands still and is moved", logField("job", string(a.step.job.id)), logField("task", a.runID().Task.String()),
+		h.core.logEvent("stalled run is moved", logField("job", string(a.step.job.id)), logField("task", a.runID().Task.String()),
 			logField("run", a.run), logField("worker", w.Incarnation.String()), logField("progress", a.progress),
 			logField("ran", now.Sub(a.stateSince).String()),
 			logField("usual", h.usualTime(a.step).String()))
--- a/services/dispatch/starts.go
+++ b/services/dispatch/starts.go
@@ -44,7 +44,7 @@
 func (h *holderState) limitStartRate(now time.Time, a *attempt) {
 	if notBefore, tooOften := a.task().startLimit.RecordStart(now); tooOften {
 		a.step.delayStart(notBefore)
-		h.core.logEvent("a task is started too often and waits", logField("job", string(a.step.job.id)),
+		h.core.logEvent("task is started too often and is delayed", logField("job", string(a.step.job.id)),
 			logField("task", a.runID().Task.String()), logField("run", a.run), logField("wait", notBefore.Sub(now).String()))
 	}
 }
@@ -140,7 +140,7 @@
 		h.sendStart(now, a)
 		return
 	}
-	h.core.logEvent("a start had no answer", logField("job", string(a.step.job.id)), logField("task", a.runID().Task.String()),
+	h.core.logEvent("start order was not answered", logField("job", string(a.step.job.id)), logField("task", a.runID().Task.String()),
 		logField("run", a.run), logField("worker", a.worker.Incarnation.String()), logField("problem", answer.Problem))
 	if a.state != attemptStarting {
 		return
@@ -154,7 +154,7 @@
 // handleStartRefused drops an attempt whose start the worker refused, and does what the
 // reason of the refusal requires.
 func (h *holderState) handleStartRefused(now time.Time, a *attempt, answer order.Answer) {
-	h.core.logEvent("a start was refused", logField("job", string(a.step.job.id)), logField("task", a.runID().Task.String()),
+	h.core.logEvent("start order was refused", logField("job", string(a.step.job.id)), logField("task", a.runID().Task.String()),
 		logField("run", a.run), logField("worker", a.worker.Incarnation.String()), logField("reason", string(answer.Reason)))
 	switch answer.Reason {
 	case order.Fenced:
--- a/services/dispatch/suspects.go
+++ b/services/dispatch/suspects.go
@@ -139,7 +139,7 @@
 		TasksKnown: w.reported || w.unresponsive.written, Tasks: tasks,
 	}
 	for _, f := range h.blame.RecordCrash(now, c) {
-		h.core.logEvent("a worker crashed under a task", logField("job", string(f.Task.Job)), logField("task", f.Task.String()),
+		h.core.logEvent("worker crashed while running a task", logField("job", string(f.Task.Job)), logField("task", f.Task.String()),
 			logField("worker", w.Incarnation.String()),
 			logField("crashes", f.Blame.Crashes), logField("guilty", fmt.Sprintf("%.3g", blame.Probability(f.Blame))),
 			logField("worked_most", f.Worked.String()),
@@ -294,7 +294,7 @@
 			continue
 		}
 		h.startTask(p.now, s, i, h.nextRunNumber(s), w, ticket)
-		h.core.logEvent("a suspected task is tried", logField("job", string(s.job.id)), logField("task", s.blameUnit(i).String()),
+		h.core.logEvent("suspected task started on trial", logField("job", string(s.job.id)), logField("task", s.blameUnit(i).String()),
 			logField("run", s.lastRun),
 			logField("worker", w.Incarnation.String()), logField("beside", len(w.attempts)-1), logField("crashes", h.blameOf(s, i).Crashes),
 			logField("claim", h.epoch))
@@ -436,7 +436,7 @@
 func (h *holderState) suspectReason(s *step) string {
 	for i := range s.tasks {
 		if b := h.blameOf(s, i); blame.IsSuspect(b) {
-			return fmt.Sprintf("%d workers crashed under task %d, which crashes them with probability %.2g; it is tried apart",
+			return fmt.Sprintf("%d workers crashed under task %d, which crashes them with probability %.2g; it is started apart from other suspects",
 				b.Crashes, i, blame.Probability(b))
 		}
 	}
--- a/services/dispatch/throttle.go
+++ b/services/dispatch/throttle.go
@@ -64,7 +64,7 @@
 	if next == w.fillPace {
 		return
 	}
-	h.core.logEvent("fillers change their pace", logField("worker", w.Incarnation.String()), logField("percent", next), logField("before", w.fillPace),
+	h.core.logEvent("pace of fillers changed", logField("worker", w.Incarnation.String()), logField("percent", next), logField("before", w.fillPace),
 		logField("tail_of_target", worstTail), logField("claim", h.epoch))
 	w.fillPace, w.throttledAt = next, now
 }
--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -190,7 +190,7 @@
 // tasks.
 func (h *holderState) handleWorkerTerminated(now time.Time, w *worker, reason string) {
 	ending := h.endingOf(now, w, true)
-	h.core.logEvent("worker is gone", logField("worker", w.Incarnation.String()), logField("reason", reason), logField("tasks", len(w.attempts)), logField("how", string(ending)))
+	h.core.logEvent("worker terminated", logField("worker", w.Incarnation.String()), logField("reason", reason), logField("tasks", len(w.attempts)), logField("how", string(ending)))
 	h.loseAttempts(now, w, nil, ending, reason)
 	delete(h.unreportedWorkers, w.Name)
 	h.removeWorker(now, w)
--- a/services/jobrun/connections.go
+++ b/services/jobrun/connections.go
@@ -21,7 +21,7 @@
 	if g.Count < 2 {
 		return
 	}
-	l.logWriter.write(exchange.LogEvent{Message: "connections were given up", Fields: []exchange.LogField{
+	l.logWriter.write(exchange.LogEvent{Message: "connections were discarded", Fields: []exchange.LogField{
 		{Name: "to", Value: g.To},
 		{Name: "address", Value: g.Address},
 		{Name: "count", Value: g.Count},
@@ -33,7 +33,7 @@
 // CallRetried logs and counts a call that was retried on another connection.
 func (l *Loop) CallRetried(r httpclient.RetriedCall) {
 	l.metrics.callsRetried.WithLabelValues(r.To, string(r.AnsweredOn)).Inc()
-	l.logWriter.write(exchange.LogEvent{Message: "a call was made again", Fields: []exchange.LogField{
+	l.logWriter.write(exchange.LogEvent{Message: "a call was retried", Fields: []exchange.LogField{
 		{Name: "to", Value: r.To},
 		{Name: "address", Value: r.Address},
 		{Name: "call", Value: r.Call},
@@ -52,7 +52,7 @@
 // from a slow service.
 func (l *Loop) CallUnanswered(u conntrack.Unanswered) {
 	l.metrics.recordUnanswered(u)
-	l.logWriter.write(exchange.LogEvent{Message: "a call had no answer", Fields: []exchange.LogField{
+	l.logWriter.write(exchange.LogEvent{Message: "a call was not answered", Fields: []exchange.LogField{
 		{Name: "to", Value: u.To},
 		{Name: "address", Value: u.Address},
 		{Name: "call", Value: u.Call},
@@ -66,7 +66,7 @@
 // linkDiscarded logs and counts a link to another entry box that was closed because it was silent.
 func (l *Loop) linkDiscarded(g peering.Discarded) {
 	l.metrics.recordDiscardedLink(g.To, string(g.Reason))
-	l.logWriter.write(exchange.LogEvent{Message: "a link to an entry box was given up", Fields: []exchange.LogField{
+	l.logWriter.write(exchange.LogEvent{Message: "a link to an entry box was discarded", Fields: []exchange.LogField{
 		{Name: "address", Value: g.Address},
 		{Name: "reason", Value: g.Reason},
 		{Name: "open_for", Value: g.OpenFor.String()},
@@ -77,5 +77,5 @@
 
 // linkNotAccepted logs why a connection from another entry box could not be accepted.
 func (l *Loop) linkNotAccepted(err error) {
-	l.logWriter.write(exchange.LogEvent{Message: "a link could not be accepted", Fields: []exchange.LogField{{Name: "problem", Value: err.Error()}}})
+	l.logWriter.write(exchange.LogEvent{Message: "connection of an entry box could not be accepted", Fields: []exchange.LogField{{Name: "problem", Value: err.Error()}}})
 }
--- a/services/jobrun/follow.go
+++ b/services/jobrun/follow.go
@@ -166,6 +166,6 @@
 // readErrorLogger returns a function that logs failed reads of a stream at debug level.
 func (l *Loop) readErrorLogger(name stream.Name) func(error) {
 	return func(err error) {
-		l.log.WithError(err).WithField("stream", name).Debug("a read of the log failed")
+		l.log.WithError(err).WithField("stream", name).Debug("reading the log failed")
 	}
 }
--- a/services/jobrun/load.go
+++ b/services/jobrun/load.go
@@ -133,9 +133,9 @@
 	if !l.gate.Update(now) {
 		return
 	}
-	message := "the holder keeps up again"
+	message := "holder is no longer overloaded"
 	if l.gate.IsRefusing() {
-		message = "the holder is behind and refuses new jobs in part"
+		message = "holder is overloaded and refuses a share of new jobs"
 	}
 	l.logWriter.write(exchange.LogEvent{Message: message, Fields: []exchange.LogField{{Name: "jobs_taken", Value: l.gate.AdmittedShare()}}})
 }
--- a/services/jobrun/service_test.go
+++ b/services/jobrun/service_test.go
@@ -175,10 +175,10 @@
 	before := begun.Load()
 	waitServed(t, holder, jobrun.Request{Submit: submission("hangs")}, "")
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if begun.Load() == before || ended.Load() < begun.Load() || !strings.Contains(output.text(), "advice failed") {
+		if begun.Load() == before || ended.Load() < begun.Load() || !strings.Contains(output.text(), "advice call failed") {
 			return poll.Continue("%d calls for advice were begun, %d have ended", begun.Load(), ended.Load())
 		}
 		return poll.Success()
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(5*time.Millisecond))
-	assert.Check(t, !strings.Contains(output.text(), "a call had no answer"), "the box did not answer the holder")
+	assert.Check(t, !strings.Contains(output.text(), "a call was not answered"), "the box did not answer the holder")
 }
--- a/services/jobrun/silent_test.go
+++ b/services/jobrun/silent_test.go
@@ -101,7 +101,7 @@
 	waitUntil(t, "no link is counted", func() bool { return metricSum(t, holder, "saddlevane_connections_open") == 0 })
 	waitUntil(t, "the log reports the closed link", func() bool {
 		got := out.text()
-		for _, want := range []string{"a link to an entry box was given up", raw.LocalAddr().String(), "reason=probe", "open_for=", "heard_ago=", "calls=0"} {
+		for _, want := range []string{"a link to an entry box was discarded", raw.LocalAddr().String(), "reason=probe", "open_for=", "heard_ago=", "calls=0"} {
 			if !strings.Contains(got, want) {
 				return false
 			}
--- a/services/runtime/connections.go
+++ b/services/runtime/connections.go
@@ -50,31 +50,31 @@
 	l.log.WithFields(logrus.Fields{
 		"to": u.To, "address": u.Address, "call": u.Call, "reused": u.Reused, "waited": u.Waited.String(),
 		"open_for": u.OpenFor.String(), "heard_ago": u.SilentFor.String(),
-	}).Debug("a call had no answer")
+	}).Debug("a call was not answered")
 }
 
 // logDiscardedConnections logs that connections were discarded because a call had no response.
 func (l *Loop) logDiscardedConnections(d conntrack.Discarded) {
 	l.log.WithFields(logrus.Fields{
 		"to": d.To, "address": d.Address, "count": d.Count, "heard_ago": d.SilentFor.String(),
-	}).Info("connections were given up")
+	}).Info("connections were discarded")
 }
 
 // logRetriedCall logs a call that was retried.
 func (l *Loop) logRetriedCall(r httpclient.RetriedCall) {
 	l.log.WithFields(logrus.Fields{
 		"to": r.To, "address": r.Address, "call": r.Call, "answered_on": string(r.AnsweredOn), "took": r.Took.String(),
-	}).Debug("a call was made again")
+	}).Debug("a call was retried")
 }
 
 // logDiscardedLink logs a link to another entry box that was discarded as unresponsive.
 func (l *Loop) logDiscardedLink(d peering.Discarded) {
 	l.log.WithFields(logrus.Fields{
 		"address": d.Address, "reason": d.Reason, "open_for": d.OpenFor.String(), "heard_ago": d.SilentFor.String(), "calls": d.Calls,
-	}).Info("a link to an entry box was given up")
+	}).Info("a link to an entry box was discarded")
 }
 
 // logAcceptFailure logs that a connection from another entry box could not be accepted.
 func (l *Loop) logAcceptFailure(err error) {
-	l.log.WithError(err).Warning("a link could not be accepted")
+	l.log.WithError(err).Warning("connection of an entry box could not be accepted")
 }
--- a/services/runtime/log.go
+++ b/services/runtime/log.go
@@ -154,7 +154,7 @@
 	ctx = httpclient.WithRetry(ctx, httpclient.Retry{})
 	var list box.List
 	if err := l.client.Get(ctx, l.settings.BoxesURL+"/v1/boxes", &list); err != nil {
-		l.loop.log.WithError(err).Debug("the list of boxes could not be read")
+		l.loop.log.WithError(err).Debug("reading the list of boxes failed")
 		return
 	}
 	l.loop.Post(event.BoxesRead{List: list})
--- a/services/runtime/peers.go
+++ b/services/runtime/peers.go
@@ -145,7 +145,7 @@
 		var none struct{}
 		hello := peering.Call{Method: peer.MethodHello, Params: e.Hello, Result: &none, Idempotent: true}
 		if err := p.call(ctx, e.Address, hello); err != nil {
-			p.loop.log.WithError(err).Debug("a heartbeat was not answered")
+			p.loop.log.WithError(err).Debug("heartbeat to an entry box failed")
 		}
 		p.mu.Lock()
 		delete(p.hellosInFlight, e.Address)
@@ -162,7 +162,7 @@
 		var s record.Snapshot
 		fetch := peering.Call{Method: peer.MethodSnapshot, Params: struct{}{}, Result: &s, Idempotent: true}
 		if err := p.call(ctx, e.Address, fetch); err != nil {
-			p.loop.log.WithError(err).Debug("a peer's snapshot could not be read")
+			p.loop.log.WithError(err).Debug("fetching a snapshot from an entry box failed")
 			return
 		}
 		p.loop.Post(event.SnapshotRead{From: e.Box, Snapshot: s})
--- a/tests/integration/silent_test.go
+++ b/tests/integration/silent_test.go
@@ -141,8 +141,8 @@
 	f.waitUntil(stalledAt.Add(responsesTimeout), "no target is ejected", f.noneEjected)
 	share := f.completeShare(c, stalledAt.Add(responsesTimeout))
 	assert.Check(f.t, f.noneEjected(), "%s: a target is ejected again", name)
-	f.t.Logf("%s: %.3f of the requests have whole answers, usually %.3f", name, share, usualShare)
-	assert.Check(f.t, share >= minServedShare*usualShare, "%s: %.3f of the requests have whole answers, usually %.3f", name, share, usualShare)
+	f.t.Logf("%s: %.3f of the requests have complete responses, usually %.3f", name, share, usualShare)
+	assert.Check(f.t, share >= minServedShare*usualShare, "%s: %.3f of the requests have complete responses, usually %.3f", name, share, usualShare)
 }
 
 // completeShare returns the share of complete responses among the requests sent within
--- a/tests/soak/silent_test.go
+++ b/tests/soak/silent_test.go
@@ -58,7 +58,7 @@
 // caller's request, and nothing else checked the connections between boxes. A holder that
 // could not call the advice service often enough itself asked through other boxes. These
 // calls, and all later ones, went over the stalled connections and timed out, for as long as
-// the daemons ran. The log event "a call had no answer" showed that every failed call for
+// the daemons ran. The log event "a call was not answered" showed that every failed call for
 // advice used an old connection and none a new one.
 func TestServiceRecoversAfterOpenConnectionsStall(t *testing.T) {
 	checkServedAfterStalls(t, func(r *soak.Rig) {
--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -138,7 +138,7 @@
 	assert.NilError(t, r.WaitReady(ctx))
 	p := &seedRun{t: t, ctx: ctx, rig: r, callers: soak.NewCallers(r, seed), faults: soak.NewFaults(r, seed)}
 	p.run()
-	t.Logf("seed %d: %v, %d starts (%d by late orders on lives not reached yet), %d faults", seed, p.callers, r.StartCount(), r.UnreachedStarts(), len(p.faults.Events()))
+	t.Logf("seed %d: %v, %d starts (%d by late orders on incarnations not reached yet), %d faults", seed, p.callers, r.StartCount(), r.UnreachedStarts(), len(p.faults.Events()))
 	for _, line := range append(p.callers.Violations(), r.Violations()...) {
 		t.Errorf("seed %d: %s", seed, line)
 	}
