--- a/services/advisers/advisers.go
+++ b/services/advicecalls/balancer.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package advisers distributes calls to the advice service over the entry boxes, because the
+// Package advicecalls distributes calls to the advice service over the entry boxes, because the
 // service handles one call at a time from each box. Advice names the workers that may run a step,
 // with a ticket for each of them.
-package advisers
+package advicecalls
 
 import (
 	"iter"
--- a/services/advisers/advisers_test.go
+++ b/services/advicecalls/balancer_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package advisers_test
+package advicecalls_test
 
 import (
 	"maps"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"saddlevane/services/advisers"
+	"saddlevane/services/advicecalls"
 
 	"gotest.tools/v3/assert"
 )
@@ -18,10 +18,10 @@
 
 func TestCallsAreSpreadOverBoxes(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	balancer := advisers.New[int]("a")
+	balancer := advicecalls.New[int]("a")
 	assigned := map[string]int{}
 	for i := range 8 {
-		box, ok := balancer.Assign(now, maps.Keys(boxes), advisers.BriefCall, advisers.MaxQueueTime)
+		box, ok := balancer.Assign(now, maps.Keys(boxes), advicecalls.BriefCall, advicecalls.MaxQueueTime)
 		assert.Assert(t, ok)
 		assigned[box]++
 		balancer.Begin(box, i)
@@ -30,21 +30,21 @@
 	for box := range boxes {
 		assert.Equal(t, assigned[box], 2, "%v", assigned)
 	}
-	box, ok := balancer.Assign(now, maps.Keys(boxes), time.Second, advisers.MaxQueueTime)
+	box, ok := balancer.Assign(now, maps.Keys(boxes), time.Second, advicecalls.MaxQueueTime)
 	assert.Check(t, ok && box != "a", "a long call must not use the first box, got %s", box)
 }
 
 func TestBoxWithOverdueAnswerGetsNoCalls(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	balancer := advisers.New[string]("a")
+	balancer := advicecalls.New[string]("a")
 	only := maps.Keys(map[string]bool{"b": true})
-	_, ok := balancer.Assign(now, only, advisers.BriefCall, 0)
+	_, ok := balancer.Assign(now, only, advicecalls.BriefCall, 0)
 	assert.Check(t, ok)
 	number, due := balancer.Begin("a", "late")
-	assert.Equal(t, due, now.Add(advisers.BriefCall))
+	assert.Equal(t, due, now.Add(advicecalls.BriefCall))
 	now = now.Add(time.Second)
 	assert.DeepEqual(t, slices.Collect(balancer.Overdue(now)), []string{"late"})
-	box, _ := balancer.Assign(now, only, advisers.BriefCall, 0)
+	box, _ := balancer.Assign(now, only, advicecalls.BriefCall, 0)
 	assert.Equal(t, box, "b")
 	c, known := balancer.End("a", number)
 	assert.Check(t, known && c == "late")
@@ -55,11 +55,11 @@
 
 func TestBoxIsExcludedAfterFailedCall(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	balancer := advisers.New[int]("a")
+	balancer := advicecalls.New[int]("a")
 	balancer.RecordRefusal(now, "a")
 	balancer.RecordFailure(now, "b")
 	balancer.RecordFailure(now, "a")
-	assert.Check(t, !balancer.HasFreeBox(now, maps.Keys(map[string]bool{"b": true}), advisers.BriefCall, 100*time.Millisecond))
+	assert.Check(t, !balancer.HasFreeBox(now, maps.Keys(map[string]bool{"b": true}), advicecalls.BriefCall, 100*time.Millisecond))
 	now = now.Add(5 * time.Second)
-	assert.Check(t, balancer.HasFreeBox(now, maps.Keys(map[string]bool{"b": true}), advisers.BriefCall, 0))
+	assert.Check(t, balancer.HasFreeBox(now, maps.Keys(map[string]bool{"b": true}), advicecalls.BriefCall, 0))
 }
--- a/services/dispatch/ask.go
+++ b/services/dispatch/ask.go
@@ -14,7 +14,7 @@
 	"saddlevane/models/job"
 	"saddlevane/models/mechanism"
 	"saddlevane/modules/ordered"
-	"saddlevane/services/advisers"
+	"saddlevane/services/advicecalls"
 	"saddlevane/services/ranking"
 	"saddlevane/services/tickets"
 	"saddlevane/services/turns"
@@ -40,12 +40,12 @@
 func (h *holderState) requestAdvice(now time.Time, s *step, q *job.Advice, workers []*worker) *adviceCall {
 	callTime := q.BaseTime + time.Duration(len(workers))*q.TimePerWorker
 	class := h.callClass(now, s)
-	if h.isEnabled(mechanism.DividedAdvice) && callTime > advisers.BriefCall && !h.advisers.FairShare.Admit(now, class) {
+	if h.isEnabled(mechanism.DividedAdvice) && callTime > advicecalls.BriefCall && !h.advisers.FairShare.Admit(now, class) {
 		return nil
 	}
 	maxQueueTime := time.Duration(0)
 	if !class.Late {
-		maxQueueTime = advisers.MaxQueueTime
+		maxQueueTime = advicecalls.MaxQueueTime
 	}
 	box, ok := h.advisers.Assign(now, maps.Keys(h.core.members), callTime, maxQueueTime)
 	if !ok {
@@ -170,7 +170,7 @@
 		return false
 	}
 	requested := false
-	for chunk := range slices.Chunk(workers, advisers.MaxWorkersPerCall) {
+	for chunk := range slices.Chunk(workers, advicecalls.MaxWorkersPerCall) {
 		if h.requestAdvice(now, s, r.queue.Advice, chunk) == nil {
 			break
 		}
@@ -185,12 +185,12 @@
 // returns false if no call was made.
 func (h *holderState) requestAdviceForUnplacedTasks(now time.Time, r rankedStep, candidates []*worker) bool {
 	s := r.step
-	if !h.advisers.HasFreeBox(now, maps.Keys(h.core.members), r.queue.Advice.BaseTime, advisers.MaxQueueTime) {
+	if !h.advisers.HasFreeBox(now, maps.Keys(h.core.members), r.queue.Advice.BaseTime, advicecalls.MaxQueueTime) {
 		h.advisers.FairShare.RecordDeferral(now, h.callClass(now, s))
 		return false
 	}
 	missing := askFactor * float64(s.unplacedTasks) / h.estimates.SuitableShare(r.queue.Name)
-	minWorkers := advisers.MinWorkersPerCall(r.queue.Advice)
+	minWorkers := advicecalls.MinWorkersPerCall(r.queue.Advice)
 	var named []*worker
 	for w, freeSlots := range s.unaskedRotated(candidates) {
 		if len(named) == maxWorkersAsked || len(named) >= minWorkers && missing <= 0 {
--- a/services/dispatch/choice.go
+++ b/services/dispatch/choice.go
@@ -9,7 +9,7 @@
 
 	"saddlevane/models/job"
 	"saddlevane/models/resource"
-	"saddlevane/services/advisers"
+	"saddlevane/services/advicecalls"
 )
 
 const (
@@ -90,12 +90,12 @@
 	if missing <= 0 {
 		return
 	}
-	if r.queue.Advice.BaseTime <= advisers.ShortCall {
+	if r.queue.Advice.BaseTime <= advicecalls.ShortCall {
 		h.requestAdviceForUnplacedTasks(now, r, candidates)
 		return
 	}
 	slotsPerWorker := float64(max(1, s.slotsWhenEmpty(h.largestCapacity()))) * suitableShare
 	unasked := s.unaskedByFreeCapacity(candidates)
-	wanted := max(advisers.MinWorkersPerCall(r.queue.Advice), int(math.Ceil(missing/slotsPerWorker)))
+	wanted := max(advicecalls.MinWorkersPerCall(r.queue.Advice), int(math.Ceil(missing/slotsPerWorker)))
 	h.requestAdviceOn(now, r, unasked[:min(len(unasked), wanted)])
 }
--- a/services/dispatch/holding.go
+++ b/services/dispatch/holding.go
@@ -10,7 +10,7 @@
 	"saddlevane/models/job"
 	"saddlevane/models/resource"
 	"saddlevane/modules/ordered"
-	"saddlevane/services/advisers"
+	"saddlevane/services/advicecalls"
 	"saddlevane/services/blame"
 	"saddlevane/services/kept"
 	"saddlevane/services/lateness"
@@ -80,7 +80,7 @@
 	unreportedWorkers map[string]bool
 
 	// advisers distributes calls to the advice service among the boxes.
-	advisers *advisers.Balancer[*adviceCall]
+	advisers *advicecalls.Balancer[*adviceCall]
 	// estimates are learned from earlier runs and advice: run times, stop times, the share of
 	// workers suitable for a step, and the speed of the fleet.
 	estimates *learned.Estimates
@@ -128,7 +128,7 @@
 		core: c, epoch: epoch, phase: phaseFencing, startedAt: now,
 		journal: journal{epoch: epoch}, jobs: map[job.ID]*trackedJob{},
 		workers: map[string]*worker{}, unreportedWorkers: map[string]bool{}, blame: blame.NewTracker(),
-		advisers: advisers.New[*adviceCall](c.self.Box), estimates: learned.NewEstimates(), planBudget: planning.New(),
+		advisers: advicecalls.New[*adviceCall](c.self.Box), estimates: learned.NewEstimates(), planBudget: planning.New(),
 		reservations: reservations.New(),
 		usage:        workspaces.NewUsage(), workspaceShares: workspaces.NewShareLimiter(c.settings.ShareWindow),
 		leftoverUsage: map[string]resource.Vector{},
--- a/services/dispatch/reserve.go
+++ b/services/dispatch/reserve.go
@@ -9,7 +9,7 @@
 
 	"saddlevane/models/resource"
 	"saddlevane/modules/ordered"
-	"saddlevane/services/advisers"
+	"saddlevane/services/advicecalls"
 	"saddlevane/services/ranking"
 	"saddlevane/services/reservations"
 	"saddlevane/services/slots"
@@ -246,8 +246,8 @@
 // gang must be valid at the same time, and a call takes about as long as a ticket is valid.
 func (h *holderState) unrequestedWorkers(now time.Time, r rankedStep, askedWorkers int) []*worker {
 	s := r.step
-	callTime := r.queue.Advice.BaseTime + time.Duration(min(askedWorkers, advisers.MaxWorkersPerCall))*r.queue.Advice.TimePerWorker
-	_, stale := s.splitByTicket(now.Add(callTime+advisers.MaxQueueTime+tickets.StartMargin), s.reservation.allocations)
+	callTime := r.queue.Advice.BaseTime + time.Duration(min(askedWorkers, advicecalls.MaxWorkersPerCall))*r.queue.Advice.TimePerWorker
+	_, stale := s.splitByTicket(now.Add(callTime+advicecalls.MaxQueueTime+tickets.StartMargin), s.reservation.allocations)
 	var missing []*worker
 	for _, al := range stale {
 		if !s.advice.IsPending(al.Worker) {
@@ -264,7 +264,7 @@
 	if now.Before(r.step.advice.retryAt) {
 		return true
 	}
-	calls := (len(workers) + advisers.MaxWorkersPerCall - 1) / advisers.MaxWorkersPerCall
+	calls := (len(workers) + advicecalls.MaxWorkersPerCall - 1) / advicecalls.MaxWorkersPerCall
 	for chunk := range slices.Chunk(workers, (len(workers)+calls-1)/calls) {
 		if h.requestAdvice(now, r.step, r.queue.Advice, chunk) == nil {
 			return false
