--- a/services/dispatch/ends.go
+++ b/services/dispatch/ends.go
@@ -11,7 +11,7 @@
 	"saddlevane/models/mechanism"
 	"saddlevane/models/order"
 	"saddlevane/services/delays"
-	"saddlevane/services/ends"
+	"saddlevane/services/endreports"
 )
 
 // A worker on which excludeAfter different jobs fail in a row gets no tasks for
@@ -23,7 +23,7 @@
 
 // handleRunEnd applies the end of a run that a worker has reported. The end is acknowledged
 // once the log has its effect, or at once if it has no effect.
-func (h *holderState) handleRunEnd(now time.Time, w *worker, end order.End, report *ends.Report[*worker]) {
+func (h *holderState) handleRunEnd(now time.Time, w *worker, end order.End, report *endreports.Report[*worker]) {
 	a := w.attempts[end.Run]
 	s := h.findStep(end.Task.StepID)
 	if a != nil {
--- a/services/dispatch/jobs.go
+++ b/services/dispatch/jobs.go
@@ -10,7 +10,7 @@
 	"saddlevane/models/job"
 	"saddlevane/modules/ordered"
 	"saddlevane/services/delays"
-	"saddlevane/services/ends"
+	"saddlevane/services/endreports"
 	"saddlevane/services/kept"
 	"saddlevane/services/restarts"
 )
@@ -54,7 +54,7 @@
 	endLogged bool
 	// unloggedEnds are the reported ends of runs that wait for the next append of the job's
 	// progress; workers may forget them after that.
-	unloggedEnds []*ends.Report[*worker]
+	unloggedEnds []*endreports.Report[*worker]
 	// acceptCalls and cancelCalls are the submit and cancel calls that wait for the log.
 	acceptCalls []exchange.CallID
 	cancelCalls []exchange.CallID
--- a/services/dispatch/journal.go
+++ b/services/dispatch/journal.go
@@ -10,7 +10,7 @@
 	"saddlevane/models/exchange"
 	"saddlevane/models/job"
 	"saddlevane/models/stream"
-	"saddlevane/services/ends"
+	"saddlevane/services/endreports"
 	"saddlevane/services/kept"
 	"saddlevane/services/recent"
 )
@@ -63,7 +63,7 @@
 type progressEntry struct {
 	job         *trackedJob
 	state       job.State
-	ends        []*ends.Report[*worker]
+	ends        []*endreports.Report[*worker]
 	cancelCalls []exchange.CallID
 }
 
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -12,7 +12,7 @@
 	"saddlevane/models/mechanism"
 	"saddlevane/models/order"
 	"saddlevane/modules/ordered"
-	"saddlevane/services/ends"
+	"saddlevane/services/endreports"
 	"saddlevane/services/lateness"
 )
 
@@ -91,7 +91,7 @@
 		return false
 	}
 	for _, a := range w.attempts {
-		if a.reportedAt.IsZero() && ends.MayHaveEnded(now.Sub(a.firstOrderedAt), h.usualTime(a.step)) {
+		if a.reportedAt.IsZero() && endreports.MayHaveEnded(now.Sub(a.firstOrderedAt), h.usualTime(a.step)) {
 			return false
 		}
 	}
--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -12,7 +12,7 @@
 	"saddlevane/models/mechanism"
 	"saddlevane/models/order"
 	"saddlevane/models/resource"
-	"saddlevane/services/ends"
+	"saddlevane/services/endreports"
 	"saddlevane/services/kept"
 	"saddlevane/services/learned"
 	"saddlevane/services/presence"
@@ -79,7 +79,7 @@
 	// start or a renewal, or zero if all are answered.
 	unansweredSince time.Time
 	// reportedEnds tracks the ends of runs that the worker has reported.
-	reportedEnds ends.Tracker[*worker]
+	reportedEnds endreports.Tracker[*worker]
 
 	// heldInPass is the capacity that the current planning pass keeps for higher-ranking steps.
 	// heldFor is the last of these steps and prevHeldFor that of the previous pass: other steps use
--- a/services/ends/ends.go
+++ b/services/endreports/tracker.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package ends tracks the ends of runs that one incarnation of a worker reports: which were
+// Package endreports tracks the ends of runs that one incarnation of a worker reports: which were
 // received, which are recorded in the log, and which were acknowledged to the worker. The ends of
 // each incarnation are numbered from 1. A worker repeats a report until the end is acknowledged,
 // and may delete it then.
-package ends
+package endreports
 
 import "time"
 
--- a/services/ends/ends_test.go
+++ b/services/endreports/tracker_test.go
@@ -1,19 +1,19 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package ends_test
+package endreports_test
 
 import (
 	"testing"
 	"time"
 
-	"saddlevane/services/ends"
+	"saddlevane/services/endreports"
 
 	"gotest.tools/v3/assert"
 )
 
 func TestEndIsAcknowledgedOnceItAndAllEarlierEndsAreLogged(t *testing.T) {
-	var tracker ends.Tracker[string]
+	var tracker endreports.Tracker[string]
 	first, isNew := tracker.Add("w", 1)
 	assert.Check(t, isNew && first.Worker() == "w")
 	second, _ := tracker.Add("w", 2)
@@ -34,7 +34,7 @@
 }
 
 func TestNewlyOrderedTaskHasNotEnded(t *testing.T) {
-	assert.Check(t, !ends.MayHaveEnded(20*time.Millisecond, time.Second))
-	assert.Check(t, ends.MayHaveEnded(50*time.Millisecond, time.Second))
-	assert.Check(t, ends.MayHaveEnded(20*time.Millisecond, 30*time.Millisecond), "a quarter of the usual run time is less than 20 ms")
+	assert.Check(t, !endreports.MayHaveEnded(20*time.Millisecond, time.Second))
+	assert.Check(t, endreports.MayHaveEnded(50*time.Millisecond, time.Second))
+	assert.Check(t, endreports.MayHaveEnded(20*time.Millisecond, 30*time.Millisecond), "a quarter of the usual run time is less than 20 ms")
 }
