--- a/services/dispatch/holding.go
+++ b/services/dispatch/holding.go
@@ -12,7 +12,7 @@
 	"saddlevane/modules/ordered"
 	"saddlevane/services/advicecalls"
 	"saddlevane/services/blame"
-	"saddlevane/services/kept"
+	"saddlevane/services/jobrecords"
 	"saddlevane/services/lateness"
 	"saddlevane/services/learned"
 	"saddlevane/services/planning"
@@ -145,7 +145,7 @@
 func (h *holderState) begin(now time.Time) {
 	h.core.logEvent("took the cell over", logField("claim", h.epoch))
 	h.core.emit(exchange.FollowWorkers{On: true})
-	h.journal.addRecord(kept.FenceRecord())
+	h.journal.addRecord(jobrecords.FenceRecord())
 	h.flush(now)
 }
 
--- a/services/dispatch/jobs.go
+++ b/services/dispatch/jobs.go
@@ -11,7 +11,7 @@
 	"saddlevane/modules/ordered"
 	"saddlevane/services/delays"
 	"saddlevane/services/endreports"
-	"saddlevane/services/kept"
+	"saddlevane/services/jobrecords"
 	"saddlevane/services/restarts"
 )
 
@@ -219,7 +219,7 @@
 		j := h.endedJobs[0]
 		h.endedJobs = h.endedJobs[1:]
 		delete(h.jobs, j.id)
-		h.journal.addRecord(kept.DropProgress(j.id))
+		h.journal.addRecord(jobrecords.DropProgress(j.id))
 	}
 }
 
--- a/services/dispatch/journal.go
+++ b/services/dispatch/journal.go
@@ -11,7 +11,7 @@
 	"saddlevane/models/job"
 	"saddlevane/models/stream"
 	"saddlevane/services/endreports"
-	"saddlevane/services/kept"
+	"saddlevane/services/jobrecords"
 	"saddlevane/services/recent"
 )
 
@@ -138,7 +138,7 @@
 func (h *holderState) composeBatch(now time.Time) *batch {
 	j := &h.journal
 	if slot, starts := j.recentStarts.Take(now, h.needsStartRecord); len(starts) > 0 {
-		j.addRecord(kept.RecentStartsRecord(slot, starts))
+		j.addRecord(jobrecords.RecentStartsRecord(slot, starts))
 	}
 	b := &batch{append: stream.Append{Stream: stream.Jobs, Records: j.extraRecords}, workerRecords: j.workerRecords}
 	j.extraRecords, j.workerRecords = nil, nil
@@ -154,7 +154,7 @@
 		tj := j.unloggedJobs[0]
 		j.unloggedJobs = j.unloggedJobs[1:]
 		b.newJobs = append(b.newJobs, tj)
-		size += b.addRecord(kept.Submission{Queue: tj.acceptedQueue, Submission: *tj.submission, Accepted: tj.acceptedUnixMilli}.Record())
+		size += b.addRecord(jobrecords.Submission{Queue: tj.acceptedQueue, Submission: *tj.submission, Accepted: tj.acceptedUnixMilli}.Record())
 	}
 	return size
 }
@@ -178,9 +178,9 @@
 		tj.progressPending = false
 		b.progressEntries = append(b.progressEntries, progressEntry{job: tj, state: tj.state, ends: tj.unloggedEnds, cancelCalls: tj.cancelCalls})
 		tj.unloggedEnds, tj.cancelCalls = nil, nil
-		size += b.addRecord(kept.ProgressRecord(tj.id, tj.progress(h.blame)))
+		size += b.addRecord(jobrecords.ProgressRecord(tj.id, tj.progress(h.blame)))
 		if tj.state.IsFinal() {
-			b.append.Records = append(b.append.Records, kept.DropSubmission(tj.id))
+			b.append.Records = append(b.append.Records, jobrecords.DropSubmission(tj.id))
 		}
 	}
 }
--- a/services/dispatch/lives_test.go
+++ b/services/dispatch/lives_test.go
@@ -11,7 +11,7 @@
 	"saddlevane/models/job"
 	"saddlevane/models/order"
 	"saddlevane/models/stream"
-	"saddlevane/services/kept"
+	"saddlevane/services/jobrecords"
 
 	"gotest.tools/v3/assert"
 )
@@ -189,7 +189,7 @@
 	fence := d.claimCell(time.Second)
 	d.handle(exchange.AppendEnded{Purpose: exchange.ForJournal, Number: fence.Number})
 	d.handle(exchange.WorkersRead{Listing: order.Listing{Complete: true, Present: []order.Worker{workerEntry("w", 2000)}}})
-	renewals := effectsOf[exchange.Renew](d.handle(exchange.JobsLoaded{Epoch: 1, Records: []stream.Record{kept.WorkerRecord(workerEntry("w", 1000))}}))
+	renewals := effectsOf[exchange.Renew](d.handle(exchange.JobsLoaded{Epoch: 1, Records: []stream.Record{jobrecords.WorkerRecord(workerEntry("w", 1000))}}))
 	assert.Equal(t, len(renewals), 1)
 	next := effectsOf[exchange.Renew](d.handle(answeredBy(renewAnswer(renewals[0]), 2000)))
 	assert.Equal(t, len(next), 1)
@@ -209,8 +209,8 @@
 	later := run
 	later.Number = 5
 	records := []stream.Record{
-		kept.Submission{Queue: config().Queues["quick"], Submission: s, Accepted: 1}.Record(),
-		kept.UnresponsiveWorkerRecord(workerEntry("w", 1000), kept.UnresponsiveState{LeaseLeft: 5000, Runs: []order.Run{run}}), kept.WorkerRecord(workerEntry("v", 1000)),
+		jobrecords.Submission{Queue: config().Queues["quick"], Submission: s, Accepted: 1}.Record(),
+		jobrecords.UnresponsiveWorkerRecord(workerEntry("w", 1000), jobrecords.UnresponsiveState{LeaseLeft: 5000, Runs: []order.Run{run}}), jobrecords.WorkerRecord(workerEntry("v", 1000)),
 	}
 	for i := range records {
 		records[i].Offset = int64(i)
--- a/services/dispatch/load.go
+++ b/services/dispatch/load.go
@@ -9,7 +9,7 @@
 	"saddlevane/models/exchange"
 	"saddlevane/models/stream"
 	"saddlevane/modules/ordered"
-	"saddlevane/services/kept"
+	"saddlevane/services/jobrecords"
 )
 
 // handleJobsLoaded restores the state from the stream of jobs and starts serving them. A failed
@@ -35,7 +35,7 @@
 // restoreState rebuilds jobs, workers and learned values from the newest record of each key.
 // Records that cannot be read are logged and skipped.
 func (h *holderState) restoreState(now time.Time, records []stream.Record) {
-	state := kept.Decode(records)
+	state := jobrecords.Decode(records)
 	for _, u := range state.Unread {
 		h.core.logEvent("failed to decode a logged record", logField("key", u.Key), logField("error", u.Reason))
 	}
@@ -68,7 +68,7 @@
 }
 
 // restoreRecordedWorker restores a worker on which an earlier holder may have started tasks.
-func (h *holderState) restoreRecordedWorker(now time.Time, k kept.KnownWorker) {
+func (h *holderState) restoreRecordedWorker(now time.Time, k jobrecords.KnownWorker) {
 	o := k.Worker
 	w := h.restoreIncarnation(now, o)
 	if k.Unresponsive != nil && !w.reported {
--- a/services/dispatch/rates_test.go
+++ b/services/dispatch/rates_test.go
@@ -16,7 +16,7 @@
 
 	"saddlevane/models/job"
 	"saddlevane/models/stream"
-	"saddlevane/services/kept"
+	"saddlevane/services/jobrecords"
 
 	"gotest.tools/v3/assert"
 )
@@ -123,7 +123,7 @@
 	w.crashesVisible = true
 	if c.quietBefore {
 		// As after ten minutes without a crash.
-		w.streams[stream.Jobs].records = append(w.streams[stream.Jobs].records, kept.CrashRateRecord(map[string]any{"all": map[string]float64{"crashes": 0, "seconds": 9000}}))
+		w.streams[stream.Jobs].records = append(w.streams[stream.Jobs].records, jobrecords.CrashRateRecord(map[string]any{"all": map[string]float64{"crashes": 0, "seconds": 9000}}))
 	}
 	w.waitUntilServing()
 	schedulerRand := w.rng
--- a/services/dispatch/runtimes.go
+++ b/services/dispatch/runtimes.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"saddlevane/models/mechanism"
-	"saddlevane/services/kept"
+	"saddlevane/services/jobrecords"
 )
 
 // saveRunTimesInterval is the minimum time between two records of the learned run times.
@@ -19,7 +19,7 @@
 		return
 	}
 	h.nextRunTimesAt = now.Add(saveRunTimesInterval)
-	h.journal.addRecord(kept.RunTimesRecord(h.estimates.TakeRunTimes()))
+	h.journal.addRecord(jobrecords.RunTimesRecord(h.estimates.TakeRunTimes()))
 }
 
 // expectedTime returns the run time of a step: the actual one if the step is done, otherwise the
--- a/services/dispatch/silence.go
+++ b/services/dispatch/silence.go
@@ -9,7 +9,7 @@
 	"saddlevane/models/job"
 	"saddlevane/models/order"
 	"saddlevane/modules/ordered"
-	"saddlevane/services/kept"
+	"saddlevane/services/jobrecords"
 )
 
 // A new holder asks all workers for their runs before it starts any task that an earlier holder may
@@ -60,7 +60,7 @@
 	w.unresponsive = unresponsiveRecord{written: true, writtenAt: now, detectionDelay: w.unresponsive.detectionDelay}
 	w.recorded, w.recordPending = false, false
 	w.recordCount++
-	state := kept.UnresponsiveState{DetectionDelay: job.Milliseconds(delay.Milliseconds()), LeaseLeft: job.Milliseconds(max(0, w.leaseExpiresBy.Sub(now)).Milliseconds())}
+	state := jobrecords.UnresponsiveState{DetectionDelay: job.Milliseconds(delay.Milliseconds()), LeaseLeft: job.Milliseconds(max(0, w.leaseExpiresBy.Sub(now)).Milliseconds())}
 	for _, a := range w.sortedAttempts() {
 		state.Runs = append(state.Runs, a.runID())
 		state.WorkTimes = append(state.WorkTimes, a.recordedWorkTime(w.presence.UnresponsiveSince()))
@@ -68,7 +68,7 @@
 	for run := range ordered.MapFunc(w.orphans, order.Run.Compare) {
 		state.Runs = append(state.Runs, run)
 	}
-	h.journal.addRecord(kept.UnresponsiveWorkerRecord(w.Worker, state))
+	h.journal.addRecord(jobrecords.UnresponsiveWorkerRecord(w.Worker, state))
 }
 
 // recordedWorkTime returns how long the attempt had been running at a time, for the log, or -1 if
@@ -93,7 +93,7 @@
 
 // restoreUnresponsive restores a worker that did not answer an earlier holder. The recorded runs
 // count as running until the worker answers or its lease expires.
-func (h *holderState) restoreUnresponsive(now time.Time, w *worker, state *kept.UnresponsiveState) {
+func (h *holderState) restoreUnresponsive(now time.Time, w *worker, state *jobrecords.UnresponsiveState) {
 	w.unresponsive = unresponsiveRecord{written: true, writtenAt: now, detectionDelay: state.DetectionDelay.Duration()}
 	w.leaseExpiresBy = ordered.Later(w.leaseExpiresBy, now.Add(min(h.maxLeaseDuration(), state.LeaseLeft.Duration())))
 	for i, run := range state.Runs {
--- a/services/dispatch/suspects.go
+++ b/services/dispatch/suspects.go
@@ -12,7 +12,7 @@
 	"saddlevane/models/exchange"
 	"saddlevane/models/job"
 	"saddlevane/services/blame"
-	"saddlevane/services/kept"
+	"saddlevane/services/jobrecords"
 )
 
 // Tasks under which workers have crashed are suspects. Package blame computes how likely each is to
@@ -148,7 +148,7 @@
 			logField("crashes_otherwise_every", fmt.Sprintf("%.3gs", 1/f.BackgroundHazard)))
 		h.markDirty(h.jobs[f.Task.Job])
 	}
-	h.journal.addRecord(kept.CrashRateRecord(h.blame.LearnedRate()))
+	h.journal.addRecord(jobrecords.CrashRateRecord(h.blame.LearnedRate()))
 }
 
 // giveUpGuiltyJobs fails the jobs whose tasks have been found guilty of crashing workers.
--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -13,7 +13,7 @@
 	"saddlevane/models/order"
 	"saddlevane/models/resource"
 	"saddlevane/services/endreports"
-	"saddlevane/services/kept"
+	"saddlevane/services/jobrecords"
 	"saddlevane/services/learned"
 	"saddlevane/services/presence"
 )
@@ -183,7 +183,7 @@
 	w.recordPending = true
 	w.recordCount++
 	h.journal.workerRecords = append(h.journal.workerRecords, workerRecord{worker: w, number: w.recordCount})
-	h.journal.addRecord(kept.WorkerRecord(w.Worker))
+	h.journal.addRecord(jobrecords.WorkerRecord(w.Worker))
 }
 
 // handleWorkerTerminated removes a worker whose incarnation has certainly ended, and frees its
@@ -203,6 +203,6 @@
 	w.incarnations.End(w.Incarnation)
 	h.formerWorkers.Add(now, w.Name, w.incarnations)
 	if w.recorded || w.recordPending || w.unresponsive.written {
-		h.journal.addRecord(kept.DropWorker(w.Name))
+		h.journal.addRecord(jobrecords.DropWorker(w.Name))
 	}
 }
--- a/services/kept/kept.go
+++ b/services/jobrecords/jobrecords.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package kept encodes the records of a cell's jobs and workers in the log's stream of jobs, and
+// Package jobrecords encodes the records of a cell's jobs and workers in the log's stream of jobs, and
 // decodes them for the next holder. A record that cannot be decoded does not affect the others.
-package kept
+package jobrecords
 
 import (
 	"cmp"
--- a/services/kept/kept_test.go
+++ b/services/jobrecords/jobrecords_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package kept_test
+package jobrecords_test
 
 import (
 	"testing"
@@ -10,13 +10,13 @@
 	"saddlevane/models/job"
 	"saddlevane/models/order"
 	"saddlevane/models/stream"
-	"saddlevane/services/kept"
+	"saddlevane/services/jobrecords"
 
 	"gotest.tools/v3/assert"
 )
 
-func submission(id job.ID) kept.Submission {
-	return kept.Submission{
+func submission(id job.ID) jobrecords.Submission {
+	return jobrecords.Submission{
 		Queue: job.Queue{Name: "q", Pool: "p"}, Accepted: 7,
 		Submission: job.Submission{ID: id, Queue: "q", Steps: []job.Step{{Tasks: 2}}},
 	}
@@ -32,14 +32,14 @@
 
 func TestDecodeReturnsNewestRecords(t *testing.T) {
 	blamed := job.Progress{State: job.Running, Steps: []job.StepProgress{{Blame: map[int]job.Blame{1: {Crashes: 2, Odds: 3}}}}}
-	s := kept.Decode(withOffsets(
-		kept.FenceRecord(), kept.RunTimesRecord(map[string]int{"q": 1}),
-		submission("b").Record(), submission("a").Record(), kept.ProgressRecord("a", job.Progress{State: job.Running}),
-		kept.WorkerRecord(order.Worker{Incarnation: order.Incarnation{Name: "w", BornUnixMilli: 7}, Pool: "p"}), kept.WorkerRecord(order.Worker{Incarnation: order.Incarnation{Name: "gone"}}), kept.DropWorker("gone"),
-		submission("done").Record(), kept.ProgressRecord("done", job.Progress{State: job.Succeeded, EndedUnixMilli: 9}), kept.DropSubmission("done"),
-		kept.ProgressRecord("earlier", job.Progress{State: job.Failed, EndedUnixMilli: 4}),
-		kept.ProgressRecord("old", job.Progress{State: job.Failed, EndedUnixMilli: 1}), kept.DropProgress("old"),
-		kept.ProgressRecord("a", blamed),
+	s := jobrecords.Decode(withOffsets(
+		jobrecords.FenceRecord(), jobrecords.RunTimesRecord(map[string]int{"q": 1}),
+		submission("b").Record(), submission("a").Record(), jobrecords.ProgressRecord("a", job.Progress{State: job.Running}),
+		jobrecords.WorkerRecord(order.Worker{Incarnation: order.Incarnation{Name: "w", BornUnixMilli: 7}, Pool: "p"}), jobrecords.WorkerRecord(order.Worker{Incarnation: order.Incarnation{Name: "gone"}}), jobrecords.DropWorker("gone"),
+		submission("done").Record(), jobrecords.ProgressRecord("done", job.Progress{State: job.Succeeded, EndedUnixMilli: 9}), jobrecords.DropSubmission("done"),
+		jobrecords.ProgressRecord("earlier", job.Progress{State: job.Failed, EndedUnixMilli: 4}),
+		jobrecords.ProgressRecord("old", job.Progress{State: job.Failed, EndedUnixMilli: 1}), jobrecords.DropProgress("old"),
+		jobrecords.ProgressRecord("a", blamed),
 	))
 	assert.Equal(t, len(s.Jobs), 2)
 	assert.Equal(t, s.Jobs[0].Submission.Submission.ID, job.ID("b"))
@@ -53,7 +53,7 @@
 }
 
 func TestUnreadableRecordDoesNotAffectOthers(t *testing.T) {
-	s := kept.Decode(withOffsets(
+	s := jobrecords.Decode(withOffsets(
 		submission("a").Record(),
 		stream.Record{Key: "s/b", Value: []byte("{")},
 		stream.Record{Key: "s/c", Value: submission("x").Record().Value},
@@ -73,7 +73,7 @@
 
 func TestUnresponsiveWorkerRecordHoldsWorkTimes(t *testing.T) {
 	run := order.Run{Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Number: 7}
-	s := kept.Decode(withOffsets(kept.UnresponsiveWorkerRecord(order.Worker{Incarnation: order.Incarnation{Name: "w"}}, kept.UnresponsiveState{LeaseLeft: 5, Runs: []order.Run{run, run, run}, WorkTimes: []job.Milliseconds{600, -1}})))
+	s := jobrecords.Decode(withOffsets(jobrecords.UnresponsiveWorkerRecord(order.Worker{Incarnation: order.Incarnation{Name: "w"}}, jobrecords.UnresponsiveState{LeaseLeft: 5, Runs: []order.Run{run, run, run}, WorkTimes: []job.Milliseconds{600, -1}})))
 	assert.Equal(t, len(s.Workers), 1)
 	unresponsive := s.Workers[0].Unresponsive
 	worked, known := unresponsive.WorkTime(0)
@@ -85,7 +85,7 @@
 }
 
 func TestWorkerRecordOfEarlierReleaseIsDecoded(t *testing.T) {
-	s := kept.Decode(withOffsets(stream.Record{Key: "w/i-7", Value: []byte(`{"ID":"i-7","Address":"1.2.3.4:5","Pool":"p"}`)}))
+	s := jobrecords.Decode(withOffsets(stream.Record{Key: "w/i-7", Value: []byte(`{"ID":"i-7","Address":"1.2.3.4:5","Pool":"p"}`)}))
 	assert.Equal(t, len(s.Workers), 1)
 	assert.Equal(t, s.Workers[0].Incarnation, order.Incarnation{Name: "i-7"})
 	assert.Equal(t, s.Workers[0].Address, "1.2.3.4:5")
