--- a/services/dispatch/holding.go
+++ b/services/dispatch/holding.go
@@ -13,12 +13,12 @@
 	"saddlevane/services/advicecalls"
 	"saddlevane/services/blame"
 	"saddlevane/services/jobrecords"
-	"saddlevane/services/lateness"
 	"saddlevane/services/learned"
 	"saddlevane/services/planning"
 	"saddlevane/services/presence"
 	"saddlevane/services/recent"
 	"saddlevane/services/reservations"
+	"saddlevane/services/timeouts"
 	"saddlevane/services/workspaces"
 )
 
@@ -96,7 +96,7 @@
 	// not yet reported what they run.
 	inheritedStarts recent.LoggedStarts
 	// answerDelays measures the workers' response times.
-	answerDelays lateness.ResponseTimes
+	answerDelays timeouts.ResponseTimes
 
 	// planDue is set when something has changed since the last plan.
 	planDue bool
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -13,13 +13,13 @@
 	"saddlevane/models/order"
 	"saddlevane/modules/ordered"
 	"saddlevane/services/endreports"
-	"saddlevane/services/lateness"
+	"saddlevane/services/timeouts"
 )
 
 // maxLeaseDuration returns how long a lease can last on the holder's clock, if the worker's clock is
 // as slow as allowed.
 func (h *holderState) maxLeaseDuration() time.Duration {
-	return lateness.MaxLeaseDuration(h.core.settings.Lease)
+	return timeouts.MaxLeaseDuration(h.core.settings.Lease)
 }
 
 // clockNow returns the reading of the worker's clock at now.
--- a/services/dispatch/lives.go
+++ b/services/dispatch/lives.go
@@ -8,7 +8,7 @@
 
 	"saddlevane/models/exchange"
 	"saddlevane/models/order"
-	"saddlevane/services/lateness"
+	"saddlevane/services/timeouts"
 )
 
 // A worker that restarts keeps its name, and the runs of its earlier incarnation are gone. The
@@ -74,7 +74,7 @@
 // maxForeignLease returns the longest duration of a lease whose end was computed with the clock of
 // another incarnation.
 func (h *holderState) maxForeignLease() time.Duration {
-	return lateness.MaxLeaseDuration(max(h.core.settings.Lease, h.core.settings.MaxLease))
+	return timeouts.MaxLeaseDuration(max(h.core.settings.Lease, h.core.settings.MaxLease))
 }
 
 // mayStartOnSuccessor reports whether a later incarnation of the attempt's worker may carry out an
--- a/services/dispatch/stall.go
+++ b/services/dispatch/stall.go
@@ -10,7 +10,7 @@
 	"saddlevane/models/order"
 	"saddlevane/modules/ordered"
 	"saddlevane/services/delays"
-	"saddlevane/services/lateness"
+	"saddlevane/services/timeouts"
 )
 
 // A worker can keep answering and report a run as running although the run is stalled. Stalled runs
@@ -38,7 +38,7 @@
 
 // stallTimeout returns how long a run may go without progress.
 func (h *holderState) stallTimeout(a *attempt) time.Duration {
-	return lateness.StallTimeout(lateness.RunProgress{
+	return timeouts.StallTimeout(timeouts.RunProgress{
 		UsualTime: max(h.usualTime(a.step), a.step.spec.Estimate.Duration()), Progress: a.progress, ProgressTime: a.progressAt.Sub(a.stateSince),
 		Resumed: a.resumed || a.adopted,
 	})
--- a/services/lateness/lateness.go
+++ b/services/timeouts/responsetimes.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package lateness derives timeouts: for calls to workers from recent response times, for
+// Package timeouts derives timeouts: for calls to workers from recent response times, for
 // leases from the permitted clock drift, and for stalled runs from their progress.
 //
 // Call timeouts follow the response times of all workers together. A single slow or
@@ -12,7 +12,7 @@
 // Retransmission timeouts are adapted in the same way (RFC 6298). Instead of the mean and
 // its variation the third quartile is used, because up to a quarter of the workers cannot
 // change it.
-package lateness
+package timeouts
 
 import (
 	"slices"
--- a/services/lateness/lateness_test.go
+++ b/services/timeouts/responsetimes_test.go
@@ -1,13 +1,13 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package lateness_test
+package timeouts_test
 
 import (
 	"testing"
 	"time"
 
-	"saddlevane/services/lateness"
+	"saddlevane/services/timeouts"
 
 	"gotest.tools/v3/assert"
 )
@@ -32,7 +32,7 @@
 		{"all answers were slow 6 s ago", 0, 128, 6 * time.Second, 300 * ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			times := &lateness.ResponseTimes{}
+			times := &timeouts.ResponseTimes{}
 			now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 			for range c.fast {
 				times.Record(now, 5*ms)
@@ -46,7 +46,7 @@
 }
 
 func TestQuartileFallsWhenMostAnswersAreFastAgain(t *testing.T) {
-	times := &lateness.ResponseTimes{}
+	times := &timeouts.ResponseTimes{}
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for range 128 {
 		times.Record(now, time.Second)
@@ -60,7 +60,7 @@
 }
 
 func TestCallTimeoutStaysBetweenBaseAndLimit(t *testing.T) {
-	times := &lateness.ResponseTimes{}
+	times := &timeouts.ResponseTimes{}
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for range 128 {
 		times.Record(now, 100*ms)
