--- a/services/dispatch/fit.go
+++ b/services/dispatch/fit.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"saddlevane/models/resource"
-	"saddlevane/services/learned"
+	"saddlevane/services/estimates"
 	"saddlevane/services/slots"
 )
 
@@ -26,7 +26,7 @@
 	offRack int
 	// slowness is how slow the worker is; it is reset to normal where that does not matter for the
 	// step.
-	slowness learned.Slowness
+	slowness estimates.Slowness
 	// heldForOther is 1 if the previous pass held capacity on the worker for another step.
 	// unticketed is 1 if a start there has to wait for a ticket.
 	heldForOther, unticketed int
@@ -70,11 +70,11 @@
 		}
 		c := s.candidate(now, w, n)
 		c.slowness = h.slownessOf(now, w)
-		if c.slowness == learned.Avoided && s.spec.Gang {
+		if c.slowness == estimates.Avoided && s.spec.Gang {
 			continue
 		}
-		if c.slowness == learned.Slow && !short {
-			c.slowness = learned.Normal
+		if c.slowness == estimates.Slow && !short {
+			c.slowness = estimates.Normal
 		}
 		candidates = append(candidates, c)
 	}
--- a/services/dispatch/holding.go
+++ b/services/dispatch/holding.go
@@ -12,8 +12,8 @@
 	"saddlevane/modules/ordered"
 	"saddlevane/services/advicecalls"
 	"saddlevane/services/blame"
+	"saddlevane/services/estimates"
 	"saddlevane/services/jobrecords"
-	"saddlevane/services/learned"
 	"saddlevane/services/planning"
 	"saddlevane/services/presence"
 	"saddlevane/services/recent"
@@ -83,7 +83,7 @@
 	advisers *advicecalls.Balancer[*adviceCall]
 	// estimates are learned from earlier runs and advice: run times, stop times, the share of
 	// workers suitable for a step, and the speed of the fleet.
-	estimates *learned.Estimates
+	estimates *estimates.Estimates
 	// usage sums up the resources of the tasks of each workspace, workspaceShares limits the rate of
 	// new jobs of each workspace, and leftoverUsage is what may still run of jobs that ended
 	// under earlier holders, by workspace.
@@ -128,7 +128,7 @@
 		core: c, epoch: epoch, phase: phaseFencing, startedAt: now,
 		journal: journal{epoch: epoch}, jobs: map[job.ID]*trackedJob{},
 		workers: map[string]*worker{}, unreportedWorkers: map[string]bool{}, blame: blame.NewTracker(),
-		advisers: advicecalls.New[*adviceCall](c.self.Box), estimates: learned.NewEstimates(), planBudget: planning.New(),
+		advisers: advicecalls.New[*adviceCall](c.self.Box), estimates: estimates.NewEstimates(), planBudget: planning.New(),
 		reservations: reservations.New(),
 		usage:        workspaces.NewUsage(), workspaceShares: workspaces.NewShareLimiter(c.settings.ShareWindow),
 		leftoverUsage: map[string]resource.Vector{},
--- a/services/dispatch/keep.go
+++ b/services/dispatch/keep.go
@@ -12,7 +12,7 @@
 	"saddlevane/models/job"
 	"saddlevane/models/mechanism"
 	"saddlevane/modules/ordered"
-	"saddlevane/services/learned"
+	"saddlevane/services/estimates"
 )
 
 const (
@@ -30,7 +30,7 @@
 	short := h.expectedTime(r.step) <= maxShortStep
 	var workers []*worker
 	for _, w := range r.eligibleWorkers(h.workersFor(p, r.step, r.queue.Pool)) {
-		if h.canUse(w, r.step, short) && (!r.step.spec.Gang || h.slownessOf(p.now, w) != learned.Avoided) {
+		if h.canUse(w, r.step, short) && (!r.step.spec.Gang || h.slownessOf(p.now, w) != estimates.Avoided) {
 			workers = append(workers, w)
 		}
 	}
--- a/services/dispatch/speed.go
+++ b/services/dispatch/speed.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"saddlevane/models/mechanism"
-	"saddlevane/services/learned"
+	"saddlevane/services/estimates"
 )
 
 // slownessOf returns how slow a worker is compared with the whole fleet.
-func (h *holderState) slownessOf(now time.Time, w *worker) learned.Slowness {
+func (h *holderState) slownessOf(now time.Time, w *worker) estimates.Slowness {
 	if !h.isEnabled(mechanism.SlowWorkers) {
-		return learned.Normal
+		return estimates.Normal
 	}
 	return w.speed.Slowness(now, h.estimates.FleetLogRatio())
 }
@@ -25,7 +25,7 @@
 	if s.spec.Gang || s.spec.Service || a.adopted || a.resumed || a.state != attemptRunning {
 		return
 	}
-	ratio := max(now.Sub(a.stateSince), learned.MinTime).Seconds() / max(h.expectedTime(s), learned.MinTime).Seconds()
+	ratio := max(now.Sub(a.stateSince), estimates.MinTime).Seconds() / max(h.expectedTime(s), estimates.MinTime).Seconds()
 	a.worker.speed.Observe(now, ratio)
 	h.estimates.ObserveSpeed(ratio)
 }
--- a/services/dispatch/workers.go
+++ b/services/dispatch/workers.go
@@ -13,8 +13,8 @@
 	"saddlevane/models/order"
 	"saddlevane/models/resource"
 	"saddlevane/services/endreports"
+	"saddlevane/services/estimates"
 	"saddlevane/services/jobrecords"
-	"saddlevane/services/learned"
 	"saddlevane/services/presence"
 )
 
@@ -91,7 +91,7 @@
 	fillPace    int
 	throttledAt time.Time
 	// speed is the learned speed of tasks on the worker, compared with their expected run times.
-	speed learned.Speed
+	speed estimates.Speed
 	// drainedFor is the gang, or the step with large tasks, for which the worker is drained. Apart
 	// from that step, only short steps may use the worker meanwhile.
 	drainedFor *step
--- a/services/learned/runtimes.go
+++ b/services/estimates/runtimes.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package learned learns from the ends of tasks and from advice: how long the steps of a queue take
+// Package estimates learns from the ends of tasks and from advice: how long the steps of a queue take
 // compared with their estimates, how slow a worker is compared with all others, how long stops
 // take, and which share of workers suits a queue.
-package learned
+package estimates
 
 import (
 	"encoding/json"
--- a/services/learned/speed.go
+++ b/services/estimates/speed.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package learned
+package estimates
 
 import (
 	"math"
