--- a/services/dispatch/throttle.go
+++ b/services/dispatch/throttle.go
@@ -8,7 +8,7 @@
 
 	"saddlevane/models/exchange"
 	"saddlevane/models/order"
-	"saddlevane/services/pace"
+	"saddlevane/services/throttling"
 )
 
 // Filler tasks run on processors that other tasks leave idle, and slow down the serving tasks on
@@ -18,7 +18,7 @@
 
 const (
 	// fullPace is the pace at which a run starts, in percent of full speed.
-	fullPace = pace.Full
+	fullPace = throttling.Full
 	// unknownPace is the pace of a run that an earlier holder started.
 	unknownPace = -1
 	// throttleSettleTime is the time after which a change of pace shows in the reported tail
@@ -60,7 +60,7 @@
 // updatePace computes the new pace of a worker's fillers from the highest tail latency, given as a
 // fraction of its target.
 func (h *holderState) updatePace(now time.Time, w *worker, worstTail float64) {
-	next := pace.Next(w.fillPace, worstTail)
+	next := throttling.Next(w.fillPace, worstTail)
 	if next == w.fillPace {
 		return
 	}
--- a/services/pace/pace.go
+++ b/services/throttling/throttling.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package pace decides how fast filler tasks, which use idle processors, may run. It throttles them
+// Package throttling decides how fast filler tasks, which use idle processors, may run. It throttles them
 // according to the tail latency of the service tasks on the same worker.
-package pace
+package throttling
 
 // Full is the pace of fillers that are not throttled, in percent of their full speed.
 const Full = 100
