--- a/services/dispatch/holding.go
+++ b/services/dispatch/holding.go
@@ -14,7 +14,7 @@
 	"saddlevane/services/blame"
 	"saddlevane/services/estimates"
 	"saddlevane/services/jobrecords"
-	"saddlevane/services/planning"
+	"saddlevane/services/planbudget"
 	"saddlevane/services/presence"
 	"saddlevane/services/recent"
 	"saddlevane/services/reservations"
@@ -104,8 +104,8 @@
 	planCount int
 	// planBudget limits the time that plans take; planTimes removes pauses of the process
 	// from the measured times.
-	planBudget planning.Budget
-	planTimes  planning.OutlierFilter
+	planBudget planbudget.Budget
+	planTimes  planbudget.OutlierFilter
 	// hasAmpleFreeCapacity is set if a large share of the workers' capacity was free at the last sweep.
 	hasAmpleFreeCapacity bool
 	// hasUnplacedTasks is set if some step found no room for all its tasks in the last plan.
@@ -128,7 +128,7 @@
 		core: c, epoch: epoch, phase: phaseFencing, startedAt: now,
 		journal: journal{epoch: epoch}, jobs: map[job.ID]*trackedJob{},
 		workers: map[string]*worker{}, unreportedWorkers: map[string]bool{}, blame: blame.NewTracker(),
-		advisers: advicecalls.New[*adviceCall](c.self.Box), estimates: estimates.NewEstimates(), planBudget: planning.New(),
+		advisers: advicecalls.New[*adviceCall](c.self.Box), estimates: estimates.NewEstimates(), planBudget: planbudget.New(),
 		reservations: reservations.New(),
 		usage:        workspaces.NewUsage(), workspaceShares: workspaces.NewShareLimiter(c.settings.ShareWindow),
 		leftoverUsage: map[string]resource.Vector{},
--- a/services/planning/budget.go
+++ b/services/planbudget/planbudget.go
@@ -1,12 +1,12 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package planning limits the processor time of a holder's plans according to the duration of
+// Package planbudget limits the processor time of a holder's plans according to the duration of
 // earlier plans. A plan is one pass over the waiting steps that looks for free capacity for them.
 // No event is handled during a plan, and events such as lease renewals and ends of runs keep leases
 // valid and free capacity. On a box of 0.19 processors with a backlog and 1,100 workers, plans took
 // up to 0.5 s each without a pause between them, and leases expired meanwhile.
-package planning
+package planbudget
 
 import "time"
 
--- a/services/planning/budget_test.go
+++ b/services/planbudget/planbudget_test.go
@@ -1,13 +1,13 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package planning_test
+package planbudget_test
 
 import (
 	"testing"
 	"time"
 
-	"saddlevane/services/planning"
+	"saddlevane/services/planbudget"
 
 	"gotest.tools/v3/assert"
 )
@@ -15,14 +15,14 @@
 const ms = time.Millisecond
 
 func TestPlansTakeAtMostAFifthOfTheTime(t *testing.T) {
-	b := planning.New()
+	b := planbudget.New()
 	for _, took := range []time.Duration{0, ms, 30 * ms, time.Second} {
 		assert.Equal(t, b.RecordDuration(took), 4*took)
 	}
 }
 
 func TestMissLimitShrinksAfterLongPlans(t *testing.T) {
-	b := planning.New()
+	b := planbudget.New()
 	assert.Equal(t, b.MissLimit(), 300)
 	b.RecordDuration(25 * ms)
 	assert.Equal(t, b.MissLimit(), 240)
@@ -39,7 +39,7 @@
 }
 
 func TestFullPlansAreMadeAtIntervals(t *testing.T) {
-	b := planning.New()
+	b := planbudget.New()
 	countFull := func() (full int) {
 		for plan := range 400 {
 			if b.IsFullPlan(plan) {
@@ -54,14 +54,14 @@
 }
 
 func TestPauseDuringPlanIsClamped(t *testing.T) {
-	var filter planning.OutlierFilter
+	var filter planbudget.OutlierFilter
 	assert.Equal(t, filter.Clamp(5*ms), 5*ms)
 	assert.Equal(t, filter.Clamp(time.Second), 40*ms, "at most twice targetDuration, since the plan before was shorter")
 	assert.Equal(t, filter.Clamp(5*ms), 5*ms)
 }
 
 func TestRepeatedLongPlansCountInFull(t *testing.T) {
-	var filter planning.OutlierFilter
+	var filter planbudget.OutlierFilter
 	for _, want := range []time.Duration{40 * ms, 80 * ms, 160 * ms, 320 * ms, 500 * ms, 500 * ms} {
 		assert.Equal(t, filter.Clamp(500*ms), want)
 	}
