--- a/services/dispatch/hidden.go
+++ b/services/dispatch/hidden.go
@@ -8,21 +8,21 @@
 	"time"
 
 	"saddlevane/services/blame"
-	"saddlevane/services/recent"
+	"saddlevane/services/startlog"
 )
 
 // If a worker crashes while no box holds the cell, only the log shows which tasks ran there.
 
 // needsStartRecord reports whether a start has to be recorded in the log. It does not if its task is
 // done or its job has ended.
-func (h *holderState) needsStartRecord(s recent.Start) bool {
+func (h *holderState) needsStartRecord(s startlog.Start) bool {
 	st := h.findStep(s.Task.StepID)
 	return st != nil && !st.job.state.IsFinal() && !st.tasks[s.Task.Index].done
 }
 
 // restoreStarts restores the starts that earlier holders ordered last.
 func (h *holderState) restoreStarts(records [][]byte) {
-	starts, unread := recent.Read(records)
+	starts, unread := startlog.Read(records)
 	for _, err := range unread {
 		h.core.logEvent("recorded starts could not be read", logField("error", err.Error()))
 	}
@@ -47,7 +47,7 @@
 
 // possiblyLostStep returns the step of a start, or nil if its task is known to have kept running,
 // ended or been started again since.
-func (h *holderState) possiblyLostStep(s recent.Start) *step {
+func (h *holderState) possiblyLostStep(s startlog.Start) *step {
 	st := h.findStep(s.Task.StepID)
 	if st == nil || s.Task.Index >= len(st.tasks) || st.job.state.IsFinal() {
 		return nil
--- a/services/dispatch/holding.go
+++ b/services/dispatch/holding.go
@@ -16,8 +16,8 @@
 	"saddlevane/services/jobrecords"
 	"saddlevane/services/planbudget"
 	"saddlevane/services/presence"
-	"saddlevane/services/recent"
 	"saddlevane/services/reservations"
+	"saddlevane/services/startlog"
 	"saddlevane/services/timeouts"
 	"saddlevane/services/workspaces"
 )
@@ -94,7 +94,7 @@
 	blame *blame.Tracker
 	// inheritedStarts are the latest starts that earlier holders ordered on workers which have
 	// not yet reported what they run.
-	inheritedStarts recent.LoggedStarts
+	inheritedStarts startlog.LoggedStarts
 	// answerDelays measures the workers' response times.
 	answerDelays timeouts.ResponseTimes
 
--- a/services/dispatch/journal.go
+++ b/services/dispatch/journal.go
@@ -12,7 +12,7 @@
 	"saddlevane/models/stream"
 	"saddlevane/services/endreports"
 	"saddlevane/services/jobrecords"
-	"saddlevane/services/recent"
+	"saddlevane/services/startlog"
 )
 
 // journal collects durable state and appends it to the stream of jobs, one append at a
@@ -31,7 +31,7 @@
 	dirtyJobs    []*trackedJob
 	// recentStarts are the latest start orders. They are mostly written with appends that are
 	// made for other reasons.
-	recentStarts recent.Buffer
+	recentStarts startlog.Buffer
 	// batch is the pending append, or nil.
 	batch *batch
 	// nextSendAt is when the next append may be sent.
--- a/services/dispatch/starts.go
+++ b/services/dispatch/starts.go
@@ -12,7 +12,7 @@
 	"saddlevane/models/order"
 	"saddlevane/modules/ordered"
 	"saddlevane/services/delays"
-	"saddlevane/services/recent"
+	"saddlevane/services/startlog"
 )
 
 // startTask assigns a task to a worker and orders the worker to start it.
@@ -30,7 +30,7 @@
 	}
 	a.resumed = checkpoint != ""
 	a.checkpoint, a.ticket = checkpoint, ticket
-	h.journal.recentStarts.Add(now, recent.Start{
+	h.journal.recentStarts.Add(now, startlog.Start{
 		Task: a.runID().Task, Run: run,
 		Worker: w.Name, Born: w.BornUnixMilli, UnixMilli: h.core.unixMilli(now),
 	})
--- a/services/recent/recent.go
+++ b/services/startlog/startlog.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package recent records in the log which tasks were started last, and on which workers. If a
+// Package startlog records in the log which tasks were started last, and on which workers. If a
 // worker crashes while no box holds the cell, no box observes what ran there, and a task that
 // crashes its workers would be started again without any blame. With the records, the next holder
 // attributes the crash to the tasks that were started there last.
@@ -9,7 +9,7 @@
 // The starts are added to appends that are made anyway, or are appended on their own after
 // FlushAfter. They are stored under a fixed number of keys in turn, so that the size of the log is
 // bounded. No start waits for its record.
-package recent
+package startlog
 
 import (
 	"cmp"
