--- a/services/dispatch/jobs.go
+++ b/services/dispatch/jobs.go
@@ -12,7 +12,7 @@
 	"saddlevane/services/delays"
 	"saddlevane/services/endreports"
 	"saddlevane/services/jobrecords"
-	"saddlevane/services/restarts"
+	"saddlevane/services/startlimit"
 )
 
 // trackedJob is one submitted job with its progress.
@@ -140,7 +140,7 @@
 	lostRuns int
 	// runs has the start times under this claim; startLimit limits the rate of starts.
 	runs       delays.StartTimes
-	startLimit restarts.Limiter
+	startLimit startlimit.Limiter
 }
 
 // delayStart prevents starts of the step's tasks before a time.
--- a/services/restarts/restarts.go
+++ b/services/startlimit/startlimit.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package restarts limits how often a task is started within a period of time, whatever the reason,
+// Package startlimit limits how often a task is started within a period of time, whatever the reason,
 // so that incorrect information does not make a holder start a task in an endless loop.
-package restarts
+package startlimit
 
 import "time"
 
