--- a/services/advicecalls/balancer.go
+++ b/services/advicecalls/balancer.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"saddlevane/modules/ordered"
-	"saddlevane/services/turns"
+	"saddlevane/services/fairshare"
 )
 
 const (
@@ -41,7 +41,7 @@
 // concurrent use.
 type Balancer[C any] struct {
 	// FairShare divides the boxes' time between the classes of steps that compete for it.
-	FairShare *turns.Allocator
+	FairShare *fairshare.Allocator
 	// CallTimeByQueue is the total expected duration of the calls for each queue since it was
 	// last cleared. The user of the balancer maintains it.
 	CallTimeByQueue map[string]time.Duration
@@ -70,7 +70,7 @@
 // New returns a balancer without calls for a process on the box with the name self.
 func New[C any](self string) *Balancer[C] {
 	return &Balancer[C]{
-		FairShare: turns.New(), CallTimeByQueue: map[string]time.Duration{}, self: self,
+		FairShare: fairshare.New(), CallTimeByQueue: map[string]time.Duration{}, self: self,
 		busyUntil: map[string]time.Time{}, excludedUntil: map[string]time.Time{}, calls: map[string]map[int64]call[C]{},
 	}
 }
--- a/services/dispatch/ask.go
+++ b/services/dispatch/ask.go
@@ -15,9 +15,9 @@
 	"saddlevane/models/mechanism"
 	"saddlevane/modules/ordered"
 	"saddlevane/services/advicecalls"
+	"saddlevane/services/fairshare"
 	"saddlevane/services/ranking"
 	"saddlevane/services/tickets"
-	"saddlevane/services/turns"
 
 	"github.com/cespare/xxhash/v2"
 )
@@ -73,8 +73,8 @@
 }
 
 // callClass returns the class in which a step's calls compete with others.
-func (h *holderState) callClass(now time.Time, s *step) turns.CallClass {
-	return turns.CallClass{Queue: s.job.queue, Late: h.rank(now, s).Tier != ranking.OnTime}
+func (h *holderState) callClass(now time.Time, s *step) fairshare.CallClass {
+	return fairshare.CallClass{Queue: s.job.queue, Late: h.rank(now, s).Tier != ranking.OnTime}
 }
 
 // requestEarlyAdvice requests advice for the first steps of a job while the job is being appended
--- a/services/turns/turns.go
+++ b/services/fairshare/allocator.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package turns divides calls to the advice service fairly between the queues whose steps compete
+// Package fairshare divides calls to the advice service fairly between the queues whose steps compete
 // for them.
 //
 // If the boxes cannot make all the calls that steps need, the call time is divided evenly between
@@ -10,7 +10,7 @@
 // minute after they were accepted. Dividing the calls raised the value of the results by 0.019
 // (standard error 0.007, 12 pairs of days). Within a queue, steps that are already late get a
 // smaller share, but each of them gets a call eventually.
-package turns
+package fairshare
 
 import (
 	"math"
