--- a/modules/httpclient/calls_test.go
+++ b/modules/httpclient/calls_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"saddlevane/modules/httpclient"
-	"saddlevane/tests/forward"
+	"saddlevane/tests/tcpproxy"
 
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/poll"
@@ -92,7 +92,7 @@
 func TestNonRetryableCallIsMadeOnceAndNextSucceeds(t *testing.T) {
 	r := newRig(t, echo, nil)
 	r.openConnections(1)
-	r.proxy.Stall(forward.Answers)
+	r.proxy.Stall(tcpproxy.Answers)
 	_, err := r.call(context.Background(), "lost answer")
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 	assert.Equal(t, r.served.Load(), int64(2))
--- a/modules/httpclient/httpclient_test.go
+++ b/modules/httpclient/httpclient_test.go
@@ -17,7 +17,7 @@
 
 	"saddlevane/modules/conntrack"
 	"saddlevane/modules/httpclient"
-	"saddlevane/tests/forward"
+	"saddlevane/tests/tcpproxy"
 
 	"gotest.tools/v3/assert"
 )
@@ -33,7 +33,7 @@
 type rig struct {
 	t      *testing.T
 	client *http.Client
-	proxy  *forward.Proxy
+	proxy  *tcpproxy.Proxy
 	url    string
 	// served counts the calls that the service has received.
 	served atomic.Int64
@@ -49,7 +49,7 @@
 // modifies the settings of the client.
 func newRig(t *testing.T, answer http.HandlerFunc, change func(*httpclient.Settings)) *rig {
 	t.Helper()
-	r := &rig{t: t, proxy: forward.New()}
+	r := &rig{t: t, proxy: tcpproxy.New()}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		r.served.Add(1)
 		answer(w, req)
--- a/modules/peering/kept_test.go
+++ b/modules/peering/kept_test.go
@@ -13,7 +13,7 @@
 
 	"saddlevane/modules/frame"
 	"saddlevane/modules/peering"
-	"saddlevane/tests/forward"
+	"saddlevane/tests/tcpproxy"
 
 	"github.com/sourcegraph/jsonrpc2"
 	"gotest.tools/v3/assert"
@@ -76,7 +76,7 @@
 
 // A link is not discarded because large messages on it are slow.
 func TestLinkWithLargeSlowMessagesIsKept(t *testing.T) {
-	p := &pair{t: t, from: newBox(t), to: newBox(t), proxy: forward.New()}
+	p := &pair{t: t, from: newBox(t), to: newBox(t), proxy: tcpproxy.New()}
 	t.Cleanup(p.proxy.Close)
 	p.proxy.SetRate(slowRate)
 	var err error
--- a/modules/peering/peering_test.go
+++ b/modules/peering/peering_test.go
@@ -15,7 +15,7 @@
 
 	"saddlevane/modules/conntrack"
 	"saddlevane/modules/peering"
-	"saddlevane/tests/forward"
+	"saddlevane/tests/tcpproxy"
 
 	"github.com/sourcegraph/jsonrpc2"
 	"gotest.tools/v3/assert"
@@ -33,7 +33,7 @@
 	links   *peering.Links
 	address string
 	// resetProxy resets all connections at the first methodLose call.
-	resetProxy *forward.Proxy
+	resetProxy *tcpproxy.Proxy
 
 	// release is closed to answer the calls of methodWait.
 	release chan struct{}
@@ -143,7 +143,7 @@
 
 func TestConnectionIsReusedUntilItCloses(t *testing.T) {
 	a, b := newBox(t), newBox(t)
-	by := forward.New()
+	by := tcpproxy.New()
 	defer by.Close()
 	address, err := by.Forward(b.address)
 	assert.NilError(t, err)
@@ -223,7 +223,7 @@
 func TestOnlyIdempotentCallIsRetriedAfterConnectionLoss(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
 		a, b := newBox(t), newBox(t)
-		b.resetProxy = forward.New()
+		b.resetProxy = tcpproxy.New()
 		defer b.resetProxy.Close()
 		address, err := b.resetProxy.Forward(b.address)
 		assert.NilError(t, err)
--- a/modules/peering/silent_test.go
+++ b/modules/peering/silent_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"saddlevane/modules/peering"
-	"saddlevane/tests/forward"
+	"saddlevane/tests/tcpproxy"
 
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/poll"
@@ -23,10 +23,10 @@
 // monitored, both ends keep using it, and a large call blocks in its write while it holds the
 // lock that other calls need.
 func TestSilentLink(t *testing.T) {
-	for name, directions := range map[string][]forward.Direction{
-		"silent in both directions": {forward.Requests, forward.Answers},
-		"without requests":          {forward.Requests},
-		"without answers":           {forward.Answers},
+	for name, directions := range map[string][]tcpproxy.Direction{
+		"silent in both directions": {tcpproxy.Requests, tcpproxy.Answers},
+		"without requests":          {tcpproxy.Requests},
+		"without answers":           {tcpproxy.Answers},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Run("is discarded at both ends if no calls are made", func(t *testing.T) {
@@ -57,7 +57,7 @@
 	})
 	t.Run("with blocked writes delays other calls for a bounded time", func(t *testing.T) {
 		p := newPair(t)
-		p.silence(forward.Requests)
+		p.silence(tcpproxy.Requests)
 		var calls sync.WaitGroup
 		defer calls.Wait()
 		defer p.proxy.Close()
@@ -88,13 +88,13 @@
 	t        *testing.T
 	from, to *box
 	address  string
-	proxy    *forward.Proxy
+	proxy    *tcpproxy.Proxy
 }
 
 // newPair returns two boxes with an open connection.
 func newPair(t *testing.T) *pair {
 	t.Helper()
-	p := &pair{t: t, from: newBox(t), to: newBox(t), proxy: forward.New()}
+	p := &pair{t: t, from: newBox(t), to: newBox(t), proxy: tcpproxy.New()}
 	t.Cleanup(p.proxy.Close)
 	var err error
 	p.address, err = p.proxy.Forward(p.to.address)
@@ -104,7 +104,7 @@
 }
 
 // silence stalls the open connection.
-func (p *pair) silence(directions ...forward.Direction) {
+func (p *pair) silence(directions ...tcpproxy.Direction) {
 	p.t.Helper()
 	assert.Equal(p.t, p.proxy.Stall(directions...), 1)
 }
--- a/services/jobrun/passed_test.go
+++ b/services/jobrun/passed_test.go
@@ -18,7 +18,7 @@
 	"saddlevane/modules/conntrack"
 	"saddlevane/modules/peering"
 	"saddlevane/services/jobrun"
-	"saddlevane/tests/forward"
+	"saddlevane/tests/tcpproxy"
 
 	"github.com/sourcegraph/jsonrpc2"
 	"gotest.tools/v3/assert"
@@ -29,7 +29,7 @@
 
 // followFakeHolder appends a claim of another box to the log and waits until follower has given up
 // the cell to it. That box is reached through links and answers all calls with answer.
-func followFakeHolder(t *testing.T, on jobrun.Platform, follower *testBox, through *forward.Proxy, answer peerHandler) {
+func followFakeHolder(t *testing.T, on jobrun.Platform, follower *testBox, through *tcpproxy.Proxy, answer peerHandler) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/services/jobrun/reset_test.go
+++ b/services/jobrun/reset_test.go
@@ -13,22 +13,22 @@
 	"saddlevane/models/exchange"
 	"saddlevane/models/job"
 	"saddlevane/services/jobrun"
-	"saddlevane/tests/forward"
+	"saddlevane/tests/tcpproxy"
 
 	"gotest.tools/v3/assert"
 )
 
 // newForwarder returns a forwarder for connections between boxes, or to services, which is closed when
 // the test ends.
-func newForwarder(t *testing.T) *forward.Proxy {
+func newForwarder(t *testing.T) *tcpproxy.Proxy {
 	t.Helper()
-	f := forward.New()
+	f := tcpproxy.New()
 	t.Cleanup(f.Close)
 	return f
 }
 
 // via returns a function that returns, for an address, an address that leads to it through f.
-func via(t *testing.T, f *forward.Proxy) func(address string) string {
+func via(t *testing.T, f *tcpproxy.Proxy) func(address string) string {
 	t.Helper()
 	return func(address string) string {
 		forwarded, err := f.Forward(address)
--- a/services/jobrun/service_test.go
+++ b/services/jobrun/service_test.go
@@ -23,8 +23,8 @@
 	"saddlevane/platform/standin"
 	"saddlevane/services/jobrun"
 	"saddlevane/services/relay"
-	"saddlevane/tests/forward"
 	"saddlevane/tests/memory"
+	"saddlevane/tests/tcpproxy"
 
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/poll"
@@ -86,7 +86,7 @@
 
 // newAdviceService returns a client, connected through a forwarder, of a service that accepts all
 // workers. While hangs is true, the service does not answer.
-func newAdviceService(t *testing.T, links *forward.Proxy, hangs *atomic.Bool) *platform.Advice {
+func newAdviceService(t *testing.T, links *tcpproxy.Proxy, hangs *atomic.Bool) *platform.Advice {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var in struct {
@@ -137,7 +137,7 @@
 
 // checkAdviceAfterSilence fails the test unless jobs that need advice succeed within maxRetriedTime
 // after the connections to the advice service went silent.
-func checkAdviceAfterSilence(t *testing.T, holder *testBox, links *forward.Proxy) {
+func checkAdviceAfterSilence(t *testing.T, holder *testBox, links *tcpproxy.Proxy) {
 	t.Helper()
 	waitServed(t, holder, jobrun.Request{Submit: submission("first")}, "")
 	waitServed(t, holder, jobrun.Request{State: "first"}, job.Succeeded)
--- a/services/jobrun/silent_test.go
+++ b/services/jobrun/silent_test.go
@@ -20,8 +20,8 @@
 	"saddlevane/services/authority"
 	"saddlevane/services/dispatch"
 	"saddlevane/services/jobrun"
-	"saddlevane/tests/forward"
 	"saddlevane/tests/memory"
+	"saddlevane/tests/tcpproxy"
 
 	"gotest.tools/v3/assert"
 )
@@ -159,7 +159,7 @@
 
 // startTypicalCell starts three boxes. The first holds the cell and the others know it as the holder. The
 // returned switch disconnects those others from the log.
-func startTypicalCell(t *testing.T, on *memory.Platform, links *forward.Proxy) ([]*testBox, *atomic.Bool) {
+func startTypicalCell(t *testing.T, on *memory.Platform, links *tcpproxy.Proxy) ([]*testBox, *atomic.Bool) {
 	t.Helper()
 	boxes := make([]*testBox, 3)
 	calls, disconnected := disconnectableLog(on)
--- a/services/runtime/silent_test.go
+++ b/services/runtime/silent_test.go
@@ -27,7 +27,7 @@
 	"saddlevane/services/routing"
 	"saddlevane/services/runtime"
 	"saddlevane/services/shard"
-	"saddlevane/tests/forward"
+	"saddlevane/tests/tcpproxy"
 
 	"github.com/oklog/ulid/v2"
 	"github.com/sirupsen/logrus"
@@ -108,7 +108,7 @@
 	requests *runtime.Requests
 	log      *platformLog
 	// logProxy and targetProxy forward the connections of the box to the log and the target.
-	logProxy, targetProxy *forward.Proxy
+	logProxy, targetProxy *tcpproxy.Proxy
 	// gate, if set, holds requests at the target until the expected number has arrived. It is
 	// protected by mu.
 	mu   sync.Mutex
@@ -118,7 +118,7 @@
 // newBoxHarness starts a box with a target in a pool and waits until a request succeeds.
 func newBoxHarness(t *testing.T) *boxHarness {
 	t.Helper()
-	r := &boxHarness{t: t, log: &platformLog{changed: make(chan struct{})}, logProxy: forward.New(), targetProxy: forward.New()}
+	r := &boxHarness{t: t, log: &platformLog{changed: make(chan struct{})}, logProxy: tcpproxy.New(), targetProxy: tcpproxy.New()}
 	target := r.serve(r.targetProxy, http.HandlerFunc(r.serveTarget))
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/read", r.log.read)
@@ -145,7 +145,7 @@
 }
 
 // serve starts a server behind a proxy and returns the proxy's address.
-func (r *boxHarness) serve(f *forward.Proxy, h http.Handler) string {
+func (r *boxHarness) serve(f *tcpproxy.Proxy, h http.Handler) string {
 	r.t.Helper()
 	server := httptest.NewServer(h)
 	address, err := f.Forward(server.Listener.Addr().String())
--- a/tests/integration/silent_test.go
+++ b/tests/integration/silent_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"saddlevane/tests/cell"
-	"saddlevane/tests/forward"
+	"saddlevane/tests/tcpproxy"
 
 	"gotest.tools/v3/assert"
 )
@@ -63,7 +63,7 @@
 // forwarders holds one forwarder in front of each address of a cell, by name.
 type forwarders struct {
 	mu  sync.Mutex
-	all map[string]*forward.Proxy
+	all map[string]*tcpproxy.Proxy
 	// addresses holds the listen address of each forwarder, by name.
 	addresses map[string]string
 }
@@ -75,7 +75,7 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if f.all[name] == nil {
-			w := forward.New()
+			w := tcpproxy.New()
 			at, err := w.Forward(next(name, address))
 			assert.Check(t, err == nil, "%v", err)
 			f.all[name], f.addresses[name] = w, at
@@ -107,7 +107,7 @@
 // that later requests and probes used further stalled ones. Closing all idle connections to a
 // target after the first failed request keeps the number of complete responses as before.
 func TestBoxServesAfterOpenConnectionsStall(t *testing.T) {
-	fwds := &forwarders{all: map[string]*forward.Proxy{}, addresses: map[string]string{}}
+	fwds := &forwarders{all: map[string]*tcpproxy.Proxy{}, addresses: map[string]string{}}
 	f := newFixture(t, func(o *cell.Options) { o.ProxyAddress = fwds.proxyAddress(t, o.ProxyAddress) }, domain("a"), domain("b"))
 	f.republish("cell", deadlinePattern.ReplaceAllString(f.CellFile("cell"), "deadline: "+requestDeadline.String()))
 	f.waitInForce("cell", f.Entries()...)
--- a/tests/soak/rig.go
+++ b/tests/soak/rig.go
@@ -19,7 +19,7 @@
 	"saddlevane/models/job"
 	"saddlevane/platform/standin"
 	"saddlevane/tests/cell"
-	"saddlevane/tests/forward"
+	"saddlevane/tests/tcpproxy"
 )
 
 // Rig is a cell of daemons with a stand-in of the platform. Proxies and forwarders between
@@ -31,7 +31,7 @@
 	platform *standin.Platform
 	proxies  *cell.Proxies
 	// forwarders stall open connections, by the name of the component behind them.
-	forwarders map[string]*forward.Proxy
+	forwarders map[string]*tcpproxy.Proxy
 	boxes      []*box
 	workers    []*standin.Worker
 	// holdFor and claimAfter are the settings jobs.hold_for and jobs.claim_after.
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	r := &Rig{
-		dir: dir, daemon: daemon, platform: p, proxies: cell.NewProxies(), forwarders: map[string]*forward.Proxy{},
+		dir: dir, daemon: daemon, platform: p, proxies: cell.NewProxies(), forwarders: map[string]*tcpproxy.Proxy{},
 		holdFor: defaultHoldFor, claimAfter: defaultClaimAfter,
 	}
 	for _, o := range options {
@@ -173,7 +173,7 @@
 
 // addForwarder starts a forwarder to address and returns its listen address.
 func (r *Rig) addForwarder(name, address string) (string, error) {
-	f := forward.New()
+	f := tcpproxy.New()
 	r.forwarders[name] = f
 	return f.Forward(address)
 }
@@ -181,7 +181,7 @@
 // StallConnections permanently stalls all currently open connections in the given directions,
 // or in both if none is given. New connections work. It returns the number of stalled
 // connections.
-func (r *Rig) StallConnections(directions ...forward.Direction) int {
+func (r *Rig) StallConnections(directions ...tcpproxy.Direction) int {
 	n := 0
 	for _, f := range r.forwarders {
 		n += f.Stall(directions...)
--- a/tests/soak/silences.go
+++ b/tests/soak/silences.go
@@ -7,7 +7,7 @@
 	"context"
 	"time"
 
-	"saddlevane/tests/forward"
+	"saddlevane/tests/tcpproxy"
 )
 
 // Numbers of stalls in a run. A stall affects open connections permanently, while new ones
@@ -22,8 +22,8 @@
 
 // stallDirections are the choices for a stall: both directions, so that neither end receives
 // anything, or one of them.
-var stallDirections = [][]forward.Direction{
-	{forward.Requests, forward.Answers}, {forward.Requests}, {forward.Answers},
+var stallDirections = [][]tcpproxy.Direction{
+	{tcpproxy.Requests, tcpproxy.Answers}, {tcpproxy.Requests}, {tcpproxy.Answers},
 }
 
 // scheduleStalls schedules stalls at random times within the given duration.
--- a/tests/forward/forward.go
+++ b/tests/tcpproxy/proxy.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The saddlevane Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package forward provides a TCP proxy between processes under test. It can reset or
+// Package tcpproxy provides a TCP proxy between processes under test. It can reset or
 // stall the open connections. Stalled connections stay open at both ends, and new ones
 // work.
-package forward
+package tcpproxy
 
 import (
 	"net"
